--- /dev/null
+++ b/tests/behaviour/names.py
@@ -0,0 +1,373 @@
+"""The one place of these tests that knows the names of classes, fields, functions and constants.
+
+A renaming of the code under test is followed here and nowhere else; the numbers and the digests
+stay as they are. All inputs are built and all calls are made here.
+"""
+
+from types import SimpleNamespace
+
+from canonical import Kind
+
+from cherrydoor import interface as io
+from cherrydoor.emulator.play import emulate
+from cherrydoor.frames import messages as wire
+from cherrydoor.gateway.books import Client
+from cherrydoor.gateway.desk import Desk
+from cherrydoor.lease.figures import Terms
+from cherrydoor.logic import Gateway
+from cherrydoor.rehearsal.day import read_day
+
+# ---- constants of enumerations
+HANDLED, ERROR, FULL, MISSING = io.HANDLED, io.ERROR, io.FULL, io.MISSING
+NO_ANSWER, NO_CONNECTION, LOST = io.NO_ANSWER, io.NO_CONNECTION, io.LOST
+RECALLED, UNSENT = io.RECALLED, io.UNSENT
+REDELIVERABLE, KEYED, AT_MOST_ONCE = io.REDELIVERABLE, io.KEYED, io.AT_MOST_ONCE
+READY, DRAINING, GONE = io.READY, io.DRAINING, io.GONE
+CHANGES, WHOLE, SAVED, LIST_FAILED = io.CHANGES, io.WHOLE, io.SAVED, io.FAILED
+DEFERRED, DEAD_LETTERED = "deferred", "dead-lettered"  # final answers on the wire
+
+# Numbers are for good. Only what comes out is looked up here.
+CONSTANTS = {
+    HANDLED: 1,
+    ERROR: 2,
+    FULL: 3,
+    NO_ANSWER: 4,
+    NO_CONNECTION: 5,
+    LOST: 6,
+    RECALLED: 7,
+    UNSENT: 8,
+    MISSING: 9,
+    DEFERRED: 10,
+    DEAD_LETTERED: 11,
+}
+
+# ---- kinds of messages that come out
+LAUNCH, RECALL, DEFER, DEAD_LETTER, RING, PROBE, ORDER, SUBSCRIBE = range(1, 9)
+MODULE_KINDS = {
+    io.Launch: Kind(LAUNCH),
+    io.Recall: Kind(RECALL),
+    io.Defer: Kind(DEFER),
+    io.DeadLetter: Kind(DEAD_LETTER),
+    io.Ring: Kind(RING, tokens=(1,)),
+    io.Probe: Kind(PROBE),
+    io.Order: Kind(ORDER),
+    io.Subscribe: Kind(SUBSCRIBE),
+    io.Log: Kind(9, free_text=(0,)),
+}
+(
+    WIRE_ANSWER,
+    WIRE_STARTED,
+    WIRE_LEAVING,
+    WIRE_LAUNCH,
+    WIRE_RECALL,
+    WIRE_PROBE,
+    WIRE_ORDER,
+    WIRE_DROP,
+) = range(21, 29)
+WIRE_KINDS = {
+    wire.Answer: Kind(WIRE_ANSWER, free_text=(3,)),
+    wire.Started: Kind(WIRE_STARTED),
+    wire.Leaving: Kind(WIRE_LEAVING, free_text=(0,)),
+    wire.Launch: Kind(WIRE_LAUNCH),
+    wire.Recall: Kind(WIRE_RECALL),
+    wire.Probe: Kind(WIRE_PROBE),
+    wire.Order: Kind(WIRE_ORDER),
+    wire.Drop: Kind(WIRE_DROP),
+}
+
+
+# ---- the decision module: how it is made and called
+def request_class(
+    name, target, max_age, kind=REDELIVERABLE, group="all", memory=0.0, stream=False
+):
+    return io.Clause(name, target, max_age, kind, group, memory, stream)
+
+
+def tenant(name, per_second):
+    return io.Party(name, per_second)
+
+
+def settings(
+    number=0,
+    gateways=2,
+    seed=1,
+    classes=(),
+    tenants=(),
+    asks=False,
+    launches=3,
+    twice=False,
+    recalls=True,
+    probes=True,
+    advice=1000.0,
+    cold_from=1.0,
+    cold=0.0,
+    fall_multiple=0.0,
+    fall=0.0,
+    linger=6000.0,
+    orders=True,
+    misses=False,
+    quota=(0.0, 0.0, 0.0),
+    tells_copy=True,
+    tells_crowd=True,
+):
+    return io.Lease(
+        number,
+        gateways,
+        seed,
+        "z0",
+        1.0,
+        classes,
+        tenants,
+        asks,
+        launches,
+        twice,
+        recalls,
+        probes,
+        advice,
+        cold_from,
+        cold,
+        fall_multiple,
+        fall,
+        linger,
+        orders,
+        misses,
+        *quota,
+        tells_copy,
+        tells_crowd,
+    )
+
+
+def make_module(lease):
+    return Gateway(lease)
+
+
+def start_module(module, now):
+    return module.start(now)
+
+
+def tell_module(module, now, message):
+    return module.take(now, message)
+
+
+# ---- messages into the decision module
+def host_row(host, state, since, zone, cell):
+    return io.Row(host, state, since, zone, cell)
+
+
+def host_list(how, rows):
+    return io.Listing(how, tuple(rows))
+
+
+def arrival(number, class_name, tenant_name, function, until, lanes, load, away):
+    return io.Arrival(number, class_name, tenant_name, function, until, lanes, load, away)
+
+
+def foreseen(function, away):
+    return io.Foreseen(function, away)
+
+
+def stream_started(number, index, host):
+    return io.Underway(number, index, host)
+
+
+def outcome(number, index, fate, over, host, took, copy, crowd, held, queue, tied):
+    return io.Outcome(number, index, fate, over, host, took, copy, crowd, held, queue, tied)
+
+
+def client_left(number):
+    return io.ClientLeft(number)
+
+
+def timer_fired(token):
+    return io.Wake(token)
+
+
+def probe_ended(host, fate, took):
+    return io.Probed(host, fate, took)
+
+
+def load_ended(function, host, fate, copies, took):
+    return io.Loaded(function, host, fate, copies, took)
+
+
+# ---- the dispatcher: how it is made and called; `call` names are those of its inputs
+def make_dispatcher(lease, dial, now, hear, **bounds):
+    return Desk(make_module(lease), Terms(**bounds), dial, now, hear)
+
+
+def dispatcher_bounds(spare, most_open, per_link, links, connect, idle, probe, order, silence):
+    return dict(
+        spare=spare,
+        most_open=most_open,
+        per_link=per_link,
+        links=links,
+        connect=connect,
+        idle=idle,
+        probe=probe,
+        order=order,
+        silence=silence,
+    )
+
+
+def dispatcher_inputs(desk):
+    return SimpleNamespace(
+        turn=desk.turn,
+        next_timer=desk.next_alarm,
+        post=desk.post,
+        client_came=desk.came_in,
+        request=desk.came,
+        withdrawn=desk.withdrawn,
+        client_went=desk.went,
+        listed=desk.listed,
+        list_failed=desk.list_failed,
+        connected=desk.linked,
+        disconnected=desk.unlinked,
+        greeted=desk.greeted,
+        heard=desk.heard,
+        foreseen=desk.foreseen,
+        copy_stands=desk.stands,
+        unload=desk.unload,
+        drain=desk.drain,
+        answer_all=desk.answer_all,
+    )
+
+
+def dispatcher_counts(desk):
+    return desk.counts
+
+
+def open_requests(desk):
+    return len(desk.taken)
+
+
+def host_of(link):
+    return link.host.id
+
+
+def make_client(writer, has_closed):
+    return Client(writer, "", has_closed)
+
+
+# ---- messages on the wire
+def client_hello(name, clock):
+    return wire.Hello(wire.VERSION, "client", name, clock)
+
+
+def host_hello(name, clock, since):
+    return wire.Hello(wire.VERSION, "host", name, clock, since)
+
+
+def wire_row(host, state, since, zone, cell):
+    return wire.Row(host, state, since, zone, cell)
+
+
+def wire_event(number, class_name, function, lasts, sent, tenant_name, mark, lanes, load, body):
+    return wire.Event(
+        number, class_name, function, lasts, sent, tenant_name, mark, lanes, load, body
+    )
+
+
+def wire_outcome(number, fate, copy, crowd, held, body, queue, tied):
+    return wire.Outcome(number, fate, copy, crowd, held, body, None, queue, tied)
+
+
+def wire_underway(number):
+    return wire.Underway(number)
+
+
+def wire_probed(number, fate):
+    return wire.Probed(number, fate)
+
+
+def wire_ordered(number, fate, copies):
+    return wire.Ordered(number, fate, copies)
+
+
+# ---- the emulator's play, and the words of its recorded traffic, by column
+def play_day(path, seed, folder):
+    emulate(read_day(path, seed=seed), folder)
+
+
+PLAY_ENDS = {
+    "client": 1,
+    "conductor": 2,
+    "host": 3,
+    "list": 4,
+    "store": 5,
+}
+PLAY_EVENTS = {
+    "answer": 1,
+    "answer lost": 2,
+    "begun": 3,
+    "closing": 4,
+    "connect failed": 5,
+    "connected": 6,
+    "cut": 7,
+    "effect": 8,
+    "fetch": 9,
+    "fetched": 10,
+    "gateway continued": 11,
+    "gateway killed": 12,
+    "gateway stopped": 13,
+    "gateway up": 14,
+    "heard": 15,
+    "host down": 16,
+    "host up": 17,
+    "launch": 18,
+    "load": 19,
+    "order": 20,
+    "outcome": 21,
+    "probe": 22,
+    "recall": 23,
+    "row": 24,
+    "sent": 25,
+    "terms": 26,
+    "told": 27,
+    "trouble": 28,
+    "truth": 29,
+    "unreachable": 30,
+}
+PLAY_FATES = {
+    "": 0,
+    "begins": 1,
+    "changes": 2,
+    "dead-lettered": 3,
+    "draining": 4,
+    "ends": 5,
+    "full": 6,
+    "gone": 7,
+    "handled": 8,
+    "ready": 9,
+    "whole": 10,
+    "deferred": 11,
+    "error": 12,
+    "missing": 13,
+}
+PLAY_WORDS = {1: PLAY_ENDS, 4: PLAY_EVENTS, 12: PLAY_FATES}  # by position of the column
+PLAY_FREE_TEXT = 16
+PLAY_DAY = """
+name: "small"
+length: 4s
+warm: 1s
+spare: 400ms
+events: [
+  {name: "draft", target: 750ms, max_age: 2s}
+  {name: "file", target: 750ms, max_age: 2s, kind: "at-most-once"}
+]
+fleet: {hosts: 4}
+cold: {}
+functions: {count: 8, load: [60, 120], work: [5, 15]}
+clients: {per_second: 40}
+gateways: {count: 3, in_a_process: 2}
+store: {}
+list: {notice: [0.05, 0.2]}
+may: {}
+ration: {}
+troubles: [
+  {at: 500ms, what: "deploy", lasts: 1s, part: 50%, size: 0.4}
+  {at: 1s, what: "gateway-crash", lasts: 500ms, part: 20%}
+  {at: 2s, what: "gateway-stall", lasts: 300ms, part: 20%}
+  {at: 2s, what: "lost-answers", lasts: 1s, part: 30%, size: 0.5}
+  {at: 3s, what: "crash", lasts: 500ms, part: 20%}
+]
+"""
--- /dev/null
+++ b/tests/behaviour/test_decision_digests.py
@@ -0,0 +1,296 @@
+"""Digests of decisions over seeded histories, whatever the names or structure of the code.
+
+A digest that changes means that a decision has changed. Names of the code are in names.py alone.
+"""
+
+import names as n
+import pyarrow.parquet as pq
+import pytest
+from canonical import Canonical
+from dispatcher_world import DispatcherWorld
+from dispatcher_world import Story as DispatcherStory
+from module_world import ModuleWorld, Story
+
+PLAIN = n.request_class("plain", 400.0, 3000.0)
+KEYED_ALL = n.request_class("keyed-all", 400.0, 4000.0, n.KEYED, "all", 3000.0)
+KEYED_ZONE = n.request_class("keyed-zone", 400.0, 4000.0, n.KEYED, "zone", 3000.0)
+KEYED_CELL = n.request_class("keyed-cell", 600.0, 4000.0, n.KEYED, "cell", 1500.0)
+ONCE = n.request_class("once", 400.0, 3000.0, n.AT_MOST_ONCE)
+STREAM = n.request_class("stream", 500.0, 2000.0, stream=True)
+EVERY_CLASS = (PLAIN, KEYED_ALL, KEYED_ZONE, KEYED_CELL, ONCE, STREAM)
+TENANTS = (n.tenant("large", 400.0), n.tenant("middle", 100.0), n.tenant("small", 5.0))
+
+
+def story(switches, **said):
+    return Story((0, switches.pop("gateways", 2), 1, EVERY_CLASS, switches), **said)
+
+
+STORIES = {
+    "hosts replaced, lists late and by changes": (
+        11,
+        story({"quota": (5.0, 0.2, 2000.0)}, faults=0.6, changes=1.5, whole_lists=0.1),
+    ),
+    "a cold fleet that falls under load": (
+        12,
+        story(
+            {
+                "cold_from": 0.05,
+                "cold": 20000.0,
+                "fall_multiple": 2.0,
+                "fall": 3000.0,
+                "linger": 3000.0,
+            },
+            faults=1.0,
+            changes=4.0,
+            capacity=8,
+            hosts=16,
+            cold_hosts=0.8,
+        ),
+    ),
+    "many gateways, answers tell neither copies nor crowds": (
+        13,
+        story(
+            {"gateways": 200, "tells_copy": False, "tells_crowd": False},
+            told=True,
+            per_second=80.0,
+            functions=12,
+        ),
+    ),
+    "overload by tenants of unlike shares": (
+        14,
+        Story(
+            (1, 4, 5, EVERY_CLASS, TENANTS, {"launches": 5}),
+            per_second=260.0,
+            hosts=4,
+            length=8000.0,
+            capacity=10,
+            tenants=("small", "large", "middle", "nobody"),
+        ),
+    ),
+    "a drained zone, functions foreseen": (
+        15,
+        story(
+            {"gateways": 3, "quota": (3.0, 0.05, 1000.0)},
+            away=0.4,
+            foreseen=4.0,
+            zones=3,
+            functions=60,
+        ),
+    ),
+    "hosts that answer missing, lists asked for and failed": (
+        16,
+        story(
+            {"misses": True, "asks": True, "twice": True, "linger": 2000.0},
+            misses=True,
+            failed_lists=0.6,
+            whole_lists=1.0,
+            told=True,
+        ),
+    ),
+    "neither recalls nor probes nor orders, many unanswered": (
+        17,
+        story(
+            {"recalls": False, "probes": False, "orders": False, "advice": 0.0, "gateways": 1},
+            unanswered=0.06,
+            errors=0.1,
+            faults=1.0,
+        ),
+    ),
+    "many gateways, hedged, many silent hosts": (
+        18,
+        story(
+            {"gateways": 64, "twice": True, "launches": 2},
+            faults=2.0,
+            hosts=16,
+            per_second=150.0,
+            length=12000.0,
+            unanswered=0.04,
+            functions=6,
+        ),
+    ),
+}
+MODULE_DIGESTS = {
+    "hosts replaced, lists late and by changes":
+        "0d1ea502aaad748eb31365584984b8520c4faf523d5f96a024bc9d7b160f56d4",
+    "a cold fleet that falls under load":
+        "caf5c64ca000e3567aa76f2e753ebd12016251d62e3f39f8f9cfaa3d4fa8ff2f",
+    "many gateways, answers tell neither copies nor crowds":
+        "266ec17027866eb7ffd34206d8ba0daa61d370298210d1c6b25499a86ab37d25",
+    "overload by tenants of unlike shares":
+        "5955a3fc785faa1207618cfb3fe7c7739459ff9b3dab3430f730a50c3ed596f2",
+    "a drained zone, functions foreseen":
+        "c53cb6f34d78d11b9ed44fdef5b211b1225aac183c07c2390f783757d4490aef",
+    "hosts that answer missing, lists asked for and failed":
+        "820f4046ab0c850322a9ceaa4613f70a73bd1702340c579c5e07d349e1c3f715",
+    "neither recalls nor probes nor orders, many unanswered":
+        "6724da7db52e6f9e87ff707c2aaffbfae980b9881c1111d1d2cf47427ba8386a",
+    "many gateways, hedged, many silent hosts":
+        "a9ac8d2d5101b6ee40913865d6bd7b5a455b1789ab8b3edb8ad9088853d80118",
+}
+
+
+@pytest.fixture(scope="module")
+def played():
+    return {name: ModuleWorld(seed, said).play() for name, (seed, said) in STORIES.items()}
+
+
+@pytest.mark.parametrize("name", STORIES)
+def test_module_decides_as_before(played, name):
+    assert played[name].told > 2000
+    assert played[name].canonical.digest() == MODULE_DIGESTS[name]
+
+
+def test_module_histories_cover_every_action_and_outcome(played):
+    counts = {
+        kind: sum(world.canonical.counts[kind] for world in played.values())
+        for kind in range(1, 9)
+    }
+    least = {
+        n.LAUNCH: 10000,
+        n.RECALL: 40,
+        n.DEFER: 1000,
+        n.DEAD_LETTER: 200,
+        n.RING: 1000,
+        n.PROBE: 100,
+        n.ORDER: 500,
+        n.SUBSCRIBE: 2,
+    }
+    assert all(counts[kind] >= least[kind] for kind in least), counts
+    fates = set().union(*(world.fates for world in played.values()))
+    assert fates == {
+        n.HANDLED,
+        n.ERROR,
+        n.FULL,
+        n.NO_ANSWER,
+        n.NO_CONNECTION,
+        n.LOST,
+        n.RECALLED,
+        n.UNSENT,
+        n.MISSING,
+    }
+
+
+DISPATCHER_STORIES = {
+    "faults of every kind": (
+        21,
+        DispatcherStory(
+            (0, 2, 3, EVERY_CLASS, {"quota": (5.0, 0.5, 2000.0)}),
+            (10.0, 1000, 8, 3, 100.0, 2000.0, 200.0, 2000.0, 400.0),
+            hosts=10,
+        ),
+    ),
+    "asked lists, few open requests, overload": (
+        22,
+        DispatcherStory(
+            (
+                0,
+                2,
+                4,
+                EVERY_CLASS,
+                {
+                    "asks": True,
+                    "cold_from": 0.3,
+                    "cold": 4000.0,
+                    "fall_multiple": 3.0,
+                    "fall": 2000.0,
+                },
+            ),
+            (20.0, 15, 4, 2, 50.0, 1000.0, 100.0, 1000.0, 200.0),
+            per_second=200.0,
+            hosts=3,
+            length=10000.0,
+            drains_at=9000.0,
+            unanswered=0.03,
+            failed=0.01,
+        ),
+    ),
+}
+DISPATCHER_DIGESTS = {
+    "faults of every kind":
+        "54acec1990fb1d58b44e519b52a557c8aee9eaa356fe96b6d9c6b9bd9a59eec9",
+    "asked lists, few open requests, overload":
+        "935ddd74cddf71968b5402bc8f9c6a3d7e571a18f09517922e5ad6ab8d85d6c2",
+}
+DISPATCHER_COUNTS = {
+    "faults of every kind":
+        [1, 3, 3, 4, 17, 17, 26, 29, 71, 90, 100, 108, 188, 199, 423, 1366, 1506, 1876],
+    "asked lists, few open requests, overload":
+        [1, 2, 5, 11, 16, 16, 20, 21, 27, 31, 32, 53, 78, 103, 205, 679, 728, 894, 1604],
+}
+
+
+@pytest.fixture(scope="module")
+def dispatched():
+    return {
+        name: DispatcherWorld(seed, said).play()
+        for name, (seed, said) in DISPATCHER_STORIES.items()
+    }
+
+
+def counts_by_size(world):
+    """The values alone, as what is counted may get another name; zeros are left out."""
+    return sorted(value for value in n.dispatcher_counts(world.desk).values() if value)
+
+
+@pytest.mark.parametrize("name", DISPATCHER_STORIES)
+def test_dispatcher_writes_dials_and_closes_as_before(dispatched, name):
+    assert dispatched[name].inputs > 2000
+    assert n.open_requests(dispatched[name].desk) == 0
+    assert dispatched[name].canonical.digest() == DISPATCHER_DIGESTS[name]
+
+
+@pytest.mark.parametrize("name", DISPATCHER_STORIES)
+def test_dispatcher_counts_as_before(dispatched, name):
+    assert counts_by_size(dispatched[name]) == DISPATCHER_COUNTS[name]
+
+
+def test_dispatcher_histories_cover_every_message(dispatched):
+    counts = {
+        kind.number: sum(world.canonical.counts[kind.number] for world in dispatched.values())
+        for kind in n.WIRE_KINDS.values()
+    }
+    assert all(counts[kind] >= 5 for kind in counts), counts
+    assert counts[n.WIRE_ANSWER] > 2000 and counts[n.WIRE_LAUNCH] > 2000, counts
+
+
+PLAY_DIGESTS = {
+    1: "4ee4354482b3609942a39eb1f918ed95a652905db944024a1869e2ba0acb9988",
+    2: "14d9e2129e701f2bac88244f68f21913d27e2be4fbb7a9b1918e355faac776d1",
+}
+
+
+def traffic_in_order(folder):
+    """Rows as lists of values, in order of time, and at one time as the ends recorded them."""
+    files = sorted(
+        (folder / "traffic").glob("*.parquet"), key=lambda path: path.stem.rsplit("-", 1)[1]
+    )
+    rows = []
+    for path in files:
+        rows.extend(list(row.values()) for row in pq.read_table(path).to_pylist())
+    return sorted(rows, key=lambda row: (row[0], n.PLAY_ENDS[row[1]]))
+
+
+def digest_of_traffic(rows):
+    """Words by their tables; other names by order of first appearance."""
+    canonical = Canonical({}, {})
+    for row in rows:
+        formed = []
+        for position, value in enumerate(row):
+            if position in n.PLAY_WORDS:
+                formed.append(n.PLAY_WORDS[position][value])
+            elif isinstance(value, str) and position != n.PLAY_FREE_TEXT:
+                formed.append(canonical.form_of_token(value))
+            elif position != n.PLAY_FREE_TEXT:
+                formed.append(value)
+        canonical.add(*formed)
+    return canonical.digest()
+
+
+@pytest.mark.parametrize("seed", [1, 2])
+def test_emulated_play_has_the_same_traffic_as_before(seed, tmp_path):
+    day = tmp_path / "small.day"
+    day.write_text(n.PLAY_DAY)
+    n.play_day(day, seed, tmp_path / "out")
+    rows = traffic_in_order(tmp_path / "out")
+    assert len(rows) > 1000
+    assert digest_of_traffic(rows) == PLAY_DIGESTS[seed]
