--- /dev/null
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -0,0 +1,679 @@
+"""Digests of what the pure state machines decide over seeded random histories.
+
+Each history has its own random generator and its own virtual time. Actions are brought into the canonical form of
+plain.py, so that a digest changes when a decision changes, and not when something is renamed. A rename touches only
+the imports, the tables of kinds and constants, and the factories and accessors at the top of each section.
+"""
+
+from random import Random
+
+import pytest
+from plain import Transcript, values_of
+
+from cherrydoor.admission import decide as admission
+from cherrydoor.keys import decide as keys
+from cherrydoor.platform.configuration import IDLE, SILENT
+from cherrydoor.versions import decide as versions
+from cherrydoor.versions import proof
+
+# ---- admission: names of the code under test
+
+ADMISSION_ACTIONS = (
+    admission.LetIn,
+    admission.Seat,
+    admission.Refuse,
+    admission.Pause,
+    admission.Resume,
+    admission.Rest,
+)
+ADMISSION_KINDS = {kind: number for number, kind in enumerate(ADMISSION_ACTIONS)}
+
+
+def new_manners(
+    places,
+    known=(),
+    pace=20.0,
+    burst=60.0,
+    known_pace=200.0,
+    handshakes=200.0,
+    hello_time=5000.0,
+    frame_time=5000.0,
+    idle_time=5000.0,
+    stranger_frame=16 << 20,
+    frame=16 << 20,
+    stranger_bytes=32 << 20,
+    strangers_bytes=256 << 20,
+    known_bytes=64 << 20,
+    seed=1,
+    parts=(1 / 8, 1 / 4, 1 / 2),
+    pending_places=0,
+):
+    """What admission goes by; the positions are those of the class."""
+    return admission.Manners(
+        places,
+        tuple(admission.Known(*one) for one in known),
+        pace,
+        burst,
+        known_pace,
+        handshakes,
+        hello_time,
+        frame_time,
+        idle_time,
+        stranger_frame,
+        frame,
+        stranger_bytes,
+        strangers_bytes,
+        known_bytes,
+        seed,
+        parts,
+        pending_places,
+    )
+
+
+def platform_manners(places, pending_places, seed):
+    """As platform/configuration.py has them: nobody is known, no pace binds, all come by one front."""
+    return new_manners(
+        places,
+        pace=1e6,
+        burst=1e6,
+        known_pace=1e6,
+        handshakes=1e6,
+        hello_time=SILENT,
+        frame_time=SILENT,
+        idle_time=IDLE,
+        stranger_bytes=8 << 20,
+        seed=seed,
+        parts=(1, 1, 1),
+        pending_places=pending_places,
+    )
+
+
+def set_used(caller, now):
+    caller.used = now
+
+
+def set_open(caller, count):
+    caller.open = count
+
+
+def set_unfinished_since(caller, since):
+    caller.partial = since
+
+
+def hold_bytes(caller, size):
+    """Counts unfinished bytes as the listener does; True where the group now holds too many."""
+    more = size - caller.held
+    caller.held = size
+    over = caller.group.holds(more) if more else False
+    return over and more > 0
+
+
+def read_messages(caller, count):
+    """Counts messages read as the listener does; True where the group may be read no further in this window."""
+    group = caller.group
+    group.read += count
+    return group.allowed is not None and group.read >= group.allowed and not group.paused
+
+
+# ---- admission: the histories
+
+WINDOW = 100.0
+KNOWN_CLIENTS = (
+    ("alpha", 6, 10, ("192.0.2.0/24",)),
+    ("beta", 4, 6, ("2001:db8:7::/48", "198.51.100.7/32")),
+    ("gamma", 3, 12, ()),
+)
+
+
+class AdmissionPhase:
+    """What happens, and how often, while a phase lasts."""
+
+    def __init__(self, steps, pause, knock, networks, sealed, silent, shortage, busy):
+        self.steps = steps
+        self.pause = pause
+        self.knock = knock
+        self.networks = networks
+        self.sealed = sealed
+        self.silent = silent
+        self.shortage = shortage
+        self.busy = busy
+
+
+# steps, mean ms between steps, share of new connections, networks (0: known clients alone),
+# TLS share, silent share, (descriptors, memory) in use, core in use
+ADMISSION_PHASES = (
+    AdmissionPhase(400, 20.0, 0.30, 200, 0.3, 0.05, (0.3, 0.3), 0.4),
+    AdmissionPhase(1500, 1.0, 0.80, 1, 0.2, 0.60, (0.4, 0.3), 0.7),
+    AdmissionPhase(300, 30.0, 0.20, 50, 0.3, 0.10, (0.4, 0.3), 0.5),
+    AdmissionPhase(1500, 1.0, 0.80, 5000, 0.1, 0.50, (0.6, 0.5), 0.8),
+    AdmissionPhase(1200, 0.5, 0.90, 3000, 1.0, 0.30, (0.5, 0.3), 0.8),
+    AdmissionPhase(800, 1.0, 0.90, 0, 0.5, 0.30, (0.5, 0.3), 0.6),
+    AdmissionPhase(300, 25.0, 0.20, 100, 0.3, 0.05, (0.5, 0.3), 0.97),
+    AdmissionPhase(300, 20.0, 0.30, 300, 0.3, 0.10, (0.92, 0.5), 0.6),
+    AdmissionPhase(300, 20.0, 0.30, 300, 0.3, 0.10, (0.5, 0.98), 0.9),
+    AdmissionPhase(400, 40.0, 0.25, 100, 0.3, 0.05, (0.2, 0.3), 0.3),
+)
+
+
+class AdmissionHistory:
+    """Plays the part of the listener: makes connections, posts notes, and carries out the actions."""
+
+    def __init__(self, seed, manners):
+        self.random = Random(seed)
+        self.now = 1000.0
+        self.guard = admission.Guard(manners, self.now)
+        self.transcript = Transcript(ADMISSION_KINDS, entities=(admission.Caller,))
+        self.pending = {}
+        self.seated = {}
+        self.closing = []
+        self.rest_until = 0.0
+        self.measure_at = self.now
+        self.notes = 0
+
+    def run(self, phases):
+        for phase in phases:
+            for _ in range(phase.steps):
+                self.step(phase)
+        figures = [value for _, value in self.guard.figures()]
+        self.transcript.add(self.now, figures, list(self.guard.counts.values()))
+        return self.transcript
+
+    def post(self, note):
+        self.notes += 1
+        actions = self.guard.take(self.now, note)
+        if actions:
+            self.transcript.add(self.now, *actions)
+        for action in actions:
+            self.carry_out(action)
+
+    def carry_out(self, action):
+        value = values_of(action)[0]
+        if isinstance(action, admission.LetIn):
+            self.pending[value] = self.random.random() < self.silent
+        elif isinstance(action, admission.Seat):
+            self.pending.pop(value, None)
+            self.seated[value] = True
+        elif isinstance(action, admission.Refuse):
+            self.pending.pop(value, None)
+            self.seated.pop(value, None)
+            self.closing.append(value)
+        elif isinstance(action, admission.Rest):
+            self.rest_until = self.now + value
+
+    def step(self, phase):
+        self.silent = phase.silent
+        self.now += self.random.expovariate(1 / phase.pause)
+        while self.now >= self.measure_at:
+            self.measure_at += WINDOW
+            self.measure(phase)
+        if self.random.random() < phase.knock:
+            if self.now >= self.rest_until:
+                self.knock(phase)
+        else:
+            self.something_else()
+        for caller in [one for one, silent in self.pending.items() if not silent]:
+            if self.random.random() < 0.4:
+                self.post(admission.Shown(caller, self.random.choice(("", "", "", "alpha", "beta", "gamma", "x"))))
+        while self.closing and self.random.random() < 0.7:
+            self.post(admission.Gone(self.closing.pop(0)))
+
+    def measure(self, phase):
+        descriptors, memory = (min(1.0, part + self.random.uniform(-0.05, 0.05)) for part in phase.shortage)
+        busy = min(1.0, phase.busy + self.random.uniform(-0.1, 0.1))
+        self.post(admission.Measured(descriptors, memory, busy))
+
+    def knock(self, phase):
+        caller = admission.Caller(self.address(phase), self.now)
+        self.post(admission.Knock(caller, self.random.random() < phase.sealed))
+
+    def address(self, phase):
+        chosen = self.random.random()
+        if chosen < 0.08 or not phase.networks:
+            return f"192.0.2.{self.random.randrange(256)}"
+        if chosen < 0.12:
+            return f"2001:db8:7::{self.random.randrange(1, 99):x}"
+        if chosen < 0.16:
+            return f"203.0.113.{self.random.randrange(4)}"
+        if chosen < 0.18:
+            return self.random.choice(("127.0.0.1", "127.9.9.9", "::1", "198.51.100.7", "::ffff:10.1.2.3"))
+        network = self.random.randrange(phase.networks)
+        if chosen < 0.30:
+            return f"2001:db8:{network:x}:{self.random.randrange(3):x}::{self.random.randrange(1, 9):x}"
+        return f"10.{network // 200}.{network % 200}.{self.random.randrange(1, 250)}"
+
+    def something_else(self):
+        if not self.seated:
+            return
+        caller = self.random.choice(list(self.seated))
+        chosen = self.random.random()
+        if chosen < 0.12:
+            self.seated.pop(caller)
+            self.post(admission.Gone(caller))
+        elif chosen < 0.13:
+            self.post(admission.Exhausted(self.random.random() < 0.5))
+        elif chosen < 0.30:
+            set_open(caller, self.random.choice((0, 0, 1, 3)))
+        elif chosen < 0.45:
+            self.hold(caller)
+        else:
+            self.read(caller)
+
+    def hold(self, caller):
+        size = self.random.choice((0, 0, 1000, 20000, 60000))
+        set_unfinished_since(caller, self.now if size else 0.0)
+        if hold_bytes(caller, size):
+            self.post(admission.Swollen(caller))
+
+    def read(self, caller):
+        set_used(caller, self.now)
+        if read_messages(caller, self.random.choice((1, 1, 2, 5, 30))):
+            self.post(admission.Poured(caller))
+
+
+ADMISSION_HISTORIES = {
+    "known and unknown clients": (
+        11,
+        new_manners(40, KNOWN_CLIENTS, stranger_bytes=50000, strangers_bytes=200000, known_bytes=90000, seed=3),
+        12,
+        "b0e894bdb08a7b208d5981c581a1486d53af1a538edea4355fa140cd99f21de4",
+    ),
+    "few places, short patience": (
+        12,
+        new_manners(
+            16,
+            (("alpha", 30, 40, ("192.0.2.0/24",)), ("gamma", 10, 20, ())),
+            pace=5.0,
+            burst=10.0,
+            known_pace=4.0,
+            handshakes=20.0,
+            hello_time=1500.0,
+            frame_time=800.0,
+            idle_time=1000.0,
+            stranger_frame=4096,
+            frame=65536,
+            stranger_bytes=30000,
+            strangers_bytes=60000,
+            known_bytes=40000,
+            seed=5,
+        ),
+        12,
+        "c79fe1c50057482b784f84bc1db788486b8e042dd021e19c8830959002bdb675",
+    ),
+    "nobody is known": (
+        13,
+        new_manners(300, pace=50.0, burst=20.0, seed=7, pending_places=24),
+        9,
+        "4ceb8feb3696c44bb82630c3316867e4af7397dfb931fbc6118b32efa6f4ee4d",
+    ),
+    "the platform's manners": (
+        14,
+        platform_manners(89, 44, 9),
+        7,
+        "21cd93a5a1bbd80149f3dac464536e49f648b00c0a1987eba0ee7af855626100",
+    ),
+}
+
+
+@pytest.mark.parametrize("name", ADMISSION_HISTORIES)
+def test_admission_decides_as_recorded(name):
+    seed, manners, reasons, expected = ADMISSION_HISTORIES[name]
+    history = AdmissionHistory(seed, manners)
+    transcript = history.run(ADMISSION_PHASES)
+    assert history.notes > 3000
+    assert not transcript.missing(ADMISSION_ACTIONS)
+    assert len(transcript.seen_texts) >= reasons
+    assert transcript.digest() == expected
+
+
+# ---- versions: names of the code under test
+
+VERSION_ACTIONS = (
+    versions.LoadAhead,
+    versions.Unload,
+    versions.Said,
+)
+VERSION_KINDS = {kind: number for number, kind in enumerate(VERSION_ACTIONS)}
+RELEASE_STATES = (
+    versions.ANNOUNCED,
+    versions.LOADING,
+    versions.TRIAL,
+    versions.COMPLETE,
+    versions.WITHDRAWN,
+    versions.SUPERSEDED,
+)
+VERSION_CONSTANTS = {state: number for number, state in enumerate(RELEASE_STATES)}
+FATES = ("handled", "error", "lost", "deferred")
+ORDERS = ("hold", "go on", "withdraw", "complete")
+
+
+# ---- versions: the histories
+
+
+class VersionTraits:
+    """How one version of a function fares: shares of errors, of losses, of failed loads, and its slowness."""
+
+    def __init__(self, random, good):
+        self.errors = 0.01
+        self.lost = 0.002
+        self.slow = 1.0
+        self.fails = 0.0
+        self.bad_customer = None
+        if good:
+            return
+        chosen = random.randrange(5)
+        if chosen == 0:
+            self.errors = random.choice((0.15, 0.4, 0.9))
+        elif chosen == 1:
+            self.slow = random.choice((1.6, 3.0))
+        elif chosen == 2:
+            self.lost = 0.3
+        elif chosen == 3:
+            self.fails = 0.95
+        else:
+            self.bad_customer = "customer-1"
+
+
+class VersionHistory:
+    """Functions that are called, released, and end well or badly at hosts that keep tallies."""
+
+    HOSTS = ("host-0", "host-1", "host-2", "host-3")
+    CUSTOMERS = ("customer-0", "customer-1", "customer-2")
+
+    def __init__(self, seed, functions, bad_share, mean_pause, release_every):
+        self.random = Random(seed)
+        self.now = 1.8e12
+        self.functions = [f"function-{number}" for number in range(functions)]
+        self.weights = [1 / (1 + number) ** 1.2 for number in range(functions)]
+        self.bad_share = bad_share
+        self.mean_pause = mean_pause
+        self.release_every = release_every
+        self.machine = versions.Versions(self.now)
+        self.transcript = Transcript(VERSION_KINDS, VERSION_CONSTANTS)
+        self.newest = dict.fromkeys(self.functions, 0)
+        self.traits = {}
+        self.tallies = {}
+        self.loads = []
+        self.notes = 0
+
+    def run(self, steps):
+        next_tick = self.now
+        next_release = self.now
+        for step in range(steps):
+            self.now += self.random.expovariate(1 / self.mean_pause)
+            if self.now >= next_tick:
+                next_tick = self.now + 1000.0
+                self.post(versions.Tick())
+            if self.now >= next_release:
+                next_release = self.now + self.random.expovariate(1 / self.release_every)
+                self.release()
+            self.end_loads()
+            self.call()
+            if self.random.random() < 0.004:
+                self.order()
+            if step % 1500 == 1499:
+                self.restart()
+        return self.transcript
+
+    def post(self, note):
+        self.notes += 1
+        actions = self.machine.take(self.now, note)
+        if actions:
+            self.transcript.add(self.now, *actions)
+        for action in actions:
+            if isinstance(action, versions.LoadAhead):
+                name = values_of(action)[0]
+                self.loads.append((self.now + self.random.choice((200.0, 300.0, 2000.0, 1e9)), self.now, name))
+
+    def restart(self):
+        kept = self.machine.kept()
+        self.machine = versions.Versions(self.now)
+        self.machine.take_back(kept)
+
+    def release(self):
+        function = self.random.choice(self.functions)
+        chosen = self.random.random()
+        if chosen < 0.8 or not self.newest[function]:
+            count = self.random.choice((1, 1, 1, min(4, len(self.functions))))
+            for one in self.random.sample(self.functions, count):
+                self.newest[one] += self.random.choice((1, 1, 2))
+                self.post(versions.Fed(one, self.newest[one], versions.ANNOUNCED))
+            return
+        version = max(1, self.newest[function] - self.random.choice((0, 0, 1)))
+        state = self.random.choice((versions.WITHDRAWN, versions.COMPLETE, versions.ANNOUNCED))
+        self.post(versions.Fed(function, version, state))
+
+    def order(self):
+        self.post(versions.Ordered(self.random.choice(self.functions), self.random.choice(ORDERS)))
+
+    def traits_of(self, name):
+        if name not in self.traits:
+            good = "@" not in name or self.random.random() >= self.bad_share
+            self.traits[name] = VersionTraits(self.random, good)
+        return self.traits[name]
+
+    def end_loads(self):
+        for entry in [one for one in self.loads if one[0] <= self.now]:
+            self.loads.remove(entry)
+            _, begun, name = entry
+            failed = self.random.random() < self.traits_of(name).fails
+            self.post(versions.Loaded(name, "error" if failed else "handled", self.now - begun))
+
+    def call(self):
+        function = self.random.choices(self.functions, self.weights)[0]
+        name = self.machine.choose(function, f"document-{self.random.randrange(2000)}")
+        fate = self.launch(name)
+        again = self.machine.again(name)
+        self.transcript.add(self.now, name, again)
+        if fate in ("error", "lost") and again != name:
+            self.launch(again)
+
+    def launch(self, name):
+        traits = self.traits_of(name)
+        host = self.random.choice(self.HOSTS)
+        customer = self.random.choice(self.CUSTOMERS)
+        failed = self.random.random() < traits.fails
+        chosen = self.random.random()
+        errors = 0.8 if customer == traits.bad_customer else traits.errors
+        fate = "handled"
+        if failed or chosen < errors:
+            fate = "error"
+        elif chosen > 1 - traits.lost:
+            fate = "lost"
+        elif chosen > 1 - traits.lost - 0.01:
+            fate = "deferred"
+        took = self.random.lognormvariate(3.0, 0.3) * traits.slow
+        tally = self.tally(host, name, fate, failed, took > 35.0)
+        cold = self.random.random() < 0.05
+        self.post(versions.Ended(name, host, fate, took, cold, failed, tally, customer))
+        return fate
+
+    def tally(self, host, name, fate, failed, slow):
+        """What the host tells of this version; one host tells nothing, and a tally may begin anew."""
+        if host == self.HOSTS[0] or fate in ("lost", "deferred"):
+            return None
+        if self.random.random() < 0.002:
+            self.tallies.pop((host, name), None)
+        events, errors, slows = self.tallies.get((host, name), (0, 0, 0))
+        error = fate == "error" and not failed
+        self.tallies[host, name] = (events + 1, errors + error, slows + (slow and not error))
+        return self.tallies[host, name]
+
+
+VERSION_HISTORIES = {
+    "busy functions, some bad releases": (
+        21,
+        (3, 0.3, 100.0, 50000.0),
+        30,
+        "1ae6ebe80f8fda51d27e4d1b92fe5bc07ea21a5671d04ddb06fc2d60d4f5c3e8",
+    ),
+    "many functions, many bad releases": (
+        22,
+        (14, 0.8, 100.0, 10000.0),
+        120,
+        "9539cc9f8d0bbb6f9e1c857841a922c7b85ee1fab4bbceef6889a829bb809424",
+    ),
+}
+
+
+@pytest.mark.parametrize("name", VERSION_HISTORIES)
+def test_versions_decide_as_recorded(name):
+    seed, settings, texts, expected = VERSION_HISTORIES[name]
+    history = VersionHistory(seed, *settings)
+    transcript = history.run(8000)
+    assert not transcript.missing(VERSION_ACTIONS)
+    assert len(transcript.seen_texts) > texts
+    assert transcript.seen_constants == set(RELEASE_STATES) - {versions.TRIAL}
+    assert transcript.digest() == expected
+
+
+def test_evidence_is_weighed_as_recorded():
+    """Bounds and verdicts for random counts; figures to nine digits, as logarithms differ in the last ones."""
+    random = Random(23)
+    transcript = Transcript({})
+    verdicts = set()
+    for _ in range(400):
+        new_all = random.choice((0, 1, 5, 40, 300))
+        old_all = random.choice((0, 5, 100, 1000))
+        new = proof.Count(random.randint(0, new_all), new_all)
+        old = proof.Count(random.randint(0, old_all) // random.choice((1, 5, 20)), old_all)
+        alpha = random.choice((0.5, 0.05, 0.004))
+        margin = random.choice((0.0, 0.02, 0.1))
+        carried = random.choice((0.0, 1.0))
+        found = (proof.worse(new, old, alpha, margin, carried), proof.no_worse(new, old, alpha, margin))
+        verdicts.add(found)
+        figures = [round(one, 9) for one in new.bounds(alpha)]
+        figures.append(round(proof.carry(new, old, margin), 9))
+        transcript.add(alpha, figures, found)
+    assert verdicts == {(True, False), (False, True), (False, False)}
+    assert transcript.digest() == EVIDENCE_DIGEST
+
+
+EVIDENCE_DIGEST = "72e35f0ceb679436749ec9ca324a47de4698c8153582891f0e5194a914430fae"
+
+
+# ---- keys: names of the code under test
+
+KEY_ACTIONS = (
+    keys.TakeUp,
+    keys.Keep,
+    keys.Warn,
+    keys.PutOut,
+)
+KEY_KINDS = {kind: number for number, kind in enumerate(KEY_ACTIONS)}
+PAIR, AUTHORITIES, REVOKED, TOKENS = keys.PARTS
+KEY_CONSTANTS = {part: number for number, part in enumerate(keys.PARTS)}
+
+
+# ---- keys: the history
+
+DAY = 86400000.0
+
+
+class KeyHistory:
+    """Files that are offered, good and bad, and connections made on the keys in service."""
+
+    def __init__(self, seed):
+        self.random = Random(seed)
+        self.now = 1.8e12
+        self.ring = keys.Ring(keys.Usage(900000.0, 14 * DAY, seed))
+        self.transcript = Transcript(KEY_KINDS, KEY_CONSTANTS)
+        self.connections = []
+        self.marks = 0
+        self.list_number = 5
+
+    def run(self, steps):
+        for _ in range(steps):
+            long = self.random.random() < 0.02
+            self.now += self.random.expovariate(1 / DAY if long else 1 / 20000.0)
+            chosen = self.random.random()
+            if chosen < 0.35:
+                self.post(keys.Tick())
+            elif chosen < 0.65:
+                self.join()
+            elif chosen < 0.75 and self.connections:
+                left = self.connections.pop(self.random.randrange(len(self.connections)))
+                self.post(keys.Left(left))
+            elif chosen < 0.90:
+                self.offer()
+            else:
+                believed = self.ring.believes(self.token_id(), self.random.choice(("alpha", "beta")))
+                self.transcript.add(self.now, believed)
+        return self.transcript
+
+    def post(self, note):
+        actions = self.ring.take(self.now, note)
+        if actions:
+            self.transcript.add(self.now, *actions)
+
+    def serial(self):
+        return f"serial-{self.random.randrange(40)}"
+
+    def authority_id(self):
+        return f"authority-{self.random.randrange(3)}"
+
+    def token_id(self):
+        return f"token-{self.random.randrange(4)}"
+
+    def span(self):
+        since = self.now + self.random.choice((-9 * DAY, -DAY, -DAY, 0.02 * DAY))
+        return since, self.now + self.random.choice((-0.5, 0.5, 5.0, 12.0, 30.0, 60.0)) * DAY
+
+    def join(self):
+        connection = f"connection-{len(self.transcript.seen_texts)}-{self.random.randrange(10**9)}"
+        self.connections.append(connection)
+        by_certificate = self.random.random() < 0.6
+        serial = self.serial() if by_certificate else ""
+        authority = self.authority_id() if by_certificate else ""
+        token = "" if by_certificate else self.token_id()
+        until = self.random.choice((0.0, self.now + 300000.0, self.now + DAY))
+        self.post(keys.Joined(connection, serial, authority, token, until))
+
+    def offer(self):
+        part = self.random.choice(keys.PARTS)
+        self.marks += self.random.random() < 0.9
+        mark = f"mark-{part}-{self.marks}"
+        if self.random.random() < 0.1:
+            self.post(keys.Offered(part, mark, None, f"fault-{self.random.randrange(2)}"))
+            return
+        self.post(keys.Offered(part, mark, self.content(part)))
+
+    def content(self, part):
+        if part == PAIR:
+            since, until = self.span()
+            return keys.Pair(self.serial(), "gateway", since, until, self.random.random() < 0.85)
+        if part == AUTHORITIES:
+            found = [number for number in range(3) if self.random.random() < 0.75]
+            return tuple(keys.Authority(f"authority-{number}", f"name-{number}", *self.span()) for number in found)
+        if part == REVOKED:
+            self.list_number += self.random.choice((-1, 0, 1, 2))
+            signed = self.random.random() < 0.9
+            found = [number for number in range(3) if self.random.random() < 0.85]
+            return tuple(self.revocations(number, signed) for number in found)
+        return tuple(self.token() for _ in range(self.random.randrange(1, 4)))
+
+    def revocations(self, number, signed):
+        serials = frozenset(self.serial() for _ in range(3))
+        return keys.Revoked(f"authority-{number}", self.list_number, serials, signed)
+
+    def token(self):
+        return keys.Token(self.token_id(), self.random.choice(((), ("alpha",), ("alpha", "beta"))))
+
+
+KEY_HISTORIES = {
+    "one ring of keys": (
+        31,
+        "0c278d015d4e25cbfdf1f28b9bccffbc6c7174c657f625427a0d8bebce915cc4",
+    ),
+    "another ring of keys": (
+        32,
+        "414aa129eaaefbc5c5835a0c486f93e6645da68c7d01616ea28630ffd2ca1bf6",
+    ),
+}
+
+
+@pytest.mark.parametrize("name", KEY_HISTORIES)
+def test_keys_are_taken_up_and_connections_ended_as_recorded(name):
+    seed, expected = KEY_HISTORIES[name]
+    transcript = KeyHistory(seed).run(4000)
+    assert not transcript.missing(KEY_ACTIONS)
+    assert transcript.digest() == expected
