--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -5,6 +5,7 @@
 import os
 import resource
 import socket
+import struct
 import sys
 
 from stack import Host, environment, now, story
@@ -15,6 +16,7 @@
 from cherrydoor.frames import codec
 from cherrydoor.frames import messages as m
 
+DROPS = 55, 8       # SO_MEMINFO, and where in it stands how many connections the kernel dropped at the door
 HARBOUR = 'admission: {known: [{name: "harbour", places: 20, most: 30, addresses: ["127.200.0.0/16"]}]}\n'
 
 
@@ -33,16 +35,33 @@
 
 class Flood:
     """Raw connections from many addresses of loopback, again and again: some say nothing, some half a hello, some a
-    whole one. It goes on until stopped."""
+    whole one. It goes on until stopped. With `crowd` as many as that, and no more, wait all the time to be accepted: it
+    is then no slower than the door and leaves room in the kernel's queue, however fast either of them is."""
 
-    def __init__(self, port, wide=300):
-        self.port, self.wide, self.sockets, self.opened, self.told = port, wide, [], 0, 0
+    def __init__(self, port, wide=300, crowd=None):
+        self.port, self.wide, self.crowd, self.sockets = port, wide, crowd, []
+        self.opened, self.told, self.taken = 0, 0, 0
         self.task = asyncio.get_running_loop().create_task(self.pour())
 
+    def waiting(self):
+        """How many wait to be accepted: they are in turn, and who is accepted hears a hello or a fault."""
+        gone = self.opened - len(self.sockets)
+        self.taken = max(self.taken, gone)
+        while self.taken < self.opened:
+            try:
+                self.sockets[self.taken - gone][0].recv(1, socket.MSG_PEEK)
+            except BlockingIOError:
+                break
+            except OSError:
+                pass
+            self.taken += 1
+        return self.opened - self.taken
+
     async def pour(self):
         hello = codec.encode(m.Hello(m.VERSION, "client", "x", now()))
         while True:
-            for _ in range(20):
+            before = self.opened
+            for _ in range(20 if self.crowd is None else min(100, self.crowd - self.waiting())):
                 one = socket.socket()
                 one.setblocking(False)
                 one.bind((f"127.{1 + self.opened % 100}.{self.opened % self.wide % 250}.7", 0))
@@ -56,7 +75,7 @@
                 self.sockets.append((one, (b"", hello[:9], hello)[self.opened % 3]))
                 self.opened += 1
             await asyncio.sleep(0.002)
-            for one, said in self.sockets[-20:]:
+            for one, said in self.sockets[len(self.sockets) - self.opened + before:]:
                 try:
                     one.send(said)
                 except OSError:
@@ -198,17 +217,25 @@
     known_part = ('bounds: {connections: 700}\n'
                   'admission: {known: [{name: "harbour", places: 500, addresses: ["127.200.0.0/16"]}]}')
     await stack.start(Host("handled"), bounds=known_part, plain=False)
-    flood = Flood(stack.shell.port)
-    await flood.beyond(200)
+    crowd = 400         # with five hundred beside them all find room in the kernel's queue
+    flood, seats = Flood(stack.shell.port, crowd=crowd), stack.shell.hall.guard.places.offices["harbour"].seated
+    await flood.beyond(2 * crowd)
     for _ in range(2):
+        assert flood.waiting() > crowd // 2, "the known ones come behind a crowd"
         clients = await asyncio.gather(*(known(stack, stack.shell.port) for _ in range(500)))
+        assert len(seats) == 500 and not any(client.lost_ends for client in clients)
         sent = [(client, client.send(f"deed {i % 20}", lasts=4900.0)) for i, client in enumerate(clients[:50])]
         for client, number in sent:
             assert (await client.answer(number)).fate in ("handled", "deferred")
+        await flood.beyond(crowd)
         assert not any(client.lost_ends for client in clients)
         for client in clients:
             client.end.abort()
     flood.stop()
+    option, at = DROPS
+    door = stack.shell.hall.listeners[0].sock
+    dropped = struct.unpack_from("I", door.getsockopt(socket.SOL_SOCKET, option, 64), 4 * at)[0]
+    assert dropped == 0, "what the kernel drops, no gateway can let in: the flood is to leave room"
 
 
 @story
