--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	$(PY) -m pytest -q --doctest-modules cherrydoor tests docs
 
 lint: $(READY)
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 	.venv/bin/lint-imports
--- a/bench/admission.py
+++ b/bench/admission.py
@@ -55,8 +55,12 @@
     async def play():
         loop = asyncio.get_running_loop()
         if bare:
-            server = await loop.create_server(lambda: End(Owner(), m.FROM_CLIENT, lambda: m.Hello(1, "gateway")),
-                                              "127.0.0.1", 0, backlog=1024)
+            server = await loop.create_server(
+                lambda: End(Owner(), m.FROM_CLIENT, lambda: m.Hello(1, "gateway")),
+                "127.0.0.1",
+                0,
+                backlog=1024,
+            )
             port = server.sockets[0].getsockname()[1]
         else:
             shell = Shell(Figures(read(text, "f", schema("lease.schema"), "#Lease")), Gateway)
@@ -67,11 +71,14 @@
 
         def asked():
             pipe.send(cpu()) if pipe.recv() else over.set_result(None)
+
         loop.add_reader(pipe.fileno(), asked)
         await over
+
     import logging
 
     import structlog
+
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     uvloop.run(play())
 
@@ -104,12 +111,17 @@
             came = Came()
             try:
                 await asyncio.get_running_loop().create_connection(
-                    lambda came=came: End(came, m.TO_CLIENT, lambda: m.Hello(1, "client", "c")), "127.0.0.1", port,
-                    ssl=context, server_hostname="127.0.0.1" if context else None)
+                    lambda came=came: End(came, m.TO_CLIENT, lambda: m.Hello(1, "client", "c")),
+                    "127.0.0.1",
+                    port,
+                    ssl=context,
+                    server_hostname="127.0.0.1" if context else None,
+                )
                 await came.over
             except OSError:
                 continue
             let_in += came.let_in
+
     await asyncio.gather(*(some(count // at_once) for _ in range(at_once)))
     return let_in, time.monotonic() - begun
 
@@ -126,7 +138,9 @@
 def measured(text, act, bare=False):
     """(CPU seconds of the gateway while act(port) ran, what it gave)."""
     ours, theirs = multiprocessing.get_context("spawn").Pipe()
-    process = multiprocessing.get_context("spawn").Process(target=gateway, args=(theirs, text, bare))
+    process = multiprocessing.get_context("spawn").Process(
+        target=gateway, args=(theirs, text, bare)
+    )
     process.start()
     port = ours.recv()
     ours.send(True)
@@ -145,7 +159,9 @@
     before = resident()
     for i in range(count):
         now += 0.1
-        caller = d.Caller(f"{20 + i % 200}.{i // 200 % 256}.{i * 13 // 51200 % 256}.{i * 31 % 256}", now)
+        caller = d.Caller(
+            f"{20 + i % 200}.{i // 200 % 256}.{i * 13 // 51200 % 256}.{i * 31 % 256}", now
+        )
         guard.take(now, d.Knock(caller))
         guard.take(now, d.Gone(caller))
         if i % 1000 == 0:
@@ -162,21 +178,39 @@
         path = Path(folder)
         _, _, trusted = files.authorities(path / "authorities.pem")
         chain = files.pair(path / "harbour.pem", path / "harbour.key")[2:]
-        base = ('name: "g0", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, ration: {}, may: {}, bounds: {}\n'
-                'clauses: [{name: "draft", target: 750ms, max_age: 2.5s}]\n')
-        wide = 'admission: {pace: 100000, burst: 100000, known_pace: 100000, handshakes: 100000, known: [%s]}\n'
+        base = (
+            'name: "g0", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, ration: {}, may: {}, bounds: {}\n'
+            'clauses: [{name: "draft", target: 750ms, max_age: 2.5s}]\n'
+        )
+        wide = "admission: {pace: 100000, burst: 100000, known_pace: 100000, handshakes: 100000, known: [%s]}\n"
         free = wide % '{name: "harbour", places: 200, addresses: ["127.0.0.0/8"]}'
-        sealed = (f'keys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
-                  f'authorities: "{folder}/authorities.pem"}}\n')
+        sealed = (
+            f'keys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
+            f'authorities: "{folder}/authorities.pem"}}\n'
+        )
         rows = {}
         for name, text, act, bare in (
-                ("bare hello, no admission", "", lambda p: uvloop.run(connects(p, COUNT, None)), True),
-                ("hello accepted", base + free, lambda p: uvloop.run(connects(p, COUNT, None)), False),
-                ("refused by pace", base + "admission: {pace: 0.001, burst: 1}\n", lambda p: knocks(p, COUNT), False),
-                ("handshake, no certificate", base + free + sealed, lambda p: uvloop.run(connects(
-                    p, COUNT, files.context(False, b"", b"", trusted))), False),
-                ("handshake with certificate", base + free + sealed, lambda p: uvloop.run(connects(
-                    p, COUNT, files.context(False, *chain, trusted))), False)):
+            ("bare hello, no admission", "", lambda p: uvloop.run(connects(p, COUNT, None)), True),
+            ("hello accepted", base + free, lambda p: uvloop.run(connects(p, COUNT, None)), False),
+            (
+                "refused by pace",
+                base + "admission: {pace: 0.001, burst: 1}\n",
+                lambda p: knocks(p, COUNT),
+                False,
+            ),
+            (
+                "handshake, no certificate",
+                base + free + sealed,
+                lambda p: uvloop.run(connects(p, COUNT, files.context(False, b"", b"", trusted))),
+                False,
+            ),
+            (
+                "handshake with certificate",
+                base + free + sealed,
+                lambda p: uvloop.run(connects(p, COUNT, files.context(False, *chain, trusted))),
+                False,
+            ),
+        ):
             used, found = measured(text, act, bare)
             rows[name] = {"us": used / COUNT * 1e6, "found": found}
         held, streets = addresses_seen(1_000_000)
@@ -185,7 +219,12 @@
         print(json.dumps(rows, indent=1))
     else:
         for name, row in rows.items():
-            print(f"{name:28}", ", ".join(f"{k} {round(v, 1) if isinstance(v, float) else v}" for k, v in row.items()))
+            print(
+                f"{name:28}",
+                ", ".join(
+                    f"{k} {round(v, 1) if isinstance(v, float) else v}" for k, v in row.items()
+                ),
+            )
     print("one process of", os.cpu_count(), "cores", file=sys.stderr)
 
 
--- a/bench/custody.py
+++ b/bench/custody.py
@@ -66,31 +66,66 @@
     servers = []
     for _ in range(HOSTS):
         answering = Answering(5.0)
-        server = await loop.create_server(lambda a=answering: End(a, m.TO_HOST, lambda: m.Hello(
-            m.VERSION, "host", "h", now())), "127.0.0.1", 0)
+        server = await loop.create_server(
+            lambda a=answering: End(a, m.TO_HOST, lambda: m.Hello(m.VERSION, "host", "h", now())),
+            "127.0.0.1",
+            0,
+        )
         servers.append(server)
         rows.append(m.Row(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready", 0.0, "z", 0))
     listed = Listed(rows)
-    server = await loop.create_server(lambda: End(listed, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "l", now())),
-                                      "127.0.0.1", 0)
+    server = await loop.create_server(
+        lambda: End(listed, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "l", now())),
+        "127.0.0.1",
+        0,
+    )
     servers.append(server)
     listing = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     doors, ats = [ports.take() for _ in range(3)], [ports.take() for _ in range(3)]
     keepers, processes = ", ".join(f'{{name: "g{i}", at: "{at}"}}' for i, at in enumerate(ats)), []
     for number in range(3):
-        peers = "" if next_ is None else PEERS % {"at": ats[number], "next": next_, "keepers": keepers,
-                                                  "folder": folder, "number": number}
+        peers = (
+            ""
+            if next_ is None
+            else PEERS
+            % {
+                "at": ats[number],
+                "next": next_,
+                "keepers": keepers,
+                "folder": folder,
+                "number": number,
+            }
+        )
         path = Path(folder) / f"{next_}-{number}.lease"
-        path.write_text(LEASE % {"number": number, "list": listing, "door": doors[number], "peers": peers})
-        process = subprocess.Popen([sys.executable, "-m", "cherrydoor", "--log-level", "error", "gateway", "--lease",
-                                    str(path), "--announce", "--tied"], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        path.write_text(
+            LEASE % {"number": number, "list": listing, "door": doors[number], "peers": peers}
+        )
+        process = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "cherrydoor",
+                "--log-level",
+                "error",
+                "gateway",
+                "--lease",
+                str(path),
+                "--announce",
+                "--tied",
+            ],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
         processes.append(process)
     for process in processes:
         await loop.run_in_executor(None, process.stdout.readline)
     client, host = Client(), doors[0].rpartition(":")
-    await loop.create_connection(lambda: End(client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "c", now())),
-                                 host[0], int(host[2]))
-    await asyncio.sleep(1.5)        # links stand and the list is known
+    await loop.create_connection(
+        lambda: End(client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "c", now())),
+        host[0],
+        int(host[2]),
+    )
+    await asyncio.sleep(1.5)  # links stand and the list is known
     number = 0
 
     async def load(seconds):
@@ -100,10 +135,20 @@
             while number < RATE * (now() - begun) / 1000 + client.base:
                 number += 1
                 client.sent[number] = now()
-                client.end.write(m.Event(number, "draft", f"deed-{number % 40}", 2500.0, now(), key=f"{number:032d}",
-                                         body=body))
+                client.end.write(
+                    m.Event(
+                        number,
+                        "draft",
+                        f"deed-{number % 40}",
+                        2500.0,
+                        now(),
+                        key=f"{number:032d}",
+                        body=body,
+                    )
+                )
             await asyncio.sleep(0.002)
         return begun
+
     client.base = 0
     await load(1.0)
     client.base, client.took, before = number, [], used(processes[0].pid)
@@ -114,7 +159,12 @@
         process.wait()
     for server in servers:
         server.close()
-    return 1000 * spent / count, float(np.percentile(client.took, 50)), float(np.percentile(client.took, 99)), count
+    return (
+        1000 * spent / count,
+        float(np.percentile(client.took, 50)),
+        float(np.percentile(client.took, 99)),
+        count,
+    )
 
 
 def main():
@@ -124,8 +174,19 @@
                 with tempfile.TemporaryDirectory() as folder:
                     cost, p50, p99, count = uvloop.run(serve(next_, folder, b"x" * size))
                 name = "alone" if next_ is None else f"{next_} witnesses"
-                print(json.dumps({"body": size, "who": name, "us an event": round(cost), "p50 ms": round(p50, 2),
-                                  "p99 ms": round(p99, 2), "events": count}), flush=True)
+                print(
+                    json.dumps(
+                        {
+                            "body": size,
+                            "who": name,
+                            "us an event": round(cost),
+                            "p50 ms": round(p50, 2),
+                            "p99 ms": round(p99, 2),
+                            "events": count,
+                        }
+                    ),
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/bench/drains.py
+++ b/bench/drains.py
@@ -24,7 +24,7 @@
 from cherrydoor.site import conducting
 from cherrydoor.site import plan as planning
 
-DRAIN, LENGTH = 8, 44       # s: when it begins, how long the day is
+DRAIN, LENGTH = 8, 44  # s: when it begins, how long the day is
 DAY = """
 name: "drains"
 length: %(length)ds
@@ -47,7 +47,7 @@
 ration: {}
 troubles: [{at: %(drain)ds, what: "site-drain", lasts: %(lasts)ds, floor: 0, size: %(size)g}]
 """
-HOST = 40.0                 # events a second: two cores, 50 ms of work
+HOST = 40.0  # events a second: two cores, 50 ms of work
 
 
 def by_hash(lot):
@@ -69,9 +69,20 @@
             planning.priority = by_hash
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "drains.day"
-            path.write_text(DAY % {
-                "length": LENGTH, "hosts": hosts, "functions": 4 * hosts, "rate": rate, "documents": 2 * hosts,
-                "gateways": gateways, "drain": DRAIN, "lasts": LENGTH - DRAIN, "size": 0.5 if way == "hard" else 2})
+            path.write_text(
+                DAY
+                % {
+                    "length": LENGTH,
+                    "hosts": hosts,
+                    "functions": 4 * hosts,
+                    "rate": rate,
+                    "documents": 2 * hosts,
+                    "gateways": gateways,
+                    "drain": DRAIN,
+                    "lasts": LENGTH - DRAIN,
+                    "size": 0.5 if way == "hard" else 2,
+                }
+            )
             (rehearse if on_sockets else emulate)(read_day(path, seed=seed), Path(folder) / "out")
             return figures(Audit(Path(folder) / "out"))
     finally:
@@ -85,18 +96,34 @@
     def share(a, b):
         due = sum(line["due"][a:b])
         return sum(line["in time"][a:b]) / due if due else 1.0
-    sites = [(row["t"] - judge.begun - judge.warm - 1000 * DRAIN, row["fate"], row["function"])
-             for row in judge.seen.of("conductor", "site")]
+
+    sites = [
+        (row["t"] - judge.begun - judge.warm - 1000 * DRAIN, row["fate"], row["function"])
+        for row in judge.seen.of("conductor", "site")
+    ]
     empty = next((t for t, fate, _ in sites if fate == "empty"), None)
     worth = found["service"]["benefit"]
     begins = first + DRAIN
-    return {"benefit lost": round(worth["lost"] / worth["due"], 4), "before": round(share(first, begins), 4),
-            "worst 10 s": round(min(share(s, s + 10) for s in range(begins, first + LENGTH - 9)), 4),
-            "loads": found["loads"], "store peak": int(max((row["a"] for row in judge.seen.of("store", "fetch")
-                                                       if row["t"] >= judge.begun + 1000 * begins), default=0)),
-            "empty s": None if empty is None else round(empty / 1000, 1),
-            "top quarter late": round(worth["lost of"]["sign-off"], 4),
-            "said": next((why for _, _, why in sites if why), ""), "broken": len(found["broken"])}
+    return {
+        "benefit lost": round(worth["lost"] / worth["due"], 4),
+        "before": round(share(first, begins), 4),
+        "worst 10 s": round(min(share(s, s + 10) for s in range(begins, first + LENGTH - 9)), 4),
+        "loads": found["loads"],
+        "store peak": int(
+            max(
+                (
+                    row["a"]
+                    for row in judge.seen.of("store", "fetch")
+                    if row["t"] >= judge.begun + 1000 * begins
+                ),
+                default=0,
+            )
+        ),
+        "empty s": None if empty is None else round(empty / 1000, 1),
+        "top quarter late": round(worth["lost of"]["sign-off"], 4),
+        "said": next((why for _, _, why in sites if why), ""),
+        "broken": len(found["broken"]),
+    }
 
 
 def main(gateways=50, loads="0.5,0.7,0.9", seeds="1,2", sockets=""):
@@ -104,8 +131,18 @@
     for load in map(float, loads.split(",")):
         for way in ("priority", "hard") if sockets else ("priority", "hard", "at once", "random"):
             for seed in map(int, seeds.split(",")):
-                print(json.dumps({"gateways": int(gateways), "load": load, "way": way, "seed": seed,
-                                  **play(int(gateways), way, load, seed, bool(sockets))}), flush=True)
+                print(
+                    json.dumps(
+                        {
+                            "gateways": int(gateways),
+                            "load": load,
+                            "way": way,
+                            "seed": seed,
+                            **play(int(gateways), way, load, seed, bool(sockets)),
+                        }
+                    ),
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -45,8 +45,10 @@
 
 def functions(count, changing=False):
     rng = random.Random(7)
-    return [f"deed-{min(int(rng.paretovariate(0.9)), FUNCTIONS)}{f'-{i // 2000}' if changing else ''}"
-            for i in range(count)]
+    return [
+        f"deed-{min(int(rng.paretovariate(0.9)), FUNCTIONS)}{f'-{i // 2000}' if changing else ''}"
+        for i in range(count)
+    ]
 
 
 # ---- the module alone: notes in memory, each event handled 50 ms later
@@ -54,7 +56,10 @@
     """CPU seconds for `count` events, each with its launch and its outcome, and the module's tables at the end."""
     gate, at = Gateway(Figures(read(LEASE % 1, "f", schema("lease.schema"), "#Lease")).lease), 1e6
     gate.start(at)
-    gate.take(at, io.Listing(io.SAVED, tuple(io.Row(f"h{i}", io.READY, 0.0, "z", 0) for i in range(HOSTS))))
+    gate.take(
+        at,
+        io.Listing(io.SAVED, tuple(io.Row(f"h{i}", io.READY, 0.0, "z", 0) for i in range(HOSTS))),
+    )
     names, begun, out, sweep = functions(count, changing), cpu(), [], at + 100
 
     def settle(actions):
@@ -71,7 +76,9 @@
         if len(out) > open_at_once:
             event, host = out.pop(0)
             launches = len(gate.events[event].tries)
-            settle(gate.take(at, io.Outcome(event, launches - 1, io.HANDLED, True, host, 50.0, 1, 1)))
+            settle(
+                gate.take(at, io.Outcome(event, launches - 1, io.HANDLED, True, host, 50.0, 1, 1))
+            )
     return cpu() - begun, len(gate.history.functions)
 
 
@@ -121,7 +128,12 @@
 
     def __init__(self, count, window, rate, changing=False):
         self.count, self.window, self.rate = count, window, rate
-        self.names, self.sent, self.done, self.loop = functions(count, changing), 0, 0, asyncio.get_running_loop()
+        self.names, self.sent, self.done, self.loop = (
+            functions(count, changing),
+            0,
+            0,
+            asyncio.get_running_loop(),
+        )
         self.took, self.at, self.over, self.fates = [], {}, self.loop.create_future(), {}
 
     def greeted(self, end, hello):
@@ -142,8 +154,18 @@
     def send(self, due):
         if self.sent < self.count:
             self.at[self.sent] = due
-            self.end.write(m.Event(self.sent, "draft", self.names[self.sent], 2500.0, now(), lanes=4.0, load=600.0,
-                                   body=b"x" * 200))
+            self.end.write(
+                m.Event(
+                    self.sent,
+                    "draft",
+                    self.names[self.sent],
+                    2500.0,
+                    now(),
+                    lanes=4.0,
+                    load=600.0,
+                    body=b"x" * 200,
+                )
+            )
             self.sent += 1
 
     def heard(self, end, answer):
@@ -161,30 +183,43 @@
 
 def far_ends(pipe):
     """Hosts and list start; then each job is one load against a port; ends with None."""
+
     async def run():
         loop, servers, rows = asyncio.get_running_loop(), [], []
         waits = pipe.recv()
         answering = Answering(waits)
         for _ in range(HOSTS):
-            server = await loop.create_server(lambda: End(answering, m.TO_HOST, lambda: m.Hello(1, "host")),
-                                              "127.0.0.1", 0)
+            server = await loop.create_server(
+                lambda: End(answering, m.TO_HOST, lambda: m.Hello(1, "host")), "127.0.0.1", 0
+            )
             servers.append(server)
             rows.append(m.Row(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready"))
         listed = Listed(rows)
-        server = await loop.create_server(lambda: End(listed, m.TO_LIST, lambda: m.Hello(1, "list")), "127.0.0.1", 0)
+        server = await loop.create_server(
+            lambda: End(listed, m.TO_LIST, lambda: m.Hello(1, "list")), "127.0.0.1", 0
+        )
         pipe.send((server.sockets[0].getsockname()[1], [row.host for row in rows]))
         gc.freeze()
         while (job := await loop.run_in_executor(None, pipe.recv)) is not None:
             port, count, window, rate, changing = job
             load = Load(count, window, rate, changing)
             _, end = await loop.create_connection(
-                lambda load=load: End(load, m.TO_CLIENT, lambda: m.Hello(1, "client", "c", now())), "127.0.0.1", port)
+                lambda load=load: End(load, m.TO_CLIENT, lambda: m.Hello(1, "client", "c", now())),
+                "127.0.0.1",
+                port,
+            )
             begun = now()
             await load.over
             took = np.array(load.took)
-            pipe.send({"s": (now() - begun) / 1000, "fates": load.fates,
-                       "ms": {f"p{p:g}": float(np.percentile(took, p)) for p in (50, 99, 99.9)}})
+            pipe.send(
+                {
+                    "s": (now() - begun) / 1000,
+                    "fates": load.fates,
+                    "ms": {f"p{p:g}": float(np.percentile(took, p)) for p in (50, 99, 99.9)},
+                }
+            )
             end.close()
+
     uvloop.run(run())
 
 
@@ -198,11 +233,15 @@
     async def start(self, hosts):
         loop = asyncio.get_running_loop()
         for host in hosts:
-            _, end = await loop.create_connection(lambda: End(self, m.FROM_HOST, lambda: m.Hello(1, "gateway")),
-                                                  "127.0.0.1", int(host.rpartition(":")[2]))
+            _, end = await loop.create_connection(
+                lambda: End(self, m.FROM_HOST, lambda: m.Hello(1, "gateway")),
+                "127.0.0.1",
+                int(host.rpartition(":")[2]),
+            )
             self.hosts.append(end)
-        server = await loop.create_server(lambda: End(self, m.FROM_CLIENT, lambda: m.Hello(1, "gateway")),
-                                          "127.0.0.1", 0)
+        server = await loop.create_server(
+            lambda: End(self, m.FROM_CLIENT, lambda: m.Hello(1, "gateway")), "127.0.0.1", 0
+        )
         return server.sockets[0].getsockname()[1]
 
     def greeted(self, end, hello):
@@ -215,8 +254,19 @@
         if type(message) is m.Event:
             self.next += 1
             self.out[self.next] = end, message.id
-            self.hosts[self.next % len(self.hosts)].write(m.Launch(
-                self.next, message.id, "c", message.clause, message.function, message.lasts, 0, "", message.body))
+            self.hosts[self.next % len(self.hosts)].write(
+                m.Launch(
+                    self.next,
+                    message.id,
+                    "c",
+                    message.clause,
+                    message.function,
+                    message.lasts,
+                    0,
+                    "",
+                    message.body,
+                )
+            )
         elif type(message) is m.Outcome:
             client, number = self.out.pop(message.id)
             client.write(m.Answer(number, "handled", 0.0, "", message.body))
@@ -224,12 +274,15 @@
 
 def measured(pipe, what, queue):
     """The measured process: serves on a port, tells its CPU time when asked."""
+
     async def run():
         list_at, hosts = queue
         if what == "relay":
             port = await Relay().start(hosts)
         else:
-            shell = Shell(Figures(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Gateway)
+            shell = Shell(
+                Figures(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Gateway
+            )
             await shell.start()
             while not shell.desk.hosts:
                 await asyncio.sleep(0.01)
@@ -240,6 +293,7 @@
         loop = asyncio.get_running_loop()
         while await loop.run_in_executor(None, pipe.recv) is not None:
             pipe.send((cpu(), resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024))
+
     uvloop.run(run())
 
 
@@ -253,7 +307,9 @@
         found = here.recv()
         here, there = multiprocessing.Pipe()
         self.near = here
-        self.near_process = multiprocessing.Process(target=measured, args=(there, what, found), daemon=True)
+        self.near_process = multiprocessing.Process(
+            target=measured, args=(there, what, found), daemon=True
+        )
         self.near_process.start()
         self.port = here.recv()
 
@@ -266,7 +322,11 @@
         self.far.send((self.port, count, window, rate, changing))
         found = self.far.recv()
         after, memory = self.used()
-        return found | {"cpu_us": (after - before) / count * 1e6, "a_second": count / found["s"], "memory": memory}
+        return found | {
+            "cpu_us": (after - before) / count * 1e6,
+            "a_second": count / found["s"],
+            "memory": memory,
+        }
 
     def end(self):
         self.far.send(None)
@@ -278,6 +338,7 @@
 def codec_alone(count=50000):
     """CPU us an event of reading an Event and an Outcome and writing a Launch and an Answer."""
     from cherrydoor.frames.codec import Reader, encode
+
     hello, body = encode(m.Hello(1, "client")), b"x" * 200
     one = encode(m.Event(1, "draft", "deed-1", 2500.0, 5.0, lanes=4.0, load=600.0, body=body))
     two = encode(m.Outcome(1, "handled", 1, 1))
@@ -314,10 +375,16 @@
 
 
 def table(r):
-    print("\n| what | CPU us an event | events a second of one core | of the module alone |\n| --- | --- | --- | --- |")
+    print(
+        "\n| what | CPU us an event | events a second of one core | of the module alone |\n| --- | --- | --- | --- |"
+    )
     module = 1e6 / r["module_us"]
-    for name, us in (("module alone, notes in memory", r["module_us"]), ("codec alone", r["codec_us"]),
-                     ("bare relay", r["relay"]["cpu_us"]), ("daemon", r["daemon"]["cpu_us"])):
+    for name, us in (
+        ("module alone, notes in memory", r["module_us"]),
+        ("codec alone", r["codec_us"]),
+        ("bare relay", r["relay"]["cpu_us"]),
+        ("daemon", r["daemon"]["cpu_us"]),
+    ):
         print(f"| {name} | {us:.0f} | {1e6 / us:.0f} | {1e6 / us / module:.2f} |")
     print("\n| at | relay p50, p99, p99.9 ms | daemon | added p99 |\n| --- | --- | --- | --- |")
     for name, key in (("1,000 events a second", "1000"), ("half of its own most", "half")):
--- a/bench/heirs.py
+++ b/bench/heirs.py
@@ -40,8 +40,23 @@
     with tempfile.TemporaryDirectory() as folder:
         day = Path(folder) / "day.day"
         day.write_text(DAY % {"keepers": keepers, "next": next_, "part": part})
-        done = subprocess.run([sys.executable, "-m", "cherrydoor", "rehearse", str(day), "--seed", str(seed), "--json",
-                               "--quiet", "--out", folder + "/out"], capture_output=True, text=True)
+        done = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "cherrydoor",
+                "rehearse",
+                str(day),
+                "--seed",
+                str(seed),
+                "--json",
+                "--quiet",
+                "--out",
+                folder + "/out",
+            ],
+            capture_output=True,
+            text=True,
+        )
         return json.loads(done.stdout) if done.stdout else {"failed": done.stderr[-300:]}
 
 
@@ -56,15 +71,26 @@
                     continue
                 over = found["taken over"]
                 cut = sum(v for k, v in over.items() if k == "cut off") or found["excused"].get(
-                    "held by a gateway that was killed", 0)
+                    "held by a gateway that was killed", 0
+                )
                 sums["cut off"] += cut
                 for name, count in over.items():
                     if not name.startswith(("cut off", "p50", "p99")):
                         sums[name] += count
                 middle += [over["p50 ms to an answer"]] if "p50 ms to an answer" in over else []
                 broken += [b["what"] for b in found["broken"]]
-            print(json.dumps({"killed %": part, "witnesses": next_, **sums, "p50 ms": middle, "broken": broken}),
-                  flush=True)
+            print(
+                json.dumps(
+                    {
+                        "killed %": part,
+                        "witnesses": next_,
+                        **sums,
+                        "p50 ms": middle,
+                        "broken": broken,
+                    }
+                ),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/bench/links.py
+++ b/bench/links.py
@@ -41,7 +41,11 @@
     def sums(self):
         found = {}
         for number, shell in self.shells.items():
-            found[number] = shell.fellows.peers.frames, shell.fellows.peers.bytes, len(shell.fellows.peers.ends)
+            found[number] = (
+                shell.fellows.peers.frames,
+                shell.fellows.peers.bytes,
+                len(shell.fellows.peers.ends),
+            )
         return found
 
     async def follow(self):
@@ -65,6 +69,7 @@
             one = Counted(read_day(path), Path(folder) / "out")
             await one.play()
             return one.found
+
         try:
             first, last, span = world.run_until_complete(run())
         finally:
@@ -72,14 +77,20 @@
             for task in (left := asyncio.all_tasks(world)):
                 task.cancel()
             world.run_until_complete(asyncio.gather(*left, return_exceptions=True))
-        rates = {n: [(b - a) / span for a, b in zip(first[n][:2], last[n][:2], strict=True)] for n in last}
+        rates = {
+            n: [(b - a) / span for a, b in zip(first[n][:2], last[n][:2], strict=True)]
+            for n in last
+        }
         others = [rate for n, rate in rates.items() if n > 2]
-        return {"gateways": count, "frames/s": round(sum(r[0] for r in others) / len(others), 1),
-                "bytes/s": round(sum(r[1] for r in others) / len(others)),
-                "keeper frames/s": round(max(rates[n][0] for n in range(3)), 1),
-                "keeper bytes/s": round(max(rates[n][1] for n in range(3))),
-                "links": round(sum(last[n][2] for n in last if n > 2) / len(others), 1),
-                "real s": round(time.time() - begun)}
+        return {
+            "gateways": count,
+            "frames/s": round(sum(r[0] for r in others) / len(others), 1),
+            "bytes/s": round(sum(r[1] for r in others) / len(others)),
+            "keeper frames/s": round(max(rates[n][0] for n in range(3)), 1),
+            "keeper bytes/s": round(max(rates[n][1] for n in range(3))),
+            "links": round(sum(last[n][2] for n in last if n > 2) / len(others), 1),
+            "real s": round(time.time() - begun),
+        }
 
 
 if __name__ == "__main__":
--- a/bench/mass/account.py
+++ b/bench/mass/account.py
@@ -28,12 +28,19 @@
         if why:
             rows[why]["all"] += 1
             rows[why]["late" if event.fate == "handled" else "not handled"] += 1
-    totals = Counter({"tries": len(events), "in time": sum(e.good for e in events),
-                      "late": sum(e.fate == "handled" and not e.good for e in events),
-                      "of short clients": sum(e.waits < SHORT * e.target for e in events),
-                      "of short clients in time": sum(e.waits < SHORT * e.target and e.good for e in events)})
-    return totals, sorted(((why, n["all"], n["late"], n["not handled"]) for why, n in rows.items()),
-                          key=lambda row: -row[1])
+    totals = Counter(
+        {
+            "tries": len(events),
+            "in time": sum(e.good for e in events),
+            "late": sum(e.fate == "handled" and not e.good for e in events),
+            "of short clients": sum(e.waits < SHORT * e.target for e in events),
+            "of short clients in time": sum(e.waits < SHORT * e.target and e.good for e in events),
+        }
+    )
+    return totals, sorted(
+        ((why, n["all"], n["late"], n["not handled"]) for why, n in rows.items()),
+        key=lambda row: -row[1],
+    )
 
 
 def main(folders):
--- a/bench/mass/causes.py
+++ b/bench/mass/causes.py
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 GOOD, SILENT = "handled", ("no-answer", "lost", "recalled")
-NEAR = 250.0            # ms to both sides in which others' launches show how a host was
-OFTEN = 0.5             # share of those near ones that have to be in time for a deferral to be called needless
-SHORT = 0.35            # of the target time: a client that waits for less is one that gives up early
+NEAR = 250.0  # ms to both sides in which others' launches show how a host was
+OFTEN = 0.5  # share of those near ones that have to be in time for a deferral to be called needless
+SHORT = 0.35  # of the target time: a client that waits for less is one that gives up early
 
 
 class Launch(NamedTuple):
@@ -20,21 +20,23 @@
     host: str
     took: float
     fate: str
-    copy: int               # 1 a copy stood, 2 it began a load, 3 it waited for one, 4 the load failed, 0 not told
+    copy: (
+        int  # 1 a copy stood, 2 it began a load, 3 it waited for one, 4 the load failed, 0 not told
+    )
     crowd: int
-    stood: bool             # a copy was known to stand
-    level: float            # what the host can do as it starts, of all it can
-    heard: float            # ms since its last answer at this gateway, -1 for never
-    out: int                # launches of this gateway out there before this one
+    stood: bool  # a copy was known to stand
+    level: float  # what the host can do as it starts, of all it can
+    heard: float  # ms since its last answer at this gateway, -1 for never
+    out: int  # launches of this gateway out there before this one
 
 
 class Route(NamedTuple):
     at: float
-    host: str               # "" where none was fit
-    wait: float             # predicted, ms
+    host: str  # "" where none was fit
+    wait: float  # predicted, ms
     stood: bool
-    overload: bool          # of its customer
-    yields: bool            # its customer is beyond its part
+    overload: bool  # of its customer
+    yields: bool  # its customer is beyond its part
 
 
 class Event(NamedTuple):
@@ -43,10 +45,10 @@
     clause: str
     function: str
     body: int
-    waits: float            # ms until the client gives up
+    waits: float  # ms until the client gives up
     target: float
     fate: str
-    took: float             # ms to the answer
+    took: float  # ms to the answer
     routes: list
     launches: list
 
@@ -67,8 +69,15 @@
         except ValueError:
             continue
         at = said[1]
-        found.append(Event(gateway, at, *said[2:9], [Route(at + r[0], *r[1:]) for r in said[9]],
-                           [Launch(at + one[0], *one[1:]) for one in said[10]]))
+        found.append(
+            Event(
+                gateway,
+                at,
+                *said[2:9],
+                [Route(at + r[0], *r[1:]) for r in said[9]],
+                [Launch(at + one[0], *one[1:]) for one in said[10]],
+            )
+        )
     return found
 
 
@@ -88,24 +97,32 @@
         # spans of a host's silence: launches that end without an answer, from the first until the next good one
         self.first_silent = defaultdict(list)
         for host, rows in self.by_host.items():
-            self.first_silent[host] = [(at + took, gateway) for at, took, fate, _, gateway in rows if fate in SILENT]
+            self.first_silent[host] = [
+                (at + took, gateway) for at, took, fate, _, gateway in rows if fate in SILENT
+            ]
             self.first_silent[host].sort()
 
     def near(self, table, key, at, width=NEAR):
         rows = table.get(key, [])
-        return rows[bisect.bisect_left(rows, (at - width,)):bisect.bisect_left(rows, (at + width,))]
+        return rows[
+            bisect.bisect_left(rows, (at - width,)) : bisect.bisect_left(rows, (at + width,))
+        ]
 
     def known_silent(self, host, at, gateway):
         """Who had lost a launch there within the second before: "own", "others" or ""."""
         rows = self.first_silent.get(host, [])
-        seen = rows[bisect.bisect_left(rows, (at - 1000.0,)):bisect.bisect_left(rows, (at,))]
+        seen = rows[bisect.bisect_left(rows, (at - 1000.0,)) : bisect.bisect_left(rows, (at,))]
         return "own" if any(g == gateway for _, g in seen) else "others" if seen else ""
 
     def copy_elsewhere(self, event, launch):
         """Whether a copy of the function stood at another host then, by anybody's answers."""
         for host in self.by_host:
-            if host != launch.host and any(fate == GOOD and copy == 1 for _, _, fate, copy, _ in self.near(
-                    self.by_pair, (host, event.function), launch.at)):
+            if host != launch.host and any(
+                fate == GOOD and copy == 1
+                for _, _, fate, copy, _ in self.near(
+                    self.by_pair, (host, event.function), launch.at
+                )
+            ):
                 return True
         return False
 
@@ -132,7 +149,8 @@
         if first.fate == "lost":
             return "connection reset under it"
         return {"own": "silent host, known here", "others": "silent host, known to others"}.get(
-            known, "silent host, known to nobody")
+            known, "silent host, known to nobody"
+        )
     if first.fate == "no-connection":
         return "connection refused or not up in time"
     if first.fate == "full":
@@ -142,7 +160,11 @@
     if first.level < 1.0 and first.copy != 1:
         return "cold host, load"
     if first.copy in (2, 3):
-        return "load, a copy stood elsewhere" if day.copy_elsewhere(event, first) else "load, no copy known"
+        return (
+            "load, a copy stood elsewhere"
+            if day.copy_elsewhere(event, first)
+            else "load, no copy known"
+        )
     if first.level < 1.0:
         return "cold host"
     if first.fate == GOOD and first.took > event.target:
@@ -161,8 +183,11 @@
     share = day.would_be_in_time(event, route.host, limit)
     if short:
         needless = share is not None and share >= OFTEN
-        return "client's time too short: deferred, most near it were in time" if needless else (
-            "client's time too short: deferred")
+        return (
+            "client's time too short: deferred, most near it were in time"
+            if needless
+            else ("client's time too short: deferred")
+        )
     if share is not None and share >= OFTEN:
         return "deferred, most near it were in time"
     return "deferred in overload" if route.overload else "deferred, rightly"
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -28,11 +28,23 @@
 
         def chosen(one):
             host, open_at = choose(one)
-            note = [self.now, "", 0.0, False, one.customer.overloaded(self.now), one.customer.beyond(self.now)]
+            note = [
+                self.now,
+                "",
+                0.0,
+                False,
+                one.customer.overloaded(self.now),
+                one.customer.beyond(self.now),
+            ]
             if host is not None:
-                note[1:4] = host.id, round(min(host.wait(one.func), 1e6), 1), host.holds(one.func, self.now)
+                note[1:4] = (
+                    host.id,
+                    round(min(host.wait(one.func), 1e6), 1),
+                    host.holds(one.func, self.now),
+                )
             self.routes.setdefault(one.id, []).append(note)
             return host, open_at
+
         self.zone.choose = chosen
         try:
             super().route(evt)
@@ -46,7 +58,8 @@
         super().launch(evt, host)
         if len(evt.tries) > before:
             self.sends.setdefault(evt.id, []).append(
-                [evt.tries[-1].stood, round(host.level(self.now), 2), round(heard, 1), out])
+                [evt.tries[-1].stood, round(host.level(self.now), 2), round(heard, 1), out]
+            )
 
 
 class TracedDesk(Desk):
@@ -62,8 +75,9 @@
         super().answer(taken, answer)
 
     def landed(self, sent, fate, took, name, message):
-        self.__dict__.setdefault("outcomes_by", {}).setdefault(sent.taken.number, {})[sent.index] = (
-            name, took, fate, message.copy if message else 0, message.crowd if message else 0)
+        self.__dict__.setdefault("outcomes_by", {}).setdefault(sent.taken.number, {})[
+            sent.index
+        ] = (name, took, fate, message.copy if message else 0, message.crowd if message else 0)
         super().landed(sent, fate, took, name, message)
 
     def forget(self, taken):
@@ -73,17 +87,32 @@
 
     def write(self, taken):
         gate, number, event = self.gate, taken.number, taken.event
-        told, sends = self.__dict__.get("outcomes_by", {}).pop(number, {}), gate.sends.pop(number, [])
+        told, sends = (
+            self.__dict__.get("outcomes_by", {}).pop(number, {}),
+            gate.sends.pop(number, []),
+        )
         launches = []
         for sent in taken.launches:
             name, took, fate, copy, crowd = told.get(sent.index, ("", 0.0, sent.fate, 0, 0))
             knew = sends[sent.index] if sent.index < len(sends) else [False, 1.0, -1.0, 0]
-            launches.append([round(sent.at - taken.at, 1), name, round(took, 1), fate, copy, crowd, *knew])
+            launches.append(
+                [round(sent.at - taken.at, 1), name, round(took, 1), fate, copy, crowd, *knew]
+            )
         routes = [[round(r[0] - taken.at, 1), *r[1:]] for r in gate.routes.pop(number, [])]
         fate, took = self.ends_by.pop(number)
-        line = ["event", round(taken.at, 1), event.clause, event.function, crc32(event.body),
-                round(taken.until - taken.at, 1), gate.deed.clauses[event.clause].target, fate or "left", took, routes,
-                launches]
+        line = [
+            "event",
+            round(taken.at, 1),
+            event.clause,
+            event.function,
+            crc32(event.body),
+            round(taken.until - taken.at, 1),
+            gate.deed.clauses[event.clause].target,
+            fate or "left",
+            took,
+            routes,
+            launches,
+        ]
         print(json.dumps(line, separators=(",", ":")), file=sys.stderr)
 
 
--- a/bench/mistakes.py
+++ b/bench/mistakes.py
@@ -30,9 +30,15 @@
             over = sum(len(gate.logged("this life is over")) for gate in town.gates)
             estates = sum(len(gate.logged("an estate is taken over")) for gate in town.gates)
             effects = [row["event"] for row in town.rows.of("effect") if row["event"] in careful]
-            return {"loss": loss, "s": seconds, "events": sent, "frames lost": town.relay.counts.get("dropped", 0),
-                    "estates taken over": estates, "lives over": over,
-                    "effects twice": len(effects) - len(set(effects))}
+            return {
+                "loss": loss,
+                "s": seconds,
+                "events": sent,
+                "frames lost": town.relay.counts.get("dropped", 0),
+                "estates taken over": estates,
+                "lives over": over,
+                "effects twice": len(effects) - len(set(effects)),
+            }
 
 
 def main(seconds):
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -46,7 +46,9 @@
             self.seen[note.name][1] += note.fate == "error"
         if self.is_in == d.TRIAL and self.now - self.begun > 600000:
             (old, old_bad), (new, new_bad) = self.seen["deed"], self.seen["deed@1"]
-            self.is_in = d.WITHDRAWN if new_bad / max(1, new) > 2 * old_bad / max(1, old) else d.COMPLETE
+            self.is_in = (
+                d.WITHDRAWN if new_bad / max(1, new) > 2 * old_bad / max(1, old) else d.COMPLETE
+            )
 
     def call(self, function, document):
         share = {d.TRIAL: 0.1, d.COMPLETE: 1.0}.get(self.is_in, 0.0)
@@ -60,8 +62,17 @@
     """Gateways that share the hosts of one function and nothing else. `fails`: part of the new version's events that
     fail, `slow`: by how many times they take longer; the old fails in `before`."""
 
-    def __init__(self, seed, gateways=10, per_second=10.0, fails=0.0, slow=1.0, before=0.0, tallies=True,
-                 made=Gateway):
+    def __init__(
+        self,
+        seed,
+        gateways=10,
+        per_second=10.0,
+        fails=0.0,
+        slow=1.0,
+        before=0.0,
+        tallies=True,
+        made=Gateway,
+    ):
         self.random, self.gates = Random(seed), [made() for _ in range(gateways)]
         self.rate, self.fails, self.slow, self.before = per_second, fails, slow, before
         self.tallies, self.at, self.tally = tallies, 0.0, {}
@@ -81,8 +92,15 @@
         told[0] += 1
         told[1] += error
         told[2] += not error and bool(usual) and took > usual
-        gate.take(d.Ended(name, "h", "error" if error else "handled", took,
-                          tally=tuple(told) if self.tallies else None))
+        gate.take(
+            d.Ended(
+                name,
+                "h",
+                "error" if error else "handled",
+                took,
+                tally=tuple(told) if self.tallies else None,
+            )
+        )
 
     def pass_time(self, seconds):
         until = self.at + seconds * 1000
@@ -110,36 +128,59 @@
         """(seconds until all gateways have come to an end, their states, events harmed)."""
         self.pass_time(warm)
         self.release()
-        while self.at - self.begun < most * 1000 and not set(self.states()) <= {d.COMPLETE, d.WITHDRAWN}:
+        while self.at - self.begun < most * 1000 and not set(self.states()) <= {
+            d.COMPLETE,
+            d.WITHDRAWN,
+        }:
             self.pass_time(2.0)
         return (self.at - self.begun) / 1000, self.states(), self.harmed
 
 
-OPTIONS = {"tallies of hosts": {}, "own evidence alone": {"tallies": False}, "fixed canary": {"made": Canary}}
+OPTIONS = {
+    "tallies of hosts": {},
+    "own evidence alone": {"tallies": False},
+    "fixed canary": {"made": Canary},
+}
 
 
 def main(count=8):
     rows = []
-    print("calls/s  fails  goes by               s to the end (median, most)  events harmed  withdrawn, complete")
+    print(
+        "calls/s  fails  goes by               s to the end (median, most)  events harmed  withdrawn, complete"
+    )
     for per_second in (30.0, 10.0, 2.0):
         for fails in (0.5, 0.1, 0.01, 0.0):
             for name, more in OPTIONS.items():
-                runs = [Fleet(seed, 10, per_second, fails=fails, **more).run(1500) for seed in range(count)]
+                runs = [
+                    Fleet(seed, 10, per_second, fails=fails, **more).run(1500)
+                    for seed in range(count)
+                ]
                 took, harmed = [r[0] for r in runs], median(r[2] for r in runs)
-                ends = [sum(r[1].count(state) for r in runs) / 10 / count for state in (d.WITHDRAWN, d.COMPLETE)]
+                ends = [
+                    sum(r[1].count(state) for r in runs) / 10 / count
+                    for state in (d.WITHDRAWN, d.COMPLETE)
+                ]
                 rows.append((per_second, fails, name, median(took), harmed))
-                print(f"{per_second:7.0f} {fails:6.2f}  {name:20} {median(took):12.0f} {max(took):8.0f} {harmed:18.0f}"
-                      f" {ends[0]:14.2f} {ends[1]:8.2f}", flush=True)
+                print(
+                    f"{per_second:7.0f} {fails:6.2f}  {name:20} {median(took):12.0f} {max(took):8.0f} {harmed:18.0f}"
+                    f" {ends[0]:14.2f} {ends[1]:8.2f}",
+                    flush=True,
+                )
     if len(sys.argv) > 1:
         draw(rows, sys.argv[1])
 
 
 def draw(rows, path):
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
+
     fig, axes = plt.subplots(1, 2, figsize=(10, 3.6), sharey=False)
-    for axis, what, column in ((axes[0], "s until all gateways have withdrawn it", 3), (axes[1], "events harmed", 4)):
+    for axis, what, column in (
+        (axes[0], "s until all gateways have withdrawn it", 3),
+        (axes[1], "events harmed", 4),
+    ):
         for name in OPTIONS:
             points = [(row[0], row[column]) for row in rows if row[1] == 0.1 and row[2] == name]
             axis.plot(*zip(*points, strict=True), marker="o", label=name)
--- a/cherrydoor/adapter/wire.py
+++ b/cherrydoor/adapter/wire.py
@@ -6,9 +6,15 @@
 from cherrydoor import interface as io
 
 FATES = {
-    "served": io.HANDLED, "server_error": io.ERROR, "turned_away": io.FULL, "no_answer": io.NO_ANSWER,
-    "no_connection": io.NO_CONNECTION, "connection_lost": io.LOST, "called_off": io.RECALLED,
-    "not_sent": io.UNSENT, "not_stored": io.MISSING,
+    "served": io.HANDLED,
+    "server_error": io.ERROR,
+    "turned_away": io.FULL,
+    "no_answer": io.NO_ANSWER,
+    "no_connection": io.NO_CONNECTION,
+    "connection_lost": io.LOST,
+    "called_off": io.RECALLED,
+    "not_sent": io.UNSENT,
+    "not_stored": io.MISSING,
 }
 KINDS = {"repeatable": io.REDELIVERABLE, "by_key": io.KEYED, "once": io.AT_MOST_ONCE}
 STATES = {"Ready": io.READY, "Terminating": io.DRAINING, "Gone": io.GONE}
@@ -63,20 +69,47 @@
     may, rules = said.get("permissions", {}), said.get("rules", {})
     copies = said.get("familyInfo", {})
     clauses = tuple(
-        io.Clause(c["name"], c["aim"] / 1000, c["deadline"] / 1000, word(KINDS, c["repeat"]),
-                  c.get("dedupScope", "cell"), c.get("dedupWindow", 0) / 1000, bool(c.get("stream", False)))
-        for c in said["requestClasses"])
-    parties = tuple(io.Party(p["name"], p["quotaPerS"])
-                    for p in said.get("tenants") or () if "quotaPerS" in p)
+        io.Clause(
+            c["name"],
+            c["aim"] / 1000,
+            c["deadline"] / 1000,
+            word(KINDS, c["repeat"]),
+            c.get("dedupScope", "cell"),
+            c.get("dedupWindow", 0) / 1000,
+            bool(c.get("stream", False)),
+        )
+        for c in said["requestClasses"]
+    )
+    parties = tuple(
+        io.Party(p["name"], p["quotaPerS"]) for p in said.get("tenants") or () if "quotaPerS" in p
+    )
     return io.Lease(
-        said["me"], said["instances"], seed, said.get("zone", ""), said.get("resolution", 1000) / 1000,
-        clauses, parties, said.get("discovery", "push") == "ask", may.get("maxAttempts", 1),
-        bool(may.get("mayDuplicate")), bool(may.get("cancel")), bool(may.get("mayProbe")),
+        said["me"],
+        said["instances"],
+        seed,
+        said.get("zone", ""),
+        said.get("resolution", 1000) / 1000,
+        clauses,
+        parties,
+        said.get("discovery", "push") == "ask",
+        may.get("maxAttempts", 1),
+        bool(may.get("mayDuplicate")),
+        bool(may.get("cancel")),
+        bool(may.get("mayProbe")),
         may.get("maxRetryAfter", 0) / 1000 if may.get("retryAfter") else 0.0,
-        rules.get("coldFrom", 1.0), rules.get("cold", 0) / 1000, rules.get("overloadFactor", 0.0),
-        rules.get("fall", 0) / 1000, copies.get("lingerIdle", 0) / 1000, bool(copies.get("loadControl")),
-        copies.get("ifCold") == "miss", copies.get("loadsAnyway", 0.0), copies.get("loadPart", 0.0),
-        copies.get("loadsWithin", 0) / 1000, bool(copies.get("saysWarm")), bool(copies.get("saysCompany")))
+        rules.get("coldFrom", 1.0),
+        rules.get("cold", 0) / 1000,
+        rules.get("overloadFactor", 0.0),
+        rules.get("fall", 0) / 1000,
+        copies.get("lingerIdle", 0) / 1000,
+        bool(copies.get("loadControl")),
+        copies.get("ifCold") == "miss",
+        copies.get("loadsAnyway", 0.0),
+        copies.get("loadPart", 0.0),
+        copies.get("loadsWithin", 0) / 1000,
+        bool(copies.get("saysWarm")),
+        bool(copies.get("saysCompany")),
+    )
 
 
 def row(line):
@@ -96,8 +129,17 @@
     """What this deployment's answers do not tell is None. A failed load is told everywhere."""
     info = 0 if v[6] == "-" else int(v[6])
     copy = info % 8 if lease.tells_copy or info % 8 == 4 else None
-    return io.Outcome(int(v[0]), int(v[2]), word(FATES, v[3]), flag(v[4]), v[5], ms(v[1]),
-                      copy, info // 8 if lease.tells_crowd else None, *report(v[7]))
+    return io.Outcome(
+        int(v[0]),
+        int(v[2]),
+        word(FATES, v[3]),
+        flag(v[4]),
+        v[5],
+        ms(v[1]),
+        copy,
+        info // 8 if lease.tells_crowd else None,
+        *report(v[7]),
+    )
 
 
 def report(text):
@@ -107,7 +149,9 @@
     ((3.5, None, 0.25), (None, None, None))
     """
     told = dict(pair.split(":", 1) for pair in text.split(",") if ":" in pair)
-    return tuple(float(told[name]) if name in told else None for name in ("inflight", "queue", "x0"))
+    return tuple(
+        float(told[name]) if name in told else None for name in ("inflight", "queue", "x0")
+    )
 
 
 # What comes in for an instance: how many values its line has at least, and how they are read.
--- a/cherrydoor/admission/decide.py
+++ b/cherrydoor/admission/decide.py
@@ -17,19 +17,23 @@
 from ipaddress import IPv6Address, ip_network
 from zlib import crc32
 
-WIDTHS = {4: (32, 24, 16), 6: (64, 48, 32)}     # an owner has a /64 at the least in IPv6
-PARTS = (1 / 8, 1 / 4, 1 / 2)                   # of the common places, that one street of each width may fill
-PACES = (1, 4, 8)                               # of the pace of one address, for each width
-MOST_STREETS = 4096                             # without callers, at each width
-LEARNED, LEARNED_AGE = 64, 12 * 3600 * 1000.0   # addresses by which an office is remembered, and for how long
-SWEEP, FLOW_WINDOW = 500.0, 100.0               # ms between looks at all callers, and at who reads how much
-FULL, BUSY, CALM = 0.85, 0.80, 0.60             # parts of a core's time: see Flow
+WIDTHS = {4: (32, 24, 16), 6: (64, 48, 32)}  # an owner has a /64 at the least in IPv6
+PARTS = (1 / 8, 1 / 4, 1 / 2)  # of the common places, that one street of each width may fill
+PACES = (1, 4, 8)  # of the pace of one address, for each width
+MOST_STREETS = 4096  # without callers, at each width
+LEARNED, LEARNED_AGE = (
+    64,
+    12 * 3600 * 1000.0,
+)  # addresses by which an office is remembered, and for how long
+SWEEP, FLOW_WINDOW = 500.0, 100.0  # ms between looks at all callers, and at who reads how much
+FULL, BUSY, CALM = 0.85, 0.80, 0.60  # parts of a core's time: see Flow
 
 
 # ---- notes from the shell
 @dataclass(slots=True)
 class Knock:
     """A connection has been accepted. `door` names the kind of listener, `sealed` says that it needs a handshake."""
+
     caller: "Caller"
     sealed: bool = False
 
@@ -37,6 +41,7 @@
 @dataclass(slots=True)
 class Shown:
     """It has said who it is: an office that proved itself by certificate or token, or "" for anybody."""
+
     caller: "Caller"
     office: str
 
@@ -44,24 +49,28 @@
 @dataclass(slots=True)
 class Gone:
     """The connection is closed, by whichever end."""
+
     caller: "Caller"
 
 
 @dataclass(slots=True)
 class Poured:
     """The caller has been read beyond what its group may within this window."""
+
     caller: "Caller"
 
 
 @dataclass(slots=True)
 class Swollen:
     """Bytes of unfinished frames have gone beyond what its group may hold."""
+
     caller: "Caller"
 
 
 @dataclass(slots=True)
 class Exhausted:
     """A call failed for want of descriptors; `needed` where a host connection is what waits for one."""
+
     needed: bool
 
 
@@ -69,6 +78,7 @@
 class Measured:
     """Once each window: parts in use (0 to 1) of descriptors and of memory, and the part of the last window in which
     the process had the core."""
+
     descriptors: float
     memory: float
     busy: float
@@ -77,6 +87,7 @@
 @dataclass(slots=True)
 class Freed:
     """From the places to the guard: one of this office's connections has ended."""
+
     office: "Office"
 
 
@@ -84,12 +95,14 @@
 @dataclass(slots=True)
 class LetIn:
     """Goes on to its handshake, or to its hello where there is none."""
+
     caller: "Caller"
 
 
 @dataclass(slots=True)
 class Seat:
     """It has a place; `largest` is the longest frame in bytes that is read from it."""
+
     caller: "Caller"
     largest: int
 
@@ -97,6 +110,7 @@
 @dataclass(slots=True)
 class Refuse:
     """Not let in, or closed; it may come back after stay_away ms."""
+
     caller: "Caller"
     word: str
     stay_away: float
@@ -105,6 +119,7 @@
 @dataclass(slots=True)
 class Pause:
     """Nothing is read from it for a while."""
+
     caller: "Caller"
 
 
@@ -116,6 +131,7 @@
 @dataclass(slots=True)
 class Rest:
     """Accept nothing for so long."""
+
     span: float
 
 
@@ -135,6 +151,7 @@
 
 class Bucket:
     """Leaks `pace` a second and holds `depth`; a drop goes in where there is room."""
+
     __slots__ = ("level", "at")
 
     def __init__(self, now):
@@ -142,7 +159,7 @@
 
     def wait(self, now, pace, depth):
         """Ms until a drop has room; 0 where it has now."""
-        if now > self.at:       # a clock that is set back leaks nothing
+        if now > self.at:  # a clock that is set back leaks nothing
             self.level = max(0.0, self.level - (now - self.at) * pace / 1000)
         self.at = now
         return max(0.0, (self.level + 1 - depth) / pace * 1000)
@@ -153,10 +170,17 @@
 
 class Group:
     """What is shared by the connections of one office or, for strangers, of one address: reading and bytes held."""
+
     __slots__ = ("read", "allowed", "held", "most_held", "callers", "paused", "whole")
 
     def __init__(self, most_held, whole=None):
-        self.read, self.allowed, self.held, self.most_held, self.whole = 0, None, 0, most_held, whole
+        self.read, self.allowed, self.held, self.most_held, self.whole = (
+            0,
+            None,
+            0,
+            most_held,
+            whole,
+        )
         self.callers, self.paused = {}, False
 
     def holds(self, more):
@@ -170,13 +194,24 @@
 
 class Office:
     """A known client. `own` places are its alone, `most` is what it may have with common ones."""
+
     __slots__ = ("name", "own", "most", "bucket", "group", "seated", "learned", "nets", "line")
 
     def __init__(self, name, own, most, nets, most_held, now):
         self.name, self.own, self.most = name, own, max(own, most)
-        self.nets = [(one.version, int(one[0]), int(one[-1])) for one in (ip_network(n, strict=False) for n in nets)]
-        self.bucket, self.group, self.seated, self.learned = Bucket(now), Group(most_held), {}, OrderedDict()
-        self.line = deque()     # those that wait for a place: no more than `most`, none longer than a porch's time
+        self.nets = [
+            (one.version, int(one[0]), int(one[-1]))
+            for one in (ip_network(n, strict=False) for n in nets)
+        ]
+        self.bucket, self.group, self.seated, self.learned = (
+            Bucket(now),
+            Group(most_held),
+            {},
+            OrderedDict(),
+        )
+        self.line = (
+            deque()
+        )  # those that wait for a place: no more than `most`, none longer than a porch's time
 
     def beyond(self):
         """Common places that it holds."""
@@ -185,6 +220,7 @@
 
 class Street:
     """A network as it is seen at one width."""
+
     __slots__ = ("width", "key", "bucket", "porch", "seated", "group")
 
     def __init__(self, width, key, now, group):
@@ -195,18 +231,41 @@
 class Caller:
     """A connection. The shell keeps `used` (when last something came or was answered), `open` (events it waits for),
     `partial` (since when a frame is unfinished, 0 for none) and `held` (bytes of it)."""
-    __slots__ = ("address", "streets", "office", "hinted", "state", "since", "used", "open", "partial", "held",
-                 "group", "wire", "slot", "sealed")
+
+    __slots__ = (
+        "address",
+        "streets",
+        "office",
+        "hinted",
+        "state",
+        "since",
+        "used",
+        "open",
+        "partial",
+        "held",
+        "group",
+        "wire",
+        "slot",
+        "sealed",
+    )
 
     def __init__(self, address, now, wire=None):
         self.address, self.since, self.used, self.wire = address, now, now, wire
         self.streets, self.office, self.hinted, self.state = (), None, None, "new"
-        self.open, self.partial, self.held, self.group, self.slot, self.sealed = 0, 0.0, 0, None, 0, False
+        self.open, self.partial, self.held, self.group, self.slot, self.sealed = (
+            0,
+            0.0,
+            0,
+            None,
+            0,
+            False,
+        )
 
 
 @dataclass(slots=True)
 class Known:
     """An office as handed over. `addresses` are networks by which it is known before it has said anything."""
+
     name: str
     own: int
     most: int
@@ -217,6 +276,7 @@
 class Manners:
     """What admission goes by. `places` is the number of connections in all. Paces are new connections a second,
     bursts how many may come at once; times in ms; sizes in bytes."""
+
     places: int
     known: tuple = ()
     pace: float = 20.0
@@ -232,8 +292,8 @@
     strangers_bytes: int = 256 << 20
     office_bytes: int = 64 << 20
     seed: int = 1
-    parts: tuple = PARTS        # all whole where everybody comes by one front
-    porch: int = 0              # its places; 0 for an eighth of `places`
+    parts: tuple = PARTS  # all whole where everybody comes by one front
+    porch: int = 0  # its places; 0 for an eighth of `places`
 
 
 def divide(limit, used, gateways, hosts_most):
@@ -267,7 +327,11 @@
     """
     places = limit * 7 // 20
     porch = places // 2
-    return places, porch, max(1, min(12, (limit * 7 // 8 - reserve - places - porch) // max(1, hosts)))
+    return (
+        places,
+        porch,
+        max(1, min(12, (limit * 7 // 8 - reserve - places - porch) // max(1, hosts))),
+    )
 
 
 def shares(wanted, room):
@@ -297,13 +361,18 @@
         found = []
         for width, size in enumerate(WIDTHS[version]):
             # loopback is one machine: all of 127.0.0.0/8 is one address there
-            key = (4, 127) if version == 4 and bits >> 24 == 127 else (
-                version, bits >> ((32 if version == 4 else 128) - size))
+            key = (
+                (4, 127)
+                if version == 4 and bits >> 24 == 127
+                else (version, bits >> ((32 if version == 4 else 128) - size))
+            )
             table = self.tables[width]
             street = table.get(key)
             if street is None:
                 self.trim(table, now)
-                street = table[key] = Street(width, key, now, Group(self.manners.stranger_bytes, self.whole))
+                street = table[key] = Street(
+                    width, key, now, Group(self.manners.stranger_bytes, self.whole)
+                )
             else:
                 table.move_to_end(key)
             found.append(street)
@@ -315,7 +384,7 @@
             key = next(iter(table))
             street = table[key]
             if street.porch or street.seated:
-                table.move_to_end(key)      # in use: at most as many as there are places
+                table.move_to_end(key)  # in use: at most as many as there are places
             elif len(table) > MOST_STREETS or street.bucket.wait(now, self.pace(street), 1) == 0.0:
                 del table[key]
             else:
@@ -326,13 +395,16 @@
 
     def wait(self, streets, now):
         """Ms until all of these have room for one more; drops go into none of them before all have it."""
-        return max(street.bucket.wait(now, self.pace(street), self.manners.burst * PACES[street.width])
-                   for street in streets)
+        return max(
+            street.bucket.wait(now, self.pace(street), self.manners.burst * PACES[street.width])
+            for street in streets
+        )
 
 
 class Stair:
     """How near the limits are, in steps. Up at once; down one step at a time, when it has been calm for a while that
     doubles each time it has to go up again soon after: guards against flip-flop. It harms strangers only."""
+
     UP, DOWN, DWELL, LONGEST = (0.80, 0.90, 0.97), (0.70, 0.80, 0.90), 1000.0, 16000.0
 
     def __init__(self, now):
@@ -356,6 +428,7 @@
 class Flow:
     """Who is read how much while the core is short. Guards others' target time against connections that pour events;
     harms one that has a right to more than an equal part only while the core is short, and never below `LEAST`."""
+
     LEAST = 2
 
     def __init__(self):
@@ -392,7 +465,7 @@
         elif self.level is not None and busy < CALM:
             self.level *= 1.25
             if not self.limited and self.level > 2 * max(read, default=0):
-                self.level = None       # nobody has been near it: the step ends by itself
+                self.level = None  # nobody has been near it: the step ends by itself
         actions = []
         for group in self.groups:
             group.read, group.allowed = 0, None if self.level is None else int(self.level)
@@ -428,8 +501,12 @@
         self.manners = manners
         self.porch_most = manners.porch or max(2, manners.places // 8)
         own = shares([known.own for known in manners.known], manners.places)
-        self.offices = {known.name: Office(known.name, n, known.most, known.addresses, manners.office_bytes, now)
-                        for known, n in zip(manners.known, own, strict=True)}
+        self.offices = {
+            known.name: Office(
+                known.name, n, known.most, known.addresses, manners.office_bytes, now
+            )
+            for known, n in zip(manners.known, own, strict=True)
+        }
         self.common = max(0, manners.places - sum(own))
         self.strangers, self.idle, self.serial = {}, [], 0
 
@@ -489,7 +566,11 @@
 
     def longest(self, callers, now):
         """The longest idle of these, if any is idle."""
-        found = [c for c in callers if c.state == "seated" and not c.open and now - c.used >= self.manners.idle / 5]
+        found = [
+            c
+            for c in callers
+            if c.state == "seated" and not c.open and now - c.used >= self.manners.idle / 5
+        ]
         return min(found, key=lambda c: (c.used, c.since), default=None)
 
     def idlest(self, now):
@@ -501,7 +582,9 @@
             elif caller.open or caller.used > used:
                 heappop(self.idle)
                 self.serial += 1
-                heappush(self.idle, (max(caller.used, now if caller.open else 0.0), self.serial, caller))
+                heappush(
+                    self.idle, (max(caller.used, now if caller.open else 0.0), self.serial, caller)
+                )
             else:
                 return caller if now - used >= self.manners.idle else None
         return None
@@ -513,7 +596,12 @@
 
     def __init__(self, manners, most, now):
         self.manners, self.most, self.drawn = manners, most, 0
-        self.unshown, self.slots, self.lines, self.bucket = OrderedDict(), [], (deque(), deque()), Bucket(now)
+        self.unshown, self.slots, self.lines, self.bucket = (
+            OrderedDict(),
+            [],
+            (deque(), deque()),
+            Bucket(now),
+        )
 
     def chance(self):
         self.drawn += 1
@@ -527,7 +615,10 @@
         victim = None
         if len(self.slots) >= self.most:
             drawn = [self.slots[int(self.chance() * len(self.slots))] for _ in range(4)]
-            victim = max(drawn, key=lambda c: (c.hinted is None, c.streets[2].porch, c.streets[0].porch, -c.since))
+            victim = max(
+                drawn,
+                key=lambda c: (c.hinted is None, c.streets[2].porch, c.streets[0].porch, -c.since),
+            )
             self.leave(victim)
         caller.slot = len(self.slots)
         self.slots.append(caller)
@@ -561,7 +652,12 @@
             while line:
                 if line[0].state != "waiting":
                     line.popleft()
-                elif self.bucket.wait(now, self.manners.handshakes, max(4.0, self.manners.handshakes / 10)) > 0:
+                elif (
+                    self.bucket.wait(
+                        now, self.manners.handshakes, max(4.0, self.manners.handshakes / 10)
+                    )
+                    > 0
+                ):
                     return None
                 else:
                     self.bucket.add()
@@ -583,9 +679,16 @@
         self.all_strangers = Bucket(now)
         self.inbox, self.actions, self.counts, self.swept = deque(), [], {}, now
         self.rest, self.rested = 50.0, now
-        self.hear = {Knock: self.knock, Shown: self.shown, Gone: self.gone, Poured: self.poured,
-                     Swollen: self.swollen, Exhausted: self.exhausted, Measured: self.measured,
-                     Freed: self.freed}
+        self.hear = {
+            Knock: self.knock,
+            Shown: self.shown,
+            Gone: self.gone,
+            Poured: self.poured,
+            Swollen: self.swollen,
+            Exhausted: self.exhausted,
+            Measured: self.measured,
+            Freed: self.freed,
+        }
 
     def take(self, now, note):
         """All that follows from one note. A clock that is set back stands still here."""
@@ -612,15 +715,19 @@
         office = caller.office = self.listed(number)
         caller.hinted = office or self.remembered(caller.address)
         if caller.hinted is not None:
-            wait = caller.hinted.bucket.wait(now, self.manners.office_pace, self.burst_of(caller.hinted))
+            wait = caller.hinted.bucket.wait(
+                now, self.manners.office_pace, self.burst_of(caller.hinted)
+            )
             if wait > 0:
                 return self.turn_away(caller, "this client connects too often", wait)
             caller.hinted.bucket.add()
         else:
             if self.stair.step >= 3:
                 return self.turn_away(caller, "no new clients for the moment", 2 * self.stair.dwell)
-            wait = max(self.streets.wait(caller.streets, now),
-                       self.all_strangers.wait(now, 16 * self.manners.pace, 16 * self.manners.burst))
+            wait = max(
+                self.streets.wait(caller.streets, now),
+                self.all_strangers.wait(now, 16 * self.manners.pace, 16 * self.manners.burst),
+            )
             if wait > 0:
                 return self.turn_away(caller, "too many new connections from this network", wait)
             self.all_strangers.add()
@@ -770,10 +877,17 @@
         if note.caller.state != "seated":
             return
         if group.held > group.most_held:
-            self.close(max(group.callers, key=lambda c: (c.held, c.since)), "too many bytes are unfinished", 1000.0)
+            self.close(
+                max(group.callers, key=lambda c: (c.held, c.since)),
+                "too many bytes are unfinished",
+                1000.0,
+            )
         elif group.whole is not None and group.whole.held > group.whole.most_held:
-            self.close(max(self.places.strangers, key=lambda c: (c.held, c.since)), "too many bytes are unfinished",
-                       1000.0)
+            self.close(
+                max(self.places.strangers, key=lambda c: (c.held, c.since)),
+                "too many bytes are unfinished",
+                1000.0,
+            )
 
     def exhausted(self, note):
         """Descriptors ran out at a call. A host connection is worth an idle stranger, else one in the porch, else any
@@ -805,7 +919,9 @@
     def sweep(self, now):
         """Frames that never end; and what has aged is let go, a little each time."""
         since = now - self.manners.frame_time
-        for caller in [caller for caller in self.callers() if caller.partial and caller.partial < since]:
+        for caller in [
+            caller for caller in self.callers() if caller.partial and caller.partial < since
+        ]:
             self.close(caller, "a frame was not finished in time", 1000.0)
         for table in self.streets.tables:
             for _ in range(32):
@@ -817,10 +933,15 @@
 
     def figures(self):
         """What an operator watches, as (name, figure)."""
-        yield from (("step of the stair", self.stair.step), ("places: common", self.places.common),
-                    ("places: common used", self.places.used()), ("porch", len(self.porch.slots)),
-                    ("unshown", len(self.porch.unshown)), ("read level", self.flow.level or 0),
-                    ("streets", sum(map(len, self.streets.tables))))
+        yield from (
+            ("step of the stair", self.stair.step),
+            ("places: common", self.places.common),
+            ("places: common used", self.places.used()),
+            ("porch", len(self.porch.slots)),
+            ("unshown", len(self.porch.unshown)),
+            ("read level", self.flow.level or 0),
+            ("streets", sum(map(len, self.streets.tables))),
+        )
         for office in self.places.offices.values():
             yield f"places of {office.name}", len(office.seated)
 
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -14,12 +14,13 @@
 
 NO_DESCRIPTORS = {errno.EMFILE, errno.ENFILE}
 NO_ROOM = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
-AT_ONCE = 8                 # accepted in one pass of the loop: what is due is then not kept waiting by a crowd
-BACKLOG = 1024              # connections that the kernel accepts for us until we do
+AT_ONCE = 8  # accepted in one pass of the loop: what is due is then not kept waiting by a crowd
+BACKLOG = 1024  # connections that the kernel accepts for us until we do
 
 
 def logged(event, **said):
     import structlog  # here, as a process that has another log need not load it
+
     structlog.get_logger().info(event, **said)
 
 
@@ -34,7 +35,9 @@
 
     def __init__(self, hall, listener, sock, address, now):
         self.hall, self.listener, self.sock, self.end, self.task = hall, listener, sock, None, None
-        self.waited = now - listener.since if listener.since is not None else 0.0   # ms to be accepted, at most
+        self.waited = (
+            now - listener.since if listener.since is not None else 0.0
+        )  # ms to be accepted, at most
         self.caller = d.Caller(address, now, self)
 
     def let_in(self):
@@ -47,8 +50,11 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             context = listener.context() if listener.context else None
             await asyncio.get_running_loop().connect_accepted_socket(
-                lambda: listener.make(self), sock, ssl=context,
-                **({"ssl_handshake_timeout": 30.0, "ssl_shutdown_timeout": 1.0} if context else {}))
+                lambda: listener.make(self),
+                sock,
+                ssl=context,
+                **({"ssl_handshake_timeout": 30.0, "ssl_shutdown_timeout": 1.0} if context else {}),
+            )
         except (OSError, ssl.SSLError, TimeoutError) as error:
             sock.close()
             self.hall.handshake_failed(self, error)
@@ -88,8 +94,14 @@
     word(reason, stay_away) the bytes of a refusal."""
 
     def __init__(self, hall, where, make, context=None, backlog=BACKLOG, word=word_of):
-        self.hall, self.make, self.context, self.resting, self.word_of = hall, make, context, None, word
-        self.since = None           # since when more wait to be accepted than one pass takes in
+        self.hall, self.make, self.context, self.resting, self.word_of = (
+            hall,
+            make,
+            context,
+            None,
+            word,
+        )
+        self.since = None  # since when more wait to be accepted than one pass takes in
         host, port = where
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self.sock: socket.socket | None = socket.socket(family, socket.SOCK_STREAM)
@@ -129,7 +141,7 @@
             if error.errno in NO_ROOM:
                 hall.post(d.Exhausted(False))
                 return False
-            return True         # it was gone before it was accepted
+            return True  # it was gone before it was accepted
         sock.setblocking(False)
         arrival = Arrival(hall, self, sock, peer[0].partition("%")[0], hall.clock.now())
         hall.post(d.Knock(arrival.caller, self.context is not None))
@@ -163,10 +175,21 @@
 
     def __init__(self, manners, clock, uses, log=logged):
         self.log = log
-        self.guard, self.clock, self.uses, self.listeners = d.Guard(manners, clock.now()), clock, uses, []
+        self.guard, self.clock, self.uses, self.listeners = (
+            d.Guard(manners, clock.now()),
+            clock,
+            uses,
+            [],
+        )
         self.loop, self.said = asyncio.get_running_loop(), {}
-        self.carry = {d.LetIn: self.let_in, d.Seat: self.seat, d.Refuse: self.refuse, d.Pause: self.pause,
-                      d.Resume: self.resume, d.Rest: self.rest}
+        self.carry = {
+            d.LetIn: self.let_in,
+            d.Seat: self.seat,
+            d.Refuse: self.refuse,
+            d.Pause: self.pause,
+            d.Resume: self.resume,
+            d.Rest: self.rest,
+        }
         self.timer = self.loop.call_later(d.FLOW_WINDOW / 1000, self.window)
 
     def post(self, note):
--- a/cherrydoor/admission/manners.py
+++ b/cherrydoor/admission/manners.py
@@ -6,8 +6,24 @@
 def manners_of(figures):
     """What the doors of the gateway with these figures go by."""
     door, bounds = figures.admission, figures.bounds
-    known = tuple(Known(one["name"], one["places"], one["most"] or 2 * one["places"], tuple(one["addresses"]))
-                  for one in door["known"])
-    return Manners(bounds.connections, known, door["pace"], door["burst"], door["known_pace"], door["handshakes"],
-                   door["hello"], door["unfinished"], door["idle"], door["stranger_frame"], bounds.frame,
-                   door["stranger_bytes"], door["strangers_bytes"], door["known_bytes"], figures.seed)
+    known = tuple(
+        Known(one["name"], one["places"], one["most"] or 2 * one["places"], tuple(one["addresses"]))
+        for one in door["known"]
+    )
+    return Manners(
+        bounds.connections,
+        known,
+        door["pace"],
+        door["burst"],
+        door["known_pace"],
+        door["handshakes"],
+        door["hello"],
+        door["unfinished"],
+        door["idle"],
+        door["stranger_frame"],
+        bounds.frame,
+        door["stranger_bytes"],
+        door["strangers_bytes"],
+        door["known_bytes"],
+        figures.seed,
+    )
--- a/cherrydoor/admission/reading.py
+++ b/cherrydoor/admission/reading.py
@@ -6,12 +6,13 @@
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.listener import Arrival
 
-CHUNK = 16 * 1024           # bytes read from one client in one pass, so that all have their turn
+CHUNK = 16 * 1024  # bytes read from one client in one pass, so that all have their turn
 
 
 class Read(asyncio.BaseProtocol):
     """What an end that was let in shares, on a protocol that reads in chunks. A subclass has `arrival` and take(data),
     which gives how many bytes of an unfinished frame are held."""
+
     arrival: Arrival
     chunk: bytearray
     transport: Any
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -16,8 +16,16 @@
         self.memory, self.page = memory, os.sysconf("SC_PAGE_SIZE")
         self.spare: int | None = os.open(os.devnull, os.O_RDONLY)
         self.limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.files = {name: self.opened(f"/proc/thread-self/{name}") for name in ("schedstat", "statm")}
-        self.at, self.ran, self.last, self.counted, self.descriptors = time.monotonic(), self.core(), None, 0.0, 0
+        self.files = {
+            name: self.opened(f"/proc/thread-self/{name}") for name in ("schedstat", "statm")
+        }
+        self.at, self.ran, self.last, self.counted, self.descriptors = (
+            time.monotonic(),
+            self.core(),
+            None,
+            0.0,
+            0,
+        )
 
     def opened(self, path):
         try:
@@ -49,7 +57,9 @@
         self.at, self.ran = t, ran
         if t - self.counted > 0.5:
             self.counted, self.descriptors = t, self.used()
-        self.last = d.Measured(self.descriptors / self.limit, self.measure_held() / self.memory, busy)
+        self.last = d.Measured(
+            self.descriptors / self.limit, self.measure_held() / self.memory, busy
+        )
         return self.last
 
     def measure_held(self):
--- a/cherrydoor/cli/group.py
+++ b/cherrydoor/cli/group.py
@@ -9,8 +9,13 @@
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--log-level", default="info", show_default=True,
-              type=click.Choice(["debug", "info", "warning", "error", "critical"]), help="What is logged at the least.")
+@click.option(
+    "--log-level",
+    default="info",
+    show_default=True,
+    type=click.Choice(["debug", "info", "warning", "error", "critical"]),
+    help="What is logged at the least.",
+)
 @click.version_option("0.2.0", prog_name="cherrydoor")
 def main(log_level):
     """A gateway that runs events on hosts which load functions on demand, and a kit to rehearse its bad days.
@@ -18,6 +23,7 @@
     Start with `cherrydoor rehearse quick`.
     """
     from cherrydoor.cli import logs
+
     logs.set_up(log_level)
 
 
@@ -32,6 +38,7 @@
 
 def spoken(control, **said):
     import socket as sockets
+
     try:
         with sockets.socket(sockets.AF_UNIX) as one:
             one.settimeout(5.0)
--- a/cherrydoor/cli/keys.py
+++ b/cherrydoor/cli/keys.py
@@ -16,6 +16,7 @@
 def in_folder(do):
     """Runs do(folder) on the folder of keys; its faults in one line."""
     from cherrydoor.keys.make import CannotMake
+
     try:
         said = do()
     except (CannotMake, OSError, ValueError) as error:
@@ -27,13 +28,19 @@
 
 def folder_of(path):
     from cherrydoor.keys.make import Folder
+
     return Folder(path)
 
 
 @keys.command()
 @click.argument("folder", type=click.Path())
 @click.option("--days", default=3650.0, show_default=True)
-@click.option("--next", "more", is_flag=True, help="One more, trusted beside the one there is: begins a change-over.")
+@click.option(
+    "--next",
+    "more",
+    is_flag=True,
+    help="One more, trusted beside the one there is: begins a change-over.",
+)
 def authority(folder, days, more):
     """Make an authority in FOLDER."""
     in_folder(lambda: folder_of(folder).authority(days, more))
@@ -51,7 +58,12 @@
 @click.argument("kind", type=click.Choice(["gateway", "host", "client"]))
 @click.argument("name")
 @click.option("--days", default=90.0, show_default=True)
-@click.option("--for", "addresses", multiple=True, help="Address or name by which it is reached; several are possible.")
+@click.option(
+    "--for",
+    "addresses",
+    multiple=True,
+    help="Address or name by which it is reached; several are possible.",
+)
 def issue(folder, kind, name, days, addresses):
     """Issue NAME.pem and NAME.key by the newest authority. A client's NAME is the one it is known by in leases."""
     in_folder(lambda: folder_of(folder).issue(kind, name, days, addresses))
@@ -68,11 +80,19 @@
 @keys.command("token-key")
 @click.argument("folder", type=click.Path())
 @click.argument("kid")
-@click.option("--office", "offices", multiple=True, help="For this client alone; several are possible.")
+@click.option(
+    "--office", "offices", multiple=True, help="For this client alone; several are possible."
+)
 @click.option("--drop", is_flag=True, help="Take it out: tokens of it are void.")
 def token_key(folder, kid, offices, drop):
     """Make the key KID, by which tokens are signed."""
-    in_folder(lambda: folder_of(folder).drop_token_key(kid) if drop else folder_of(folder).token_key(kid, offices))
+    in_folder(
+        lambda: (
+            folder_of(folder).drop_token_key(kid)
+            if drop
+            else folder_of(folder).token_key(kid, offices)
+        )
+    )
 
 
 @keys.command()
@@ -87,12 +107,15 @@
 
 @keys.command("show")
 @click.argument("folder", type=click.Path(), required=False)
-@click.option("--lease", "lease_file", type=click.Path(), help="What this lease names, in place of a folder.")
+@click.option(
+    "--lease", "lease_file", type=click.Path(), help="What this lease names, in place of a folder."
+)
 @click.option("--json", "as_json", is_flag=True)
 def show_keys(folder, lease_file, as_json):
     """Show what there is, and when each ends; 1 where something is wrong or has ended."""
     from cherrydoor.keys.show import rows_of
     from cherrydoor.lease import Problems
+
     if (folder is None) == (lease_file is None):
         raise click.UsageError("FOLDER or --lease FILE, one of them")
     try:
--- a/cherrydoor/cli/rehearsing.py
+++ b/cherrydoor/cli/rehearsing.py
@@ -12,14 +12,33 @@
 
 @main.command()
 @click.argument("day", required=False)
-@click.option("--bench-day", type=click.Path(), help="A day drawn by the users' simulator, in place of DAY.")
-@click.option("--size", default=1.0, show_default=True, type=click.FloatRange(0.01, 1), help="Of a bench day's fleet.")
-@click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.05, 1), help="Of its real time.")
+@click.option(
+    "--bench-day", type=click.Path(), help="A day drawn by the users' simulator, in place of DAY."
+)
+@click.option(
+    "--size",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0.01, 1),
+    help="Of a bench day's fleet.",
+)
+@click.option(
+    "--speed",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0.05, 1),
+    help="Of its real time.",
+)
 @click.option("--out", type=click.Path(), help="Folder for traffic, leases, logs and report.")
 @click.option("--seed", type=int, help="In place of the day's own.")
-@click.option("--decides", type=click.Choice(["module", "random", "least-out"]),
-              help="What chooses hosts; the latter two are baselines.")
-@click.option("--without", multiple=True, help="A kind of trouble that is left out; its time is still marked.")
+@click.option(
+    "--decides",
+    type=click.Choice(["module", "random", "least-out"]),
+    help="What chooses hosts; the latter two are baselines.",
+)
+@click.option(
+    "--without", multiple=True, help="A kind of trouble that is left out; its time is still marked."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 @click.option("--quiet", is_flag=True, help="No progress.")
 def rehearse(day, bench_day, size, speed, out, seed, decides, without, as_json, quiet):
@@ -31,11 +50,13 @@
     from cherrydoor.rehearsal.conduct import CannotRun
     from cherrydoor.rehearsal.conduct import rehearse as play
     from cherrydoor.rehearsal.day import read_day
+
     if (day is None) == (bench_day is None):
         raise click.UsageError("DAY or --bench-day FILE, one of them")
     try:
         if bench_day:
             from cherrydoor.rehearsal.bench_day import bench_day as convert
+
             said, left = convert(bench_day, size, speed)
             said["seed"] = seed if seed is not None else said["seed"]
             if not quiet:
@@ -50,11 +71,19 @@
         sys.exit(NOT_MADE)
     folder = Path(out or f"found/{said['name']}-{said['seed']}-{int(time.time())}")
     if not quiet:
-        print(f"{said['name']}: {said['about']}\n{(said['length'] + said['warm']) / 1000:g} s with "
-              f"{said['gateways']['count']} gateways and {said['fleet']['hosts']} hosts, into {folder}",
-              file=sys.stderr)
+        print(
+            f"{said['name']}: {said['about']}\n{(said['length'] + said['warm']) / 1000:g} s with "
+            f"{said['gateways']['count']} gateways and {said['fleet']['hosts']} hosts, into {folder}",
+            file=sys.stderr,
+        )
     try:
-        play(said, folder, (lambda text: None) if quiet else (lambda text: print(text, file=sys.stderr, flush=True)))
+        play(
+            said,
+            folder,
+            (lambda text: None)
+            if quiet
+            else (lambda text: print(text, file=sys.stderr, flush=True)),
+        )
     except (CannotRun, OSError) as error:
         print(f"the run could not be made: {error}", file=sys.stderr)
         sys.exit(NOT_MADE)
@@ -67,6 +96,7 @@
 def judge(folder, as_json):
     from cherrydoor.rehearsal.audit import Unreadable, audit
     from cherrydoor.rehearsal.report import charts, table
+
     try:
         found = audit(folder)
     except Unreadable as error:
@@ -79,8 +109,11 @@
     else:
         table(found)
     if found["crowded"] and not found["broken"]:
-        print(f"the machine was too crowded to judge by: {len(found['crowded'])} events ended late while a process of "
-              "the run had no core", file=sys.stderr)
+        print(
+            f"the machine was too crowded to judge by: {len(found['crowded'])} events ended late while a process of "
+            "the run had no core",
+            file=sys.stderr,
+        )
     sys.exit(WRONG_RULE if found["broken"] else NOT_MADE if found["crowded"] else 0)
 
 
@@ -97,7 +130,9 @@
 @click.option("--out", type=click.Path(), help="Folder for traffic and report.")
 @click.option("--seed", type=int, help="In place of the day's own.")
 @click.option("--decides", type=click.Choice(["module", "random", "least-out"]))
-@click.option("--without", multiple=True, help="A kind of trouble that is left out; its time is still marked.")
+@click.option(
+    "--without", multiple=True, help="A kind of trouble that is left out; its time is still marked."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 def emulate(day, out, seed, decides, without, as_json):
     """Play DAY in virtual time, in this one process, with the same gateways, hosts and clients, then judge it.
@@ -109,6 +144,7 @@
     from cherrydoor.lease import Problems
     from cherrydoor.rehearsal.conduct import CannotRun
     from cherrydoor.rehearsal.day import read_day
+
     logs.set_up("error")
     try:
         said = read_day(day, seed=seed)
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -10,13 +10,24 @@
 
 
 class Sender:
-    def __init__(self, door, clause, function, party, mark, lasts, body, document="", tls=None, token=""):
+    def __init__(
+        self, door, clause, function, party, mark, lasts, body, document="", tls=None, token=""
+    ):
         """document: "" gives each event one of its own; tls: an SSLContext where the door speaks TLS."""
         self.host, _, port = door.rpartition(":")
         self.port, self.lasts, self.answers, self.sent = int(port), lasts, [], {}
         self.tls, self.token = tls, token
-        self.make = lambda number, t: m.Event(number, clause, function, lasts, t, party, mark, body=body,
-                                              document=document or f"{t}/{number}")
+        self.make = lambda number, t: m.Event(
+            number,
+            clause,
+            function,
+            lasts,
+            t,
+            party,
+            mark,
+            body=body,
+            document=document or f"{t}/{number}",
+        )
 
     def run(self, count, rate):
         """The answers as plain values; None where nobody listens."""
@@ -26,9 +37,18 @@
         loop = asyncio.get_running_loop()
         self.changed = asyncio.Event()
         try:
-            _, end = await loop.create_connection(lambda: End(self, m.TO_CLIENT, lambda: m.Hello(
-                m.VERSION, "client", "send", time.monotonic() * 1000, token=self.token)), self.host, self.port,
-                ssl=self.tls)
+            _, end = await loop.create_connection(
+                lambda: End(
+                    self,
+                    m.TO_CLIENT,
+                    lambda: m.Hello(
+                        m.VERSION, "client", "send", time.monotonic() * 1000, token=self.token
+                    ),
+                ),
+                self.host,
+                self.port,
+                ssl=self.tls,
+            )
         except OSError:
             return None
         for number in range(count):
@@ -51,8 +71,16 @@
 
     def add(self, number, fate, reason, body=b"", stay=0.0):
         took = time.monotonic() * 1000 - self.sent.pop(number)
-        self.answers.append({"event": number, "fate": fate, "ms": round(took, 3), "reason": reason, "stay_away": stay,
-                             "body": body.decode(errors="replace")})
+        self.answers.append(
+            {
+                "event": number,
+                "fate": fate,
+                "ms": round(took, 3),
+                "reason": reason,
+                "stay_away": stay,
+                "body": body.decode(errors="replace"),
+            }
+        )
 
     def greeted(self, end, hello):
         pass
--- a/cherrydoor/cli/standins.py
+++ b/cherrydoor/cli/standins.py
@@ -10,7 +10,9 @@
 
 @main.command()
 @click.option("--store", "store_at", required=True, help="Address of the program store.")
-@click.option("--count", default=1, show_default=True, help="How many hosts, each on a port of its own.")
+@click.option(
+    "--count", default=1, show_default=True, help="How many hosts, each on a port of its own."
+)
 @click.option("--cores", default=2, show_default=True)
 @click.option("--memory", default=8000.0, show_default=True, help="MB.")
 @click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
@@ -18,7 +20,15 @@
     """Run stand-in hosts. Commands come as JSON lines: {"do": "silent"}, {"do": "drain", "hosts": [...]}, {"do":
     "crash"}, {"do": "slow", "times": 3}, {"do": "pause", "ms": 200}, {"do": "lose", "share": 0.5}, {"do": "who"}."""
     from cherrydoor.standin.command import main as run
-    run("hosts", {"store": store_at, "record": record, "builds": [{"cores": cores, "memory": memory}] * count})
+
+    run(
+        "hosts",
+        {
+            "store": store_at,
+            "record": record,
+            "builds": [{"cores": cores, "memory": memory}] * count,
+        },
+    )
 
 
 @main.command()
@@ -28,16 +38,20 @@
 def store(port, at_once, record):
     """Run a stand-in program store. Commands: {"do": "set", "slow": 4}, {"do": "set", "stopped": true}."""
     from cherrydoor.standin.command import main as run
+
     run("store", {"port": port, "record": record, "figures": {"at_once": at_once}})
 
 
 @main.command("list")
 @click.option("--port", default=0, help="0 takes a free one.")
-@click.option("--host", "hosts", multiple=True, help="Address of a host that is ready from the start.")
+@click.option(
+    "--host", "hosts", multiple=True, help="Address of a host that is ready from the start."
+)
 @click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
 def list_command(port, hosts, record):
     """Run a stand-in list of hosts. Commands: {"do": "row", "host": "127.0.0.1:4001", "state": "draining"}."""
     from cherrydoor.standin.command import main as run
+
     run("roll", {"port": port, "record": record, "hosts": list(hosts)})
 
 
@@ -48,11 +62,14 @@
     """Run a stand-in release feed. Commands: {"do": "release", "functions": ["deed-00001"], "version": 2}, with
     "state": "withdrawn" or "complete" where it is not announced but ended; {"do": "misses", "share": 0.5}."""
     from cherrydoor.standin.command import main as run
+
     run("feed", {"port": port, "record": record})
 
 
 @main.command("stand-in", hidden=True)
-@click.argument("kind", type=click.Choice(["hosts", "store", "roll", "crowd", "feed", "clients", "between"]))
+@click.argument(
+    "kind", type=click.Choice(["hosts", "store", "roll", "crowd", "feed", "clients", "between"])
+)
 def stand_in(kind):
     """One part of a rehearsal; its figures come as the first line of standard input."""
     said = json.loads(sys.stdin.readline())
@@ -60,12 +77,15 @@
         import uvloop
 
         from cherrydoor.rehearsal.clients import play
+
         uvloop.run(play(said))
     elif kind == "between":
         import uvloop
 
         from cherrydoor.rehearsal.between import play as relay
+
         uvloop.run(relay(said))
     else:
         from cherrydoor.standin.command import main as run
+
         run(kind, said)
--- a/cherrydoor/codecs/resp.py
+++ b/cherrydoor/codecs/resp.py
@@ -7,11 +7,27 @@
 from dataclasses import dataclass, field
 
 LARGEST_BODY = 1 << 20
-BOUNDS = (64, 16, 4096, LARGEST_BODY)       # bytes of id, word, fields and body
+BOUNDS = (64, 16, 4096, LARGEST_BODY)  # bytes of id, word, fields and body
 LINE = re.compile(rb"[*$](0|[1-9]\d{0,9})\r\n")
 LONGEST_LINE = 13
-DONE, MISSING, FULL, BROKE, PAST, FIT, UNFIT = "done", "missing", "full", "broke", "past", "fit", "unfit"
-WORDS = {b"DONE": DONE, b"LACK": MISSING, b"WAIT": FULL, b"BROKE": BROKE, b"PAST": PAST, b"FIT": FIT, b"UNFIT": UNFIT}
+DONE, MISSING, FULL, BROKE, PAST, FIT, UNFIT = (
+    "done",
+    "missing",
+    "full",
+    "broke",
+    "past",
+    "fit",
+    "unfit",
+)
+WORDS = {
+    b"DONE": DONE,
+    b"LACK": MISSING,
+    b"WAIT": FULL,
+    b"BROKE": BROKE,
+    b"PAST": PAST,
+    b"FIT": FIT,
+    b"UNFIT": UNFIT,
+}
 NOTES = {"hit": 1, "spawn": 2, "pending": 3, "spawn_failed": 4}
 
 
@@ -23,6 +39,7 @@
 class Answer:
     """note: 1 a copy stood, 2 a load was begun, 3 one was awaited, 4 it failed, 0 not said; crowd, copies: None where
     not said; meter: the load report."""
+
     id: str
     word: str
     note: int = 0
@@ -38,7 +55,9 @@
     >>> command(b"drop", b"a1")
     b'*2\\r\\n$4\\r\\ndrop\\r\\n$2\\r\\na1\\r\\n'
     """
-    return b"*%d\r\n" % len(words) + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words])
+    return b"*%d\r\n" % len(words) + b"".join(
+        [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
+    )
 
 
 def execute(number, kind, function, limit, body, idempotency_key=""):
@@ -96,7 +115,10 @@
     if word not in WORDS:
         raise Spoilt(f"no answer's word: {word[:20]!r}")
     try:
-        answer, said = Answer(number.decode("ascii"), WORDS[word], body=body), fields.decode("ascii")
+        answer, said = (
+            Answer(number.decode("ascii"), WORDS[word], body=body),
+            fields.decode("ascii"),
+        )
     except UnicodeDecodeError:
         raise Spoilt("an id or fields that are not text") from None
     for pair in said.split(",") if said != "-" and said else ():
@@ -151,9 +173,15 @@
         found = LINE.match(held, at)
         if found:
             return int(found[1]), found.end()
-        rest = bytes(held[at + 1:at + LONGEST_LINE])
+        rest = bytes(held[at + 1 : at + LONGEST_LINE])
         digits = rest.rstrip(b"\r")
-        if len(rest) >= LONGEST_LINE - 1 or b"\n" in rest or digits and not digits.isdigit() or rest[:1] == b"\r":
+        if (
+            len(rest) >= LONGEST_LINE - 1
+            or b"\n" in rest
+            or digits
+            and not digits.isdigit()
+            or rest[:1] == b"\r"
+        ):
             raise Spoilt("a length that cannot be read")
         return None, at
 
@@ -171,11 +199,11 @@
             if size > bound:
                 raise Spoilt(f"a word of {size} bytes")
             if len(self.held) < at + size + 2:
-                if self.held[at + size:at + size + 1] not in (b"", b"\r"):
+                if self.held[at + size : at + size + 1] not in (b"", b"\r"):
                     raise Spoilt("a length that does not fit")
                 return None, at
-            if self.held[at + size:at + size + 2] != b"\r\n":
+            if self.held[at + size : at + size + 2] != b"\r\n":
                 raise Spoilt("a length that does not fit")
-            words.append(bytes(self.held[at:at + size]))
+            words.append(bytes(self.held[at : at + size]))
             at += size + 2
         return words, at
--- a/cherrydoor/codecs/sse.py
+++ b/cherrydoor/codecs/sse.py
@@ -5,7 +5,7 @@
 
 import h11
 
-LONGEST = 4 << 20               # bytes of one event
+LONGEST = 4 << 20  # bytes of one event
 READY, DRAINING, GONE = "ready", "draining", "gone"
 STATES = {"in_service": READY, "terminating": DRAINING, "terminated": GONE}
 
@@ -17,6 +17,7 @@
 @dataclass(slots=True)
 class Entry:
     """A host as the list has it; started: ms since 1970, 0 long ago."""
+
     id: str
     address: str
     state: str
@@ -28,6 +29,7 @@
 @dataclass(slots=True)
 class Told:
     """Event number `no`: what has changed, or where `whole` all there is. rows is None for what is no list."""
+
     no: int
     whole: bool
     rows: list | None
@@ -45,12 +47,22 @@
         for one in roster["instances"]:
             state = STATES.get(one["lifecycle"])
             if state is None:
-                raise Unreadable(f"roster.instances.lifecycle: not known: {str(one['lifecycle'])[:40]!r}")
+                raise Unreadable(
+                    f"roster.instances.lifecycle: not known: {str(one['lifecycle'])[:40]!r}"
+                )
             host, _, port = one["hostPort"].rpartition(":")
             if not host or not port.isdigit() or not 0 < int(port) < 65536:
                 raise Unreadable(f"roster.instances.hostPort: no address: {one['hostPort'][:40]!r}")
-            rows.append(Entry(str(one["instanceId"]), one["hostPort"], state, str(one.get("zone", "")),
-                              int(one.get("cell") or 0), float(one.get("startedAtMs") or 0)))
+            rows.append(
+                Entry(
+                    str(one["instanceId"]),
+                    one["hostPort"],
+                    state,
+                    str(one.get("zone", "")),
+                    int(one.get("cell") or 0),
+                    float(one.get("startedAtMs") or 0),
+                )
+            )
         return Told(no, bool(roster.get("reset")), rows)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise Unreadable(f"{type(error).__name__}: {error}") from None
@@ -58,8 +70,10 @@
 
 def request(where, last):
     """The bytes that ask for all events after number `last`."""
-    return (f"GET /bulletins HTTP/1.1\r\nHost: {where}\r\nAccept: text/event-stream\r\n"
-            f"Last-Event-ID: {last}\r\n\r\n").encode()
+    return (
+        f"GET /bulletins HTTP/1.1\r\nHost: {where}\r\nAccept: text/event-stream\r\n"
+        f"Last-Event-ID: {last}\r\n\r\n"
+    ).encode()
 
 
 class Reader:
@@ -67,7 +81,9 @@
 
     def __init__(self):
         self.http = h11.Connection(h11.CLIENT)
-        self.http.send(h11.Request(method="GET", target="/bulletins", headers=[("Host", "bulletin")]))
+        self.http.send(
+            h11.Request(method="GET", target="/bulletins", headers=[("Host", "bulletin")])
+        )
         self.http.send(h11.EndOfMessage())
         self.held, self.data, self.lines, self.began = b"", [], 0, False
 
--- a/cherrydoor/custody/claims.py
+++ b/cherrydoor/custody/claims.py
@@ -2,12 +2,15 @@
 
 from collections import Counter
 
-BYTES = 16 * 2**20      # of answers kept; beyond it the oldest goes first
-LATER = 2000.0          # ms after a client's time for which its answer is still kept: clocks and ways differ
+BYTES = 16 * 2**20  # of answers kept; beyond it the oldest goes first
+LATER = (
+    2000.0  # ms after a client's time for which its answer is still kept: clocks and ways differ
+)
 
 
 class Row:
     """An event of an estate here: its own key, the mark of what may not run beside it, and its answer once known."""
+
     __slots__ = ("key", "mark", "until", "answer", "waiting")
 
     def __init__(self, key, mark, until):
@@ -43,7 +46,9 @@
         row.answer, waiting, row.waiting = answer, row.waiting, []
         self.bytes += len(answer.body)
         while self.bytes > self.size:
-            oldest = next((k for k, r in self.rows.items() if r.answer is not None and r is not row), None)
+            oldest = next(
+                (k for k, r in self.rows.items() if r.answer is not None and r is not row), None
+            )
             if oldest is None:
                 break
             self.counts["answers left out"] += 1
--- a/cherrydoor/custody/decide.py
+++ b/cherrydoor/custody/decide.py
@@ -13,18 +13,19 @@
 from msgspec import Struct
 
 REDELIVERABLE, KEYED, AT_MOST_ONCE = "redeliverable", "keyed", "at-most-once"
-COST = {REDELIVERABLE: 0, KEYED: 1, AT_MOST_ONCE: 2}        # what it costs to lose one, in order
-FRESH = 0.8             # of the time for which hosts remember a mark: a launch anew after that might have an effect
-LEAST = 30.0            # ms left of a client's time below which an event is not run
-STAGGER = 400.0         # ms by which each further witness seeks an estate later than the one before it
-SAYS = 500.0            # ms that hosts may take to say what they hold
-AT_ONCE, IN_HAND = 64, 100      # hosts asked, and launches anew out, at a time
-APART = 1000.0          # ms over which clients of a life that is over are told to come back
+COST = {REDELIVERABLE: 0, KEYED: 1, AT_MOST_ONCE: 2}  # what it costs to lose one, in order
+FRESH = 0.8  # of the time for which hosts remember a mark: a launch anew after that might have an effect
+LEAST = 30.0  # ms left of a client's time below which an event is not run
+STAGGER = 400.0  # ms by which each further witness seeks an estate later than the one before it
+SAYS = 500.0  # ms that hosts may take to say what they hold
+AT_ONCE, IN_HAND = 64, 100  # hosts asked, and launches anew out, at a time
+APART = 1000.0  # ms over which clients of a life that is over are told to come back
 
 
 class Kind(Struct, frozen=True):
     """Of an event type: its kind, the group of hosts that drops repeats, how long they remember, and whether its
     answers stream. In ms."""
+
     kind: str = REDELIVERABLE
     group: str = "all"
     memory: float = 0.0
@@ -62,6 +63,7 @@
 # ---- what becomes of each event
 class Answer(Struct):
     """Its answer is known; nothing is run."""
+
     line: Any
     fate: str
     reason: str = ""
@@ -70,6 +72,7 @@
 
 class Adopt(Struct):
     """It is still at work there; its outcome is taken over."""
+
     line: Any
     host: str
     job: int
@@ -77,6 +80,7 @@
 
 class Anew(Struct):
     """Launched again, as any event with the time that is left."""
+
     line: Any
 
 
@@ -102,7 +106,11 @@
         return Answer(line, "dead-lettered", why)
     if line.until - now < LEAST:
         harmless = not unsure or kind.kind == REDELIVERABLE
-        return Answer(line, "deferred" if harmless else "dead-lettered", "no time was left when it was taken over")
+        return Answer(
+            line,
+            "deferred" if harmless else "dead-lettered",
+            "no time was left when it was taken over",
+        )
     return Anew(line)
 
 
@@ -114,6 +122,7 @@
 # ---- the heir
 class Ask(Struct, frozen=True):
     """One message to one host: that life is over; what do you hold of it?"""
+
     host: str
 
 
@@ -123,7 +132,13 @@
     gateways at once pushes nobody over."""
 
     def __init__(self, estate, number, hosts, kinds, now, wait):
-        self.estate, self.number, self.kinds, self.began, self.ends = estate, number, kinds, now, now + wait
+        self.estate, self.number, self.kinds, self.began, self.ends = (
+            estate,
+            number,
+            kinds,
+            now,
+            now + wait,
+        )
         self.waiting, self.asked, self.heard = list(hosts), {}, {}
         self.hosts, self.found, self.outdone = list(hosts), {}, 0
         self.decided, self.later, self.in_hand, self.counts = False, [], 0, Counter()
@@ -143,14 +158,20 @@
         self.asked.pop(host, None)
         if holds is not None and holds.highest > self.number:
             self.outdone = max(self.outdone, holds.highest)
-        elif holds is not None and holds.highest == self.number and not self.decided:   # else it has not said
+        elif (
+            holds is not None and holds.highest == self.number and not self.decided
+        ):  # else it has not said
             self.heard[host] = True
             for job in holds.jobs:
                 self.found.setdefault((job.client, job.event), []).append((host, job))
         return self.ask()
 
     def ready(self, now):
-        return not self.decided and not self.outdone and (not self.asked and not self.waiting or now >= self.ends)
+        return (
+            not self.decided
+            and not self.outdone
+            and (not self.asked and not self.waiting or now >= self.ends)
+        )
 
     def decide(self, now):
         """Verdicts, once; launches anew come from next()."""
--- a/cherrydoor/custody/estate.py
+++ b/cherrydoor/custody/estate.py
@@ -11,7 +11,7 @@
 from cherrydoor.custody.decide import COST
 from cherrydoor.frames.peers import Entrust, Out
 
-EVENTS, BYTES = 2000, 8 * 2**20         # entrusted at once by one giver; also kept at once of one giver
+EVENTS, BYTES = 2000, 8 * 2**20  # entrusted at once by one giver; also kept at once of one giver
 
 
 def mark_of(party, clause, mark):
@@ -29,10 +29,10 @@
 
     def __init__(self, life, kinds, events=EVENTS, size=BYTES):
         self.life, self.kinds, self.events, self.size = life, kinds, events, size
-        self.held = {cost: {} for cost in COST.values()}        # cost -> number -> (Trust, until, [Out])
+        self.held = {cost: {} for cost in COST.values()}  # cost -> number -> (Trust, until, [Out])
         self.where, self.bytes, self.counts = {}, 0, Counter()
         self.new, self.out, self.over, self.witnesses = {}, [], [], []
-        self.oldest_new = None          # since when something is in hand of which no witness has heard
+        self.oldest_new = None  # since when something is in hand of which no witness has heard
 
     def taken(self, now, trust, until):
         cost = COST[self.kinds[trust.clause].kind]
@@ -67,7 +67,7 @@
             return
         trust, _, _ = self.held[cost].pop(number)
         self.bytes -= len(trust.body)
-        if not self.new.pop(number, None):      # what no witness has heard of need not be forgotten
+        if not self.new.pop(number, None):  # what no witness has heard of need not be forgotten
             self.over.append(number)
 
     def pending(self):
@@ -76,12 +76,14 @@
 
     def round(self, now, witnesses):
         """[(witnesses, Entrust)]: what is new to each, at the end of a turn; a new witness is told the whole."""
-        if witnesses and witnesses == self.witnesses:       # as nearly always
+        if witnesses and witnesses == self.witnesses:  # as nearly always
             if not self.pending():
                 return []
             held, where = self.held, self.where
             out = [*self.out, *(o for number in self.new for o in held[where[number]][number][2])]
-            one = Entrust(self.life, 0, False, [self.left(now, number) for number in self.new], out, self.over)
+            one = Entrust(
+                self.life, 0, False, [self.left(now, number) for number in self.new], out, self.over
+            )
             self.new, self.out, self.over, self.oldest_new = {}, [], [], None
             return [(witnesses, one)]
         told = [name for name in witnesses if name in self.witnesses]
@@ -90,12 +92,18 @@
         messages = []
         if told and self.pending():
             events = [self.left(now, number) for number in self.new]
-            out = [*self.out, *(o for number in self.new for o in self.held[self.where[number]][number][2])]
+            out = [
+                *self.out,
+                *(o for number in self.new for o in self.held[self.where[number]][number][2]),
+            ]
             messages.append((told, Entrust(self.life, 0, False, events, out, self.over)))
         if fresh:
             events = [self.left(now, number) for number in self.where]
             out = [o for number, cost in self.where.items() for o in self.held[cost][number][2]]
-            messages += [([name], Entrust(self.life, witnesses.index(name), True, events, out)) for name in fresh]
+            messages += [
+                ([name], Entrust(self.life, witnesses.index(name), True, events, out))
+                for name in fresh
+            ]
         messages += [([name], Entrust(self.life, 0, True)) for name in dropped]
         if witnesses:
             self.new, self.out, self.over, self.oldest_new = {}, [], [], None
@@ -119,6 +127,7 @@
 
 class Line:
     """An event of another's estate."""
+
     __slots__ = ("trust", "until", "since", "out")
 
     def __init__(self, trust, until, since):
@@ -131,7 +140,7 @@
 
     def __init__(self, giver, life, rank):
         self.giver, self.life, self.rank, self.lines, self.bytes = giver, life, rank, {}, 0
-        self.cut = None             # since when its giver is not linked here
+        self.cut = None  # since when its giver is not linked here
 
     @property
     def task(self):
@@ -177,7 +186,9 @@
         it has answered since is not known here."""
         seek, leave = [], []
         for key, estate in list(self.estates.items()):
-            estate.cut = None if estate.giver in linked else estate.cut if estate.cut is not None else now
+            estate.cut = (
+                None if estate.giver in linked else estate.cut if estate.cut is not None else now
+            )
             here = states.get(estate.giver) == (estate.life, "here")
             if here and estate.cut is not None and now - estate.cut > stale:
                 self.counts["estates that had become stale"] += 1
@@ -187,7 +198,11 @@
             for number in [n for n, line in estate.lines.items() if line.until <= now]:
                 self.drop(estate, number)
             life, state = states.get(estate.giver, (0, "vanished"))
-            if life > estate.life or life == estate.life and state in ("silent", "vanished", "over"):
+            if (
+                life > estate.life
+                or life == estate.life
+                and state in ("silent", "vanished", "over")
+            ):
                 (seek if estate.lines else leave).append(estate)
                 if not estate.lines:
                     del self.estates[key]
--- a/cherrydoor/custody/fellows.py
+++ b/cherrydoor/custody/fellows.py
@@ -42,8 +42,13 @@
         self.sites.start()
         if self.control:
             await self.control.start()
-        log.info("peers may connect", gateway=self.peers.me.name, at=self.peers.said["door"], life=self.life,
-                 keepers=len(self.tenures.keepers))
+        log.info(
+            "peers may connect",
+            gateway=self.peers.me.name,
+            at=self.peers.said["door"],
+            life=self.life,
+            keepers=len(self.tenures.keepers),
+        )
 
     def turned(self):
         self.custody.turned()
@@ -113,9 +118,23 @@
     def table(self):
         members, links = self.peers.members, self.peers.links
         now = self.peers.now()
-        return {"gateway": self.peers.me.name, "life": self.life, "witnesses": links.witnesses,
-                "frames": self.peers.frames, "bytes": self.peers.bytes, "members": [
-            {"name": row.name, "life": row.life, "at": row.at, "site": row.site, "state": row.state,
-             "keeper": row.keeper, "linked": links.is_up(row.name),
-             "since": round(now - members.since[row.name], 1)}
-            for row in sorted(members.whole(), key=lambda r: r.name)]}
+        return {
+            "gateway": self.peers.me.name,
+            "life": self.life,
+            "witnesses": links.witnesses,
+            "frames": self.peers.frames,
+            "bytes": self.peers.bytes,
+            "members": [
+                {
+                    "name": row.name,
+                    "life": row.life,
+                    "at": row.at,
+                    "site": row.site,
+                    "state": row.state,
+                    "keeper": row.keeper,
+                    "linked": links.is_up(row.name),
+                    "since": round(now - members.since[row.name], 1),
+                }
+                for row in sorted(members.whole(), key=lambda r: r.name)
+            ],
+        }
--- a/cherrydoor/custody/heir.py
+++ b/cherrydoor/custody/heir.py
@@ -12,8 +12,8 @@
 from cherrydoor.gateway.books import Client
 
 log = structlog.get_logger()
-REMEMBERED = 60000.0    # ms for which it is known who was heir to what: longer than any client's time
-KEPT = 2000             # takeovers that are remembered
+REMEMBERED = 60000.0  # ms for which it is known who was heir to what: longer than any client's time
+KEPT = 2000  # takeovers that are remembered
 
 
 class Wire:
@@ -82,7 +82,9 @@
         if heir.done:
             self.custody.witness.done(now, *key)
             task = f"estate/{heir.gateway}/{heir.life}"
-            if task not in self.work:       # guards against each further witness taking over what is settled
+            if (
+                task not in self.work
+            ):  # guards against each further witness taking over what is settled
                 self.custody.tenures.release(task)
         self.custody.again(*key)
 
@@ -102,18 +104,30 @@
                 mark = mark_of(trust.party, trust.clause, trust.mark)
                 marks.append(mark)
             custody.claims.expect(estate.giver, estate.life, line, mark)
-        log.info("an estate is taken over", gateway=custody.peers.me.name, giver=estate.giver, life=estate.life,
-                 number=number, events=len(estate.lines), hosts=len(hosts))
-        self.told("", p.Heir(estate.giver, estate.life, number, custody.peers.me.name, False, marks))
+        log.info(
+            "an estate is taken over",
+            gateway=custody.peers.me.name,
+            giver=estate.giver,
+            life=estate.life,
+            number=number,
+            events=len(estate.lines),
+            hosts=len(hosts),
+        )
+        self.told(
+            "", p.Heir(estate.giver, estate.life, number, custody.peers.me.name, False, marks)
+        )
         self.ask(work, takeover.ask())
 
     def ask(self, work, asks):
         estate, number = work.estate, work.takeover.number
         for ask in asks:
             self.custody.shell.post(
-                self.custody.shell.desk.question, ask.host,
-                lambda id_: c.Over(id_, estate.giver, estate.life, number), d.SAYS,
-                lambda host, fate, holds: self.said(work, host, holds))
+                self.custody.shell.desk.question,
+                ask.host,
+                lambda id_: c.Over(id_, estate.giver, estate.life, number),
+                d.SAYS,
+                lambda host, fate, holds: self.said(work, host, holds),
+            )
 
     def said(self, work, host, holds):
         self.ask(work, work.takeover.said(self.custody.now(), host, holds))
@@ -141,8 +155,20 @@
     def carry_out(self, work, one):
         trust, estate = one.line.trust, work.estate
         client = Client(Wire(work, one.line), trust.client)
-        event = m.Event(trust.event, trust.clause, trust.function, max(1.0, one.line.until - self.custody.now()), 0.0,
-                        trust.party, trust.mark, trust.lanes, trust.load, trust.body, trust.document, trust.key)
+        event = m.Event(
+            trust.event,
+            trust.clause,
+            trust.function,
+            max(1.0, one.line.until - self.custody.now()),
+            0.0,
+            trust.party,
+            trust.mark,
+            trust.lanes,
+            trust.load,
+            trust.body,
+            trust.document,
+            trust.key,
+        )
         origin = estate.giver, estate.life, work.takeover.number
         desk, post = self.custody.shell.desk, self.custody.shell.post
         work.takeover.counts[type(one).__name__.lower()] += 1
@@ -152,7 +178,15 @@
             self.answered(work, one.line, m.Answer(trust.event, fate, 0.0, one.reason, one.body))
         elif isinstance(one, d.Adopt):
             work.adopted.add(trust.number)
-            post(desk.adopt, client, event, one.line.until, origin, one.host, lambda id_: c.Adopt(id_, one.job))
+            post(
+                desk.adopt,
+                client,
+                event,
+                one.line.until,
+                origin,
+                one.host,
+                lambda id_: c.Adopt(id_, one.job),
+            )
         else:
             work.anew.add(trust.number)
             post(desk.inherit, client, event, one.line.until, origin)
@@ -165,22 +199,51 @@
     def settled(self, work):
         estate, now = work.estate, self.custody.now()
         del self.work[estate.task]
-        self.past.append({"giver": estate.giver, "life": estate.life, "number": work.takeover.number,
-                          "hosts": len(work.takeover.hosts), "said": len(work.takeover.heard),
-                          "first verdict ms": round(work.first - work.began, 1), "ms": round(now - work.began, 1),
-                          **work.takeover.counts})
+        self.past.append(
+            {
+                "giver": estate.giver,
+                "life": estate.life,
+                "number": work.takeover.number,
+                "hosts": len(work.takeover.hosts),
+                "said": len(work.takeover.heard),
+                "first verdict ms": round(work.first - work.began, 1),
+                "ms": round(now - work.began, 1),
+                **work.takeover.counts,
+            }
+        )
         del self.past[:-KEPT]
         log.info("an estate is settled", gateway=self.custody.peers.me.name, **self.past[-1])
-        self.told("", p.Heir(estate.giver, estate.life, work.takeover.number, self.custody.peers.me.name, True))
+        self.told(
+            "",
+            p.Heir(
+                estate.giver, estate.life, work.takeover.number, self.custody.peers.me.name, True
+            ),
+        )
         self.custody.tenures.release(estate.task)
 
     def ended(self, estate):
         """The tenure is lost: nothing more is done under its number."""
         work = self.work.pop(estate.task, None)
         if work is not None:
-            log.warning("an estate is left to its next heir", gateway=self.custody.peers.me.name, giver=estate.giver,
-                        life=estate.life, number=work.takeover.number)
+            log.warning(
+                "an estate is left to its next heir",
+                gateway=self.custody.peers.me.name,
+                giver=estate.giver,
+                life=estate.life,
+                number=work.takeover.number,
+            )
 
     def table(self):
-        return [*self.past, *({"giver": w.estate.giver, "life": w.estate.life, "number": w.takeover.number,
-                               "at work": True, **w.takeover.counts} for w in self.work.values())]
+        return [
+            *self.past,
+            *(
+                {
+                    "giver": w.estate.giver,
+                    "life": w.estate.life,
+                    "number": w.takeover.number,
+                    "at work": True,
+                    **w.takeover.counts,
+                }
+                for w in self.work.values()
+            ),
+        ]
--- a/cherrydoor/custody/shell.py
+++ b/cherrydoor/custody/shell.py
@@ -15,8 +15,10 @@
 from cherrydoor.frames import peers as p
 
 log = structlog.get_logger()
-LOOK = 0.05             # s between two looks at estates and claims
-MOST_CLAIMS = 5000      # of clients that wait for an heir; beyond it the answer is that nothing is known
+LOOK = 0.05  # s between two looks at estates and claims
+MOST_CLAIMS = (
+    5000  # of clients that wait for an heir; beyond it the answer is that nothing is known
+)
 
 
 class Custody:
@@ -24,13 +26,26 @@
 
     def __init__(self, peers, tenures):
         self.peers, self.tenures, self.shell, self.now = peers, tenures, peers.shell, peers.now
-        self.loop, self.kinds = peers.loop, {
-            one.name: d.Kind(one.kind, one.group, one.memory, one.stream) for one in self.shell.figures.lease.clauses}
-        self.giver, self.witness, self.claims = Giver(peers.me.life, self.kinds), Witness(), Claims()
+        self.loop, self.kinds = (
+            peers.loop,
+            {
+                one.name: d.Kind(one.kind, one.group, one.memory, one.stream)
+                for one in self.shell.figures.lease.clauses
+            },
+        )
+        self.giver, self.witness, self.claims = (
+            Giver(peers.me.life, self.kinds),
+            Witness(),
+            Claims(),
+        )
         self.heirs = Heirs(self)
         self.asked, self.ids, self.timer, self.delays = {}, 0, None, []
-        for kind, what in ((p.Entrust, self.entrusted), (p.Heir, self.heirs.told), (p.Claim, self.claimed),
-                           (p.Claimed, self.answered)):
+        for kind, what in (
+            (p.Entrust, self.entrusted),
+            (p.Heir, self.heirs.told),
+            (p.Claim, self.claimed),
+            (p.Claimed, self.answered),
+        ):
             peers.follow(kind, what)
         tenures.refusing.append(self.refuses)
         # what was under way on the link before is lost: the whole is told on each that comes up
@@ -55,10 +70,26 @@
     def taken(self, taken):
         event = taken.event
         if taken.origin is not None or self.kinds[event.clause].stream:
-            return      # of an estate: other witnesses hold it; a stream is answered already as it begins
-        self.giver.taken(self.now(), p.Trust(
-            taken.number, event.id, taken.client.name, event.clause, event.function, 0.0, event.party, event.mark,
-            event.key, event.document, event.lanes, event.load, event.body), taken.until)
+            return  # of an estate: other witnesses hold it; a stream is answered already as it begins
+        self.giver.taken(
+            self.now(),
+            p.Trust(
+                taken.number,
+                event.id,
+                taken.client.name,
+                event.clause,
+                event.function,
+                0.0,
+                event.party,
+                event.mark,
+                event.key,
+                event.document,
+                event.lanes,
+                event.load,
+                event.body,
+            ),
+            taken.until,
+        )
 
     def launched(self, taken, host):
         self.giver.launched(taken.number, host)
@@ -79,16 +110,25 @@
         taken.adopted = True
         self.shell.desk.counts["repeats of what an estate holds"] += 1
         giver, life = found
-        self.ask_heir(p.Claim(0, giver, life, 0, event.key, mark), lambda said: self.shell.post(
-            self.repeat_answered, taken, said))
+        self.ask_heir(
+            p.Claim(0, giver, life, 0, event.key, mark),
+            lambda said: self.shell.post(self.repeat_answered, taken, said),
+        )
         return True
 
     def repeat_answered(self, taken, said):
         if not taken.over:
             known = said is not None and said.known
-            self.shell.desk.answer(taken, m.Answer(
-                taken.event.id, said.fate if known else "dead-lettered", said.stay_away if known else 0.0,
-                said.reason if known else "it may have run at a gateway that is lost", said.body if known else b""))
+            self.shell.desk.answer(
+                taken,
+                m.Answer(
+                    taken.event.id,
+                    said.fate if known else "dead-lettered",
+                    said.stay_away if known else 0.0,
+                    said.reason if known else "it may have run at a gateway that is lost",
+                    said.body if known else b"",
+                ),
+            )
 
     def ends(self, taken):
         """The answer to an event as this life ends, None where it is an heir's to give."""
@@ -130,15 +170,21 @@
         states = {row.name: (row.life, row.state) for row in self.peers.members.members.values()}
         seek, leave = self.witness.tick(now, states, self.peers.ends, self.peers.links.silent)
         for estate in seek:
-            self.tenures.hold(estate.task, lambda number, estate=estate: self.heirs.began(estate, number),
-                              lambda number, estate=estate: self.heirs.ended(estate), estate.rank * d.STAGGER)
+            self.tenures.hold(
+                estate.task,
+                lambda number, estate=estate: self.heirs.began(estate, number),
+                lambda number, estate=estate: self.heirs.ended(estate),
+                estate.rank * d.STAGGER,
+            )
         for estate in leave:
             if estate.task in self.tenures.wanted and not self.heirs.at_work(estate.task):
                 self.tenures.release(estate.task)
         self.heirs.look(now)
         self.claims.tick(now)
         for name in list(self.giver.witnesses):
-            if name not in self.peers.ends:     # who is linked and no longer a witness is told so by the next round
+            if (
+                name not in self.peers.ends
+            ):  # who is linked and no longer a witness is told so by the next round
                 self.giver.unheard(name)
         self.turned(True)
         for number, (_, until, then) in list(self.asked.items()):
@@ -149,15 +195,25 @@
     # ---- claims
     def reclaim(self, end, message):
         """A client asks for an answer that another gateway owed it."""
+
         def tell(said):
             if said is None or not said.known:
-                return end.write(c.Unknown(message.id, "nothing is known of it here" if said is None or not said.reason
-                                           else said.reason))
+                return end.write(
+                    c.Unknown(
+                        message.id,
+                        "nothing is known of it here"
+                        if said is None or not said.reason
+                        else said.reason,
+                    )
+                )
             end.write(m.Answer(message.id, said.fate, said.stay_away, said.reason, said.body))
+
         late = end.client.late(message.sent, self.now())
         # The heir gives its last answer when all of the spared time is left: half of that is for the way here.
         left = message.lasts - late - self.shell.figures.terms.spare / 2
-        self.ask_heir(p.Claim(0, message.gateway, message.life, message.event, message.key), tell, left)
+        self.ask_heir(
+            p.Claim(0, message.gateway, message.life, message.event, message.key), tell, left
+        )
 
     def ask_heir(self, claim, then, left=5000.0):
         """then(Claimed) once, or then(None) where nothing comes in time. Where no heir is known yet it is waited for:
@@ -184,12 +240,23 @@
 
     def claimed(self, sender, claim):
         """Another gateway asks for one of its clients."""
+
         def tell(answer):
-            self.say_claimed(sender, p.Claimed(claim.id, True, answer.fate, answer.stay_away, answer.reason,
-                                               answer.body))
-        known, answer = self.claims.claim(claim.gateway, claim.life, claim.event, claim.key, tell, claim.mark)
+            self.say_claimed(
+                sender,
+                p.Claimed(
+                    claim.id, True, answer.fate, answer.stay_away, answer.reason, answer.body
+                ),
+            )
+
+        known, answer = self.claims.claim(
+            claim.gateway, claim.life, claim.event, claim.key, tell, claim.mark
+        )
         if not known:
-            self.say_claimed(sender, p.Claimed(claim.id, False, reason="it was not entrusted, or its key is another"))
+            self.say_claimed(
+                sender,
+                p.Claimed(claim.id, False, reason="it was not entrusted, or its key is another"),
+            )
         elif answer is not None:
             tell(answer)
 
@@ -207,11 +274,33 @@
     # ---- for operators
     def table(self):
         now, giver = self.now(), self.giver
-        kept = [{"giver": one.giver, "life": one.life, "rank": one.rank, "events": len(one.lines), "bytes": one.bytes}
-                for one in self.witness.estates.values()]
-        return {"gateway": self.peers.me.name, "life": self.peers.me.life, "in hand": len(giver.where),
-                "bytes": giver.bytes, "witnesses": giver.witnesses, "counts": dict(giver.counts),
-                "untold ms": round(now - giver.oldest_new, 2) if giver.oldest_new is not None else 0.0,
-                "told after ms": round(sorted(self.delays)[int(len(self.delays) * 0.99)], 2) if self.delays else 0.0,
-                "kept for others": kept, "kept counts": dict(self.witness.counts), "takeovers": self.heirs.table(),
-                "claims": {"rows": len(self.claims.rows), "waiting": len(self.asked), **self.claims.counts}}
+        kept = [
+            {
+                "giver": one.giver,
+                "life": one.life,
+                "rank": one.rank,
+                "events": len(one.lines),
+                "bytes": one.bytes,
+            }
+            for one in self.witness.estates.values()
+        ]
+        return {
+            "gateway": self.peers.me.name,
+            "life": self.peers.me.life,
+            "in hand": len(giver.where),
+            "bytes": giver.bytes,
+            "witnesses": giver.witnesses,
+            "counts": dict(giver.counts),
+            "untold ms": round(now - giver.oldest_new, 2) if giver.oldest_new is not None else 0.0,
+            "told after ms": round(sorted(self.delays)[int(len(self.delays) * 0.99)], 2)
+            if self.delays
+            else 0.0,
+            "kept for others": kept,
+            "kept counts": dict(self.witness.counts),
+            "takeovers": self.heirs.table(),
+            "claims": {
+                "rows": len(self.claims.rows),
+                "waiting": len(self.asked),
+                **self.claims.counts,
+            },
+        }
--- a/cherrydoor/emulator/doors.py
+++ b/cherrydoor/emulator/doors.py
@@ -46,7 +46,9 @@
         self.caller = d.Caller(pipe.other.address, shell.hall.clock.now(), self)
 
     def let_in(self):
-        self.pipe.world.call_soon(lambda: self.pipe.closing or self.pipe.world.attach(self.pipe, self.make(self)))
+        self.pipe.world.call_soon(
+            lambda: self.pipe.closing or self.pipe.world.attach(self.pipe, self.make(self))
+        )
 
     def seat(self, largest):
         self.end.seated(largest)
@@ -117,10 +119,27 @@
 
     def __init__(self, world, figures, gate, disk=None):
         """disk: what keepers have synced, by path; None leaves the gateway alone."""
-        self.world, self.dead, self.stands, self.late, self.listener = world, False, False, False, None
-        super().__init__(figures, gate, Uses(), None, Clock(world), None if disk is None else lambda shell, life=0: (
-            Fellows(shell, life, lambda path, name: Promises(disk, path, name))
-            if shell.figures.peers["door"] else None))
+        self.world, self.dead, self.stands, self.late, self.listener = (
+            world,
+            False,
+            False,
+            False,
+            None,
+        )
+        super().__init__(
+            figures,
+            gate,
+            Uses(),
+            None,
+            Clock(world),
+            None
+            if disk is None
+            else lambda shell, life=0: (
+                Fellows(shell, life, lambda path, name: Promises(disk, path, name))
+                if shell.figures.peers["door"]
+                else None
+            ),
+        )
         self.loop: Any = Standing(self, world)
 
     def listen(self, where, make, context):
@@ -129,6 +148,7 @@
         def accept(pipe):
             pipe.frozen = self.stands
             self.hall.post(d.Knock(Arrival(self, make, pipe).caller))
+
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
 
@@ -151,9 +171,20 @@
     def wires(self):
         """All its transports."""
         found = [end.transport for end in self.door.ends]
-        found += [caller.wire.end.transport for caller in list(self.hall.guard.porch.unshown) if caller.wire.end]
-        found += [link.wire.transport for host in self.desk.hosts.values() for link in host.links if link.wire]
-        found += [end.transport for end in (self.roll.end, self.releases and self.releases.end) if end]
+        found += [
+            caller.wire.end.transport
+            for caller in list(self.hall.guard.porch.unshown)
+            if caller.wire.end
+        ]
+        found += [
+            link.wire.transport
+            for host in self.desk.hosts.values()
+            for link in host.links
+            if link.wire
+        ]
+        found += [
+            end.transport for end in (self.roll.end, self.releases and self.releases.end) if end
+        ]
         found += [end.transport for end in self.fellows.peers.ends.values()] if self.fellows else []
         return [wire for wire in found if wire is not None]
 
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -57,7 +57,7 @@
         super().__init__(day | {"without": [*day.get("without", ()), *LEFT_OUT]}, folder, tell)
         self.world: Any = asyncio.get_running_loop()
         self.records, self.shells, self.disk = [self.record], {}, {}
-        self.ports: Any = self      # ports are the world's
+        self.ports: Any = self  # ports are the world's
 
     def take(self):
         """A free port as an address; ids of hosts go up with time, as in rehearsals."""
@@ -83,34 +83,59 @@
     async def begin(self):
         day = self.day
         self.record.add("terms", text=json.dumps(terms(day)))
-        catalogue = Catalogue(**{k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")})
+        catalogue = Catalogue(
+            **{k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")}
+        )
         store = await Store(self.kept("store", "store"), catalogue, **day["store"]).start()
-        self.store = Spoken("store", lambda name, values: store.set(**values) if name == "set" else
-                            store.releases.update(dict.fromkeys(values["functions"], values["release"])))
+        self.store = Spoken(
+            "store",
+            lambda name, values: (
+                store.set(**values)
+                if name == "set"
+                else store.releases.update(dict.fromkeys(values["functions"], values["release"]))
+            ),
+        )
         farm = Farm(self.kept("host", "farm"), catalogue, day["seed"])
         farm.scopes = {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}
         await self.world.create_connection(
-            lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")), "127.0.0.1", store.port)
+            lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")),
+            "127.0.0.1",
+            store.port,
+        )
         self.farm, self.builds = Spoken("hosts", HostCommands(farm)), builds(day)
         for number, build in enumerate(self.builds):
             self.ids[number] = (await farm.add(self.take(), Build(**build))).id
         farm.sweep()
-        roll = await Roll(self.kept("list", "list"), [1000 * n for n in day["list"]["notice"]], day["list"]["stale"],
-                          day["seed"]).start()
-        self.list, self.list_at = Spoken("list", lambda name, values: self.obey_list(roll, name, values)), (
-            f"127.0.0.1:{roll.port}")
+        roll = await Roll(
+            self.kept("list", "list"),
+            [1000 * n for n in day["list"]["notice"]],
+            day["list"]["stale"],
+            day["seed"],
+        ).start()
+        self.list, self.list_at = (
+            Spoken("list", lambda name, values: self.obey_list(roll, name, values)),
+            (f"127.0.0.1:{roll.port}"),
+        )
         for number, host in self.ids.items():
             await self.row(number, host, "ready", 0.0, self.builds[number])
         if day["feed"]["gradual"]:
-            feed = await Feed(self.kept("feed", "feed"), [1000 * n for n in day["feed"]["notice"]],
-                              day["feed"]["misses"], day["seed"]).start()
+            feed = await Feed(
+                self.kept("feed", "feed"),
+                [1000 * n for n in day["feed"]["notice"]],
+                day["feed"]["misses"],
+                day["seed"],
+            ).start()
             self.feed = Spoken("feed", lambda name, values: feed.release(**values))
             self.feed_at = f"127.0.0.1:{feed.port}"
         await self.meet()
         count = day["gateways"]["count"]
-        for group in in_processes(count, day["gateways"]["in_a_process"], len(day["fleet"]["floors"])):
+        for group in in_processes(
+            count, day["gateways"]["in_a_process"], len(day["fleet"]["floors"])
+        ):
             await self.start_gateways(group)
-        clients = Clients(day, [self.doors[g] for g in range(count)], self.kept("client", "clients"), self.comes())
+        clients = Clients(
+            day, [self.doors[g] for g in range(count)], self.kept("client", "clients"), self.comes()
+        )
         for door in clients.doors:
             for one in door:
                 self.tasks.add(self.world.create_task(one.keep()))
@@ -131,12 +156,16 @@
         decides = self.day["gateways"]["decides"]
         for number in group:
             door = self.doors.get(number) or self.take()
-            said = lease_values(self.day, number, door, self.list_at, self.folder, self.feed_at, self.meets)
+            said = lease_values(
+                self.day, number, door, self.list_at, self.folder, self.feed_at, self.meets
+            )
             for part in ("releases", "peers"):
                 said.get(part, {}).pop("control", None)
             text = show(said)
             figures = Figures(read(text, f"g{number}.lease", schema("lease.schema"), "#Lease"))
-            shell = self.shells[number] = Door(self.world, figures, MAKERS.get(decides, Gateway), self.disk)
+            shell = self.shells[number] = Door(
+                self.world, figures, MAKERS.get(decides, Gateway), self.disk
+            )
             await shell.start()
             self.doors[number], self.gateways[number] = door, (Spoken(f"g{number}", None), group)
             self.record.add("gateway up", f"g{number}")
@@ -157,7 +186,7 @@
     async def do_start_gateway(self, gateway):
         group = self.gateways[gateway][1]
         if self.shells[gateway].dead:
-            await asyncio.sleep(0.8)        # as long as a process takes
+            await asyncio.sleep(0.8)  # as long as a process takes
             if self.shells[gateway].dead:
                 await self.start_gateways(group)
 
@@ -177,7 +206,9 @@
         self.record.add("closing")
         for shell in self.shells.values():
             shell.drain("the gateway is leaving")
-        codes = await asyncio.gather(*(shell.done for shell in self.shells.values() if not shell.dead))
+        codes = await asyncio.gather(
+            *(shell.done for shell in self.shells.values() if not shell.dead)
+        )
         if any(codes):
             raise CannotRun(f"gateways ended with {sorted(set(codes))}")
 
@@ -189,8 +220,10 @@
     Clocks.steady, Clocks.wall = world.time, world.wall
     asyncio.set_event_loop(world)
     try:
+
         async def play():
             await Emulation(day, Path(folder), tell).play()
+
         world.run_until_complete(play())
     finally:
         Clocks.steady, Clocks.wall = before
--- a/cherrydoor/emulator/world.py
+++ b/cherrydoor/emulator/world.py
@@ -10,7 +10,7 @@
 from collections import deque
 from zlib import crc32
 
-START = 1.8e9           # s since 1970 at which every emulation begins
+START = 1.8e9  # s since 1970 at which every emulation begins
 
 
 class Jump(selectors.BaseSelector):
@@ -47,10 +47,12 @@
         self.other, self.closing, self.reading, self.out, self.held = None, False, True, [], deque()
         self.frozen, self.last = False, 0.0
         if protocol is None:
-            self.reading = False        # until it is attached
+            self.reading = False  # until it is attached
 
     def get_extra_info(self, name, default=None):
-        return {"peername": (self.other.address, 0), "sockname": (self.address, 0)}.get(name, default)
+        return {"peername": (self.other.address, 0), "sockname": (self.address, 0)}.get(
+            name, default
+        )
 
     def write(self, data):
         """What is written in one pass of the loop travels together."""
@@ -67,7 +69,9 @@
 
     def send(self, what, *args):
         """In order, each after the delay between the two places."""
-        at = max(self.last + 1e-7, self.world.time() + self.world.delay(self.place, self.other.place))
+        at = max(
+            self.last + 1e-7, self.world.time() + self.world.delay(self.place, self.other.place)
+        )
         self.last = at
         self.world.call_at(at, what, *args)
 
@@ -140,7 +144,13 @@
 
 class Server:
     def __init__(self, world, key, accept, place):
-        self.world, self.key, self.accept, self.place, self.sockets = world, key, accept, place, [self]
+        self.world, self.key, self.accept, self.place, self.sockets = (
+            world,
+            key,
+            accept,
+            place,
+            [self],
+        )
 
     def getsockname(self):
         return self.key
@@ -197,7 +207,9 @@
         key = (host or "127.0.0.1", port or self.take_port())
         if key in self.servers:
             raise OSError(98, "address in use")
-        server = self.servers[key] = Server(self, key, accept, self.place if place is None else place)
+        server = self.servers[key] = Server(
+            self, key, accept, self.place if place is None else place
+        )
         return server
 
     def attach(self, pipe, protocol):
@@ -206,7 +218,9 @@
         protocol.connection_made(pipe)
         pipe.release()
 
-    async def create_connection(self, protocol_factory, host=None, port=None, *, local_addr=None, **_):
+    async def create_connection(
+        self, protocol_factory, host=None, port=None, *, local_addr=None, **_
+    ):
         place = self.place
         server = self.servers.get((host, port))
         await asyncio.sleep(2 * self.delay(place, server.place if server else ""))
--- a/cherrydoor/ends.py
+++ b/cherrydoor/ends.py
@@ -9,8 +9,10 @@
 from cherrydoor.frames import codec
 from cherrydoor.frames import messages as m
 
-MOST_WAITING = 32 * 2**20       # bytes that may wait for a slow peer before the connection is the casualty
-HELLO_WAIT = 5.0                # s that a peer may take to say who it is
+MOST_WAITING = (
+    32 * 2**20
+)  # bytes that may wait for a slow peer before the connection is the casualty
+HELLO_WAIT = 5.0  # s that a peer may take to say who it is
 
 
 class Some(dict):
@@ -31,7 +33,12 @@
 
     def __init__(self, owner, kinds, hello, most_waiting=MOST_WAITING, largest=m.LARGEST):
         self.owner, self.hello, self.most_waiting = owner, hello, most_waiting
-        self.reader, self.transport, self.why, self.largest = codec.Reader(kinds, largest), None, "", m.LARGEST
+        self.reader, self.transport, self.why, self.largest = (
+            codec.Reader(kinds, largest),
+            None,
+            "",
+            m.LARGEST,
+        )
 
     def connection_made(self, transport):
         self.transport = transport
@@ -90,7 +97,7 @@
             self.transport.abort()
 
     def eof_received(self):
-        return False        # the peer has closed, and so do we
+        return False  # the peer has closed, and so do we
 
     def connection_lost(self, error):
         self.timer.cancel()
--- a/cherrydoor/frames/codec.py
+++ b/cherrydoor/frames/codec.py
@@ -80,7 +80,7 @@
                     if self.halts and self.hello is not None:
                         self.halts, self.need = False, PREFIX
                         break
-        del held[:at if self.fault is None else len(held)]
+        del held[: at if self.fault is None else len(held)]
         return found
 
     def end(self):
--- a/cherrydoor/frames/custody.py
+++ b/cherrydoor/frames/custody.py
@@ -11,23 +11,27 @@
 from cherrydoor.frames.basics import Count as Whole
 from cherrydoor.frames.basics import Id, Message, Name
 
-LIFE_OVER = "that life is over"     # a host's word, in a fault, to a gateway whose estate has been taken over
+LIFE_OVER = (
+    "that life is over"  # a host's word, in a fault, to a gateway whose estate has been taken over
+)
 
 
 # ---- client and gateway
 class Reclaim(Message, tag="reclaim"):
     """The answer of an event whose connection ended without one, asked for at another gateway."""
-    id: Id                      # of this connection
-    gateway: Name               # which had taken it, by the name in its hello ...
+
+    id: Id  # of this connection
+    gateway: Name  # which had taken it, by the name in its hello ...
     life: Id
-    event: Id                   # ... and under this id
-    key: Name                   # the event's own
-    lasts: Annotated[float, Meta(gt=0.0, le=1e10)]      # ms from `sent` on, until the client gives up
+    event: Id  # ... and under this id
+    key: Name  # the event's own
+    lasts: Annotated[float, Meta(gt=0.0, le=1e10)]  # ms from `sent` on, until the client gives up
     sent: float
 
 
 class Unknown(Message, tag="unknown"):
     """Nothing is known here of what was claimed, or not by that key; it may have run or not."""
+
     id: Id
     reason: Annotated[str, Meta(max_length=1024)] = ""
 
@@ -35,6 +39,7 @@
 # ---- gateway and host
 class Over(Message, tag="over"):
     """That life is over: tell what of its estate you hold or have ended, and refuse what still comes from it."""
+
     id: Id
     gateway: Name
     life: Id
@@ -44,7 +49,8 @@
 class Job(Struct, omit_defaults=True, gc=False):
     """A launch of the estate at a host. `fate` is "" while it is at work; `kept` is false where its answer's body is no
     longer held."""
-    job: Id                     # the host's own number for it
+
+    job: Id  # the host's own number for it
     client: Name
     event: Id
     number: Whole = 0
@@ -55,6 +61,7 @@
 
 class Holds(Message, tag="holds"):
     """The answer to `over`. highest: the number that the host goes by; above the one asked under, it is a refusal."""
+
     id: Id
     highest: Id
     jobs: list[Job] = []
@@ -62,18 +69,21 @@
 
 class Adopt(Message, tag="adopt"):
     """The outcome of that job goes to the sender, as of a launch under this id."""
+
     id: Id
     job: Id
 
 
 class Count(Message, tag="count"):
     """How much is in hand here, of whomever?"""
+
     id: Id
 
 
 class Counted(Message, tag="counted"):
     """The answer to `count`: launches in hand, those that ever came, and the gateways whose the former are or were
     within the last second."""
+
     id: Id
     in_hand: Whole
     came: Whole
--- a/cherrydoor/frames/peers.py
+++ b/cherrydoor/frames/peers.py
@@ -13,6 +13,7 @@
 # ---- who is there
 class Member(Struct, omit_defaults=True, frozen=True):
     """A statement of one life of one gateway: where peers reach it, its site, and what is held of it."""
+
     name: Name
     life: Id
     at: Name = ""
@@ -30,6 +31,7 @@
 
 class Members(Message, tag="members"):
     """What is new since the last word on this link; whole at its start."""
+
     rows: list[Member] = []
 
 
@@ -41,6 +43,7 @@
 class Seek(Message, tag="seek"):
     """Asks for a task under a number, or goes on with it under the number that it has. `round` comes back with the
     answer: one that was given in an earlier round says nothing of how long this one may be believed in."""
+
     task: Name
     number: Id
     term: Span
@@ -49,6 +52,7 @@
 
 class Yield(Message, tag="yield"):
     """Gives back what was granted, or was asked for in vain."""
+
     task: Name
     number: Id
 
@@ -61,6 +65,7 @@
 
 class Refused(Message, tag="refused"):
     """highest: the highest number promised for the task; wait: ms after which it may be free, 0 where not known."""
+
     task: Name
     number: Id
     highest: Id
@@ -72,8 +77,9 @@
 # ---- custody
 class Trust(Struct, omit_defaults=True, gc=False):
     """An event in hand, as much as another gateway needs to go on with it. `lasts`: ms left of the client's time."""
-    number: Id                  # the giver's own for it
-    event: Id                   # the client's
+
+    number: Id  # the giver's own for it
+    event: Id  # the client's
     client: Name
     clause: Name
     function: Name
@@ -89,6 +95,7 @@
 
 class Out(Struct, array_like=True, gc=False):
     """A launch of an entrusted event, and where it went."""
+
     number: Id
     host: Name
 
@@ -96,6 +103,7 @@
 class Entrust(Message, tag="entrust"):
     """Of one turn of the giver: events taken, launches out, events answered. rank: which of its witnesses this one is,
     from 0; whole: what was entrusted before is replaced."""
+
     life: Id
     rank: Bound = 0
     whole: bool = False
@@ -106,6 +114,7 @@
 
 class Heir(Message, tag="heir"):
     """An estate has been taken over under that number; `marks` are of what may not run beside it (docs/custody.md)."""
+
     gateway: Name
     life: Id
     number: Id
@@ -116,12 +125,13 @@
 
 class Claim(Message, tag="claim"):
     """A client's claim, asked of the heir."""
+
     id: Id
     gateway: Name
     life: Id
     event: Id
     key: Name
-    mark: Digest = b""          # of a plain repeat, in place of the event's id
+    mark: Digest = b""  # of a plain repeat, in place of the event's id
 
 
 class Claimed(Message, tag="claimed"):
--- a/cherrydoor/frames/site.py
+++ b/cherrydoor/frames/site.py
@@ -12,18 +12,21 @@
 
 class Away(Struct, array_like=True, gc=False):
     """Sessions of a function below this share are away from the site; "" stands for all functions not named."""
+
     function: Name
     share: Share
 
 
 class Copy(Struct, array_like=True, gc=False):
     """Where a matching copy is held to stand."""
+
     function: Name
     host: Name
 
 
 class Wave(Message, tag="wave"):
     """The whole of a drain as it stands after one wave; goes on along every link once. number: the tenure's."""
+
     site: Name
     number: Id
     wave: Id
@@ -33,22 +36,24 @@
     shed: list[Name] = []
     copies: list[Copy] = []
     why: Text = ""
-    step: Share = 0.25          # of the site's traffic that a wave moves at most
-    even: bool = False          # also where neighbours have no room for all
+    step: Share = 0.25  # of the site's traffic that a wave moves at most
+    even: bool = False  # also where neighbours have no room for all
 
 
 class LotTold(Struct, omit_defaults=True, gc=False):
     """What this gateway's calls of a function come to at the site, over the last seconds."""
+
     function: Name
     rate: Rate
     benefit: Rate = 1.0
     kind: Name = "redeliverable"
     memory: Span = 0.0
-    hosts: list[Name] = []      # elsewhere, where it has seen copies stand
+    hosts: list[Name] = []  # elsewhere, where it has seen copies stand
 
 
 class ZoneTold(Struct, array_like=True, gc=False):
     """Events a second that went there, the mean time of an answer in ms, None where no host stands, and how many do."""
+
     site: Name
     rate: Rate
     took: Annotated[float, Meta(ge=0.0, le=1e9)] | None = None
@@ -58,21 +63,23 @@
 class Followed(Message, tag="followed"):
     """From a gateway to the conductor, by way of a keeper: the wave it goes by, what it has in hand at the site, how
     its events fared, and what it knows of functions and sites."""
+
     gateway: Name
     life: Id
     site: Name
     number: Id
     wave: Id
     in_hand: Id = 0
-    taken: Id = 0               # events answered since the last report ...
-    good: Id = 0                # ... and those of them within their target
+    taken: Id = 0  # events answered since the last report ...
+    good: Id = 0  # ... and those of them within their target
     lots: list[LotTold] = []
     zones: list[ZoneTold] = []
-    to: Name = ""               # the conductor, for who passes it on
+    to: Name = ""  # the conductor, for who passes it on
 
 
 class Drain(Message, tag="drain"):
     """An operator's word for the conductor, by way of a keeper."""
+
     site: Name
     do: Literal["hold", "resume", "undo"]
     to: Name = ""
--- a/cherrydoor/gateway/alarms.py
+++ b/cherrydoor/gateway/alarms.py
@@ -3,8 +3,10 @@
 from heapq import heappop, heappush
 from typing import Any
 
-MOST_BEHIND = 0.25      # of an event's time, that may be kept for alarms told late where the core is short
-BEHIND_HALF = 2000.0    # ms after which half of how late alarms were told is forgotten
+MOST_BEHIND = (
+    0.25  # of an event's time, that may be kept for alarms told late where the core is short
+)
+BEHIND_HALF = 2000.0  # ms after which half of how late alarms were told is forgotten
 
 
 class Alarms:
@@ -57,6 +59,11 @@
     def next_alarm(self):
         """When to turn next; what belongs to events that are over is dropped here, not waited for."""
         alarms = self.alarms
-        while alarms and alarms[0][2] == self.overdue and alarms[0][3][0].over and not alarms[0][3][0].out:
+        while (
+            alarms
+            and alarms[0][2] == self.overdue
+            and alarms[0][3][0].over
+            and not alarms[0][3][0].out
+        ):
             heappop(alarms)
         return alarms[0][0] if alarms else None
--- a/cherrydoor/gateway/books.py
+++ b/cherrydoor/gateway/books.py
@@ -11,7 +11,13 @@
     that has been read yet."""
 
     def __init__(self, wire, name="", has_closed=lambda: False):
-        self.wire, self.name, self.open, self.ahead, self.has_closed = wire, name, {}, None, has_closed
+        self.wire, self.name, self.open, self.ahead, self.has_closed = (
+            wire,
+            name,
+            {},
+            None,
+            has_closed,
+        )
         self.seen = 0.0
 
     def connected(self, now):
@@ -32,15 +38,32 @@
 class Taken:
     """An event from its arrival to its final answer and the last of its launches."""
 
-    __slots__ = ("number", "event", "client", "until", "launches", "out", "over", "streams", "at", "told",
-                 "function", "origin", "adopted")
+    __slots__ = (
+        "number",
+        "event",
+        "client",
+        "until",
+        "launches",
+        "out",
+        "over",
+        "streams",
+        "at",
+        "told",
+        "function",
+        "origin",
+        "adopted",
+    )
 
     def __init__(self, number, event, client, until, at):
         self.number, self.event, self.client, self.until, self.at = number, event, client, until, at
         self.launches, self.out, self.over, self.streams, self.told = [], 0, False, False, ""
-        self.function = event.function      # the version that the module knows it by
-        self.origin = None          # (gateway, life, number) of whom it was taken over from, under which tenure
-        self.adopted = False        # a launch of another gateway is still at work: the module does not know of it
+        self.function = event.function  # the version that the module knows it by
+        self.origin = (
+            None  # (gateway, life, number) of whom it was taken over from, under which tenure
+        )
+        self.adopted = (
+            False  # a launch of another gateway is still at work: the module does not know of it
+        )
 
 
 class Sent:
@@ -51,17 +74,24 @@
     def __init__(self, kind, number, at, link, taken=None, index=0, function="", then=None):
         self.kind, self.id, self.at, self.link, self.taken = kind, number, at, link, taken
         self.index, self.function, self.fate, self.called = index, function, None, function
-        self.then = then            # of a question beside the module: told (host, fate, message) once
+        self.then = then  # of a question beside the module: told (host, fate, message) once
 
 
 class Link:
     """One connection to a host. What is written while it dials waits in `waiting` and was never sent if that fails."""
 
     def __init__(self, host, now):
-        self.host, self.state, self.wire, self.out, self.waiting, self.used = host, DIALING, None, {}, [], now
-        self.heard = now        # when last something was answered on it, or it came up
-        self.mute = False       # something was given up on it without a word; it gets nothing new until it has one
-        self.missed = {}        # events that the host answered here without running them; see Links.send
+        self.host, self.state, self.wire, self.out, self.waiting, self.used = (
+            host,
+            DIALING,
+            None,
+            {},
+            [],
+            now,
+        )
+        self.heard = now  # when last something was answered on it, or it came up
+        self.mute = False  # something was given up on it without a word; it gets nothing new until it has one
+        self.missed = {}  # events that the host answered here without running them; see Links.send
 
     def write(self, message):
         if self.state == OPEN:
@@ -75,4 +105,4 @@
 
     def __init__(self, row):
         self.id, self.row, self.links, self.since = row.host, row, [], row.since
-        self.carried = 0        # launches, probes and orders sent there
+        self.carried = 0  # launches, probes and orders sent there
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -32,15 +32,23 @@
         self.shells = shells
 
     def collect(self):
-        told = CounterMetricFamily("cherrydoor_total", "What a gateway counted", labels=["gateway", "what"])
-        now = GaugeMetricFamily("cherrydoor_now", "What a gateway holds", labels=["gateway", "what"])
+        told = CounterMetricFamily(
+            "cherrydoor_total", "What a gateway counted", labels=["gateway", "what"]
+        )
+        now = GaugeMetricFamily(
+            "cherrydoor_now", "What a gateway holds", labels=["gateway", "what"]
+        )
         for shell in self.shells:
             name, desk = shell.figures.name, shell.desk
             for what, count in [*desk.counts.items(), *shell.hall.guard.counts.items()]:
                 told.add_metric([name, what], count)
-            for what, count in (("events", len(desk.taken)), ("hosts", len(desk.hosts)),
-                                ("clients", len(desk.clients)), ("alarms", len(desk.alarms)),
-                                *shell.hall.guard.figures()):
+            for what, count in (
+                ("events", len(desk.taken)),
+                ("hosts", len(desk.hosts)),
+                ("clients", len(desk.clients)),
+                ("alarms", len(desk.alarms)),
+                *shell.hall.guard.figures(),
+            ):
                 now.add_metric([name, what], count)
         yield told
         yield now
@@ -48,16 +56,32 @@
 
 class Daemon:
     def __init__(self, paths, make_gate, tied=False, announce=None, join=None):
-        self.paths, self.make_gate, self.tied, self.announce, self.join = paths, make_gate, tied, announce, join
+        self.paths, self.make_gate, self.tied, self.announce, self.join = (
+            paths,
+            make_gate,
+            tied,
+            announce,
+            join,
+        )
         self.shells, self.terms = [], 0
 
     async def run(self, figures):
         loop = asyncio.get_running_loop()
         uses = Uses(min(one.memory for one in figures))
-        hosts, places, spare = divide(uses.limit, uses.used() + 2 * len(figures), len(figures),
-                                      sum(one.terms.links * 256 for one in figures))
-        log.info("descriptors are divided", limit=uses.limit, used=uses.used(), hosts=hosts, places_of_each=places,
-                 spare=spare)
+        hosts, places, spare = divide(
+            uses.limit,
+            uses.used() + 2 * len(figures),
+            len(figures),
+            sum(one.terms.links * 256 for one in figures),
+        )
+        log.info(
+            "descriptors are divided",
+            limit=uses.limit,
+            used=uses.used(),
+            hosts=hosts,
+            places_of_each=places,
+            spare=spare,
+        )
         for one in figures:
             shell = Shell(one, self.make_gate, uses, places, join=self.join)
             self.shells.append(shell)
@@ -68,20 +92,30 @@
                 return BAD_LEASE
             except OSError as error:
                 taken = error.errno == errno.EADDRINUSE
-                log.error("the door's port is taken" if taken else "the door cannot be opened", door=one.door,
-                          error=str(error))
+                log.error(
+                    "the door's port is taken" if taken else "the door cannot be opened",
+                    door=one.door,
+                    error=str(error),
+                )
                 return PORT_TAKEN
-            log.info("the door is open", gateway=one.name, door=f"{address(one.door)[0]}:{shell.port}")
+            log.info(
+                "the door is open", gateway=one.name, door=f"{address(one.door)[0]}:{shell.port}"
+            )
             if self.announce:
                 self.announce(one.name, shell.port)
         if figures[0].metrics:
             registry = CollectorRegistry()
             registry.register(Counts(self.shells))
             try:
-                Listener(self.shells[0].hall, address(figures[0].metrics),
-                         lambda arrival: Asked(arrival, lambda: generate_latest(registry)))
+                Listener(
+                    self.shells[0].hall,
+                    address(figures[0].metrics),
+                    lambda arrival: Asked(arrival, lambda: generate_latest(registry)),
+                )
             except OSError as error:
-                log.error("the metrics' port is taken", metrics=figures[0].metrics, error=str(error))
+                log.error(
+                    "the metrics' port is taken", metrics=figures[0].metrics, error=str(error)
+                )
                 return PORT_TAKEN
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.terminate)
@@ -119,8 +153,14 @@
             return log.error("the new lease is wrong, the old one is kept", problems=str(error))
         for shell, new in zip(self.shells, read, strict=True):
             shell.keeper.look(True)
-            if (new.lease, new.door, new.keys) != (shell.figures.lease, shell.figures.door, shell.figures.keys):
-                log.warning("the lease has changed where only a start takes it up", gateway=new.name)
+            if (new.lease, new.door, new.keys) != (
+                shell.figures.lease,
+                shell.figures.door,
+                shell.figures.keys,
+            ):
+                log.warning(
+                    "the lease has changed where only a start takes it up", gateway=new.name
+                )
             shell.bounds = shell.figures.bounds = new.bounds
             shell.desk.terms = shell.figures.terms = new.terms
             log.info("the lease is read anew", gateway=new.name)
--- a/cherrydoor/gateway/desk.py
+++ b/cherrydoor/gateway/desk.py
@@ -27,18 +27,33 @@
         """versions: names the version that an event calls, where releases are gradual; ended(note) is told of each
         launch and order to load that has ended."""
         self.versions, self.ended = versions, ended or (lambda note: None)
-        self.gate, self.terms, self.dial, self.hear = gate, terms, dial, hear or (lambda asked: None)
+        self.gate, self.terms, self.dial, self.hear = (
+            gate,
+            terms,
+            dial,
+            hear or (lambda asked: None),
+        )
         self.now, self.numbers, self.draining = now, 0, None
         self.inputs, self.notes, self.alarms = [], deque(), []
         self.taken, self.hosts, self.clients = {}, {}, {}
         self.counts = Counter({LAUNCHED_AFTER_CLOSE: 0})
         self.behind = 0.0
-        self.left = []              # events whose client has left; the module has not been told yet
-        self.carry = {io.Launch: self.launch, io.Recall: self.recall, io.Defer: self.defer,
-                      io.DeadLetter: self.dead_letter, io.Ring: self.ring, io.Probe: self.probe,
-                      io.Order: self.order, io.Subscribe: self.subscribe, io.Log: self.log}
-        self.custody = None         # told of what is in hand, where it outlives this gateway (custody/shell.py)
-        self.site = None            # tells which site an event has moved away from (site/shell.py)
+        self.left = []  # events whose client has left; the module has not been told yet
+        self.carry = {
+            io.Launch: self.launch,
+            io.Recall: self.recall,
+            io.Defer: self.defer,
+            io.DeadLetter: self.dead_letter,
+            io.Ring: self.ring,
+            io.Probe: self.probe,
+            io.Order: self.order,
+            io.Subscribe: self.subscribe,
+            io.Log: self.log,
+        }
+        self.custody = (
+            None  # told of what is in hand, where it outlives this gateway (custody/shell.py)
+        )
+        self.site = None  # tells which site an event has moved away from (site/shell.py)
         self.carry_out(gate.start(now))
         self.alarm(now + terms.idle / 10, self.tidy)
 
@@ -53,16 +68,22 @@
     def came(self, client, event):
         """An event is taken here, or refused untaken: known by its id already, past its time, or over a bound."""
         ends = self.now + event.lasts - client.late(event.sent, self.now)
-        until = ends - self.terms.spare - min(2 * self.behind, MOST_BEHIND * event.lasts)   # read late, and told late
+        until = (
+            ends - self.terms.spare - min(2 * self.behind, MOST_BEHIND * event.lasts)
+        )  # read late, and told late
         if event.id in client.open:
             self.counts["event ids doubled"] += 1
         elif ends <= self.now:
             self.counts["events past their time"] += 1
         elif until <= self.now:
-            self.refuse(client, event, "less time is left than an answer's way back takes", self.terms.stay)
+            self.refuse(
+                client, event, "less time is left than an answer's way back takes", self.terms.stay
+            )
         elif event.clause not in self.gate.deed.clauses:
             self.refuse(client, event, "no such event type", 0.0, "dead-lettered")
-        elif self.versions is not None and "@" in event.function:      # versions are named here, by no client
+        elif (
+            self.versions is not None and "@" in event.function
+        ):  # versions are named here, by no client
             self.refuse(client, event, "no function has a name with @", 0.0, "dead-lettered")
         elif self.draining is not None:
             self.refuse(client, event, self.draining, self.terms.stay)
@@ -90,10 +111,22 @@
         event = taken.event
         taken.adopted, taken.launches = False, []
         if self.versions is not None:
-            taken.function = self.versions.choose(event.function, event.document or event.mark or taken.client.name)
+            taken.function = self.versions.choose(
+                event.function, event.document or event.mark or taken.client.name
+            )
         away = self.site.away(event, taken.function) if self.site is not None else ""
-        self.notes.append(io.Arrival(taken.number, event.clause, event.party, taken.function, taken.until,
-                                     event.lanes, event.load, away))
+        self.notes.append(
+            io.Arrival(
+                taken.number,
+                event.clause,
+                event.party,
+                taken.function,
+                taken.until,
+                event.lanes,
+                event.load,
+                away,
+            )
+        )
         if self.custody is not None:
             self.custody.taken(taken)
 
@@ -116,10 +149,13 @@
     def leave(self, taken):
         self.counts["clients left"] += 1
         self.counts[LAUNCHED_AFTER_CLOSE] += sum(
-            sent.link is not None and sent.at - taken.client.seen > LATE for sent in taken.launches)
+            sent.link is not None and sent.at - taken.client.seen > LATE for sent in taken.launches
+        )
         for sent in taken.launches if taken.streams else ():
-            self.cut(sent, io.RECALLED)         # a stream has no time of its own at which it would be cut
-        taken.out += 1              # kept until the module has been told: what it decides before has an end, too
+            self.cut(sent, io.RECALLED)  # a stream has no time of its own at which it would be cut
+        taken.out += (
+            1  # kept until the module has been told: what it decides before has an end, too
+        )
         self.left.append(taken)
         self.end(taken)
         self.notes.append(io.ClientLeft(taken.number))
@@ -160,8 +196,12 @@
                 self.counts["launches out when the client's time was up"] += 1
                 self.cut(sent, io.NO_ANSWER)
         self.tell()
-        if not taken.over:      # guards rule 1 against a module that forgets; counted, for it should never be
-            self.counts["answered for the module" if not taken.adopted else "time up at what was adopted"] += 1
+        if (
+            not taken.over
+        ):  # guards rule 1 against a module that forgets; counted, for it should never be
+            self.counts[
+                "answered for the module" if not taken.adopted else "time up at what was adopted"
+            ] += 1
             self.answer(taken, m.Answer(taken.event.id, "dead-lettered", 0.0, "the time is up"))
             self.notes.append(io.ClientLeft(taken.number))
 
@@ -185,8 +225,23 @@
             if any(other.fate == io.ERROR for other in taken.launches):
                 sent.called = self.versions.again(taken.function)
             usual = self.versions.usual(event.function)
-        if not self.send(host, sent, m.Launch(sent.id, event.id, taken.client.name, event.clause, sent.called, limit,
-                                              index, event.mark, usual, event.body, *(taken.origin or ()))):
+        if not self.send(
+            host,
+            sent,
+            m.Launch(
+                sent.id,
+                event.id,
+                taken.client.name,
+                event.clause,
+                sent.called,
+                limit,
+                index,
+                event.mark,
+                usual,
+                event.body,
+                *(taken.origin or ()),
+            ),
+        ):
             return
         if self.custody is not None:
             self.custody.launched(taken, host.id)
@@ -216,7 +271,9 @@
             self.counts["answers to what is over"] += 1
             return
         fates = ", ".join(sent.fate for sent in taken.launches if sent.fate)
-        self.answer(taken, m.Answer(taken.event.id, fate, stay, fates or "no host would be in time"))
+        self.answer(
+            taken, m.Answer(taken.event.id, fate, stay, fates or "no host would be in time")
+        )
 
     def ring(self, action):
         self.alarm(action.at, self.notes.append, io.Wake(action.token))
@@ -226,7 +283,15 @@
 
     def order(self, action):
         self.counts["orders"] += 1
-        self.ask(action.host, io.Loaded, action.function, self.terms.order, m.Order, action.function, action.copies)
+        self.ask(
+            action.host,
+            io.Loaded,
+            action.function,
+            self.terms.order,
+            m.Order,
+            action.function,
+            action.copies,
+        )
 
     def subscribe(self, action):
         self.hear(True)
@@ -239,8 +304,15 @@
         """The last moment: whoever still waits is answered now. A repeat is harmless where nothing was launched."""
         for taken in list(self.taken.values()):
             if not taken.over:
-                self.answer(taken, m.Answer(taken.event.id, "dead-lettered" if taken.launches else "deferred", 0.0,
-                                            reason))
+                self.answer(
+                    taken,
+                    m.Answer(
+                        taken.event.id,
+                        "dead-lettered" if taken.launches else "deferred",
+                        0.0,
+                        reason,
+                    ),
+                )
 
     def drain(self, reason):
         """Takes nothing new from now on; what is open is answered. Clients are told once."""
--- a/cherrydoor/gateway/door.py
+++ b/cherrydoor/gateway/door.py
@@ -16,23 +16,28 @@
 
 log = structlog.get_logger()
 
-HELLO = 8192        # bytes of the longest hello that is read
-EASE, LONGEST_EASE = 0.1, 30.0      # s between looks at whether a connection that is to end has anything open
-UNREAD = 0.05       # s in which what had come before a life was over is read
-QUIET = 250.0       # ms without a word from a client before its connection is closed on it
+HELLO = 8192  # bytes of the longest hello that is read
+EASE, LONGEST_EASE = (
+    0.1,
+    30.0,
+)  # s between looks at whether a connection that is to end has anything open
+UNREAD = 0.05  # s in which what had come before a life was over is read
+QUIET = 250.0  # ms without a word from a client before its connection is closed on it
 
 
 class ClientEnd(Read, End):
     """A client at the door: at first only a short hello is read from it."""
 
     def __init__(self, shell, arrival):
-        super().__init__(shell.door, custody.FROM_CLIENT, shell.hello, shell.bounds.client_bytes, HELLO)
+        super().__init__(
+            shell.door, custody.FROM_CLIENT, shell.hello, shell.bounds.client_bytes, HELLO
+        )
         self.reader.halts, self.arrival, self.chunk = True, arrival, bytearray(CHUNK)
         self.client, self.stay = Client(self, has_closed=self.has_closed), None
         arrival.caller.open = self.client.open
 
     def connection_made(self, transport):
-        self.arrival.end = self         # from now on it can be told why it is refused
+        self.arrival.end = self  # from now on it can be told why it is refused
         super().connection_made(transport)
 
     def has_closed(self):
@@ -41,8 +46,13 @@
 
     def data_received(self, data):
         heard = self.take(data)
-        if heard and self.reader.held and self.arrival.caller.state == "seated" and not self.reader.fault:
-            heard += self.take(b"")         # what came along with the hello
+        if (
+            heard
+            and self.reader.held
+            and self.arrival.caller.state == "seated"
+            and not self.reader.fault
+        ):
+            heard += self.take(b"")  # what came along with the hello
         self.holds(len(self.reader.held), heard)
 
     def seated(self, largest):
@@ -61,7 +71,9 @@
         try:
             office, proof = shell.keeper.identify(end.transport, hello.token)
         except NotProved as error:
-            shell.hall.guard.count("not proved")       # not the word itself: it may hold what a client wrote
+            shell.hall.guard.count(
+                "not proved"
+            )  # not the word itself: it may hold what a client wrote
             return end.close(str(error), 1000.0)
         end.proof = proof
         shell.hall.post(d.Shown(end.arrival.caller, office))
@@ -109,7 +121,11 @@
             since = loop.time()
             if not at_once:
                 end.write(m.Leaving(why))
-        quiet = self.shell.clock.now() - max(end.arrival.caller.used, 1000 * since + self.shell.clock.ahead) > QUIET
+        quiet = (
+            self.shell.clock.now()
+            - max(end.arrival.caller.used, 1000 * since + self.shell.clock.ahead)
+            > QUIET
+        )
         if at_once or not end.client.open and quiet or loop.time() - since > LONGEST_EASE:
             self.shell.desk.counts["connections put out"] += 1
             end.close(why)
--- a/cherrydoor/gateway/floor.py
+++ b/cherrydoor/gateway/floor.py
@@ -16,7 +16,9 @@
     """A connection to a host."""
 
     def __init__(self, shell, link):
-        super().__init__(shell.floor, custody.FROM_HOST, shell.hello, shell.bounds.host_bytes, shell.bounds.frame)
+        super().__init__(
+            shell.floor, custody.FROM_HOST, shell.hello, shell.bounds.host_bytes, shell.bounds.frame
+        )
         self.link, self.life = link, shell.fellows.life if shell.fellows else 0
 
     def connection_made(self, transport):
@@ -26,7 +28,7 @@
     def write(self, message):
         try:
             super().write(message)
-        except codec.BadFrame as error:     # the host says that it takes no frame of this size
+        except codec.BadFrame as error:  # the host says that it takes no frame of this size
             self.owner.too_large(self, message, error)
 
 
@@ -38,7 +40,13 @@
         asyncio.get_running_loop().create_task(self.connect(link))
 
     async def connect(self, link):
-        await dial(self.shell, link, link.host.id, lambda: HostEnd(self.shell, link), self.shell.keeper.client)
+        await dial(
+            self.shell,
+            link,
+            link.host.id,
+            lambda: HostEnd(self.shell, link),
+            self.shell.keeper.client,
+        )
 
     def greeted(self, end, hello):
         if hello.role != "host":
@@ -53,6 +61,10 @@
         self.shell.post(self.shell.desk.heard, end.link, m.Outcome(message.id, "full"))
 
     def lost(self, end):
-        if custody.LIFE_OVER in end.why and self.shell.fellows and self.shell.fellows.life == end.life:
+        if (
+            custody.LIFE_OVER in end.why
+            and self.shell.fellows
+            and self.shell.fellows.life == end.life
+        ):
             return self.shell.life_over("a host refuses it")
         self.shell.post(self.shell.desk.unlinked, end.link)
--- a/cherrydoor/gateway/host_list.py
+++ b/cherrydoor/gateway/host_list.py
@@ -50,7 +50,11 @@
         for host in list(self.hosts.values()):
             gone = host.row.state == "gone"
             for link in list(host.links):
-                if link.state == OPEN and not link.out and (gone or self.now - link.used > self.terms.idle):
+                if (
+                    link.state == OPEN
+                    and not link.out
+                    and (gone or self.now - link.used > self.terms.idle)
+                ):
                     link.state = SHUT
                     host.links.remove(link)
                     link.wire.close("")
--- a/cherrydoor/gateway/inheritance.py
+++ b/cherrydoor/gateway/inheritance.py
@@ -60,7 +60,9 @@
         if self.custody.goes_on(taken, fate):
             self.arrived(taken)
         else:
-            self.answer(taken, m.Answer(taken.event.id, "dead-lettered", 0.0, f"adopted, then {fate}"))
+            self.answer(
+                taken, m.Answer(taken.event.id, "dead-lettered", 0.0, f"adopted, then {fate}")
+            )
 
     def give_up(self, host, numbers):
         """Launches whose link was lost are recalled over another: a host lets work in hand go on, as it cannot tell a
--- a/cherrydoor/gateway/links.py
+++ b/cherrydoor/gateway/links.py
@@ -7,8 +7,10 @@
 from cherrydoor.gateway.books import DIALING, OPEN, SHUT, Link, Sent
 from cherrydoor.versions import decide as v
 
-MISSED = 32             # events of which a link remembers that they were missing there
-HANDSHAKES = 0.01       # of the worth of what a host has carried may have gone into connections beside the first
+MISSED = 32  # events of which a link remembers that they were missing there
+HANDSHAKES = (
+    0.01  # of the worth of what a host has carried may have gone into connections beside the first
+)
 
 
 class Links:
@@ -24,7 +26,7 @@
     versions: Any
     custody: Any
     site: Any
-    answer: Any         # from here on what the desk and its other parts do
+    answer: Any  # from here on what the desk and its other parts do
     forget: Any
     dial: Any
     ended: Any
@@ -43,8 +45,11 @@
             self.alarm(self.now + wait, self.cut, sent, io.NO_ANSWER)
         elif host is None:
             self.counts["questions to hosts never listed"] += 1
-            unknown = (io.Probed(name, io.NO_CONNECTION, 0.0) if kind is io.Probed else
-                       io.Loaded(function, name, io.NO_CONNECTION, 0, 0.0))
+            unknown = (
+                io.Probed(name, io.NO_CONNECTION, 0.0)
+                if kind is io.Probed
+                else io.Loaded(function, name, io.NO_CONNECTION, 0, 0.0)
+            )
             self.notes.append(unknown)
 
     # ---- the floor
@@ -92,7 +97,7 @@
         return True
 
     def linked(self, link, wire):
-        if link.state != DIALING:       # it timed out in the meantime
+        if link.state != DIALING:  # it timed out in the meantime
             return wire.close("")
         link.state, link.wire, link.heard = OPEN, wire, self.now
         waiting, link.waiting = link.waiting, []
@@ -148,14 +153,23 @@
             self.done(sent, message.fate, message)
         elif kind is io.Outcome and type(message) is m.Underway:
             self.underway(sent)
-        elif kind is io.Probed and type(message) is m.Probed or kind is io.Loaded and type(message) is m.Ordered:
+        elif (
+            kind is io.Probed
+            and type(message) is m.Probed
+            or kind is io.Loaded
+            and type(message) is m.Ordered
+        ):
             self.done(sent, message.fate, message)
         elif type(message) is not m.Dropped:
             self.counts["answers to what is over or was never asked there"] += 1
 
     def underway(self, sent):
         taken = sent.taken
-        if not taken.over and not taken.streams and self.gate.deed.clauses[taken.event.clause].stream:
+        if (
+            not taken.over
+            and not taken.streams
+            and self.gate.deed.clauses[taken.event.clause].stream
+        ):
             taken.streams = True
             taken.client.wire.write(m.Started(taken.event.id))
             self.notes.append(io.Underway(taken.number, sent.index, sent.link.host.id))
@@ -179,7 +193,9 @@
         """Closes the host's unused links on which nothing was heard since then. Guards against connections that a cut
         network leaves open and dead, where each launch would be lost anew; harms where a host is only slow: it is
         dialled again."""
-        for link in [ln for ln in host.links if ln.state == OPEN and not ln.out and ln.heard <= since]:
+        for link in [
+            ln for ln in host.links if ln.state == OPEN and not ln.out and ln.heard <= since
+        ]:
             self.counts["links closed over their silence"] += 1
             link.state = SHUT
             host.links.remove(link)
@@ -201,7 +217,9 @@
         elif sent.kind is io.Probed:
             self.notes.append(io.Probed(name, fate, took))
         elif sent.kind is io.Loaded:
-            self.notes.append(io.Loaded(sent.function, name, fate, message.copies if message else 0, took))
+            self.notes.append(
+                io.Loaded(sent.function, name, fate, message.copies if message else 0, took)
+            )
             self.ended(v.Loaded(sent.function, fate, took))
             if self.site is not None:
                 self.site.loaded(sent.function, name, fate == io.HANDLED)
@@ -221,16 +239,35 @@
         copy = message.copy if message else 0
         told = self.told_by(message) if message else (None,) * 5
         if self.versions is not None and sent.link:
-            self.ended(v.Ended(sent.called, name, fate, took, copy in (2, 3), copy == 4,
-                               message.tally if message else None, taken.event.party))
-            if sent.called != taken.function:       # what it says of copies is of another version than the module's
+            self.ended(
+                v.Ended(
+                    sent.called,
+                    name,
+                    fate,
+                    took,
+                    copy in (2, 3),
+                    copy == 4,
+                    message.tally if message else None,
+                    taken.event.party,
+                )
+            )
+            if (
+                sent.called != taken.function
+            ):  # what it says of copies is of another version than the module's
                 told = (None, None, *told[2:])
-        if not adopted:     # the module knows nothing of it
-            self.notes.append(io.Outcome(taken.number, sent.index, fate, taken.over, name, took, *told))
+        if not adopted:  # the module knows nothing of it
+            self.notes.append(
+                io.Outcome(taken.number, sent.index, fate, taken.over, name, took, *told)
+            )
         self.forget(taken)
 
     def told_by(self, outcome):
         """What this deployment's answers do not tell is None; that a load failed is told everywhere."""
         copy, crowd = self.terms.tells
-        return (outcome.copy if copy or outcome.copy == 4 else None, outcome.crowd if crowd else None,
-                outcome.held, outcome.queue, outcome.tied)
+        return (
+            outcome.copy if copy or outcome.copy == 4 else None,
+            outcome.crowd if crowd else None,
+            outcome.held,
+            outcome.queue,
+            outcome.tied,
+        )
--- a/cherrydoor/gateway/loading.py
+++ b/cherrydoor/gateway/loading.py
@@ -17,7 +17,7 @@
 
     def foreseen(self, name, away=""):
         """Also outside a site whose sessions have moved: a release loads ahead where they are, too."""
-        for site in ([away] if away or self.site is None else ["", *self.site.moving()]):
+        for site in [away] if away or self.site is None else ["", *self.site.moving()]:
             self.notes.append(io.Foreseen(name, site))
 
     def stands(self, name, host):
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -5,7 +5,7 @@
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.reading import Read
 
-LONGEST = 8192          # bytes of a request that are read
+LONGEST = 8192  # bytes of a request that are read
 
 
 class Asked(Read):
@@ -39,10 +39,18 @@
     def answer(self, status, body, more=()):
         if self.transport.is_closing():
             return
-        headers = [("content-type", "text/plain; version=0.0.4; charset=utf-8"),
-                   ("content-length", str(len(body))), ("connection", "close"), *more]
+        headers = [
+            ("content-type", "text/plain; version=0.0.4; charset=utf-8"),
+            ("content-length", str(len(body))),
+            ("connection", "close"),
+            *more,
+        ]
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            for part in (h11.Response(status_code=status, headers=headers), h11.Data(data=body), h11.EndOfMessage()):
+            for part in (
+                h11.Response(status_code=status, headers=headers),
+                h11.Data(data=body),
+                h11.EndOfMessage(),
+            ):
                 self.transport.write(self.http.send(part) or b"")
         self.transport.close()
 
--- a/cherrydoor/gateway/roll.py
+++ b/cherrydoor/gateway/roll.py
@@ -15,6 +15,7 @@
 
 class ListEnd(End):
     """A connection to the list; revisions count up on it."""
+
     revision = 0
 
 
@@ -57,7 +58,8 @@
                 self.gone = loop.create_future()
                 async with asyncio.timeout(5.0):
                     _, self.end = await loop.create_connection(
-                        lambda: ListEnd(self, m.FROM_LIST, self.shell.hello), *address(self.where))
+                        lambda: ListEnd(self, m.FROM_LIST, self.shell.hello), *address(self.where)
+                    )
                 pause = 0.1
                 if self.said:
                     log.info("the list is reached", address=self.where)
@@ -68,8 +70,12 @@
                 self.end = None
             except (TimeoutError, OSError) as error:
                 if not self.said:
-                    log.warning("the list cannot be reached, going on with the last one", address=self.where,
-                                error=str(error) or "time-out", hosts=len(self.shell.desk.hosts))
+                    log.warning(
+                        "the list cannot be reached, going on with the last one",
+                        address=self.where,
+                        error=str(error) or "time-out",
+                        hosts=len(self.shell.desk.hosts),
+                    )
                 self.said = True
             await asyncio.sleep(pause)
             pause = min(2.0, pause * 1.5)
@@ -93,9 +99,15 @@
 
     def listed(self, end, message):
         how = io.CHANGES if message.how == "changes" else io.WHOLE
-        if message.revision < end.revision:     # guards against a list that is served by several, one behind
+        if (
+            message.revision < end.revision
+        ):  # guards against a list that is served by several, one behind
             self.shell.desk.counts["late lists"] += 1
-            log.warning("a list older than the one before is ignored", revision=message.revision, had=end.revision)
+            log.warning(
+                "a list older than the one before is ignored",
+                revision=message.revision,
+                had=end.revision,
+            )
             return
         end.revision = message.revision
         self.shell.desk.listed(how, message.rows)
