--- a/cherrydoor/gateway/shell.py
+++ b/cherrydoor/gateway/shell.py
@@ -40,7 +40,9 @@
         if places is not None:
             manners = replace(manners, places=min(places, manners.places))
         self.hall = Hall(manners, self.clock, self.uses)
-        said = {name: value for name, value in figures.keys.items() if name not in ("standing", "warn")}
+        said = {
+            name: value for name, value in figures.keys.items() if name not in ("standing", "warn")
+        }
         usage = Usage(figures.keys["standing"], figures.keys["warn"], figures.seed)
         self.keeper = Keeper(Where(**said, usage=usage), self.door.put_out)
         self.done = self.loop.create_future()
@@ -50,12 +52,26 @@
 
     def new_desk(self):
         more = (self.releases.versions, self.releases.post) if self.releases else (None, None)
-        return Desk(self.make_gate(self.figures.lease), self.figures.terms, self.floor.dial, self.clock.now(),
-                    self.roll.hear, *more)
+        return Desk(
+            self.make_gate(self.figures.lease),
+            self.figures.terms,
+            self.floor.dial,
+            self.clock.now(),
+            self.roll.hear,
+            *more,
+        )
 
     def hello(self):
-        return m.Hello(m.VERSION, "gateway", self.figures.name, self.clock.now(), 0.0, self.bounds.frame,
-                       self.figures.terms.most_open, life=self.fellows.life if self.fellows else 0)
+        return m.Hello(
+            m.VERSION,
+            "gateway",
+            self.figures.name,
+            self.clock.now(),
+            0.0,
+            self.bounds.frame,
+            self.figures.terms.most_open,
+            life=self.fellows.life if self.fellows else 0,
+        )
 
     async def start(self):
         await self.keeper.start()
@@ -66,8 +82,11 @@
         self.roll.start()
         if self.releases:
             await self.releases.start()
-        self.port = self.listen(address(self.figures.door), lambda arrival: ClientEnd(self, arrival),
-                                (lambda: self.keeper.server) if self.keeper.sealed else None)
+        self.port = self.listen(
+            address(self.figures.door),
+            lambda arrival: ClientEnd(self, arrival),
+            (lambda: self.keeper.server) if self.keeper.sealed else None,
+        )
         self.set_timer()
 
     async def meet(self, fellows):
@@ -97,7 +116,9 @@
         """A fault in the decisions ends this gateway's life and begins another: clients are cut off, as they would
         be if the process had died, and the list is all that is kept."""
         self.broken += 1
-        log.critical("a fault in the decisions; starting anew", gateway=self.figures.name, exc_info=True)
+        log.critical(
+            "a fault in the decisions; starting anew", gateway=self.figures.name, exc_info=True
+        )
         self.begin_again(lambda end: end.abort("the gateway starts anew"))
         if self.broken > 5 and not self.done.done():
             self.done.set_result(70)
@@ -105,7 +126,7 @@
     def begin_again(self, cut):
         old, rows, fellows = self.desk, self.desk.rows(), self.fellows
         for end in list(self.door.ends):
-            end.client.open.clear()     # what is told of it from here on is told to the next desk, which has none of it
+            end.client.open.clear()  # what is told of it from here on is told to the next desk, which has none of it
             cut(end)
         for host in old.hosts.values():
             for link in host.links:
@@ -118,7 +139,9 @@
             fellows.abort()
             self.fellows = None
             doubled = fellows.peers.members.doubled
-            anew = None if doubled else self.join(self, max(fellows.life + 1, int(self.clock.now())))
+            anew = (
+                None if doubled else self.join(self, max(fellows.life + 1, int(self.clock.now())))
+            )
             if anew:
                 anew.goes_on_from(fellows)
             self.loop.create_task(self.meet(anew))
@@ -132,13 +155,20 @@
         fellows = self.fellows
         if not fellows:
             return
-        log.error("this life is over; beginning another", gateway=self.figures.name, life=fellows.life, why=why,
-                  events=len(self.desk.taken))
+        log.error(
+            "this life is over; beginning another",
+            gateway=self.figures.name,
+            life=fellows.life,
+            why=why,
+            events=len(self.desk.taken),
+        )
         stays = {end: fellows.stay_away(number) for number, end in enumerate(self.door.ends)}
         for taken in list(self.desk.taken.values()):
             said = None if taken.over else fellows.custody.ends(taken)
             if said is not None:
-                taken.client.wire.write(m.Answer(taken.event.id, said[0], stays.get(taken.client.wire, 0.0), said[1]))
+                taken.client.wire.write(
+                    m.Answer(taken.event.id, said[0], stays.get(taken.client.wire, 0.0), said[1])
+                )
         for what, args in self.desk.inputs:
             if what == self.desk.came:
                 client, event = args
@@ -152,13 +182,17 @@
 
     def drain(self, reason):
         if self.desk.draining is None:
-            log.info("draining", gateway=self.figures.name, events=len(self.desk.taken), reason=reason)
+            log.info(
+                "draining", gateway=self.figures.name, events=len(self.desk.taken), reason=reason
+            )
             self.post(self.desk.drain, reason)
             self.loop.call_later(self.bounds.drain / 1000, self.drained_out)
 
     def drained_out(self):
         if not self.done.done():
-            log.warning("the time to drain is over", gateway=self.figures.name, events=len(self.desk.taken))
+            log.warning(
+                "the time to drain is over", gateway=self.figures.name, events=len(self.desk.taken)
+            )
             self.done.set_result(3)
 
     async def stop(self):
--- a/cherrydoor/gateway/sockets.py
+++ b/cherrydoor/gateway/sockets.py
@@ -31,7 +31,9 @@
 
 def has_unread_input(transport):
     """Whether data or an end of the stream waits to be read."""
-    return not transport.is_closing() and bool(ready_events(transport, select.POLLIN) & select.POLLIN)
+    return not transport.is_closing() and bool(
+        ready_events(transport, select.POLLIN) & select.POLLIN
+    )
 
 
 def after_input(loop, callback, *arguments):
--- a/cherrydoor/gateway/turn.py
+++ b/cherrydoor/gateway/turn.py
@@ -27,6 +27,7 @@
 
 class Turn:
     """All callbacks of one pass of the loop share a turn of the desk. A subclass has a desk."""
+
     desk: Any
 
     def __init__(self, clock):
@@ -87,7 +88,7 @@
             if error.errno not in NO_DESCRIPTORS:
                 raise
             hall.needs_descriptor()
-            await asyncio.sleep(0.002)      # the closing takes effect in the loop's next pass
+            await asyncio.sleep(0.002)  # the closing takes effect in the loop's next pass
 
 
 async def dial(shell, link, where, make, seal=None):
--- a/cherrydoor/keys/decide.py
+++ b/cherrydoor/keys/decide.py
@@ -11,13 +11,14 @@
 from zlib import crc32
 
 PARTS = ("pair", "authorities", "revoked", "tokens")
-SPREAD = 0.25           # of the standing time, over which connections of old keys are ended, so that not all come back
-                        # at once
+SPREAD = 0.25  # of the standing time, over which connections of old keys are ended, so that not all come back
+# at once
 
 
 @dataclass(frozen=True, slots=True)
 class Pair:
     """A certificate with its key. `matches` says that they belong together."""
+
     serial: str
     name: str
     since: float
@@ -37,6 +38,7 @@
 class Revoked:
     """Serials that are void, by an authority; `number` counts up with each list. `signed` says that the authority's
     signature was checked."""
+
     authority: str
     number: int
     serials: frozenset
@@ -46,6 +48,7 @@
 @dataclass(frozen=True, slots=True)
 class Token:
     """A key by which tokens are believed, for these offices; none named are all."""
+
     id: str
     offices: tuple = ()
 
@@ -55,6 +58,7 @@
 class Offered:
     """One part as read: `what` it holds, or the `fault` that kept it from being read. `mark` tells one content from
     another."""
+
     part: str
     mark: str
     what: object = None
@@ -64,11 +68,12 @@
 @dataclass(slots=True)
 class Joined:
     """A connection was made on the keys in service. Empty where the peer showed no certificate or no token."""
+
     connection: object
     serial: str = ""
     authority: str = ""
     token: str = ""
-    until: float = 0.0          # of the peer's certificate or token, 0 for none
+    until: float = 0.0  # of the peer's certificate or token, 0 for none
 
 
 @dataclass(slots=True)
@@ -85,6 +90,7 @@
 @dataclass(slots=True)
 class TakeUp:
     """From now on this part is in service."""
+
     part: str
     mark: str
 
@@ -92,6 +98,7 @@
 @dataclass(slots=True)
 class Keep:
     """A part was refused, and the one before stays."""
+
     part: str
     why: str
 
@@ -99,6 +106,7 @@
 @dataclass(slots=True)
 class Warn:
     """A key ends soon, or has ended."""
+
     what: str
     left: float
 
@@ -106,6 +114,7 @@
 @dataclass(slots=True)
 class PutOut:
     """The connection is to end: at once, or as soon as nothing is open on it."""
+
     connection: object
     why: str
     at_once: bool
@@ -114,6 +123,7 @@
 @dataclass(slots=True)
 class Stood:
     """A connection and what it rests on."""
+
     made: Joined
     due: float = float("inf")
     why: str = ""
@@ -123,6 +133,7 @@
 @dataclass(slots=True)
 class Kept:
     """A part in service, and what was last refused in its place."""
+
     what: object = None
     mark: str = ""
     refused: Offered | None = None
@@ -133,10 +144,11 @@
 class Usage:
     """standing: how long connections go on after the keys they were made on have gone out of service; warn: before a
     key's end. In ms."""
+
     standing: float = 900000.0
     warn: float = 14 * 86400000.0
     seed: int = 1
-    steps: tuple = field(default=(1.0, 0.5, 0.25, 1 / 14, 0.0))     # of `warn`: a word at each
+    steps: tuple = field(default=(1.0, 0.5, 0.25, 1 / 14, 0.0))  # of `warn`: a word at each
 
 
 def date(ms):
@@ -168,7 +180,7 @@
     def offered(self, note):
         kept = self.kept[note.part]
         if note.mark == kept.mark and not note.fault:
-            kept.refused, kept.said = None, ""      # the good one is back
+            kept.refused, kept.said = None, ""  # the good one is back
             return
         why = note.fault or getattr(self, f"wrong_{note.part}")(note.what, kept.what)
         if why:
@@ -178,7 +190,13 @@
                 kept.said = why
                 self.actions.append(Keep(note.part, why))
             return
-        old, kept.what, kept.mark, kept.refused, kept.said = kept.what, note.what, note.mark, None, ""
+        old, kept.what, kept.mark, kept.refused, kept.said = (
+            kept.what,
+            note.what,
+            note.mark,
+            None,
+            "",
+        )
         self.actions.append(TakeUp(note.part, note.mark))
         if old is not None or note.part == "revoked":
             getattr(self, f"after_{note.part}")(old, note.what)
@@ -230,7 +248,11 @@
         gone = {one.id for one in old} - {one.id for one in new}
         for stood in self.standing.values():
             if stood.made.authority in gone:
-                self.limit(stood, self.spread(stood), "the authority of this certificate is in service no more")
+                self.limit(
+                    stood,
+                    self.spread(stood),
+                    "the authority of this certificate is in service no more",
+                )
 
     def after_revoked(self, old, new):
         self.revoke()
@@ -247,7 +269,9 @@
         for connection, stood in self.standing.items():
             if stood.made.token and stood.made.token not in ids:
                 stood.due, stood.told = self.now, True
-                self.actions.append(PutOut(connection, "the key of this token is in service no more", True))
+                self.actions.append(
+                    PutOut(connection, "the key of this token is in service no more", True)
+                )
 
     def spread(self, stood):
         self.drawn += 1
@@ -259,13 +283,17 @@
             stood.due, stood.why = due, why
 
     def void(self, authority, serial):
-        return bool(serial) and any(one.authority == authority and serial in one.serials
-                                    for one in self.serving("revoked") or ())
+        return bool(serial) and any(
+            one.authority == authority and serial in one.serials
+            for one in self.serving("revoked") or ()
+        )
 
     def believes(self, token, office):
         """Whether a token of that key may speak for the office."""
-        return any(one.id == token and (not one.offices or office in one.offices)
-                   for one in self.serving("tokens") or ())
+        return any(
+            one.id == token and (not one.offices or office in one.offices)
+            for one in self.serving("tokens") or ()
+        )
 
     # ---- connections
     def joined(self, note):
@@ -297,7 +325,11 @@
         if pair is not None:
             found.append((f"certificate {pair.name}", pair.until))
         found += [(f"authority {one.name}", one.until) for one in self.serving("authorities") or ()]
-        self.warned = {what: step for what, step in self.warned.items() if what[0] in {name for name, _ in found}}
+        self.warned = {
+            what: step
+            for what, step in self.warned.items()
+            if what[0] in {name for name, _ in found}
+        }
         for name, until in found:
             left = until - self.now
             step = sum(left <= self.usage.warn * part for part in self.usage.steps)
--- a/cherrydoor/keys/files.py
+++ b/cherrydoor/keys/files.py
@@ -73,11 +73,18 @@
     try:
         key = serialization.load_pem_private_key(secret, None)
     except (ValueError, TypeError, NotImplementedError):
-        raise BadKeys(f"{key_path} holds no whole private key in PEM without a pass phrase") from None
+        raise BadKeys(
+            f"{key_path} holds no whole private key in PEM without a pass phrase"
+        ) from None
     form = serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
     matches = key.public_key().public_bytes(*form) == first.public_key().public_bytes(*form)
-    facts = d.Pair(serial_of(first), name_of(first.subject), ms(first.not_valid_before_utc),
-                   ms(first.not_valid_after_utc), matches)
+    facts = d.Pair(
+        serial_of(first),
+        name_of(first.subject),
+        ms(first.not_valid_before_utc),
+        ms(first.not_valid_after_utc),
+        matches,
+    )
     return mark(chain, secret), facts, chain, secret
 
 
@@ -85,8 +92,19 @@
     """(mark, tuple of d.Authority, certificates)."""
     data = read(path)
     found = certificates(data, path)
-    return mark(data), tuple(d.Authority(id_of(one), name_of(one.subject), ms(one.not_valid_before_utc),
-                                         ms(one.not_valid_after_utc)) for one in found), found
+    return (
+        mark(data),
+        tuple(
+            d.Authority(
+                id_of(one),
+                name_of(one.subject),
+                ms(one.not_valid_before_utc),
+                ms(one.not_valid_after_utc),
+            )
+            for one in found
+        ),
+        found,
+    )
 
 
 def issuer(certificate, among):
@@ -121,8 +139,14 @@
         except (ValueError, x509.ExtensionNotFound):
             raise BadKeys(f"{path} holds no whole, numbered list of revocations in PEM") from None
         by = issuer(one, among)
-        found.append(d.Revoked(id_of(by) if by else one.issuer.rfc4514_string(), number,
-                               frozenset(f"{entry.serial_number:x}" for entry in one), by is not None))
+        found.append(
+            d.Revoked(
+                id_of(by) if by else one.issuer.rfc4514_string(),
+                number,
+                frozenset(f"{entry.serial_number:x}" for entry in one),
+                by is not None,
+            )
+        )
     return mark(data, *(id_of(one).encode() for one in among)), tuple(found)
 
 
@@ -161,8 +185,9 @@
         with held(chain) as one, held(secret) as other:
             made.load_cert_chain(one, other)
     if trusted:
-        made.load_verify_locations(cadata="".join(
-            one.public_bytes(serialization.Encoding.PEM).decode() for one in trusted))
+        made.load_verify_locations(
+            cadata="".join(one.public_bytes(serialization.Encoding.PEM).decode() for one in trusted)
+        )
     if server:
         made.verify_mode, made.num_tickets = ask if trusted else ssl.CERT_NONE, 0
     return made
--- a/cherrydoor/keys/keeper.py
+++ b/cherrydoor/keys/keeper.py
@@ -14,7 +14,7 @@
 from cherrydoor.keys.make import AUDIENCE
 
 log = structlog.get_logger()
-SOON = 0.1      # s between looks at keys that are not good at a start
+SOON = 0.1  # s between looks at keys that are not good at a start
 
 
 class NotProved(ValueError):
@@ -25,15 +25,35 @@
     """The files that a lease names ("" for none), whether clients are asked for certificates (ask, need or none),
     whether hosts are met with TLS, and how often the files are looked at, in ms."""
 
-    def __init__(self, certificate="", key="", authorities="", revoked="", tokens="", clients="ask", hosts=False,
-                 look=1000.0, usage=None, settle=0.0):
-        self.settle = settle        # ms for which a start bears files that are just being replaced
-        self.certificate, self.key, self.authorities, self.revoked = certificate, key, authorities, revoked
+    def __init__(
+        self,
+        certificate="",
+        key="",
+        authorities="",
+        revoked="",
+        tokens="",
+        clients="ask",
+        hosts=False,
+        look=1000.0,
+        usage=None,
+        settle=0.0,
+    ):
+        self.settle = settle  # ms for which a start bears files that are just being replaced
+        self.certificate, self.key, self.authorities, self.revoked = (
+            certificate,
+            key,
+            authorities,
+            revoked,
+        )
         self.tokens, self.clients, self.hosts, self.look = tokens, clients, hosts, look
         self.usage = usage or d.Usage()
 
     def named(self):
-        return [path for path in (self.certificate, self.key, self.authorities, self.revoked, self.tokens) if path]
+        return [
+            path
+            for path in (self.certificate, self.key, self.authorities, self.revoked, self.tokens)
+            if path
+        ]
 
 
 class Keeper:
@@ -45,7 +65,7 @@
         self.ring, self.material, self.seen, self.timer = d.Ring(where.usage), {}, None, None
         self.server = self.client = self.peer = None
         self.trusted, self.token_keys = (), {}
-        self.chain = b"", b""        # certificates and key in service
+        self.chain = b"", b""  # certificates and key in service
 
     @property
     def sealed(self):
@@ -91,10 +111,12 @@
         if seen == self.seen and not whole:
             return []
         self.seen, refused, where = seen, [], self.where
-        offers = (("pair", where.certificate, lambda: files.pair(where.certificate, where.key)),
-                  ("authorities", where.authorities, lambda: files.authorities(where.authorities)),
-                  ("revoked", where.revoked, lambda: files.revoked(where.revoked, self.trusted)),
-                  ("tokens", where.tokens, lambda: files.tokens(where.tokens)))
+        offers = (
+            ("pair", where.certificate, lambda: files.pair(where.certificate, where.key)),
+            ("authorities", where.authorities, lambda: files.authorities(where.authorities)),
+            ("revoked", where.revoked, lambda: files.revoked(where.revoked, self.trusted)),
+            ("tokens", where.tokens, lambda: files.tokens(where.tokens)),
+        )
         for part, path, read in offers:
             if not path:
                 continue
@@ -116,8 +138,10 @@
                 log.error("keys are refused, the old ones stay", part=action.part, why=action.why)
             elif kind is d.Warn:
                 (log.warning if action.left > 0 else log.error)(
-                    "a key ends soon" if action.left > 0 else "a key has ended", key=action.what,
-                    days=round(action.left / 86400000, 2))
+                    "a key ends soon" if action.left > 0 else "a key has ended",
+                    key=action.what,
+                    days=round(action.left / 86400000, 2),
+                )
             elif kind is d.PutOut:
                 self.put_out(action.connection, action.why, action.at_once)
         return actions
@@ -132,7 +156,9 @@
             self.chain = material[0], material[1]
         log.info("keys are in service", part=part)
         if part in ("pair", "authorities") and self.ring.serving("pair") is not None:
-            ask = {"ask": ssl.CERT_OPTIONAL, "need": ssl.CERT_REQUIRED, "none": ssl.CERT_NONE}[where.clients]
+            ask = {"ask": ssl.CERT_OPTIONAL, "need": ssl.CERT_REQUIRED, "none": ssl.CERT_NONE}[
+                where.clients
+            ]
             self.server = files.context(True, *self.chain, self.trusted, ask)
             self.peer = files.context(False, *self.chain, self.trusted)
         if part in ("pair", "authorities") and where.hosts:
@@ -148,8 +174,11 @@
             certificate = x509.load_der_x509_certificate(shown)
             by = files.issuer(certificate, self.trusted)
             office = files.name_of(certificate.subject)
-            facts = {"serial": files.serial_of(certificate), "authority": files.id_of(by) if by else "",
-                     "until": files.ms(certificate.not_valid_after_utc)}
+            facts = {
+                "serial": files.serial_of(certificate),
+                "authority": files.id_of(by) if by else "",
+                "until": files.ms(certificate.not_valid_after_utc),
+            }
             if by is None:
                 raise NotProved("the authority of this certificate is in service no more")
             if self.ring.void(facts["authority"], facts["serial"]):
@@ -158,7 +187,10 @@
             said, until = self.believe(token)
             if office and said != office:
                 raise NotProved("certificate and token speak for different clients")
-            office, facts = said, facts | {"token": self.kid(token), "until": min(until, facts.get("until", until))}
+            office, facts = (
+                said,
+                facts | {"token": self.kid(token), "until": min(until, facts.get("until", until))},
+            )
         return office, facts
 
     def kid(self, token):
@@ -173,9 +205,13 @@
         if kid not in self.token_keys:
             raise NotProved("the key of this token is not in service")
         try:
-            said = jwt.decode(token, self.token_keys[kid], ["EdDSA"], {"require": ["exp", "sub", "aud"],
-                                                                       "verify_exp": False, "verify_iat": False},
-                              audience=AUDIENCE)
+            said = jwt.decode(
+                token,
+                self.token_keys[kid],
+                ["EdDSA"],
+                {"require": ["exp", "sub", "aud"], "verify_exp": False, "verify_iat": False},
+                audience=AUDIENCE,
+            )
         except jwt.exceptions.PyJWTError as error:
             raise NotProved(f"this token does not hold: {error}") from None
         until = float(said["exp"]) * 1000
--- a/cherrydoor/keys/make.py
+++ b/cherrydoor/keys/make.py
@@ -20,7 +20,7 @@
 
 AUDIENCE = "cherrydoor"
 PEM = serialization.Encoding.PEM
-EARLY = timedelta(minutes=5)        # a certificate begins this long ago: clocks of others may be behind
+EARLY = timedelta(minutes=5)  # a certificate begins this long ago: clocks of others may be behind
 
 
 class CannotMake(ValueError):
@@ -30,7 +30,9 @@
 def put(path, data, secret=False):
     """Replaces the file whole."""
     new = path.with_name(path.name + ".new")
-    with open(os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600 if secret else 0o644), "wb") as out:
+    with open(
+        os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600 if secret else 0o644), "wb"
+    ) as out:
         out.write(data)
     new.replace(path)
 
@@ -63,10 +65,11 @@
     def newest(self):
         found = self.authority_files()
         if not found:
-            raise CannotMake(f"there is no authority in {self.path}: make one with `cherrydoor keys authority`")
+            raise CannotMake(
+                f"there is no authority in {self.path}: make one with `cherrydoor keys authority`"
+            )
         path = found[-1]
-        return (x509.load_pem_x509_certificate(path.read_bytes()),
-                ec_key(path.with_suffix(".key")))
+        return (x509.load_pem_x509_certificate(path.read_bytes()), ec_key(path.with_suffix(".key")))
 
     def authority(self, days=3650.0, more=False):
         """A new authority; a second one only when it is asked for, as both are then trusted."""
@@ -76,13 +79,21 @@
             raise CannotMake(f"{found[-1]} is an authority already; --next makes one to follow it")
         number = int(found[-1].stem.split("-")[1]) + 1 if found else 1
         key, name = ec.generate_private_key(ec.SECP256R1()), named(f"cherrydoor authority {number}")
-        made = (x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
-                .serial_number(x509.random_serial_number()).not_valid_before(self.now - EARLY)
-                .not_valid_after(self.now + timedelta(days=days))
-                .add_extension(x509.BasicConstraints(True, 0), True)
-                .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), True)
-                .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False)
-                .sign(key, hashes.SHA256()))
+        made = (
+            x509.CertificateBuilder()
+            .subject_name(name)
+            .issuer_name(name)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(self.now - EARLY)
+            .not_valid_after(self.now + timedelta(days=days))
+            .add_extension(x509.BasicConstraints(True, 0), True)
+            .add_extension(
+                x509.KeyUsage(False, False, False, False, False, True, True, False, False), True
+            )
+            .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False)
+            .sign(key, hashes.SHA256())
+        )
         put(self.path / f"authority-{number}.key", secret_bytes(key), True)
         put(self.path / f"authority-{number}.pem", made.public_bytes(PEM))
         self.bundle()
@@ -90,7 +101,10 @@
 
     def bundle(self):
         """authorities.pem: all that are trusted. Lists of revocations follow."""
-        put(self.path / "authorities.pem", b"".join(path.read_bytes() for path in self.authority_files()))
+        put(
+            self.path / "authorities.pem",
+            b"".join(path.read_bytes() for path in self.authority_files()),
+        )
         self.revoke()
 
     def retire(self):
@@ -108,20 +122,31 @@
         follows, the two do not match, and whoever reads them goes on with the old."""
         authority, signer = self.newest()
         key = ec.generate_private_key(ec.SECP256R1())
-        uses = {"gateway": [ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH],
-                "host": [ExtendedKeyUsageOID.SERVER_AUTH], "client": [ExtendedKeyUsageOID.CLIENT_AUTH]}[kind]
+        uses = {
+            "gateway": [ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH],
+            "host": [ExtendedKeyUsageOID.SERVER_AUTH],
+            "client": [ExtendedKeyUsageOID.CLIENT_AUTH],
+        }[kind]
         known_as: list[x509.GeneralName] = []
         for one in addresses:
             try:
                 known_as.append(x509.IPAddress(ip_address(one)))
             except ValueError:
                 known_as.append(x509.DNSName(one))
-        builder = (x509.CertificateBuilder().subject_name(named(name)).issuer_name(authority.subject)
-                   .public_key(key.public_key()).serial_number(x509.random_serial_number())
-                   .not_valid_before(self.now - EARLY).not_valid_after(self.now + timedelta(days=days))
-                   .add_extension(x509.BasicConstraints(False, None), True)
-                   .add_extension(x509.ExtendedKeyUsage(uses), False)
-                   .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), False))
+        builder = (
+            x509.CertificateBuilder()
+            .subject_name(named(name))
+            .issuer_name(authority.subject)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(self.now - EARLY)
+            .not_valid_after(self.now + timedelta(days=days))
+            .add_extension(x509.BasicConstraints(False, None), True)
+            .add_extension(x509.ExtendedKeyUsage(uses), False)
+            .add_extension(
+                x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), False
+            )
+        )
         if known_as:
             builder = builder.add_extension(x509.SubjectAlternativeName(known_as), False)
         made = builder.sign(signer, hashes.SHA256())
@@ -143,16 +168,30 @@
             signer = ec_key(path.with_suffix(".key"))
             kept = path.with_suffix(".crl")
             old = x509.load_pem_x509_crl(kept.read_bytes()) if kept.exists() else None
-            number = old.extensions.get_extension_for_class(x509.CRLNumber).value.crl_number + 1 if old else 1
+            number = (
+                old.extensions.get_extension_for_class(x509.CRLNumber).value.crl_number + 1
+                if old
+                else 1
+            )
             serials = {entry.serial_number: entry.revocation_date_utc for entry in old or ()}
-            serials |= {one.serial_number: self.now for one in more if files.issuer(one, [authority])}
+            serials |= {
+                one.serial_number: self.now for one in more if files.issuer(one, [authority])
+            }
             if old is None or len(serials) > len(list(old)):
-                builder = (x509.CertificateRevocationListBuilder().issuer_name(authority.subject)
-                           .last_update(self.now - EARLY).next_update(self.now + timedelta(days=3650))
-                           .add_extension(x509.CRLNumber(number), False))
+                builder = (
+                    x509.CertificateRevocationListBuilder()
+                    .issuer_name(authority.subject)
+                    .last_update(self.now - EARLY)
+                    .next_update(self.now + timedelta(days=3650))
+                    .add_extension(x509.CRLNumber(number), False)
+                )
                 for serial, at in sorted(serials.items()):
                     builder = builder.add_revoked_certificate(
-                        x509.RevokedCertificateBuilder().serial_number(serial).revocation_date(at).build())
+                        x509.RevokedCertificateBuilder()
+                        .serial_number(serial)
+                        .revocation_date(at)
+                        .build()
+                    )
                 put(kept, builder.sign(signer, hashes.SHA256()).public_bytes(PEM))
             lists.append(kept.read_bytes())
         put(self.path / "revoked.pem", b"".join(lists))
@@ -171,7 +210,9 @@
             raise CannotMake(f"there is a token key {kid} already")
         key = ed25519.Ed25519PrivateKey.generate()
         public = json.loads(jwt.algorithms.OKPAlgorithm.to_jwk(key.public_key()))
-        public |= {"kid": kid, "use": "sig", "alg": "EdDSA"} | ({"offices": list(offices)} if offices else {})
+        public |= {"kid": kid, "use": "sig", "alg": "EdDSA"} | (
+            {"offices": list(offices)} if offices else {}
+        )
         put(self.path / f"token-{kid}.key", secret_bytes(key), True)
         put(self.path / "tokens.jwks", json.dumps({"keys": [*known, public]}, indent=1).encode())
         return self.path / "tokens.jwks"
@@ -190,5 +231,14 @@
         key = serialization.load_pem_private_key(path.read_bytes(), None)
         if not isinstance(key, ed25519.Ed25519PrivateKey):
             raise CannotMake(f"{path} is no Ed25519 key")
-        return jwt.encode({"sub": office, "aud": AUDIENCE, "iat": self.now, "exp": self.now + timedelta(days=days)},
-                          key, "EdDSA", {"kid": kid})
+        return jwt.encode(
+            {
+                "sub": office,
+                "aud": AUDIENCE,
+                "iat": self.now,
+                "exp": self.now + timedelta(days=days),
+            },
+            key,
+            "EdDSA",
+            {"kid": kid},
+        )
--- a/cherrydoor/keys/show.py
+++ b/cherrydoor/keys/show.py
@@ -8,7 +8,9 @@
 
 def left(until, now):
     days = (until - now) / 86400000
-    return (f"ends in {days:.1f} days", True) if days > 0 else (f"ended {-days:.1f} days ago", False)
+    return (
+        (f"ends in {days:.1f} days", True) if days > 0 else (f"ended {-days:.1f} days ago", False)
+    )
 
 
 def row(kind, name, state, good, path=""):
@@ -31,14 +33,25 @@
     now, rows = now or time.time() * 1000, []
     if lease:
         from cherrydoor.lease.figures import lease_of
+
         said = lease_of(lease).keys
         pairs = [(said["certificate"], said["key"])] if said["certificate"] else []
     else:
         path = Path(folder)
-        pairs = [(one, one.with_suffix(".key")) for one in sorted(path.glob("*.pem"))
-                 if one.with_suffix(".key").exists() and not one.name.startswith(("authority-", "retired-"))]
-        said = {what: str(path / name) if (path / name).exists() else "" for what, name in (
-            ("authorities", "authorities.pem"), ("revoked", "revoked.pem"), ("tokens", "tokens.jwks"))}
+        pairs = [
+            (one, one.with_suffix(".key"))
+            for one in sorted(path.glob("*.pem"))
+            if one.with_suffix(".key").exists()
+            and not one.name.startswith(("authority-", "retired-"))
+        ]
+        said = {
+            what: str(path / name) if (path / name).exists() else ""
+            for what, name in (
+                ("authorities", "authorities.pem"),
+                ("revoked", "revoked.pem"),
+                ("tokens", "tokens.jwks"),
+            )
+        }
     trusted = ()
     if said["authorities"]:
         try:
@@ -52,15 +65,33 @@
     if said["revoked"]:
         try:
             _, lists = files.revoked(said["revoked"], trusted)
-            rows += [row("revocations", f"list {one.number}", f"{len(one.serials)} revoked" if one.signed else
-                         "not signed by an authority here", one.signed, said["revoked"]) for one in lists]
+            rows += [
+                row(
+                    "revocations",
+                    f"list {one.number}",
+                    f"{len(one.serials)} revoked"
+                    if one.signed
+                    else "not signed by an authority here",
+                    one.signed,
+                    said["revoked"],
+                )
+                for one in lists
+            ]
         except files.BadKeys as error:
             rows.append(row("revocations", "", str(error), False, said["revoked"]))
     if said["tokens"]:
         try:
             _, facts, _ = files.tokens(said["tokens"])
-            rows += [row("token key", one.id, "for " + (", ".join(one.offices) or "all"), True, said["tokens"])
-                     for one in facts]
+            rows += [
+                row(
+                    "token key",
+                    one.id,
+                    "for " + (", ".join(one.offices) or "all"),
+                    True,
+                    said["tokens"],
+                )
+                for one in facts
+            ]
         except files.BadKeys as error:
             rows.append(row("token key", "", str(error), False, said["tokens"]))
     return rows
--- a/cherrydoor/lease/figures.py
+++ b/cherrydoor/lease/figures.py
@@ -18,7 +18,9 @@
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise Problems([Problem(str(path), 1, 1, "", "a readable file of UTF-8 text", str(error))]) from None
+        raise Problems(
+            [Problem(str(path), 1, 1, "", "a readable file of UTF-8 text", str(error))]
+        ) from None
     return read(text, str(path), schema(name), top, name, places)
 
 
@@ -28,7 +30,13 @@
         return {key: bare(item) for key, item in value.items()}
     if isinstance(value, list):
         return [bare(item) for item in value]
-    return float(value) if isinstance(value, Duration) else int(value) if isinstance(value, Size) else value
+    return (
+        float(value)
+        if isinstance(value, Duration)
+        else int(value)
+        if isinstance(value, Size)
+        else value
+    )
 
 
 class Bounds:
@@ -36,7 +44,10 @@
 
     def __init__(self, said):
         self.connections, self.client_bytes, self.host_bytes = (
-            said["connections"], said["client_bytes"], said["host_bytes"])
+            said["connections"],
+            said["client_bytes"],
+            said["host_bytes"],
+        )
         self.frame, self.drain = said["frame"], said["drain"]
 
 
@@ -51,11 +62,35 @@
     stay: advice with what is refused untaken;  tells: whether hosts' answers tell of copies, and of the crowd.
     """
 
-    def __init__(self, spare=50.0, most_open=20000, per_link=100, links=4, connect=250.0, idle=15000.0,
-                 probe=250.0, order=10000.0, stay=200.0, tells=(True, True),
-                 silence=inf, handshake=0.0):
-        self.spare, self.most_open, self.per_link, self.links, self.silence = spare, most_open, per_link, links, silence
-        self.connect, self.idle, self.probe, self.order, self.stay = connect, idle, probe, order, stay
+    def __init__(
+        self,
+        spare=50.0,
+        most_open=20000,
+        per_link=100,
+        links=4,
+        connect=250.0,
+        idle=15000.0,
+        probe=250.0,
+        order=10000.0,
+        stay=200.0,
+        tells=(True, True),
+        silence=inf,
+        handshake=0.0,
+    ):
+        self.spare, self.most_open, self.per_link, self.links, self.silence = (
+            spare,
+            most_open,
+            per_link,
+            links,
+            silence,
+        )
+        self.connect, self.idle, self.probe, self.order, self.stay = (
+            connect,
+            idle,
+            probe,
+            order,
+            stay,
+        )
         self.tells, self.handshake = tells, handshake
 
 
@@ -73,17 +108,48 @@
         self.releases, self.peers, self.tenures = said["releases"], said["peers"], said["tenures"]
         self.keys, self.seed = said["keys"], said["seed"]
         self.bounds = Bounds(bounds)
-        self.terms = Terms(bounds["spare"], bounds["open_events"], bounds["launches_on_a_link"],
-                           bounds["links_to_a_host"], bounds["connect"], bounds["idle"], bounds["probe"],
-                           bounds["order"], bounds["stay"], (said["tells"]["copy"], said["tells"]["crowd"]))
+        self.terms = Terms(
+            bounds["spare"],
+            bounds["open_events"],
+            bounds["launches_on_a_link"],
+            bounds["links_to_a_host"],
+            bounds["connect"],
+            bounds["idle"],
+            bounds["probe"],
+            bounds["order"],
+            bounds["stay"],
+            (said["tells"]["copy"], said["tells"]["crowd"]),
+        )
         self.lease = io.Lease(
-            said["number"], said["gateways"], said["seed"], said["zone"], 1.0,
-            tuple(io.Clause(**{k: v for k, v in clause.items() if k != "benefit"}) for clause in said["clauses"]),
+            said["number"],
+            said["gateways"],
+            said["seed"],
+            said["zone"],
+            1.0,
+            tuple(
+                io.Clause(**{k: v for k, v in clause.items() if k != "benefit"})
+                for clause in said["clauses"]
+            ),
             tuple(io.Party(**party) for party in said["parties"]),
-            said["asks"], may["launches"], may["twice"], may["recall"], may["probe"], may["advice"],
-            cold["from"], cold["time"], cold["multiple"], cold["fall"], said["linger"], may["order"],
-            said["misses"], ration["free"], ration["share"], ration["within"],
-            said["tells"]["copy"], said["tells"]["crowd"])
+            said["asks"],
+            may["launches"],
+            may["twice"],
+            may["recall"],
+            may["probe"],
+            may["advice"],
+            cold["from"],
+            cold["time"],
+            cold["multiple"],
+            cold["fall"],
+            said["linger"],
+            may["order"],
+            said["misses"],
+            ration["free"],
+            ration["share"],
+            ration["within"],
+            said["tells"]["copy"],
+            said["tells"]["crowd"],
+        )
 
 
 def problems_of(said, file, places=None):
@@ -91,7 +157,7 @@
     found, places = [], places or {}
 
     def check(good, path, expected, value):
-        if not good:        # where it is said, else where what holds it is
+        if not good:  # where it is said, else where what holds it is
             parts = path.split(".")
             above = (places.get(".".join(parts[:n])) for n in range(len(parts), 0, -1))
             line, column = next((at for at in above if at), (1, 1))
@@ -100,36 +166,89 @@
     for path in ("door", "list", "metrics"):
         host, _, port = said[path].rpartition(":")
         good = host and port.isdigit() and int(port) < 65536
-        check(good or path == "metrics" and not said[path], path, "an address:port", repr(said[path]))
-    check(said["number"] < said["gateways"], "number", f"a number below {said['gateways']} gateways", said["number"])
+        check(
+            good or path == "metrics" and not said[path], path, "an address:port", repr(said[path])
+        )
+    check(
+        said["number"] < said["gateways"],
+        "number",
+        f"a number below {said['gateways']} gateways",
+        said["number"],
+    )
     feed = said["releases"]["feed"].rpartition(":")
-    check(not said["releases"]["feed"] or feed[0] and feed[2].isdigit() and int(feed[2]) < 65536, "releases.feed",
-          "an address:port", repr(said["releases"]["feed"]))
-    check(said["releases"]["feed"] or not said["releases"]["control"], "releases.control", "a feed beside it", "none")
+    check(
+        not said["releases"]["feed"] or feed[0] and feed[2].isdigit() and int(feed[2]) < 65536,
+        "releases.feed",
+        "an address:port",
+        repr(said["releases"]["feed"]),
+    )
+    check(
+        said["releases"]["feed"] or not said["releases"]["control"],
+        "releases.control",
+        "a feed beside it",
+        "none",
+    )
     keys = said["keys"]
-    check(bool(keys["certificate"]) == bool(keys["key"]), "keys.key", "a certificate and its key, or neither",
-          repr(keys["key"]))
-    check(keys["authorities"] or not keys["revoked"], "keys.revoked", "authorities beside revocations", "none")
-    check(keys["authorities"] or not keys["hosts"], "keys.hosts", "authorities by which hosts are believed", "none")
-    check(keys["authorities"] or keys["clients"] != "need", "keys.clients", "authorities by which clients are believed",
-          "none")
+    check(
+        bool(keys["certificate"]) == bool(keys["key"]),
+        "keys.key",
+        "a certificate and its key, or neither",
+        repr(keys["key"]),
+    )
+    check(
+        keys["authorities"] or not keys["revoked"],
+        "keys.revoked",
+        "authorities beside revocations",
+        "none",
+    )
+    check(
+        keys["authorities"] or not keys["hosts"],
+        "keys.hosts",
+        "authorities by which hosts are believed",
+        "none",
+    )
+    check(
+        keys["authorities"] or keys["clients"] != "need",
+        "keys.clients",
+        "authorities by which clients are believed",
+        "none",
+    )
     for i, known in enumerate(said["admission"]["known"]):
         for net in known["addresses"]:
             try:
                 ip_network(net, strict=False)
             except ValueError:
-                check(False, f"admission.known.{i}.addresses", "networks such as 10.1.0.0/16 or 2001:db8::/48", net)
+                check(
+                    False,
+                    f"admission.known.{i}.addresses",
+                    "networks such as 10.1.0.0/16 or 2001:db8::/48",
+                    net,
+                )
     names = [known["name"] for known in said["admission"]["known"]]
     check(len(set(names)) == len(names), "admission.known", "names that differ", " ".join(names))
     for path in ("clauses", "parties"):
         names = [entry["name"] for entry in said[path]]
         check(len(set(names)) == len(names), path, "names that differ", " ".join(names))
     for i, clause in enumerate(said["clauses"]):
-        check(clause["target"] <= clause["max_age"], f"clauses.{i}.target", "no more than max_age", clause["target"])
+        check(
+            clause["target"] <= clause["max_age"],
+            f"clauses.{i}.target",
+            "no more than max_age",
+            clause["target"],
+        )
         keyed = clause["kind"] == "keyed"
-        check(not keyed or clause["memory"] > 0, f"clauses.{i}.memory", "above 0 for a keyed event type", 0)
-        check(keyed or clause["group"] == "all", f"clauses.{i}.group",
-              "'all' for an event type that is not keyed: no host drops its repeats", repr(clause["group"]))
+        check(
+            not keyed or clause["memory"] > 0,
+            f"clauses.{i}.memory",
+            "above 0 for a keyed event type",
+            0,
+        )
+        check(
+            keyed or clause["group"] == "all",
+            f"clauses.{i}.group",
+            "'all' for an event type that is not keyed: no host drops its repeats",
+            repr(clause["group"]),
+        )
     mixed(said, check)
     fellows(said, check)
     return found
@@ -138,11 +257,24 @@
 def mixed(said, check):
     """Statements of two shapes of deployment that cannot both hold (docs/migration.md says why)."""
     order, tells = said["may"]["order"], said["tells"]
-    check(order or not said["ration"]["within"], "ration.within", "0ms where may.order is false: no orders are given",
-          f"{said['ration']['within']:g}ms")
-    check(order or not said["misses"], "misses", "false where may.order is false: nothing would ever be loaded", "true")
-    check(tells["copy"] or not said["releases"]["feed"], "tells.copy",
-          "true beside releases.feed: else a release's first loads count as its slowness", "false")
+    check(
+        order or not said["ration"]["within"],
+        "ration.within",
+        "0ms where may.order is false: no orders are given",
+        f"{said['ration']['within']:g}ms",
+    )
+    check(
+        order or not said["misses"],
+        "misses",
+        "false where may.order is false: nothing would ever be loaded",
+        "true",
+    )
+    check(
+        tells["copy"] or not said["releases"]["feed"],
+        "tells.copy",
+        "true beside releases.feed: else a release's first loads count as its slowness",
+        "false",
+    )
 
 
 def addressed(text):
@@ -158,21 +290,49 @@
         return
     names = [one["name"] for one in peers["keepers"]]
     check(addressed(peers["door"]), "peers.door", "an address:port", repr(peers["door"]))
-    check(not peers["at"] or addressed(peers["at"]), "peers.at", "an address:port", repr(peers["at"]))
-    check(len(names) % 2 == 1, "peers.keepers", "an odd number, so that there is a majority", len(names))
+    check(
+        not peers["at"] or addressed(peers["at"]), "peers.at", "an address:port", repr(peers["at"])
+    )
+    check(
+        len(names) % 2 == 1,
+        "peers.keepers",
+        "an odd number, so that there is a majority",
+        len(names),
+    )
     check(len(set(names)) == len(names), "peers.keepers", "names that differ", " ".join(names))
     for i, one in enumerate(peers["keepers"]):
         check(addressed(one["at"]), f"peers.keepers.{i}.at", "an address:port", repr(one["at"]))
-    check(peers["next"] < said["gateways"], "peers.next", f"fewer than {said['gateways']} gateways: one is this itself",
-          peers["next"])
-    check(2 * peers["beat"] <= peers["silent"], "peers.silent", "at least two beats", f"{peers['silent']:g}ms")
-    check(said["name"] not in names or tenures["promises"], "tenures.promises",
-          "a file, as this gateway is a keeper", '""')
+    check(
+        peers["next"] < said["gateways"],
+        "peers.next",
+        f"fewer than {said['gateways']} gateways: one is this itself",
+        peers["next"],
+    )
+    check(
+        2 * peers["beat"] <= peers["silent"],
+        "peers.silent",
+        "at least two beats",
+        f"{peers['silent']:g}ms",
+    )
+    check(
+        said["name"] not in names or tenures["promises"],
+        "tenures.promises",
+        "a file, as this gateway is a keeper",
+        '""',
+    )
     lost = tenures["term"] * tenures["drift"] + tenures["margin"]
-    check(tenures["term"] > 2 * lost, "tenures.term", f"more than twice its margins, {2 * lost:g}ms",
-          f"{tenures['term']:g}ms")
-    check(tenures["longest"] >= tenures["term"], "tenures.longest", "no less than tenures.term",
-          f"{tenures['longest']:g}ms")
+    check(
+        tenures["term"] > 2 * lost,
+        "tenures.term",
+        f"more than twice its margins, {2 * lost:g}ms",
+        f"{tenures['term']:g}ms",
+    )
+    check(
+        tenures["longest"] >= tenures["term"],
+        "tenures.longest",
+        "no less than tenures.term",
+        f"{tenures['longest']:g}ms",
+    )
 
 
 def lease_of(path):
--- a/cherrydoor/lease/place.py
+++ b/cherrydoor/lease/place.py
@@ -1,10 +1,21 @@
 """A place in a file: what was written for it, where references lead, and what lies below."""
 
-from cherrydoor.lease.terms import TYPES, Bound, Duration, Either, Env, Part, Row, Size, Type, atom_of
+from cherrydoor.lease.terms import (
+    TYPES,
+    Bound,
+    Duration,
+    Either,
+    Env,
+    Part,
+    Row,
+    Size,
+    Type,
+    atom_of,
+)
 from cherrydoor.lease.text import DEEPEST, SCHEMA, Problem
 from cherrydoor.lease.unify import Settled
 
-STEPS = 8000                 # evaluations for one file
+STEPS = 8000  # evaluations for one file
 
 
 class TooMuch(Exception):
@@ -16,7 +27,7 @@
 
     def __init__(self, file, schema_file):
         self.file, self.schema_file, self.steps, self.problems = file, schema_file, 0, []
-        self.places = {}            # dotted path -> line and column, of what the file itself says
+        self.places = {}  # dotted path -> line and column, of what the file itself says
 
     def step(self):
         self.steps += 1
@@ -33,7 +44,14 @@
 
     def __init__(self, run, path, written, at):
         self.run, self.path, self.written, self.at = run, path, written, at
-        self.state, self.terms, self.fields, self.items, self.kind, self.atom = "new", [], None, None, None, None
+        self.state, self.terms, self.fields, self.items, self.kind, self.atom = (
+            "new",
+            [],
+            None,
+            None,
+            None,
+            None,
+        )
 
     def gather(self, tree, env, out, seen):
         """Appends the terms of one expression; references bring those of their target."""
@@ -57,8 +75,13 @@
             out.append(Row(tree, env, at))
         elif data in ("either", "star"):
             options = tree.children if data == "either" else [tree]
-            out.append(Either([(o.data == "star", o.children[0] if o.data == "star" else o) for o in options],
-                              env, at))
+            out.append(
+                Either(
+                    [(o.data == "star", o.children[0] if o.data == "star" else o) for o in options],
+                    env,
+                    at,
+                )
+            )
         elif data == "ref":
             self.refer([str(t) for t in tree.children], env, out, seen, at)
 
@@ -95,19 +118,30 @@
             real = [e for e in entries if e[1]]
             if not real:
                 continue
-            places = [(e[3].meta.line, e[3].meta.column) for e in real] + [part.at for part in parts]
+            places = [(e[3].meta.line, e[3].meta.column) for e in real] + [
+                part.at for part in parts
+            ]
             at = next((p for p in places if p[0] < SCHEMA), places[0])
             if not name.startswith(("#", "_")):
                 for part in parts:
                     if not part.allows(name):
                         known = " ".join(sorted(n for n in part.fields if not n.startswith("#")))
-                        self.run.problem(at, (*self.path, name), f"a field that is known here ({known})", name)
-            written = [(tree, Env(self, part.env, part.env.closed if part.env else part.closed or False))
-                       if not part.closed else (tree, Env(self, part.env, True))
-                       for part, _, tree, _ in entries]
+                        self.run.problem(
+                            at, (*self.path, name), f"a field that is known here ({known})", name
+                        )
+            written = [
+                (tree, Env(self, part.env, part.env.closed if part.env else part.closed or False))
+                if not part.closed
+                else (tree, Env(self, part.env, True))
+                for part, _, tree, _ in entries
+            ]
             if not name.startswith("#"):
-                written += [(tree, Env(self, part.env, part.closed)) for part in parts for tree in part.patterns
-                            if name not in part.fields]
+                written += [
+                    (tree, Env(self, part.env, part.closed))
+                    for part in parts
+                    for tree in part.patterns
+                    if name not in part.fields
+                ]
             self.fields[name] = Place(self.run, (*self.path, name), written, at)
 
     def row(self, rows):
@@ -152,11 +186,15 @@
         if self.at[0] < SCHEMA:
             self.run.places[".".join(map(str, self.path))] = self.at
         if self.kind == "record":
-            return {name: place.plain() for name, place in self.fields.items() if name[0] not in "#_"}
+            return {
+                name: place.plain() for name, place in self.fields.items() if name[0] not in "#_"
+            }
         if self.kind == "list":
             return [place.plain() for place in self.items]
         if self.kind == "atom":
-            return {"duration": Duration, "size": Size}.get(self.atom.kind, lambda v: v)(self.atom.value)
+            return {"duration": Duration, "size": Size}.get(self.atom.kind, lambda v: v)(
+                self.atom.value
+            )
         if self.kind is None:
             expected = " & ".join(t.text for t in self.terms) or "a value"
             self.run.problem(self.at, self.path, expected, "nothing")
--- a/cherrydoor/lease/records.py
+++ b/cherrydoor/lease/records.py
@@ -38,8 +38,12 @@
         whole = Place(run, (), written, (1, 1))
         value = whole.plain()
     except (TooMuch, RecursionError):
-        raise Problems([*run.problems, Problem(file, 1, 1, "", "a file that can be evaluated in "
-                                               f"{STEPS} steps", "more")]) from None
+        raise Problems(
+            [
+                *run.problems,
+                Problem(file, 1, 1, "", f"a file that can be evaluated in {STEPS} steps", "more"),
+            ]
+        ) from None
     if run.problems:
         raise Problems(run.problems)
     if places is not None:
--- a/cherrydoor/lease/show.py
+++ b/cherrydoor/lease/show.py
@@ -33,7 +33,11 @@
     if isinstance(value, dict):
         return "{\n" + show(value, depth + 1) + f"\n{pad}}}" if value else "{}"
     if isinstance(value, list):
-        return "[\n" + "".join(f"{below}{inner(v, depth + 1)}\n" for v in value) + f"{pad}]" if value else "[]"
+        return (
+            "[\n" + "".join(f"{below}{inner(v, depth + 1)}\n" for v in value) + f"{pad}]"
+            if value
+            else "[]"
+        )
     if isinstance(value, Duration):
         return f"{float(value):.15g}ms"
     return f"{int(value)}B" if isinstance(value, Size) else json.dumps(value)
--- a/cherrydoor/lease/terms.py
+++ b/cherrydoor/lease/terms.py
@@ -4,10 +4,22 @@
 
 from lark import Tree
 
-UNITS = {"us": ("duration", 0.001), "ms": ("duration", 1.0), "s": ("duration", 1e3), "m": ("duration", 6e4),
-         "h": ("duration", 3.6e6), "d": ("duration", 8.64e7), "B": ("size", 1), "kB": ("size", 10**3),
-         "MB": ("size", 10**6), "GB": ("size", 10**9), "KiB": ("size", 2**10), "MiB": ("size", 2**20),
-         "GiB": ("size", 2**30), "%": ("number", 0.01)}
+UNITS = {
+    "us": ("duration", 0.001),
+    "ms": ("duration", 1.0),
+    "s": ("duration", 1e3),
+    "m": ("duration", 6e4),
+    "h": ("duration", 3.6e6),
+    "d": ("duration", 8.64e7),
+    "B": ("size", 1),
+    "kB": ("size", 10**3),
+    "MB": ("size", 10**6),
+    "GB": ("size", 10**9),
+    "KiB": ("size", 2**10),
+    "MiB": ("size", 2**20),
+    "GiB": ("size", 2**30),
+    "%": ("number", 0.01),
+}
 TYPES = ("number", "int", "string", "bool", "duration", "size", "null")
 
 
@@ -24,7 +36,9 @@
         self.kind, self.value, self.at, self.text = kind, value, at, text
 
     def same(self, other):
-        return self.value == other.value and (self.kind == other.kind or {self.kind, other.kind} == {"int", "number"})
+        return self.value == other.value and (
+            self.kind == other.kind or {self.kind, other.kind} == {"int", "number"}
+        )
 
 
 class Type:
@@ -62,7 +76,9 @@
                 self.patterns.append(member.children[1])
             else:
                 name = label(member.children[0])
-                self.fields.setdefault(name, []).append((member.data == "field", member.children[1], member))
+                self.fields.setdefault(name, []).append(
+                    (member.data == "field", member.children[1], member)
+                )
 
     def allows(self, name):
         return not self.closed or self.open or name in self.fields or bool(self.patterns)
@@ -102,11 +118,14 @@
         return Atom("string", json.loads(text), at, text)
     if token.type == "QUANTITY":
         number = text.rstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ%")
-        kind, factor = UNITS[text[len(number):]]
+        kind, factor = UNITS[text[len(number) :]]
         value = float(number) * factor
         return Atom(kind, round(value, 9) if kind != "size" else int(value), at, text)
     if token.type == "NUMBER":
         whole = all(c in "-0123456789" for c in text)
-        return Atom("int" if whole else "number", int(text[:400]) if whole else float(text), at, text[:40])
+        return Atom(
+            "int" if whole else "number", int(text[:400]) if whole else float(text), at, text[:40]
+        )
     return {"TRUE": Atom("bool", True, at, text), "FALSE": Atom("bool", False, at, text)}.get(
-        token.type, Atom("null", None, at, text))
+        token.type, Atom("null", None, at, text)
+    )
--- a/cherrydoor/lease/text.py
+++ b/cherrydoor/lease/text.py
@@ -7,16 +7,17 @@
 from lark import Lark, Token
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput
 
-LARGEST = 128 * 1024        # characters of a file
-MARKS = 8000                # separators, colons, brackets and operators in it, which is what reading it takes
-DEEPEST = 40                # brackets within brackets
-MOST = 25                   # problems told
-SCHEMA = 10**6              # lines of the schema are counted from here on, to tell them from the file's own
+LARGEST = 128 * 1024  # characters of a file
+MARKS = 8000  # separators, colons, brackets and operators in it, which is what reading it takes
+DEEPEST = 40  # brackets within brackets
+MOST = 25  # problems told
+SCHEMA = 10**6  # lines of the schema are counted from here on, to tell them from the file's own
 
 
 @dataclass(frozen=True)
 class Problem:
     """One thing wrong: where, what was expected, what was found."""
+
     file: str
     line: int
     column: int
@@ -33,7 +34,9 @@
     """All that is wrong with a file, in order of place."""
 
     def __init__(self, problems):
-        self.problems = sorted(set(problems), key=lambda p: (p.file, p.line, p.column, p.path))[:MOST]
+        self.problems = sorted(set(problems), key=lambda p: (p.file, p.line, p.column, p.path))[
+            :MOST
+        ]
         super().__init__("\n".join(map(str, self.problems)))
 
 
@@ -49,13 +52,21 @@
         raise Problems([Problem(file, 1, 1, "", f"at most {LARGEST} characters", f"{len(text)}")])
     marks = sum(map(text.count, ":,\n{}[]|&*"))
     if marks > MARKS:
-        raise Problems([Problem(file, 1, 1, "", f"at most {MARKS} marks and line ends", f"{marks}")])
+        raise Problems(
+            [Problem(file, 1, 1, "", f"at most {MARKS} marks and line ends", f"{marks}")]
+        )
     depth, line = 0, 0
     for line, one in enumerate(text.split("\n"), 1):
         for column, char in enumerate(one, 1):
             depth += (char in "{[(") - (char in "}])")
             if depth > DEEPEST:
-                raise Problems([Problem(file, line, column, "", f"at most {DEEPEST} levels of brackets", "more")])
+                raise Problems(
+                    [
+                        Problem(
+                            file, line, column, "", f"at most {DEEPEST} levels of brackets", "more"
+                        )
+                    ]
+                )
     found = []
 
     def note(error):
@@ -68,13 +79,21 @@
             what = "the end" if token is None or token.type == "$END" else repr(str(token))
         names = sorted(getattr(error, "accepts", None) or getattr(error, "allowed", None) or ())
         at = [max(getattr(error, side, 0) or 1, 1) for side in ("line", "column")]
-        found.append(Problem(file, at[0] if what != "the end" else line, at[1], "",
-                             "one of " + " ".join(names) if names else "something else", what))
+        found.append(
+            Problem(
+                file,
+                at[0] if what != "the end" else line,
+                at[1],
+                "",
+                "one of " + " ".join(names) if names else "something else",
+                what,
+            )
+        )
         return what != "the end"
 
     try:
         return parser().parse(text)
-    except UnexpectedInput:         # once more, slowly, for all that is wrong
+    except UnexpectedInput:  # once more, slowly, for all that is wrong
         pass
     try:
         tree = parser().parse(text, on_error=note)
--- a/cherrydoor/lease/unify.py
+++ b/cherrydoor/lease/unify.py
@@ -47,7 +47,7 @@
     def choose(self, plain, either):
         """The terms with the one option that agrees with all else; of several the default."""
         kept: list = []
-        deeper: list = []           # problems of options that fit here and fail only further down
+        deeper: list = []  # problems of options that fit here and fail only further down
         for starred, tree in self.likely(plain, either.options):
             terms, before = list(plain), len(self.run.problems)
             self.gather(tree, either.env, terms, ())
@@ -69,13 +69,18 @@
         if len(firm) > 1 and all(f[2].atom and f[2].atom.same(firm[0][2].atom) for f in firm):
             return firm[0][1]
         if not first and deeper:
-            self.run.problems.extend(min(deeper, key=lambda found: (-max(p.path.count(".") for p in found),
-                                                                    len(found))))
+            self.run.problems.extend(
+                min(deeper, key=lambda found: (-max(p.path.count(".") for p in found), len(found)))
+            )
         elif not first:
-            found = next((t for t in plain if isinstance(t, Atom)), None) or (plain[0] if plain else either)
+            found = next((t for t in plain if isinstance(t, Atom)), None) or (
+                plain[0] if plain else either
+            )
             self.run.problem(found.at, self.path, self.said(either), found.text)
         elif plain or firm:
-            self.run.problem(either.at, self.path, "one value", f"several that fit: {self.said(either)}")
+            self.run.problem(
+                either.at, self.path, "one value", f"several that fit: {self.said(either)}"
+            )
         else:
             self.run.problem(self.at, self.path, self.said(either), "nothing")
         self.kind = "bad"
@@ -94,7 +99,9 @@
             terms, before = [], len(self.run.problems)
             self.gather(tree, either.env, terms, ())
             del self.run.problems[before:]
-            words.append(" & ".join(self.said(t) if isinstance(t, Either) else t.text for t in terms))
+            words.append(
+                " & ".join(self.said(t) if isinstance(t, Either) else t.text for t in terms)
+            )
         return " or ".join(words)
 
     def unify(self, terms):
--- a/cherrydoor/logic/actor.py
+++ b/cherrydoor/logic/actor.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-WINDOW = 2000           # counts halve each window
+WINDOW = 2000  # counts halve each window
 
 
 class Tally:
--- a/cherrydoor/logic/event.py
+++ b/cherrydoor/logic/event.py
@@ -15,7 +15,7 @@
     def overloaded(self, now):
         return self.strain.read(now) > 2 + 0.1 * self.calls.read(now)
 
-    def beyond(self, now):      # an equal part of its share
+    def beyond(self, now):  # an equal part of its share
         return self.calls.read(now) > 2 * WINDOW * self.part
 
 
--- a/cherrydoor/logic/gateway.py
+++ b/cherrydoor/logic/gateway.py
@@ -8,7 +8,7 @@
 from cherrydoor.logic.table import Function, History
 from cherrydoor.logic.zone import SURE, Zone
 
-SWEEP = 100             # how often hosts look at their own silence
+SWEEP = 100  # how often hosts look at their own silence
 
 
 class Gateway(Rules):
@@ -16,11 +16,21 @@
 
     def __init__(self, lease):
         super().__init__(lease)
-        self.brisk, self.load, self.blind = self.deed.target / 10, 1000.0, False    # three in ten are quicker
-        self.waited, self.met, self.each = 0.0, 0.0, 0.0    # answer times, events met: the time of one
-        self.events, self.hosts = {}, {}        # dropped when over; dropped when gone and nothing is out
+        self.brisk, self.load, self.blind = (
+            self.deed.target / 10,
+            1000.0,
+            False,
+        )  # three in ten are quicker
+        self.waited, self.met, self.each = (
+            0.0,
+            0.0,
+            0.0,
+        )  # answer times, events met: the time of one
+        self.events, self.hosts = {}, {}  # dropped when over; dropped when gone and nothing is out
         self.history, self.zone, self.others = History(self), Zone(self), Customer()
-        self.losses = {name: (Tally(half=4 * WINDOW), Tally(half=4 * WINDOW)) for name in self.deed.clauses}
+        self.losses = {
+            name: (Tally(half=4 * WINDOW), Tally(half=4 * WINDOW)) for name in self.deed.clauses
+        }
 
     def start(self, now):
         self.now, self.next_window, self.actions, self.history.halved = now, now + WINDOW, [], now
@@ -52,7 +62,9 @@
 
     def arrival(self, note):
         name = note.function
-        func = self.history.functions[name] = self.history.functions.get(name) or Function(name, self.deed)
+        func = self.history.functions[name] = self.history.functions.get(name) or Function(
+            name, self.deed
+        )
         customer = self.deed.customers.get(note.party, self.others)
         evt = self.events[note.event] = Event(note, self.deed.clauses[note.clause], func, customer)
         func.open, func.lanes = func.open + 1, max(1, int(note.lanes))
@@ -64,10 +76,14 @@
     def foreseen(self, note):
         """Exception: a copy is ordered at the home before the first event, by the same gate as all orders."""
         name = note.function
-        func = self.history.functions[name] = self.history.functions.get(name) or Function(name, self.deed)
-        func.count = max(1.0, func.count)       # so that the line outlives the load
-        home = self.zone.heir(func.home, lambda h: func.refused.get(h, 0) <= self.now and (
-            not note.away or h.zone != note.away))
+        func = self.history.functions[name] = self.history.functions.get(name) or Function(
+            name, self.deed
+        )
+        func.count = max(1.0, func.count)  # so that the line outlives the load
+        home = self.zone.heir(
+            func.home,
+            lambda h: func.refused.get(h, 0) <= self.now and (not note.away or h.zone != note.away),
+        )
         if home and not home.holds(func, self.now):
             self.order(func, home)
 
@@ -81,9 +97,13 @@
             launch = evt.tries[note.launch]
             launch.fate, again = note.fate, launch.host.full.read(self.now) > 0.25
             short = note.tied is not None and note.tied > 0.9
-            queue = again or bool(note.queue) or (not short if note.crowd is None else note.crowd > 0)
-            launch.stood |= note.fate == io.FULL and queue      # its queue is full, not its memory
-            launch.warm = launch.warm if note.copy is None else note.copy < 2   # told, else held to be
+            queue = (
+                again or bool(note.queue) or (not short if note.crowd is None else note.crowd > 0)
+            )
+            launch.stood |= note.fate == io.FULL and queue  # its queue is full, not its memory
+            launch.warm = (
+                launch.warm if note.copy is None else note.copy < 2
+            )  # told, else held to be
             launch.host.post("back", launch, note, self.now)
             self.history.post("tells", evt.func, launch.host, note, launch.stood)
             self.post("landed", evt, launch, note)
@@ -108,7 +128,9 @@
     def loaded(self, note):
         func, host = self.history.functions.get(note.function), self.hosts.get(note.host)
         if func and host:
-            self.history.post("tells", func, host, io.Outcome(0, 0, note.fate, True, host.id, 0.0), None)
+            self.history.post(
+                "tells", func, host, io.Outcome(0, 0, note.fate, True, host.id, 0.0), None
+            )
 
     def route(self, evt):
         """Takes an event only if it is predicted in time."""
@@ -141,7 +163,9 @@
 
     def landed(self, evt, launch, note):
         if note.fate == io.HANDLED:
-            self.handled.add(self.now, 1.0 / max(1.0, self.warm))   # by so many: not again by those left later
+            self.handled.add(
+                self.now, 1.0 / max(1.0, self.warm)
+            )  # by so many: not again by those left later
             # Where no report is told, the crowd of the function is the least that was there. Guards against
             # hosts that look in time however many wait; harms where other functions fill a host: one then
             # seems to take longer than it does. So only where a host serves more gateways than a gateway
@@ -153,9 +177,16 @@
                 self.waited, self.met = fade * self.waited + note.took, fade * self.met + held + 1
                 self.each = self.waited / self.met
             if launch.warm:
-                self.pace.mean(self.now, min(note.took, 2 * self.mean()), 0.02, self.deed.target / 4)
+                self.pace.mean(
+                    self.now, min(note.took, 2 * self.mean()), 0.02, self.deed.target / 4
+                )
                 self.brisk *= 1.006 if note.took > self.brisk else 0.986
-            cold = note.copy == 2 or note.copy is None and not launch.stood and note.took > 2 * self.mean()
+            cold = (
+                note.copy == 2
+                or note.copy is None
+                and not launch.stood
+                and note.took > 2 * self.mean()
+            )
             self.load += 0.1 * (note.took - self.load) if cold else 0
         elif note.fate == io.FULL:
             evt.customer.strain.add(self.now, launch.stood)
@@ -163,7 +194,9 @@
         if evt.over or evt.streams or evt.out():
             self.close(evt)
         elif note.fate == io.MISSING and self.deed.misses and self.order(evt.func, launch.host):
-            self.ring(min(SWEEP / 2, evt.until - self.now - 1), str(evt.id))    # by then the order is there
+            self.ring(
+                min(SWEEP / 2, evt.until - self.now - 1), str(evt.id)
+            )  # by then the order is there
         elif evt.customer.overloaded(self.now):
             self.give_up(evt)
         else:
@@ -173,7 +206,11 @@
         """A launch is recalled so that another may follow, or as it is over; never one that could harm."""
         evt = launch.evt
         plain = launch.fate is None and evt.clause.kind == io.REDELIVERABLE and not evt.streams
-        useful = evt.over or len(evt.tries) < self.deed.launches and not evt.customer.overloaded(self.now)
+        useful = (
+            evt.over
+            or len(evt.tries) < self.deed.launches
+            and not evt.customer.overloaded(self.now)
+        )
         if self.deed.recalls and plain and useful:
             self.actions.append(io.Recall(evt.id, evt.tries.index(launch)))
 
@@ -184,7 +221,10 @@
         ran, clause = evt.may_have_run(), evt.clause
         drops = ran and clause.kind == io.KEYED and clause.group == "all"
         young = drops and self.now - ran[0].sent < 0.5 * clause.memory
-        evt.over, advice = True, min(self.deed.advice, max(self.mean(), 100.0)) * (1 + self.chance()) / 2
+        evt.over, advice = (
+            True,
+            min(self.deed.advice, max(self.mean(), 100.0)) * (1 + self.chance()) / 2,
+        )
         harmless = not ran or young or clause.kind == io.REDELIVERABLE
         self.actions.append(io.Defer(evt.id, advice) if harmless else io.DeadLetter(evt.id))
         self.close(evt)
@@ -201,7 +241,9 @@
         self.ring(SWEEP, "sweep")
         self.forget(self.taken, 0.99 * self.deed.ration[2])
         running = [h for h in self.hosts.values() if h.state == io.READY]
-        for host in [h for h in running if (h.out or h.strikes) and late < 2 * SWEEP]:  # or it stood still
+        for host in [
+            h for h in running if (h.out or h.strikes) and late < 2 * SWEEP
+        ]:  # or it stood still
             host.post("sweep", self.now)
         # When most hosts look bad it is likelier this gateway's own sight: then none is held to be.
         self.blind = 2 * sum(h.probing or h.shut > self.now for h in running) > len(running)
@@ -209,6 +251,9 @@
         if self.now >= self.next_window:
             self.next_window = self.now + WINDOW
             self.history.post("window", self.now)
-            self.hosts = {h.id: h for h in self.hosts.values()
-                          if h.state != io.GONE or h.out or h in self.zone.slots}
+            self.hosts = {
+                h.id: h
+                for h in self.hosts.values()
+                if h.state != io.GONE or h.out or h in self.zone.slots
+            }
             self.zone.post("relist", self.now)
--- a/cherrydoor/logic/host.py
+++ b/cherrydoor/logic/host.py
@@ -3,11 +3,11 @@
 from cherrydoor import interface as io
 from cherrydoor.logic.actor import WINDOW, Actor, Tally
 
-PATIENCE = 0.5          # T2 is the own events out that would take this share of the target time one by one
-OTHERS = 2              # others' events held to be at a host when own ones are compared to the usual
-DEAF = 4000             # time for which a host is first held to be deaf to an event type
-FADED = 100             # answers after which what they told has faded by two thirds
-LEAST = 1.5             # a cold host owns this many times what it can do at least, as few start at the least
+PATIENCE = 0.5  # T2 is the own events out that would take this share of the target time one by one
+OTHERS = 2  # others' events held to be at a host when own ones are compared to the usual
+DEAF = 4000  # time for which a host is first held to be deaf to an event type
+FADED = 100  # answers after which what they told has faded by two thirds
+LEAST = 1.5  # a cold host owns this many times what it can do at least, as few start at the least
 
 
 class Ear:
@@ -24,19 +24,26 @@
     def __init__(self, gate, row):
         super().__init__(gate.loop)
         self.gate, self.id, self.zone, self.cell = gate, row.host, row.zone, row.cell
-        self.state, self.out = None, {}           # launches out, oldest first; each leaves with its outcome
+        self.state, self.out = None, {}  # launches out, oldest first; each leaves with its outcome
         self.reset(row.since)
 
     def reset(self, since):
         """A process that starts anew has an empty memory and a clean slate."""
         self.since, self.heard, self.strikes, self.shut, self.struck = since, 0.0, 0, 0.0, 0.0
-        self.passed = 0.0           # when the latest of the answered events was sent
+        self.passed = 0.0  # when the latest of the answered events was sent
         self.probing, self.sheds = False, False
-        self.ears = {}              # event type -> Ear, no more than there are types
-        self.pace, self.crowd = Tally(half=2 * WINDOW), 1.0     # mean answer time, usual own events out
-        self.others, self.full, self.tight = Tally(), Tally(), -1e18   # as answers tell; when short of memory
+        self.ears = {}  # event type -> Ear, no more than there are types
+        self.pace, self.crowd = (
+            Tally(half=2 * WINDOW),
+            1.0,
+        )  # mean answer time, usual own events out
+        self.others, self.full, self.tight = (
+            Tally(),
+            Tally(),
+            -1e18,
+        )  # as answers tell; when short of memory
         self.tried = self.gate.now - self.gate.chance() * self.gate.deed.gateways * self.gate.mean()
-        self.credit, self.credited = self.gate.chance(), self.gate.now      # of rule 4, while cold
+        self.credit, self.credited = self.gate.chance(), self.gate.now  # of rule 4, while cold
 
     def listed(self, state, since):
         if since != self.since and state == io.READY:
@@ -68,8 +75,9 @@
     def deaf(self, clause, now):
         """To one event type alone; once its time is over one event at a time tries it."""
         ear = self.ears.get(clause and clause.name)
-        return ear is not None and (ear.shut > now or ear.strikes > 0 and any(
-            t.evt.clause is clause for t in self.out))
+        return ear is not None and (
+            ear.shut > now or ear.strikes > 0 and any(t.evt.clause is clause for t in self.out)
+        )
 
     def holds(self, func, now):
         seen = func.copies.get(self, self.since)
@@ -85,11 +93,16 @@
     def wait(self, func):
         """The time that an event sent now is predicted to take, by its own answers and its own events out."""
         now, full = self.gate.now, self.full.read(self.gate.now)
-        since = [t.sent if t.evt.func is func else max(t.sent, self.heard)
-                 for t in self.out if t.stood and not t.silent]
+        since = [
+            t.sent if t.evt.func is func else max(t.sent, self.heard)
+            for t in self.out
+            if t.stood and not t.silent
+        ]
         pace = max(self.mean(), now - min(since, default=now), full * self.gate.deed.target)
         own = pace * (len(self.out) + 1 + OTHERS) / (self.crowd + OTHERS)
-        return max(own, self.gate.each * (self.load() + 1) if now - self.others.at < WINDOW else 0.0)
+        return max(
+            own, self.gate.each * (self.load() + 1) if now - self.others.at < WINDOW else 0.0
+        )
 
     def mean(self):
         return self.pace.read(self.gate.now, self.gate.mean())
@@ -102,7 +115,7 @@
     def busy(self):
         """T1 and T2, as shares of T2. A full answer counts as T2 and ages."""
         t2 = max(3.0, PATIENCE * self.gate.deed.target / self.gate.brisk)
-        usual = self.gate.waited / FADED        # the mean answer time, as faded sums have it
+        usual = self.gate.waited / FADED  # the mean answer time, as faded sums have it
         told = self.load() * self.gate.each / max(PATIENCE * self.gate.deed.target, 1.5 * usual)
         out = max(len(self.out) / t2, told) + self.full.read(self.gate.now)
         self.sheds = out >= (0.6 if self.sheds else 1.0)
@@ -110,7 +123,7 @@
 
     def back(self, launch, note, now):
         self.out.pop(launch, None)
-        long = note.took > self.patience(launch)        # before what it teaches of the mean
+        long = note.took > self.patience(launch)  # before what it teaches of the mean
         if note.fate in (io.HANDLED, io.FULL, io.ERROR, io.MISSING):
             held = max(self.others.read(now), note.crowd or 0) if note.held is None else note.held
             self.heard, self.others = now, Tally(now, max(0.0, held - len(self.out)), 2 * WINDOW)
@@ -122,7 +135,7 @@
             ear.heard, ear.strikes, ear.shut = now, ear.strikes // 2, 0.0
         left = note.fate in (io.NO_ANSWER, io.RECALLED) and launch.stood and note.took > self.mean()
         left = left and not launch.silent
-        if left or note.fate == io.HANDLED and launch.warm:     # what left unanswered tells, too
+        if left or note.fate == io.HANDLED and launch.warm:  # what left unanswered tells, too
             self.pace.mean(now, note.took, 0.1, self.gate.mean())
         if note.fate == io.HANDLED:
             self.strikes, self.shut = 0, 0.0
@@ -130,8 +143,11 @@
             self.full = Tally(now, 1.0)
         elif note.fate in (io.ERROR, io.LOST) and note.copy != 4:
             self.strike(1, now, launch.sent)
-        elif note.fate == io.NO_CONNECTION or note.fate == io.NO_ANSWER and (
-                long and self.heard < launch.sent):
+        elif (
+            note.fate == io.NO_CONNECTION
+            or note.fate == io.NO_ANSWER
+            and (long and self.heard < launch.sent)
+        ):
             self.strike(2, now, launch.sent)
 
     def strike(self, weight, now, sent):
@@ -156,8 +172,11 @@
             if not launch.evt.streams and self.unheard(launch, ear, now):
                 self.strike_ear(launch, ear, now)
                 self.gate.post("take_back", launch)
-        silent = any(now - max(sent, self.heard) > self.patience(launch)
-                     for launch, sent in self.out.items() if not launch.evt.streams)
+        silent = any(
+            now - max(sent, self.heard) > self.patience(launch)
+            for launch, sent in self.out.items()
+            if not launch.evt.streams
+        )
         ask = not self.probing and (silent or self.strikes > 1 and self.shut <= now)
         if ask and self.gate.deed.probes:
             self.probing = True
--- a/cherrydoor/logic/rules.py
+++ b/cherrydoor/logic/rules.py
@@ -7,24 +7,34 @@
 from cherrydoor.logic.actor import WINDOW, Actor, Tally
 from cherrydoor.logic.event import Customer
 
-FURTHER = 2             # further launches for one event
-MARGIN = 0.9            # of the multiple in rule 4, for chance
-LINGER = 6000           # an idle copy is believed to stand for so long, where nothing is said
+FURTHER = 2  # further launches for one event
+MARGIN = 0.9  # of the multiple in rule 4, for chance
+LINGER = 6000  # an idle copy is believed to stand for so long, where nothing is said
 
 
 class Deed:
     """The few figures that decisions use, drawn from the lease."""
 
     def __init__(self, lease):
-        self.me, self.gateways, self.asks, self.twice = lease.me, lease.gateways, lease.asks, lease.twice
+        self.me, self.gateways, self.asks, self.twice = (
+            lease.me,
+            lease.gateways,
+            lease.asks,
+            lease.twice,
+        )
         self.launches, self.advice = min(lease.launches, 1 + FURTHER), lease.advice
         self.recalls, self.probes = lease.recalls, lease.probes
         self.cold_from, self.cold, self.fall = lease.cold_from, lease.cold, lease.fall
         self.linger, self.orders, self.misses = lease.linger or LINGER, lease.orders, lease.misses
         self.ration = (lease.loads_free, lease.loads_share, lease.loads_within)
-        self.budget, self.target = MARGIN * lease.fall_multiple, min(c.target for c in lease.clauses)
+        self.budget, self.target = (
+            MARGIN * lease.fall_multiple,
+            min(c.target for c in lease.clauses),
+        )
         self.clauses = {c.name: c for c in lease.clauses}
-        self.customers = {p.name: Customer(p.per_second / lease.gateways / 1000) for p in lease.parties}
+        self.customers = {
+            p.name: Customer(p.per_second / lease.gateways / 1000) for p in lease.parties
+        }
 
 
 class Rules(Actor):
@@ -34,7 +44,7 @@
         super().__init__(deque())
         self.deed, self.seed, self.drawn, self.now = Deed(lease), lease.seed, 0, 0.0
         self.pace, self.actions = Tally(half=2 * WINDOW), []
-        self.warm = 0.0                         # running hosts, a cold one at its level
+        self.warm = 0.0  # running hosts, a cold one at its level
         # of rule 4: for long, as of few answers the greater of mean and floor is too much; times of rule 5
         self.handled, self.ordered, self.taken = Tally(half=4 * WINDOW), deque(), deque()
 
@@ -52,21 +62,25 @@
     def may(self, evt, host):
         """The gate: what the rules say of a launch of this event to this host now."""
         if evt.over or evt.streams or self.now >= evt.until or len(evt.tries) >= self.deed.launches:
-            return False                                                        # rule 1
+            return False  # rule 1
         if evt.away and host.zone == evt.away:
-            return False                                    # a drained zone's hosts are none of its session's places
+            return False  # a drained zone's hosts are none of its session's places
         if host.state != io.READY or not host.room(self.now) or evt.out() and not self.deed.twice:
-            return False                                                        # rules 3, 4 and 2
+            return False  # rules 3, 4 and 2
         ran = evt.may_have_run()
         if not ran or evt.clause.kind == io.REDELIVERABLE:
-            return True                                                         # rule 2 from here
+            return True  # rule 2 from here
         group = evt.clause.group
         same = group == "all" or getattr(host, group) == getattr(ran[0].host, group)
-        return evt.clause.kind == io.KEYED and same and self.now - ran[0].sent < 0.8 * evt.clause.memory
+        return (
+            evt.clause.kind == io.KEYED
+            and same
+            and self.now - ran[0].sent < 0.8 * evt.clause.memory
+        )
 
     def order(self, func, host):
-        free, share, within = self.deed.ration      # the gate of orders to load
-        self.forget(self.ordered, 1.01 * within)    # both err on the safe side
+        free, share, within = self.deed.ration  # the gate of orders to load
+        self.forget(self.ordered, 1.01 * within)  # both err on the safe side
         self.forget(self.taken, 0.99 * within)
         if host in func.opening:
             return True
--- a/cherrydoor/logic/table.py
+++ b/cherrydoor/logic/table.py
@@ -5,22 +5,26 @@
 from cherrydoor import interface as io
 from cherrydoor.logic.actor import WINDOW, Actor, Tally
 
-FEW = 8                 # how many functions are the most-called
-BUSY = 0.2              # and the least events of one at work at once, over all gateways, that make it one
-ENOUGH = 64             # but only once they are of so many calls, or after eight windows
+FEW = 8  # how many functions are the most-called
+BUSY = 0.2  # and the least events of one at work at once, over all gateways, that make it one
+ENOUGH = 64  # but only once they are of so many calls, or after eight windows
 
 
 class Function:
     """A line of the History Table: the function's places, how much it is called, where copies stand."""
 
     def __init__(self, name, deed):
-        self.name, self.me, self.most = name, deed.me, deed.gateways    # no more groups than would differ
+        self.name, self.me, self.most = (
+            name,
+            deed.me,
+            deed.gateways,
+        )  # no more groups than would differ
         self.count, self.open, self.home = 0.0, 0, self.place(name)
         self.work, self.lanes, self.groups = Tally(), 1, 1
-        self.copies = {}        # host -> when a copy was last known to stand; History.window drops the old
-        self.opening = {}       # host -> since when a load begun by this gateway is waited for
-        self.refused = {}       # host -> until when it is held to have no room for a copy
-        self.drawn: tuple[int, list] = (0, [])      # groups, and the places hashed for them
+        self.copies = {}  # host -> when a copy was last known to stand; History.window drops the old
+        self.opening = {}  # host -> since when a load begun by this gateway is waited for
+        self.refused = {}  # host -> until when it is held to have no room for a copy
+        self.drawn: tuple[int, list] = (0, [])  # groups, and the places hashed for them
 
     def place(self, key):
         return int.from_bytes(sha1(key.encode()).digest()[:8], "big") / 2.0**64
@@ -42,7 +46,9 @@
         """The crowd times the hosts that share it is the work at once: a group for half a copy's lanes.
         Where no crowd is told, own calls stand in: by the time that one takes and the number of gateways."""
         self.copies[host] = now
-        self.work.mean(now, own if crowd is None else crowd * (1 + self.groups), 0.2, self.work.value)
+        self.work.mean(
+            now, own if crowd is None else crowd * (1 + self.groups), 0.2, self.work.value
+        )
         need = 2 * self.work.value / self.lanes
         while self.groups < min(need, self.most):
             self.groups *= 2
@@ -73,7 +79,7 @@
 
     def hot(self, func):
         """Most-called here, and with work at once, by answers or by own calls beyond what may be chance."""
-        sure = (func.count - 2 * func.count ** 0.5) / (2 * self.span) * self.gate.deed.gateways
+        sure = (func.count - 2 * func.count**0.5) / (2 * self.span) * self.gate.deed.gateways
         return func.count >= self.bar and max(func.work.value, sure * self.gate.brisk) >= BUSY
 
     def own(self, func):
@@ -86,12 +92,12 @@
     def tells(self, func, host, note, stood):
         """A load where a copy was known to stand: released anew or swept out; no other is believed in."""
         now, fate = self.gate.now, note.fate
-        if fate not in (io.NO_ANSWER, io.RECALLED):     # then a load goes on without the event
+        if fate not in (io.NO_ANSWER, io.RECALLED):  # then a load goes on without the event
             func.opening.pop(host, None)
         if fate == io.HANDLED and stood and note.copy == 2:
             func.copies = {}
         if fate == io.HANDLED or fate == io.FULL and stood:
-            own = func.work.value if stood is None else self.own(func)      # an order tells of no calls
+            own = func.work.value if stood is None else self.own(func)  # an order tells of no calls
             func.told(host, note.crowd, own, now)
         elif fate == io.FULL:
             func.refused[host], host.tight = now + self.gate.load, now
--- a/cherrydoor/logic/zone.py
+++ b/cherrydoor/logic/zone.py
@@ -7,10 +7,12 @@
 from cherrydoor.logic.host import LEAST
 from cherrydoor.logic.table import BUSY
 
-SURE = 0.75             # share of the target time that a predicted wait may fill, as predictions err
-SPREAD = 3              # how often a place that a cold host cannot bear is spread anew
-KEPT = 5                # events in the idle time of a copy: by chance none comes in one idle time of 150
-RECUT = 60000           # a vacancy of this length, or a host left over for a quarter of it, recuts the ranges
+SURE = 0.75  # share of the target time that a predicted wait may fill, as predictions err
+SPREAD = 3  # how often a place that a cold host cannot bear is spread anew
+KEPT = 5  # events in the idle time of a copy: by chance none comes in one idle time of 150
+RECUT = (
+    60000  # a vacancy of this length, or a host left over for a quarter of it, recuts the ranges
+)
 
 
 class Zone(Actor):
@@ -21,7 +23,9 @@
         self.gate, self.slots, self.even, self.calm = gate, [], 0.0, 0.0
 
     def relist(self, now):
-        listed = sorted((h for h in self.gate.hosts.values() if h.state != io.GONE), key=lambda h: h.id)
+        listed = sorted(
+            (h for h in self.gate.hosts.values() if h.state != io.GONE), key=lambda h: h.id
+        )
         new = [h for h in listed if h not in self.slots and h.state == io.READY]
         self.slots = [new.pop(0) if new and h.state != io.READY else h for h in self.slots]
         if not self.slots or now - self.even > (RECUT / 4 if new else RECUT):
@@ -38,10 +42,12 @@
                 break
             pos = modf(pos * 4096)[0]
             part, first = modf(pos * len(self.slots))
-        for bar in (part, 0.0, None):       # None: not ready, but at least not shut
+        for bar in (part, 0.0, None):  # None: not ready, but at least not shut
             for i in range(len(self.slots)):
                 host = self.slots[(int(first) + i) % len(self.slots)]
-                if (host.shut <= now if bar is None else host.ready(now, bar, clause)) and fits(host):
+                if (host.shut <= now if bar is None else host.ready(now, bar, clause)) and fits(
+                    host
+                ):
                     return host
         return None
 
@@ -53,7 +59,9 @@
         calls = func.work.value * gate.deed.linger / gate.mean() / (1 + func.groups)
         if calls <= KEPT or gate.deed.gateways < 2 or not n:
             return []
-        more = func.work.value >= BUSY and gate.deed.gateways > 2 * func.groups     # or there are no seconds
+        more = (
+            func.work.value >= BUSY and gate.deed.gateways > 2 * func.groups
+        )  # or there are no seconds
         places = [func.home, *(func.seconds() if more else ())]
         return [h for h in (self.slots[int(p * n)] for p in places) if h.level(gate.now) >= 1.0]
 
@@ -68,9 +76,18 @@
         found, now, gate = {}, self.gate.now, self.gate
         rate = 1000 * gate.handled.read(now) / (1.44 * gate.handled.half)
         for host in self.slots:
-            found.setdefault(host.zone, []).extend([host] * (host.state == io.READY and host.shut <= now))
-        return [(zone, rate * len(hosts), sum(h.mean() for h in hosts) / len(hosts) if hosts else None, len(hosts))
-                for zone, hosts in found.items()]
+            found.setdefault(host.zone, []).extend(
+                [host] * (host.state == io.READY and host.shut <= now)
+            )
+        return [
+            (
+                zone,
+                rate * len(hosts),
+                sum(h.mean() for h in hosts) / len(hosts) if hosts else None,
+                len(hosts),
+            )
+            for zone, hosts in found.items()
+        ]
 
     def choose(self, evt):
         """The design's path, then its exceptions: the host, and one to order a copy at, if any."""
@@ -86,7 +103,9 @@
         second = self.heir(func.second(), lambda h: h is not home and fits(h), evt.clause) or home
         hot = gate.history.hot(func) and (second.roomy() or second.holds(func, now))
         pick = second if hot and (home.busy() or second.load() < home.load()) else home
-        late = SURE * evt.clause.target     # past the pair, at T2 or late: the fewest where a copy stands
+        late = (
+            SURE * evt.clause.target
+        )  # past the pair, at T2 or late: the fewest where a copy stands
 
         def rank(host):
             return host.busy() or host.wait(func) > late, host.load(), host.wait(func), host.id
@@ -97,9 +116,18 @@
             pick = min([pick, *stand], key=rank)
         spare, opens = min(stand, key=rank, default=None), gate.deed.orders or pick in func.opening
         if spare and not spare.busy() and pick not in known and opens:
-            return spare, pick      # nobody waits behind a load while a copy stands: one opens the new copy
+            return (
+                spare,
+                pick,
+            )  # nobody waits behind a load while a copy stands: one opens the new copy
         if pick.wait(func) > late and now > self.calm and not evt.customer.overloaded(now):
-            pick = self.heir(func.home, lambda h: h.wait(func) < late / 2 and h.roomy() and fits(h),
-                             evt.clause) or pick
+            pick = (
+                self.heir(
+                    func.home,
+                    lambda h: h.wait(func) < late / 2 and h.roomy() and fits(h),
+                    evt.clause,
+                )
+                or pick
+            )
             self.calm = now + gate.load
         return pick, None
--- a/cherrydoor/peers/decide.py
+++ b/cherrydoor/peers/decide.py
@@ -18,8 +18,10 @@
 
 HERE, SILENT, VANISHED, LEFT, OVER = "here", "silent", "vanished", "left", "over"
 FINAL = (LEFT, OVER)
-FORGET = 600000.0           # ms for which a name that is gone is remembered: longer than any estate is at work on
-MOST = 4000                 # names
+FORGET = (
+    600000.0  # ms for which a name that is gone is remembered: longer than any estate is at work on
+)
+MOST = 4000  # names
 
 
 def merged(one, other):
@@ -61,8 +63,13 @@
 
     def __init__(self, me, now):
         self.me, self.now = me, now
-        self.members, self.since, self.told, self.counts = {me.name: me.row()}, {me.name: now}, {}, Counter()
-        self.doubled = False        # another process says that it is this very life
+        self.members, self.since, self.told, self.counts = (
+            {me.name: me.row()},
+            {me.name: now},
+            {},
+            Counter(),
+        )
+        self.doubled = False  # another process says that it is this very life
 
     # ---- what is said
     def hear(self, now, rows):
@@ -131,7 +138,11 @@
     def round(self, now):
         """Rows that are new since the last round, for everybody who is linked."""
         self.now, told, self.told = now, list(self.told.values()), {}
-        for name in [n for n, row in self.members.items() if row.state != HERE and now - self.since[n] > FORGET]:
+        for name in [
+            n
+            for n, row in self.members.items()
+            if row.state != HERE and now - self.since[n] > FORGET
+        ]:
             del self.members[name], self.since[name]
         return told
 
@@ -147,8 +158,10 @@
         """The next living ones after this one on the ring of names, other sites first, each site once before any
         comes again: so that the loss of a site leaves a witness. Alike for the same view."""
         mine = place(self.me.name)
-        ring = sorted((r for r in self.members.values() if r.state == HERE and r.name != self.me.name),
-                      key=lambda r: (place(r.name) <= mine, place(r.name), r.name))
+        ring = sorted(
+            (r for r in self.members.values() if r.state == HERE and r.name != self.me.name),
+            key=lambda r: (place(r.name) <= mine, place(r.name), r.name),
+        )
         met, found = Counter([self.me.site]), []
         while ring and len(found) < count:
             least = min(met[r.site] for r in ring)
--- a/cherrydoor/peers/links.py
+++ b/cherrydoor/peers/links.py
@@ -13,9 +13,11 @@
 from cherrydoor.frames.peers import Beat, Members
 from cherrydoor.peers.decide import FINAL, HERE, SILENT, VANISHED
 
-AGAIN, LONGEST = 100.0, 2000.0      # ms before a dial is tried again, doubled up to the longest
-CROWD = 64              # gateways, beyond which beats on links of keepers come less often: a keeper has all of them
-IDLE = 10000.0          # ms without use after which a link that was dialled for a question is closed
+AGAIN, LONGEST = 100.0, 2000.0  # ms before a dial is tried again, doubled up to the longest
+CROWD = (
+    64  # gateways, beyond which beats on links of keepers come less often: a keeper has all of them
+)
+IDLE = 10000.0  # ms without use after which a link that was dialled for a question is closed
 
 
 class Dial(Struct, frozen=True):
@@ -46,7 +48,13 @@
     def __init__(self, members, now, beat=300.0, silent=2000.0, next_=2, seed=1):
         """beat: a link without anything to say says so this often; silent: without a word for so long a peer is held
         to be silent; next_: how many witnesses."""
-        self.members, self.beat, self.silent, self.count, self.seed = members, beat, silent, next_, seed
+        self.members, self.beat, self.silent, self.count, self.seed = (
+            members,
+            beat,
+            silent,
+            next_,
+            seed,
+        )
         self.lines, self.asked, self.drawn, self.now, self.witnesses = {}, {}, 0, now, []
 
     def chance(self):
@@ -73,7 +81,12 @@
             if line.up and line.dialled and name not in wanted and now - line.used > IDLE:
                 line.up = False
                 actions.append(Close(name, "no longer needed"))
-            if not line.up and not line.dialling and name not in wanted and now > line.again + LONGEST:
+            if (
+                not line.up
+                and not line.dialling
+                and name not in wanted
+                and now > line.again + LONGEST
+            ):
                 del self.lines[name]
         return [*actions, *self.tell()]
 
@@ -96,7 +109,14 @@
 
     def dial(self, name):
         row, line = self.members.members.get(name), self.line(name)
-        if row is None or not row.at or line.up or line.dialling or line.again > self.now or row.state in FINAL:
+        if (
+            row is None
+            or not row.at
+            or line.up
+            or line.dialling
+            or line.again > self.now
+            or row.state in FINAL
+        ):
             return []
         line.dialling = True
         return [Dial(name, row.at)]
@@ -107,7 +127,13 @@
         ours = self.members.me.name < name
         if line.up and line.life == life and line.dialled == ours and dialled != ours:
             return False, []
-        line.up, line.dialled, line.dialling, line.life, line.tries = True, dialled, False, life, line.tries + 1
+        line.up, line.dialled, line.dialling, line.life, line.tries = (
+            True,
+            dialled,
+            False,
+            life,
+            line.tries + 1,
+        )
         line.heard = line.said = line.used = now
         return True, [Say(name, Members(self.members.whole()))]
 
@@ -170,4 +196,9 @@
     def recent(self, name, life):
         """Whether a word of this very life has been heard on a link that is up, within `silent`."""
         line = self.lines.get(name)
-        return line is not None and line.up and line.life == life and self.now - line.heard <= self.silent
+        return (
+            line is not None
+            and line.up
+            and line.life == life
+            and self.now - line.heard <= self.silent
+        )
--- a/cherrydoor/peers/shell.py
+++ b/cherrydoor/peers/shell.py
@@ -14,10 +14,10 @@
 from cherrydoor.peers.links import Close, Dial, Links
 
 log = structlog.get_logger()
-LOOK = 0.1              # s between two looks at all links
-CONNECT = 1.0           # s for a connection to come up, and as long again for its hello
+LOOK = 0.1  # s between two looks at all links
+CONNECT = 1.0  # s for a connection to come up, and as long again for its hello
 NO_HELLO = "no hello in time"
-WAITING = 8 * 2**20     # bytes that may wait for a slow peer; beyond it its link is cut, and made anew
+WAITING = 8 * 2**20  # bytes that may wait for a slow peer; beyond it its link is cut, and made anew
 
 
 def address(text):
@@ -48,16 +48,25 @@
         self.shell, self.said, self.loop = shell, said, shell.loop
         name = shell.figures.name
         keepers = {one["name"]: one["at"] for one in said["keepers"]}
-        self.me = Me(name, life or int(shell.clock.now()), said["at"] or said["door"], shell.figures.lease.zone,
-                     name in keepers)
+        self.me = Me(
+            name,
+            life or int(shell.clock.now()),
+            said["at"] or said["door"],
+            shell.figures.lease.zone,
+            name in keepers,
+        )
         now = self.now()
         self.members = Members(self.me, now)
-        self.members.hear(now, [p.Member(one, 0, at, keeper=True) for one, at in keepers.items() if one != name])
-        self.links = Links(self.members, now, said["beat"], said["silent"], said["next"], shell.figures.seed)
-        self.linked: list = []          # callables: told of a name that has just been linked
+        self.members.hear(
+            now, [p.Member(one, 0, at, keeper=True) for one, at in keepers.items() if one != name]
+        )
+        self.links = Links(
+            self.members, now, said["beat"], said["silent"], said["next"], shell.figures.seed
+        )
+        self.linked: list = []  # callables: told of a name that has just been linked
         self.ends, self.handlers, self.changed, self.server, self.tasks = {}, {}, [], None, set()
         self.timer, self.closed, self.warned = None, False, False
-        self.frames = self.bytes = 0        # sent to peers
+        self.frames = self.bytes = 0  # sent to peers
 
     def now(self):
         return self.shell.clock.now()
@@ -67,7 +76,9 @@
 
     async def start(self):
         host, port = address(self.said["door"])
-        self.server = await self.loop.create_server(lambda: PeerEnd(self), host, port, ssl=self.shell.keeper.server)
+        self.server = await self.loop.create_server(
+            lambda: PeerEnd(self), host, port, ssl=self.shell.keeper.server
+        )
         self.look()
 
     def close(self):
@@ -150,8 +161,11 @@
         refused = False
         try:
             async with asyncio.timeout(CONNECT):
-                _, end = await self.loop.create_connection(lambda: PeerEnd(self, action.name), *address(action.at),
-                                                           ssl=self.shell.keeper.peer)
+                _, end = await self.loop.create_connection(
+                    lambda: PeerEnd(self, action.name),
+                    *address(action.at),
+                    ssl=self.shell.keeper.peer,
+                )
             self.loop.call_later(CONNECT, self.no_hello, end)
             return
         except ConnectionRefusedError:
@@ -170,7 +184,11 @@
         if end.dialled and hello.name != end.dialled:
             return end.close(f"{end.dialled} is expected here, not {hello.name}")
         if self.shell.keeper.sealed and not self.proved(end, hello):
-            log.warning("not linked: its certificate is not of that name", gateway=self.me.name, peer=hello.name)
+            log.warning(
+                "not linked: its certificate is not of that name",
+                gateway=self.me.name,
+                peer=hello.name,
+            )
             return end.close("its certificate is not of that name")
         if hello.name == self.me.name:
             self.members.doubled = hello.life == self.me.life or self.members.doubled
--- a/cherrydoor/platform/bulletin.py
+++ b/cherrydoor/platform/bulletin.py
@@ -8,9 +8,9 @@
 from cherrydoor.frames import messages as m
 from cherrydoor.gateway.turn import address, open_connection
 
-SILENCE = 1.8               # s without a line, where a comment is due each second
-CONNECT = 0.5               # s that a connection may take
-PAUSES = (0.0, 0.05, 0.1, 0.2, 0.4)     # s before the next try, by how many failed in a row
+SILENCE = 1.8  # s without a line, where a comment is due each second
+CONNECT = 0.5  # s that a connection may take
+PAUSES = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before the next try, by how many failed in a row
 
 
 class Reading(asyncio.Protocol):
@@ -19,11 +19,13 @@
     def __init__(self, follower, where):
         self.follower, self.where, self.reader, self.transport = follower, where, sse.Reader(), None
         self.over: Any = asyncio.get_running_loop().create_future()
-        self.alive, self.heard = 0.0, 0         # when last something came; events that came whole
+        self.alive, self.heard = 0.0, 0  # when last something came; events that came whole
 
     def connection_made(self, transport):
         self.transport, self.alive = transport, asyncio.get_running_loop().time()
-        if self.over.done():        # it was given up, or the bulletin moved, while the connection was on its way
+        if (
+            self.over.done()
+        ):  # it was given up, or the bulletin moved, while the connection was on its way
             return transport.abort()
         transport.write(sse.request(self.where, self.follower.last))
 
@@ -70,9 +72,13 @@
         while True:
             where, began = self.where, self.last
             why = await self.read(loop, where)
-            failed = 0 if self.last > began or self.where != where or why == "silence" else failed + 1
+            failed = (
+                0 if self.last > began or self.where != where or why == "silence" else failed + 1
+            )
             self.shell.desk.counts["bulletin connections ended"] += 1
-            self.shell.say("the bulletin's connection has ended", where=where, why=why, last=self.last)
+            self.shell.say(
+                "the bulletin's connection has ended", where=where, why=why, last=self.last
+            )
             await asyncio.sleep(PAUSES[min(failed, len(PAUSES) - 1)])
 
     async def read(self, loop, where):
@@ -90,7 +96,7 @@
                 reading.end("silence")
                 break
             await asyncio.wait([reading.over], timeout=left)
-            for _ in range(2):      # after a stall: what is ready is read before it is called silent
+            for _ in range(2):  # after a stall: what is ready is read before it is called silent
                 await asyncio.sleep(0)
         return reading.over.result()
 
@@ -109,7 +115,11 @@
         if told.no <= self.last and not anew:
             counts["bulletin events doubled"] += 1
             return
-        if not told.whole and told.no > self.last + 1 and (reading is None or self.missing != told.no):
+        if (
+            not told.whole
+            and told.no > self.last + 1
+            and (reading is None or self.missing != told.no)
+        ):
             counts["bulletin events missing"] += 1
             if reading is not None:
                 self.missing = told.no
@@ -122,10 +132,17 @@
     def tell(self, told, anew=False):
         if told.rows is None:
             return
-        rows = [m.Row(row.id, row.state, row.started, row.zone, row.cell) for row in told.rows
-                if not (anew and row.state == sse.READY and self.drains(row.id))]
-        self.shell.post(self.shell.floor.listed, io.WHOLE if told.whole else io.CHANGES, rows,
-                        {row.id: row.address for row in told.rows if row.state != sse.GONE})
+        rows = [
+            m.Row(row.id, row.state, row.started, row.zone, row.cell)
+            for row in told.rows
+            if not (anew and row.state == sse.READY and self.drains(row.id))
+        ]
+        self.shell.post(
+            self.shell.floor.listed,
+            io.WHOLE if told.whole else io.CHANGES,
+            rows,
+            {row.id: row.address for row in told.rows if row.state != sse.GONE},
+        )
 
     def drains(self, name):
         host = self.shell.desk.hosts.get(name)
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -8,12 +8,14 @@
 from cherrydoor.gateway.turn import address
 from cherrydoor.platform.settings import Wrong, checked, need, number
 
-RESERVE = 12                # descriptors of the process itself: listener, bulletin, loop, what it reads of its use
-SPARE = 5.0                 # ms taken off each event's time, for the answer's way back; some clients wait for 100
-SILENT = 2000.0             # ms for which a connection may say nothing whole; bad clients are owed an end within 3 s
-IDLE = 500.0                # ms after a fifth of which an idle connection makes room where places are short: a client
-                            # whose event crosses the close sends it again
-FARTHEST = 4                # times its longest time that a client may say it waits
+RESERVE = (
+    12  # descriptors of the process itself: listener, bulletin, loop, what it reads of its use
+)
+SPARE = 5.0  # ms taken off each event's time, for the answer's way back; some clients wait for 100
+SILENT = 2000.0  # ms for which a connection may say nothing whole; bad clients are owed an end within 3 s
+IDLE = 500.0  # ms after a fifth of which an idle connection makes room where places are short: a client
+# whose event crosses the close sends it again
+FARTHEST = 4  # times its longest time that a client may say it waits
 
 
 def place_of(text, place):
@@ -39,7 +41,9 @@
         self.spare, self.per_link, self.links, self.tells = SPARE, 1, links, tells
         self.most_open, self.connect = may.get("mostHeld", 20000), ms(may, "connectTimeout", 250.0)
         self.silence = self.connect
-        self.idle = 0.8 * ms(may, "connIdle", 15000.0)      # looked at each tenth: before the host closes it
+        self.idle = 0.8 * ms(
+            may, "connIdle", 15000.0
+        )  # looked at each tenth: before the host closes it
         self.probe, self.order = ms(may, "connectTimeout", 250.0), ms(copies, "loadWait", 10000.0)
         self.stay = min(200.0, ms(may, "maxRetryAfter", 0.0)) if may.get("retryAfter") else 0.0
         self.handshake = handshake
@@ -56,8 +60,14 @@
         self.listen = place_of(listen or said.get("listen"), "listen")
         self.bulletin = place_of(said.get("bulletin"), "bulletin")
         seed = said.get("seed")
-        need(isinstance(seed, str) and 0 < len(seed) <= 32 and not set(seed.lower()) - set("0123456789abcdef"), "seed",
-             "hex digits", seed)
+        need(
+            isinstance(seed, str)
+            and 0 < len(seed) <= 32
+            and not set(seed.lower()) - set("0123456789abcdef"),
+            "seed",
+            "hex digits",
+            seed,
+        )
         limits = said.get("limits")
         need(isinstance(limits, dict), "limits", "an object", limits)
         self.memory = int(number(limits, "memory_mb", "limits", 1) * 2**20)
@@ -80,11 +90,29 @@
         self.patience = FARTHEST * self.longest
         places, porch, _ = seats(sockets, RESERVE, 1)
         self.descriptors = sockets
-        self.terms = Terms(said["permissions"], said["familyInfo"], handshake, 1,
-                           (self.lease.tells_copy, self.lease.tells_crowd))
+        self.terms = Terms(
+            said["permissions"],
+            said["familyInfo"],
+            handshake,
+            1,
+            (self.lease.tells_copy, self.lease.tells_crowd),
+        )
         self.fit(sum(row.state != sse.GONE for row in self.known_rows()))
-        self.manners = Manners(places, (), 1e6, 1e6, 1e6, 1e6, SILENT, SILENT, IDLE, stranger_bytes=8 << 20,
-                               seed=seed, parts=(1, 1, 1), porch=porch)
+        self.manners = Manners(
+            places,
+            (),
+            1e6,
+            1e6,
+            1e6,
+            1e6,
+            SILENT,
+            SILENT,
+            IDLE,
+            stranger_bytes=8 << 20,
+            seed=seed,
+            parts=(1, 1, 1),
+            porch=porch,
+        )
 
     def fit(self, hosts):
         """So many hosts share the descriptors that are theirs from now on."""
--- a/cherrydoor/platform/doors.py
+++ b/cherrydoor/platform/doors.py
@@ -10,8 +10,8 @@
 from cherrydoor.gateway.sockets import has_unread_input, peer_closed
 
 HANDLED, BAD, KNOWN, LOST, DEFERRED = 200, 400, 409, 502, 503
-MOST_WAITING = 256 * 1024       # bytes that may wait for a client that does not read
-LINGER = 0.25                   # s for which a connection that is closed over unread input is read to its end
+MOST_WAITING = 256 * 1024  # bytes that may wait for a client that does not read
+LINGER = 0.25  # s for which a connection that is closed over unread input is read to its end
 
 
 class ClientEnd(Read, asyncio.BaseProtocol):
@@ -21,7 +21,7 @@
         self.door, self.arrival, self.chunk = door, arrival, door.chunk
         self.talk, self.transport, self.closing = invoke.Conversation(), None, False
         self.client = Client(self, has_closed=self.has_closed)
-        self.waits, self.seated_once = None, False      # the id that an answer is owed for
+        self.waits, self.seated_once = None, False  # the id that an answer is owed for
         arrival.caller.open = self.client.open
 
     def connection_made(self, transport):
@@ -62,8 +62,9 @@
         if self.closing or self.transport.is_closing():
             return
         body = body.encode() if isinstance(body, str) else body
-        data, over = self.talk.answer(status, body, -int(-stay_away // 1) if stay_away else None,
-                                      close or self.door.leaving)
+        data, over = self.talk.answer(
+            status, body, -int(-stay_away // 1) if stay_away else None, close or self.door.leaving
+        )
         self.transport.write(data)
         self.arrival.caller.used = self.door.shell.clock.now()
         if over:
@@ -118,7 +119,7 @@
     def released(self):
         """Nothing points back here any more: what has ended is freed at once, and does not wait for a collection."""
         self.arrival.end = self.arrival.task = self.arrival.caller.wire = self.transport = None
-        self.client.wire = self.arrival = None      # type: ignore[assignment]
+        self.client.wire = self.arrival = None  # type: ignore[assignment]
 
 
 class Known:
@@ -144,7 +145,9 @@
 
     def __init__(self, shell):
         self.shell, self.ends, self.leaving = shell, {}, False
-        self.chunk = bytearray(CHUNK)       # one for all: what is read is copied out before the next is read
+        self.chunk = bytearray(
+            CHUNK
+        )  # one for all: what is read is copied out before the next is read
         self.known = Known(2 * shell.station.longest)
 
     def make(self, arrival):
@@ -157,8 +160,11 @@
         if not end.seated_once:
             self.shell.hall.post(d.Shown(end.arrival.caller, ""))
             if end.seated_once:
-                self.shell.post(self.shell.desk.came_in, end.client,
-                                m.Hello(m.VERSION, "client", "", self.shell.clock.now()))
+                self.shell.post(
+                    self.shell.desk.came_in,
+                    end.client,
+                    m.Hello(m.VERSION, "client", "", self.shell.clock.now()),
+                )
         return end.seated_once and not end.closing
 
     def heard(self, end, note):
@@ -183,9 +189,18 @@
         figures = note.figures
         # A client sends as soon as the kernel has accepted it: what it waited for us until then is of its time.
         lasts, end.arrival.waited = max(1.0, note.patience - end.arrival.waited), 0.0
-        event = m.Event(int(note.id, 16), note.kind, note.function, lasts, now, note.customer,
-                        note.idempotency_key,
-                        figures.get("lanes", 0.0), figures.get("load_ms", 0.0), note.body)
+        event = m.Event(
+            int(note.id, 16),
+            note.kind,
+            note.function,
+            lasts,
+            now,
+            note.customer,
+            note.idempotency_key,
+            figures.get("lanes", 0.0),
+            figures.get("load_ms", 0.0),
+            note.body,
+        )
         end.waits = event.id
         self.shell.post(self.came, end, event)
 
--- a/cherrydoor/platform/links.py
+++ b/cherrydoor/platform/links.py
@@ -9,11 +9,18 @@
 from cherrydoor.gateway.sockets import after_input, peer_closed
 from cherrydoor.gateway.turn import dial
 
-MOST_WAITING = 4 << 20          # bytes that may wait for a host that does not read
-UNFINISHED = 0.25               # s that the rest of an answer may take; guards against those that stop short. Harms
-                                # where a host stands still in the midst of an answer: its launch is held to be lost
-FATES: dict[str, Any] = {resp.DONE: io.HANDLED, resp.MISSING: io.MISSING, resp.FULL: io.FULL, resp.BROKE: io.ERROR,
-                         resp.PAST: io.UNSENT}
+MOST_WAITING = 4 << 20  # bytes that may wait for a host that does not read
+UNFINISHED = (
+    0.25  # s that the rest of an answer may take; guards against those that stop short. Harms
+)
+# where a host stands still in the midst of an answer: its launch is held to be lost
+FATES: dict[str, Any] = {
+    resp.DONE: io.HANDLED,
+    resp.MISSING: io.MISSING,
+    resp.FULL: io.FULL,
+    resp.BROKE: io.ERROR,
+    resp.PAST: io.UNSENT,
+}
 
 
 class HostEnd(asyncio.Protocol):
@@ -21,7 +28,13 @@
     with its answer or when it is dropped, so there are as many as the link has open."""
 
     def __init__(self, floor, link):
-        self.floor, self.link, self.reader, self.tags, self.timer = floor, link, resp.Reader(), {}, None
+        self.floor, self.link, self.reader, self.tags, self.timer = (
+            floor,
+            link,
+            resp.Reader(),
+            {},
+            None,
+        )
         self.transport: Any = None
 
     def connection_made(self, transport):
@@ -40,8 +53,9 @@
         if kind is m.Launch:
             tag = f"{message.event:016x}"
             self.tags[tag] = message.id
-            data = resp.execute(tag, message.clause, message.function, message.limit, message.body,
-                                message.mark)
+            data = resp.execute(
+                tag, message.clause, message.function, message.limit, message.body, message.mark
+            )
         elif kind is m.Recall:
             tag = next((tag for tag, number in self.tags.items() if number == message.id), "")
             if not tag:
@@ -74,7 +88,9 @@
 
     def wait_for_rest(self):
         loop = self.floor.shell.loop
-        self.timer = loop.call_later(UNFINISHED, after_input, loop, self.unfinished, len(self.reader.held))
+        self.timer = loop.call_later(
+            UNFINISHED, after_input, loop, self.unfinished, len(self.reader.held)
+        )
 
     def unfinished(self, size):
         """Nothing more has come of an answer for a while; where some has, it has the same time again."""
@@ -91,16 +107,34 @@
         if tag in self.tags:
             if word not in FATES:
                 return self.floor.spoilt(self, "a probe's word to a launch")
-            shell.post(shell.desk.heard, self.link, m.Outcome(
-                self.tags.pop(tag), FATES[word], answer.note, answer.crowd or 0, answer.meter.get("inflight"),
-                answer.body, None, answer.meter.get("queue"), answer.meter.get("x0")))
+            shell.post(
+                shell.desk.heard,
+                self.link,
+                m.Outcome(
+                    self.tags.pop(tag),
+                    FATES[word],
+                    answer.note,
+                    answer.crowd or 0,
+                    answer.meter.get("inflight"),
+                    answer.body,
+                    None,
+                    answer.meter.get("queue"),
+                    answer.meter.get("x0"),
+                ),
+            )
         elif tag[:1] in "po" and tag[1:].isdigit() and len(tag) < 16:
             number = int(tag[1:])
             if tag[0] == "p" and word in (resp.FIT, resp.UNFIT):
                 fate: Any = io.HANDLED if word == resp.FIT else io.ERROR
-                shell.post(shell.desk.heard, self.link, m.Probed(number, fate, answer.meter.get("inflight")))
+                shell.post(
+                    shell.desk.heard,
+                    self.link,
+                    m.Probed(number, fate, answer.meter.get("inflight")),
+                )
             elif tag[0] == "o" and word in FATES:
-                shell.post(shell.desk.heard, self.link, m.Ordered(number, FATES[word], answer.copies or 0))
+                shell.post(
+                    shell.desk.heard, self.link, m.Ordered(number, FATES[word], answer.copies or 0)
+                )
 
     def close(self, reason=""):
         if self.transport is not None:
@@ -141,9 +175,13 @@
     def listed(self, how, rows, places):
         self.places.update(places)
         self.shell.desk.listed(how, rows)
-        self.shell.station.fit(sum(host.row.state != "gone" for host in self.shell.desk.hosts.values()))
+        self.shell.station.fit(
+            sum(host.row.state != "gone" for host in self.shell.desk.hosts.values())
+        )
         if len(self.places) > 2 * len(self.shell.desk.hosts) + 16:
-            self.places = {name: at for name, at in self.places.items() if name in self.shell.desk.hosts}
+            self.places = {
+                name: at for name, at in self.places.items() if name in self.shell.desk.hosts
+            }
 
     def crossed(self, host, what):
         """Counts what crosses the sockets, while a trace is on."""
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -25,11 +25,18 @@
 from cherrydoor.platform.links import Floor
 
 BAD_CONFIGURATION, PORT_TAKEN, BROKEN = 64, 69, 70
-COMING = 0.7                # s after SIGTERM for which clients still come
-LEAST_LAST = 3.0            # s that the longest time of an event counts for at least, when leaving
-FACTS = 10.0                # s between lines with what the process uses
-REREAD = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)    # s until a file that could not be used at SIGHUP is looked at once more,
-                                            # by how often it was: it may have been half written
+COMING = 0.7  # s after SIGTERM for which clients still come
+LEAST_LAST = 3.0  # s that the longest time of an event counts for at least, when leaving
+FACTS = 10.0  # s between lines with what the process uses
+REREAD = (
+    0.05,
+    0.1,
+    0.2,
+    0.4,
+    0.8,
+    1.6,
+)  # s until a file that could not be used at SIGHUP is looked at once more,
+# by how often it was: it may have been half written
 
 
 class Clock:
@@ -60,7 +67,13 @@
         """reload_wanted() tells whether SIGHUP came before this process could act on it."""
         super().__init__(Clock())
         self.reload_wanted, self.rereading = reload_wanted, None
-        self.station, self.path, self.trace, self.ready, self.code = station, path, trace, False, None
+        self.station, self.path, self.trace, self.ready, self.code = (
+            station,
+            path,
+            trace,
+            False,
+            None,
+        )
         self.said, self.began, self.listener, self.desk = {}, self.clock.now(), None, None
         self.uses = Use(station.memory, station.descriptors)
         self.hall = Hall(station.manners, self.clock, self.uses, self.say)
@@ -73,7 +86,9 @@
             self.bulletin.tell(told)
 
     def new_desk(self):
-        return Desk(Gateway(self.station.lease), self.station.terms, self.floor.dial, self.clock.now())
+        return Desk(
+            Gateway(self.station.lease), self.station.terms, self.floor.dial, self.clock.now()
+        )
 
     def say(self, event, **said):
         """A line on standard error; the same event at most once a second, with how often it was left out."""
@@ -86,13 +101,22 @@
         self.line(event, **said, **({"left_out": left} if left else {}))
 
     def line(self, event, **said):
-        print(json.dumps({"at": round(self.clock.now()), "is": event, **said}), file=sys.stderr, flush=True)
+        print(
+            json.dumps({"at": round(self.clock.now()), "is": event, **said}),
+            file=sys.stderr,
+            flush=True,
+        )
 
     async def run(self):
         try:
-            self.listener = Listener(self.hall, address(self.station.listen), self.door.make, word=invoke.refusal)
+            self.listener = Listener(
+                self.hall, address(self.station.listen), self.door.make, word=invoke.refusal
+            )
         except OSError as error:
-            print(f"{self.station.listen}: the door cannot be opened: {error.strerror}", file=sys.stderr)
+            print(
+                f"{self.station.listen}: the door cannot be opened: {error.strerror}",
+                file=sys.stderr,
+            )
             return PORT_TAKEN
         self.loop.add_signal_handler(signal.SIGHUP, self.read_anew)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -103,13 +127,23 @@
         self.turn()
         gc.collect()
         gc.freeze()
-        gc.set_threshold(1000, 5, 2)        # little is kept: a full collection is cheap, and memory stays flat
+        gc.set_threshold(
+            1000, 5, 2
+        )  # little is kept: a full collection is cheap, and memory stays flat
         self.uses.base = self.uses.measure_held()
         self.ready = True
-        self.say("ready", gateway=self.station.name, listen=self.station.listen, hosts=len(self.desk.hosts),
-                 held_mb=round(self.uses.base / 2**20, 1), links=self.station.terms.links,
-                 places=self.station.manners.places, cores=self.station.cores,
-                 memory_mb=self.station.memory >> 20, sockets=self.station.descriptors)
+        self.say(
+            "ready",
+            gateway=self.station.name,
+            listen=self.station.listen,
+            hosts=len(self.desk.hosts),
+            held_mb=round(self.uses.base / 2**20, 1),
+            links=self.station.terms.links,
+            places=self.station.manners.places,
+            cores=self.station.cores,
+            memory_mb=self.station.memory >> 20,
+            sockets=self.station.descriptors,
+        )
         self.loop.call_later(FACTS, self.facts)
         if self.trace:
             self.floor.traffic = {}
@@ -133,7 +167,7 @@
         if self.rereading is not None:
             self.rereading.cancel()
             self.rereading = None
-        self.uses.let_go()          # the file can be opened, also where clients have all descriptors
+        self.uses.let_go()  # the file can be opened, also where clients have all descriptors
         try:
             new = configuration.read(self.path, self.station.listen, self.station.descriptors)
         except configuration.Wrong as error:
@@ -197,11 +231,19 @@
     def facts(self):
         use = resource.getrusage(resource.RUSAGE_SELF)
         self.loop.call_later(FACTS, self.facts)
-        self.line("facts", for_s=round((self.clock.now() - self.began) / 1000, 1),
-                  cpu_s=round(use.ru_utime + use.ru_stime, 2), held_mb=round(self.uses.measure_held() / 2**20, 1),
-                  descriptors=self.uses.used(), clients=len(self.door.ends), links=len(self.floor.ends),
-                  events=len(self.desk.taken), hosts=len(self.desk.hosts), counts=dict(self.desk.counts),
-                  doors=self.hall.guard.counts)
+        self.line(
+            "facts",
+            for_s=round((self.clock.now() - self.began) / 1000, 1),
+            cpu_s=round(use.ru_utime + use.ru_stime, 2),
+            held_mb=round(self.uses.measure_held() / 2**20, 1),
+            descriptors=self.uses.used(),
+            clients=len(self.door.ends),
+            links=len(self.floor.ends),
+            events=len(self.desk.taken),
+            hosts=len(self.desk.hosts),
+            counts=dict(self.desk.counts),
+            doors=self.hall.guard.counts,
+        )
 
     def believed(self):
         """The trace: for each host what the module holds to be so, beside what has crossed the sockets since."""
@@ -212,19 +254,38 @@
         for name, host in sorted(gate.hosts.items()):
             desk = self.desk.hosts.get(name)
             open_ = sum(len(link.out) for link in desk.links) if desk else 0
-            rows.append({"host": name, "state": host.state, "out": len(host.out), "load": host.load(),
-                         "busy": host.sheds, "shut": max(0, round(host.shut - now)), "strikes": host.strikes,
-                         "probing": host.probing, "mean": round(host.mean(), 1), "level": round(host.level(now), 2),
-                         "full": round(host.full.read(now), 2),
-                         "copies": sum(host in f.copies for f in gate.history.functions.values()),
-                         "links": len(desk.links) if desk else 0, "open": open_, "crossed": traffic.get(name, {})})
-        self.line("believed", mean=round(gate.mean(), 1), blind=gate.blind, brisk=round(gate.brisk, 1),
-                  load=round(gate.load), hosts=rows)
+            rows.append(
+                {
+                    "host": name,
+                    "state": host.state,
+                    "out": len(host.out),
+                    "load": host.load(),
+                    "busy": host.sheds,
+                    "shut": max(0, round(host.shut - now)),
+                    "strikes": host.strikes,
+                    "probing": host.probing,
+                    "mean": round(host.mean(), 1),
+                    "level": round(host.level(now), 2),
+                    "full": round(host.full.read(now), 2),
+                    "copies": sum(host in f.copies for f in gate.history.functions.values()),
+                    "links": len(desk.links) if desk else 0,
+                    "open": open_,
+                    "crossed": traffic.get(name, {}),
+                }
+            )
+        self.line(
+            "believed",
+            mean=round(gate.mean(), 1),
+            blind=gate.blind,
+            brisk=round(gate.brisk, 1),
+            load=round(gate.load),
+            hosts=rows,
+        )
 
 
 def main(trace=0.0):
     """Runs the gateway that the environment tells of; its exit code."""
-    early: list = []        # SIGHUP before the loop runs: by default it would end the process
+    early: list = []  # SIGHUP before the loop runs: by default it would end the process
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
     path, listen = os.environ.get("PROXY_CONFIG"), os.environ.get("PROXY_LISTEN")
     try:
@@ -233,11 +294,14 @@
         station = configuration.read(path, listen, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         said = os.environ.get("PROXY_NAME")
         if said and said != station.name:
-            raise configuration.Wrong(f"PROXY_NAME: {said!r} is not the configuration's name {station.name!r}")
+            raise configuration.Wrong(
+                f"PROXY_NAME: {said!r} is not the configuration's name {station.name!r}"
+            )
     except configuration.Wrong as error:
         print(f"cherrydoor platform: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
 
     async def life():
         return await Platform(station, path, trace, lambda: bool(early)).run()
+
     return uvloop.run(life())
--- a/cherrydoor/platform/settings.py
+++ b/cherrydoor/platform/settings.py
@@ -9,13 +9,22 @@
 
 REPEATS = ("repeatable", "by_key", "once")
 SCOPES = ("all", "zone", "cell")
-SECTIONS = {        # the figures of each section: none is below 0
+SECTIONS = {  # the figures of each section: none is below 0
     "permissions": ("maxAttempts", "maxRetryAfter", "connIdle", "connectTimeout", "mostHeld"),
     "rules": ("coldFrom", "cold", "overloadFactor", "fall", "drainGrace"),
     "familyInfo": ("lingerIdle", "loadsAnyway", "loadPart", "loadsWithin", "loadWait"),
-    "prices": ("handshake",)}
-ZERO_IS_UNSTATED = {"maxAttempts", "connIdle", "connectTimeout", "mostHeld", "loadWait", "resolution", "quotaPerS",
-                    "aim"}
+    "prices": ("handshake",),
+}
+ZERO_IS_UNSTATED = {
+    "maxAttempts",
+    "connIdle",
+    "connectTimeout",
+    "mostHeld",
+    "loadWait",
+    "resolution",
+    "quotaPerS",
+    "aim",
+}
 
 
 class Wrong(Exception):
@@ -29,8 +38,15 @@
 
 def number(said, name, place, least):
     value = said.get(name)
-    need(isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value) and least <= value < 1e12,
-         f"{place}.{name}", f"a number of at least {least:g}", value)
+    need(
+        isinstance(value, int | float)
+        and not isinstance(value, bool)
+        and isfinite(value)
+        and least <= value < 1e12,
+        f"{place}.{name}",
+        f"a number of at least {least:g}",
+        value,
+    )
     return value
 
 
@@ -59,7 +75,9 @@
 
 
 def named(row, place):
-    need(isinstance(row.get("name"), str) and row["name"], f"{place}.name", "a name", row.get("name"))
+    need(
+        isinstance(row.get("name"), str) and row["name"], f"{place}.name", "a name", row.get("name")
+    )
 
 
 def request_class(said, place):
@@ -67,9 +85,18 @@
     row = stated(said, ("aim", "dedupWindow"), place)
     named(row, place)
     deadline = number(row, "deadline", place, 1.0)
-    need(row.get("repeat") in REPEATS, f"{place}.repeat", f"one of {', '.join(REPEATS)}", row.get("repeat"))
-    need(row.get("dedupScope", "cell") in SCOPES, f"{place}.dedupScope", f"one of {', '.join(SCOPES)}",
-         row.get("dedupScope"))
+    need(
+        row.get("repeat") in REPEATS,
+        f"{place}.repeat",
+        f"one of {', '.join(REPEATS)}",
+        row.get("repeat"),
+    )
+    need(
+        row.get("dedupScope", "cell") in SCOPES,
+        f"{place}.dedupScope",
+        f"one of {', '.join(SCOPES)}",
+        row.get("dedupScope"),
+    )
     return {"aim": deadline} | row
 
 
@@ -87,7 +114,7 @@
     for section, names in SECTIONS.items():
         found[section] = stated(found.get(section, {}), names, f"settings.{section}")
     if not found["rules"].get("overloadFactor"):
-        found["rules"]["fall"] = 0.0        # no multiple, no limit for cold hosts
+        found["rules"]["fall"] = 0.0  # no multiple, no limit for cold hosts
     found["requestClasses"] = [request_class(*row) for row in listed(found, "requestClasses")]
     need(found["requestClasses"], "settings.requestClasses", "at least one", "none")
     found["tenants"] = [tenant(*row) for row in listed(found, "tenants")]
--- a/cherrydoor/rehearsal/acts.py
+++ b/cherrydoor/rehearsal/acts.py
@@ -88,7 +88,9 @@
                 continue
             try:
                 async with asyncio.timeout(1.0):
-                    reader, writer = await asyncio.open_unix_connection(str(self.folder / f"g{number}.control"))
+                    reader, writer = await asyncio.open_unix_connection(
+                        str(self.folder / f"g{number}.control")
+                    )
                     writer.write(json.dumps(said).encode() + b"\n")
                     line = await reader.readline()
                     writer.close()
@@ -103,7 +105,10 @@
         answer = await self.ask({"do": "site", "what": word, "site": site, "even": True})
         self.record.add("site", fate=word, text=site, function=str((answer or {}).get("error", "")))
         last = None
-        while word == "drain" and (said := await self.ask({"do": "site", "what": "show", "site": site})) is not None:
+        while (
+            word == "drain"
+            and (said := await self.ask({"do": "site", "what": "show", "site": site})) is not None
+        ):
             state = said.get("state", ""), said.get("wave", 0), said.get("conductor", "")
             if state != last:
                 self.record.add("site", peer=state[2], fate=state[0], number=state[1], text=site)
@@ -115,7 +120,9 @@
     async def do_kill_conductor(self, back):
         """Whoever conducts a drain, and nobody else; it comes back later."""
         for site in self.day["fleet"]["floors"]:
-            name = (await self.ask({"do": "site", "what": "show", "site": site}) or {}).get("conductor")
+            name = (await self.ask({"do": "site", "what": "show", "site": site}) or {}).get(
+                "conductor"
+            )
             if name:
                 await self.do_kill_gateway(int(name[1:]))
                 await asyncio.sleep(back / 1000)
@@ -132,14 +139,22 @@
         await self.farm.tell("flush", functions=functions, release=release)
 
     async def do_flood(self, per_second):
-        await self.crowd.tell("flood", doors=list(self.doors.values()), per_second=per_second,
-                              tls=self.day["doors"]["tls"])
+        await self.crowd.tell(
+            "flood",
+            doors=list(self.doors.values()),
+            per_second=per_second,
+            tls=self.day["doors"]["tls"],
+        )
 
     async def do_reconnect(self, count):
         """At the gateways that run, an office's connections beside those that it has."""
         up = [g for g, (part, _) in self.gateways.items() if part.process.returncode is None]
-        await self.crowd.tell("come back", doors={f"g{g}": self.doors[g] for g in sorted(up)},
-                              offices=self.comes(), count=count)
+        await self.crowd.tell(
+            "come back",
+            doors={f"g{g}": self.doors[g] for g in sorted(up)},
+            offices=self.comes(),
+            count=count,
+        )
 
     async def do_key_change(self, gateways, times):
         """New certificates one after the other, with a half-written key between two."""
@@ -158,7 +173,9 @@
         if not self.day["feed"]["gradual"]:
             return await self.do_flush(functions, version)
         if bad:
-            await self.farm.tell("bad", functions=[f"{name}@{version}" for name in functions], **bad)
+            await self.farm.tell(
+                "bad", functions=[f"{name}@{version}" for name in functions], **bad
+            )
         await self.feed.tell("release", functions=functions, version=version)
 
     def mates(self, gateway):
@@ -176,7 +193,9 @@
     async def do_start_gateway(self, gateway):
         part, group = self.mates(gateway)
         if part.process.returncode is not None and part not in self.replaced:
-            self.replaced.add(part)         # its mates are to be started at the same moment, and come along
+            self.replaced.add(
+                part
+            )  # its mates are to be started at the same moment, and come along
             await self.start_gateways(group)
 
     async def do_stop_gateway(self, gateway):
--- a/cherrydoor/rehearsal/answers.py
+++ b/cherrydoor/rehearsal/answers.py
@@ -4,9 +4,13 @@
 
 from cherrydoor.rehearsal.seen import SLACK, Break
 
-NEAR = 150.0                # ms around the end of a client's time in which what a process waited for a core counts
+NEAR = (
+    150.0  # ms around the end of a client's time in which what a process waited for a core counts
+)
 
-WOKE = 5000.0               # ms after a gateway wakes or is reached again within which it may learn that it is over
+WOKE = (
+    5000.0  # ms after a gateway wakes or is reached again within which it may learn that it is over
+)
 
 
 class Answers:
@@ -44,10 +48,14 @@
                     if self.within(self.stopped, gateway, over, SLACK):
                         self.excused["launched as its gateway woke"] += 1
                     else:
-                        self.broke(1, launch["t"], "a launch after the final answer", gateway, number)
+                        self.broke(
+                            1, launch["t"], "a launch after the final answer", gateway, number
+                        )
         for number, rows in self.ends.items():
             if number not in self.sent:
-                self.broke(1, rows[0]["t"], "an answer to what was never sent", rows[0]["peer"], number)
+                self.broke(
+                    1, rows[0]["t"], "an answer to what was never sent", rows[0]["peer"], number
+                )
 
     def unanswered(self, number, gateway, until, others):
         end = others[0] if others else None
@@ -56,10 +64,15 @@
         elif end and end["what"] == "cut":
             if self.within(self.down, gateway, end["t"], SLACK):
                 self.excused["held by a gateway that was killed"] += 1
-            elif any(self.within(spans, gateway, end["t"], WOKE) for spans in (self.stopped, self.cut_off)):
+            elif any(
+                self.within(spans, gateway, end["t"], WOKE)
+                for spans in (self.stopped, self.cut_off)
+            ):
                 self.excused["held by a gateway whose life was over"] += 1
             else:
-                self.broke(1, end["t"], "a connection closed on an event not answered", gateway, number)
+                self.broke(
+                    1, end["t"], "a connection closed on an event not answered", gateway, number
+                )
         elif self.within(self.stopped, gateway, until, SLACK):
             self.excused["due while its gateway stood still"] += 1
         elif self.within(self.down, gateway, until, SLACK):
@@ -71,7 +84,9 @@
         if self.within(self.stopped, gateway, until, SLACK):
             self.excused["answered late as its gateway stood still"] += 1
         else:
-            self.timed(t, f"a final answer {t - until:.1f} ms late", gateway, number, until, t - until)
+            self.timed(
+                t, f"a final answer {t - until:.1f} ms late", gateway, number, until, t - until
+            )
 
     def timed(self, t, what, gateway, number, until, late=0.0):
         """A break of rule 1 by time alone."""
@@ -83,6 +98,11 @@
     def too_crowded(self, gateway, until, late):
         """Whether the spare of a client's time, and what the answer was late beyond it, was spent without a core by
         its gateway, the clients or the hosts: then this machine broke the rule, and nothing is shown of the gateway."""
-        spent = sum(max((a for t, a in self.waits[name] if until - NEAR <= t <= until + late + NEAR), default=0.0)
-                    for name in (gateway, "clients", "hosts", ""))
+        spent = sum(
+            max(
+                (a for t, a in self.waits[name] if until - NEAR <= t <= until + late + NEAR),
+                default=0.0,
+            )
+            for name in (gateway, "clients", "hosts", "")
+        )
         return spent >= self.terms.get("spare", 0.0) + late
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -9,7 +9,9 @@
 
 def may_get(gate, evt):
     been = [t.host for t in evt.tries]
-    fit = [h for h in gate.hosts.values() if h.ready(gate.now) and h not in been and gate.may(evt, h)]
+    fit = [
+        h for h in gate.hosts.values() if h.ready(gate.now) and h not in been and gate.may(evt, h)
+    ]
     return sorted(fit, key=lambda h: h.id)
 
 
--- a/cherrydoor/rehearsal/between.py
+++ b/cherrydoor/rehearsal/between.py
@@ -15,7 +15,15 @@
 from cherrydoor.frames.codec import PREFIX
 from cherrydoor.standin.record import Record, now
 
-CALM = {"delay": 0.0, "spread": 0.0, "drop": 0.0, "double": 0.0, "reorder": 0.0, "cut": False, "hold": False}
+CALM = {
+    "delay": 0.0,
+    "spread": 0.0,
+    "drop": 0.0,
+    "double": 0.0,
+    "reorder": 0.0,
+    "cut": False,
+    "hold": False,
+}
 
 
 class Way:
@@ -60,7 +68,13 @@
 
 class Relay:
     def __init__(self, seed=1):
-        self.rng, self.rules, self.pairs, self.counts, self.servers = random.Random(seed), [], [], {}, []
+        self.rng, self.rules, self.pairs, self.counts, self.servers = (
+            random.Random(seed),
+            [],
+            [],
+            {},
+            [],
+        )
 
     def count(self, what):
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -74,7 +88,9 @@
     async def port(self, to, target, at=""):
         """Opens a port in front of a target; its address."""
         host, _, port = (at or "127.0.0.1:0").rpartition(":")
-        server = await asyncio.start_server(lambda r, w: self.came(r, w, to, target), host, int(port), limit=2**26)
+        server = await asyncio.start_server(
+            lambda r, w: self.came(r, w, to, target), host, int(port), limit=2**26
+        )
         self.servers.append(server)
         return f"{host}:{server.sockets[0].getsockname()[1]}"
 
@@ -84,7 +100,7 @@
             first = await frame_of(reader)
             origin = str(msgpack.decode(first[PREFIX:]).get("name", ""))
             if self.rule(origin, to)["cut"]:
-                return await asyncio.sleep(3600)        # nothing comes up, and nothing is said
+                return await asyncio.sleep(3600)  # nothing comes up, and nothing is said
             host, _, port = target.rpartition(":")
             other_reader, other = await asyncio.open_connection(host, int(port), limit=2**26)
             there, back = Way(self, origin, to, other), Way(self, to, origin, writer)
@@ -96,9 +112,9 @@
             finally:
                 self.pairs.remove(pair)
         except asyncio.CancelledError:
-            pass                                # the rehearsal ends
+            pass  # the rehearsal ends
         except (OSError, asyncio.IncompleteReadError, ValueError, AttributeError):
-            writer.transport.abort()        # nobody there: it is told as a refusal would be
+            writer.transport.abort()  # nobody there: it is told as a refusal would be
         finally:
             for one in (writer, other):
                 if one is not None:
@@ -152,7 +168,9 @@
             else:
                 way.pass_on(frame)
     finally:
-        while way.relay.rule(way.origin, way.to)["cut"]:        # an end is not heard of through a cut either
+        while way.relay.rule(way.origin, way.to)[
+            "cut"
+        ]:  # an end is not heard of through a cut either
             await asyncio.sleep(0.05)
         way.writer.close()
 
@@ -160,6 +178,7 @@
 async def play(said):
     """As a process of a rehearsal."""
     from cherrydoor.standin.command import commands, say
+
     record = Record(said.get("record"), "between", "between")
     relay = Relay(said.get("seed", 1))
 
@@ -172,6 +191,7 @@
             return relay.counts
         record.add("rule", text=f"{name} {values}", a=now())
         getattr(relay, name)(**values)
+
     say("ready")
     await commands(obey)
     record.close()
--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -20,12 +20,26 @@
 class Try:
     """One event as sent: the first try of it, or a repeat."""
 
-    __slots__ = ("id", "first", "index", "due", "until", "deadline", "turn", "conn", "asks", "taker")
+    __slots__ = (
+        "id",
+        "first",
+        "index",
+        "due",
+        "until",
+        "deadline",
+        "turn",
+        "conn",
+        "asks",
+        "taker",
+    )
 
     def __init__(self, number, first, index, due, deadline, turn):
         self.id, self.first, self.index, self.due = number, first, index, due
         self.deadline, self.turn, self.until, self.conn = deadline, turn, 0.0, None
-        self.asks, self.taker = number, ("", 0)     # the id under which its answer is awaited; who took it, which life
+        self.asks, self.taker = (
+            number,
+            ("", 0),
+        )  # the id under which its answer is awaited; who took it, which life
 
 
 class Clients:
@@ -34,10 +48,21 @@
         self.arrivals, self.events = draw(day), day["events"]
         self.offices = [o["name"] for o in day["offices"]] or [""]
         comes = comes or {}
-        self.doors = [[Connection(self, i, address, office, comes.get(office, {"address": "", "keys": {}}))
-                       for office in (self.offices if comes else [""])] for i, address in enumerate(doors)]
+        self.doors = [
+            [
+                Connection(self, i, address, office, comes.get(office, {"address": "", "keys": {}}))
+                for office in (self.offices if comes else [""])
+            ]
+            for i, address in enumerate(doors)
+        ]
         self.bodies = [b"b" * e["body"] for e in self.events]
-        self.heap, self.serial, self.next, self.ids, self.ends = [], 0, 0, 0, self.loop.create_future()
+        self.heap, self.serial, self.next, self.ids, self.ends = (
+            [],
+            0,
+            0,
+            0,
+            self.loop.create_future(),
+        )
         self.names = [f"g{i}" for i in range(len(doors))]
         self.begun, self.streams = 0.0, set()
 
@@ -91,18 +116,41 @@
         lasts = min(event["max_age"] * a.patience[i], one.deadline - t)
         if lasts <= 1:
             return
-        row = dict(peer=self.names[conn.number], id=one.id, event=one.id, number=one.index,
-                   function=function_name(a.function[i]), clause=event["name"], party=self.offices[a.party[i]],
-                   mark=f"m{i}", a=float(one.due), b=float(lasts), c=float(i))
+        row = dict(
+            peer=self.names[conn.number],
+            id=one.id,
+            event=one.id,
+            number=one.index,
+            function=function_name(a.function[i]),
+            clause=event["name"],
+            party=self.offices[a.party[i]],
+            mark=f"m{i}",
+            a=float(one.due),
+            b=float(lasts),
+            c=float(i),
+        )
         if conn.end is None or conn.leaving:
             self.record.add("unreachable", t=t, **row)
             return self.again(one, "unreachable", 0.0)
         one.conn, one.until = conn, t + lasts
         conn.open[one.id] = one
         self.record.add("sent", t=t, text="extra" if a.extra[i] else "", **row)
-        conn.end.write(m.Event(one.id, event["name"], row["function"], lasts, t, row["party"], row["mark"],
-                               self.lanes(a.function[i]), self.load(a.function[i]), self.bodies[a.clause[i]],
-                               key=f"{self.chance('key', one.id):.17f}", document=self.document(a.function[i], i)))
+        conn.end.write(
+            m.Event(
+                one.id,
+                event["name"],
+                row["function"],
+                lasts,
+                t,
+                row["party"],
+                row["mark"],
+                self.lanes(a.function[i]),
+                self.load(a.function[i]),
+                self.bodies[a.clause[i]],
+                key=f"{self.chance('key', one.id):.17f}",
+                document=self.document(a.function[i], i),
+            )
+        )
         one.taker = conn.name, conn.life
         self.later(one.until, self.gave_up, one)
         if a.leaves[i] and one.index == 0:
@@ -128,9 +176,17 @@
 
     def answered(self, conn, answer):
         one = conn.open.get(answer.id)
-        self.record.add("answer", peer=self.names[conn.number], id=answer.id, event=one.id if one else answer.id,
-                        fate=answer.fate, a=answer.stay_away, number=int(one is not None), text=answer.reason,
-                        clause="claimed" if one is not None and one.asks != one.id else "")
+        self.record.add(
+            "answer",
+            peer=self.names[conn.number],
+            id=answer.id,
+            event=one.id if one else answer.id,
+            fate=answer.fate,
+            a=answer.stay_away,
+            number=int(one is not None),
+            text=answer.reason,
+            clause="claimed" if one is not None and one.asks != one.id else "",
+        )
         if one is None:
             return
         self.close(one)
@@ -166,30 +222,54 @@
     def reclaim(self, one):
         """Claims the answer at another gateway, where work in hand outlives its own; False where nobody is there."""
         t, doors = now(), [door[0] for door in self.doors]
-        there = [conn for conn in doors if conn.end is not None and not conn.leaving and conn.name != one.taker[0]]
+        there = [
+            conn
+            for conn in doors
+            if conn.end is not None and not conn.leaving and conn.name != one.taker[0]
+        ]
         if not one.taker[1] or not there or one.until - t < 60.0:
             return False
         conn = there[int(self.chance("claim", one.id, one.asks) * len(there))]
         one.asks, one.conn = self.new_id(), conn
         conn.open[one.asks] = one
-        self.record.add("claims", peer=self.names[conn.number], id=one.asks, event=one.id, text=one.taker[0])
-        conn.end.write(custody.Reclaim(one.asks, one.taker[0], one.taker[1], one.id,
-                                       f"{self.chance('key', one.id):.17f}", one.until - t, t))
+        self.record.add(
+            "claims", peer=self.names[conn.number], id=one.asks, event=one.id, text=one.taker[0]
+        )
+        conn.end.write(
+            custody.Reclaim(
+                one.asks,
+                one.taker[0],
+                one.taker[1],
+                one.id,
+                f"{self.chance('key', one.id):.17f}",
+                one.until - t,
+                t,
+            )
+        )
         return True
 
     def unknown(self, conn, message):
         """Nobody knows of it: it may have run or not."""
         one = conn.open.get(message.id)
         if one is not None:
-            self.record.add("not known", peer=self.close(one), id=one.id, event=one.id, text=message.reason)
+            self.record.add(
+                "not known", peer=self.close(one), id=one.id, event=one.id, text=message.reason
+            )
             self.again(one, "cut", 0.0)
 
     def again(self, one, why, stay):
         """Repeats what may be repeated: redeliverable ones after any failure, keyed ones within the memory of a group
         that is all, others only where the answer says that it is harmless."""
         event, clients, t = self.events[self.arrivals.clause[one.first]], self.day["clients"], now()
-        harmless = why in ("deferred", "unreachable") or event["kind"] == "redeliverable" or (
-            event["kind"] == "keyed" and event["group"] == "all" and t - one.due < 0.8 * event["memory"])
+        harmless = (
+            why in ("deferred", "unreachable")
+            or event["kind"] == "redeliverable"
+            or (
+                event["kind"] == "keyed"
+                and event["group"] == "all"
+                and t - one.due < 0.8 * event["memory"]
+            )
+        )
         if one.index >= clients["retries"] or not harmless:
             return
         wait = clients["wait"] * 2**one.index * (0.5 + self.chance("wait", one.id))
@@ -198,13 +278,19 @@
         if t + wait < one.deadline - 50:
             # a repeat goes to another gateway where this one was out of reach
             turn = one.turn + (1 if why in ("unreachable", "cut") else 0)
-            self.later(t + wait, self.send, Try(self.new_id(), one.first, one.index + 1, one.due, one.deadline, turn))
+            self.later(
+                t + wait,
+                self.send,
+                Try(self.new_id(), one.first, one.index + 1, one.due, one.deadline, turn),
+            )
 
 
 async def play(said):
     record = Record(said["record"], "client", "clients")
     clients = Clients(said["day"], said["doors"], record, said.get("comes"))
-    tasks = [asyncio.get_running_loop().create_task(one.keep()) for door in clients.doors for one in door]
+    tasks = [
+        asyncio.get_running_loop().create_task(one.keep()) for door in clients.doors for one in door
+    ]
     while any(one.end is None for door in clients.doors for one in door):
         await asyncio.sleep(0.02)
     gc.collect()
@@ -222,6 +308,7 @@
     def over(_):
         record.flush()
         say("over", sent=clients.ids)
+
     clients.ends.add_done_callback(over)
     await commands(obey)
     for task in tasks:
--- a/cherrydoor/rehearsal/conduct.py
+++ b/cherrydoor/rehearsal/conduct.py
@@ -24,12 +24,11 @@
     found = []
     for floor in range(min(floors, count)):
         here = list(range(floor, count, floors))
-        found += [here[i:i + together] for i in range(0, len(here), together)]
+        found += [here[i : i + together] for i in range(0, len(here), together)]
     return found
 
 
 class Conductor(Acts):
-
     def __init__(self, day, folder, tell=lambda text: None):
         self.day, self.folder, self.tell = day, Path(folder), tell
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -58,7 +57,9 @@
                 task.cancel()
             for part in self.parts:
                 part.signal(signal.SIGCONT)
-                part.signal(signal.SIGTERM if part.process and part.process.returncode is None else 0)
+                part.signal(
+                    signal.SIGTERM if part.process and part.process.returncode is None else 0
+                )
             for part in self.parts:
                 await part.end(3.0)
             self.record.close()
@@ -67,20 +68,44 @@
     async def begin(self):
         day, traffic = self.day, str(self.traffic)
         self.record.add("terms", text=json.dumps(terms(day)))
-        catalogue = {k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")}
-        self.store = await self.part("store").start("stand-in", "store", given={
-            "record": traffic, "catalogue": catalogue, "figures": day["store"]})
+        catalogue = {
+            k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")
+        }
+        self.store = await self.part("store").start(
+            "stand-in",
+            "store",
+            given={"record": traffic, "catalogue": catalogue, "figures": day["store"]},
+        )
         at = (await self.store.until("ready"))["port"]
         self.builds, names = builds(day), [self.ports.take() for _ in builds(day)]
         await self.stand_between()
         binds = [await self.relayed(name) for name in names] if self.between else None
-        self.farm = await self.part("hosts").start("stand-in", "hosts", given={
-            "record": traffic, "catalogue": catalogue, "store": f"127.0.0.1:{at}", "seed": day["seed"],
-            "builds": self.builds, "names": names, "binds": binds,
-            "scopes": {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}})
-        self.list = await self.part("list").start("stand-in", "roll", given={
-            "record": traffic, "figures": {"notice": [1000 * n for n in day["list"]["notice"]],
-                                           "stale": day["list"]["stale"], "seed": day["seed"]}})
+        self.farm = await self.part("hosts").start(
+            "stand-in",
+            "hosts",
+            given={
+                "record": traffic,
+                "catalogue": catalogue,
+                "store": f"127.0.0.1:{at}",
+                "seed": day["seed"],
+                "builds": self.builds,
+                "names": names,
+                "binds": binds,
+                "scopes": {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"},
+            },
+        )
+        self.list = await self.part("list").start(
+            "stand-in",
+            "roll",
+            given={
+                "record": traffic,
+                "figures": {
+                    "notice": [1000 * n for n in day["list"]["notice"]],
+                    "stale": day["list"]["stale"],
+                    "seed": day["seed"],
+                },
+            },
+        )
         self.ids = dict(enumerate((await self.farm.until("ready"))["hosts"]))
         self.list_at = f"127.0.0.1:{(await self.list.until('ready'))['port']}"
         for number, host in self.ids.items():
@@ -89,31 +114,55 @@
         self.make_keys()
         await self.meet()
         if day["feed"]["gradual"]:
-            self.feed = await self.part("feed").start("stand-in", "feed", given={"record": traffic, "figures": {
-                "notice": [1000 * n for n in day["feed"]["notice"]], "misses": day["feed"]["misses"],
-                "seed": day["seed"]}})
+            self.feed = await self.part("feed").start(
+                "stand-in",
+                "feed",
+                given={
+                    "record": traffic,
+                    "figures": {
+                        "notice": [1000 * n for n in day["feed"]["notice"]],
+                        "misses": day["feed"]["misses"],
+                        "seed": day["seed"],
+                    },
+                },
+            )
             self.feed_at = f"127.0.0.1:{(await self.feed.until('ready'))['port']}"
         count, together = day["gateways"]["count"], day["gateways"]["in_a_process"]
         groups = in_processes(count, together, len(day["fleet"]["floors"]))
         for i in range(0, len(groups), 8):
-            await asyncio.gather(*(self.start_gateways(group) for group in groups[i:i + 8]))
-        self.clients = await self.part("clients").start("stand-in", "clients", given={
-            "record": traffic, "day": day, "doors": [self.doors[g] for g in range(count)], "comes": self.comes()})
+            await asyncio.gather(*(self.start_gateways(group) for group in groups[i : i + 8]))
+        self.clients = await self.part("clients").start(
+            "stand-in",
+            "clients",
+            given={
+                "record": traffic,
+                "day": day,
+                "doors": [self.doors[g] for g in range(count)],
+                "comes": self.comes(),
+            },
+        )
         if any(t["what"] in ("flood", "reconnect") for t in day["troubles"]):
-            self.crowd = await self.part("crowd").start("stand-in", "crowd", given={"record": traffic})
+            self.crowd = await self.part("crowd").start(
+                "stand-in", "crowd", given={"record": traffic}
+            )
             await self.crowd.until("ready")
         self.count = (await self.clients.until("ready", 120.0))["events"]
         self.begun = now() + 500
         self.clients.tell("go", at=self.begun)
         self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
-        self.tasks.add(asyncio.get_running_loop().create_task(Crowding(self.record, now, self.processes).watch()))
+        self.tasks.add(
+            asyncio.get_running_loop().create_task(
+                Crowding(self.record, now, self.processes).watch()
+            )
+        )
 
     async def stand_between(self):
         """A relay, on days on which gateways have fellows and links that trouble may strike."""
         fellows = self.day.get("fellows") or {}
         if fellows.get("keepers") and fellows["between"]:
-            self.between = await self.part("between").start("stand-in", "between", given={
-                "record": str(self.traffic), "seed": self.day["seed"]})
+            self.between = await self.part("between").start(
+                "stand-in", "between", given={"record": str(self.traffic), "seed": self.day["seed"]}
+            )
             await self.between.until("ready")
 
     async def relayed(self, at, label=""):
@@ -127,7 +176,10 @@
         if (self.day.get("fellows") or {}).get("keepers"):
             for number in range(self.day["gateways"]["count"]):
                 at = self.ports.take()
-                self.meets[number] = (await self.relayed(at, f"g{number}") if self.between else at, at)
+                self.meets[number] = (
+                    await self.relayed(at, f"g{number}") if self.between else at,
+                    at,
+                )
 
     def make_keys(self):
         """On days with TLS: an authority, and certificates of all gateways and offices."""
@@ -144,8 +196,13 @@
         """Office -> where it comes from and the keys it has; {} where nobody is known."""
         if not self.day["doors"]["known"]:
             return {}
-        return {o["name"]: {"address": address_of(self.day, o["name"]),
-                            "keys": client_keys(self.day, o["name"], self.folder)} for o in self.day["offices"]}
+        return {
+            o["name"]: {
+                "address": address_of(self.day, o["name"]),
+                "keys": client_keys(self.day, o["name"], self.folder),
+            }
+            for o in self.day["offices"]
+        }
 
     async def start_gateways(self, group):
         """One process for a group of gateways; after a crash on the same ports."""
@@ -153,13 +210,24 @@
         for number in group:
             door = self.doors.get(number) or self.ports.take()
             path = self.folder / f"g{number}.lease"
-            path.write_text(show(lease_values(self.day, number, door, self.list_at, self.folder, self.feed_at,
-                                              self.meets)) + "\n")
+            path.write_text(
+                show(
+                    lease_values(
+                        self.day, number, door, self.list_at, self.folder, self.feed_at, self.meets
+                    )
+                )
+                + "\n"
+            )
             words += ["--lease", str(path)]
         decides = self.day["gateways"]["decides"]
-        await part.start("gateway", *words, "--tied", "--announce",
-                         *(["--baseline", decides] if decides != "module" else []),
-                         descriptors=self.day["doors"]["descriptors"])
+        await part.start(
+            "gateway",
+            *words,
+            "--tied",
+            "--announce",
+            *(["--baseline", decides] if decides != "module" else []),
+            descriptors=self.day["doors"]["descriptors"],
+        )
         for _ in group:
             said = await part.until("door")
             number = int(said["gateway"][1:])
@@ -168,14 +236,26 @@
 
     def processes(self):
         """(names, process id) of the parts whose time counts: those that judge, and the gateways by their names."""
-        found: list = [(("clients",), self.clients), (("hosts",), self.farm), (("list",), self.list)]
-        found += [(tuple(f"g{g}" for g in group), part) for part, group in
-                  {id(part): (part, group) for part, group in self.gateways.values()}.values()]
-        return [(names, part.process.pid) for names, part in found if part.process.returncode is None]
+        found: list = [
+            (("clients",), self.clients),
+            (("hosts",), self.farm),
+            (("list",), self.list),
+        ]
+        found += [
+            (tuple(f"g{g}" for g in group), part)
+            for part, group in {
+                id(part): (part, group) for part, group in self.gateways.values()
+            }.values()
+        ]
+        return [
+            (names, part.process.pid) for names, part in found if part.process.returncode is None
+        ]
 
     async def row(self, number, host, state, since, build):
         self.rows[host] = (state, since, build)
-        await self.list.tell("row", host=host, state=state, since=since, zone=build["zone"], cell=build["cell"])
+        await self.list.tell(
+            "row", host=host, state=state, since=since, zone=build["zone"], cell=build["cell"]
+        )
 
     # ---- the steps
     async def follow(self):
@@ -191,7 +271,9 @@
             t = now() - self.begun
             while pending and pending[0][0] <= t:
                 _, what, values = pending.pop(0)
-                task = asyncio.get_running_loop().create_task(getattr(self, "do_" + what.replace(" ", "_"))(**values))
+                task = asyncio.get_running_loop().create_task(
+                    getattr(self, "do_" + what.replace(" ", "_"))(**values)
+                )
                 self.tasks.add(task)
             for task in [task for task in self.tasks if task.done()]:
                 self.tasks.discard(task)
@@ -200,11 +282,15 @@
                 break
             for part in (self.farm, self.store, self.list, self.clients):
                 if part.process.returncode is not None:
-                    raise CannotRun(f"{part.name} ended with {part.process.returncode}; see {self.log_file.name}")
+                    raise CannotRun(
+                        f"{part.name} ended with {part.process.returncode}; see {self.log_file.name}"
+                    )
             if t - last > 5000:
                 last = t
                 self.tell(f"{t / 1000:5.0f} of {whole / 1000:.0f} s")
-            await asyncio.sleep(min(0.05, max(0.001, (pending[0][0] - t) / 1000)) if pending else 0.05)
+            await asyncio.sleep(
+                min(0.05, max(0.001, (pending[0][0] - t) / 1000)) if pending else 0.05
+            )
 
     async def finish(self):
         """Waits for the last answers, then has every gateway drain and notes how each ended."""
@@ -219,7 +305,9 @@
             self.codes.append(code)
             self.record.add("gateway ended", part.name, number=code)
         if any(self.codes):
-            raise CannotRun(f"gateways ended with {sorted(set(self.codes))}; see {self.log_file.name}")
+            raise CannotRun(
+                f"gateways ended with {sorted(set(self.codes))}; see {self.log_file.name}"
+            )
 
 
 def rehearse(day, folder, tell=lambda text: None):
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -14,7 +14,13 @@
 
     def __init__(self, clients, number, address, office, comes):
         """comes: the address that it comes from ("" for any), and the keys of its TLS ({} for none)."""
-        self.clients, self.number, self.end, self.open, self.office = clients, number, None, {}, office
+        self.clients, self.number, self.end, self.open, self.office = (
+            clients,
+            number,
+            None,
+            {},
+            office,
+        )
         self.host, _, port = address.rpartition(":")
         self.port, self.leaving, self.name, self.life = int(port), False, "", 0
         self.more = {"ssl": context_of(comes["keys"])}
@@ -26,22 +32,33 @@
             try:
                 self.gone, self.begun = asyncio.get_running_loop().create_future(), now()
                 await asyncio.get_running_loop().create_connection(
-                    lambda: End(self, custody.TO_CLIENT, self.hello), self.host, self.port, **self.more)
+                    lambda: End(self, custody.TO_CLIENT, self.hello),
+                    self.host,
+                    self.port,
+                    **self.more,
+                )
                 await self.gone
             except OSError as error:
                 self.failed(str(error))
                 await asyncio.sleep(0.1)
 
     def failed(self, why):
-        self.clients.record.add("connect failed", peer=f"g{self.number}", party=self.office, a=now() - self.begun,
-                                text=why)
+        self.clients.record.add(
+            "connect failed",
+            peer=f"g{self.number}",
+            party=self.office,
+            a=now() - self.begun,
+            text=why,
+        )
 
     def hello(self):
         return m.Hello(m.VERSION, "client", f"c{self.number}", now())
 
     def greeted(self, end, hello):
         self.end, self.leaving, self.name, self.life = end, False, hello.name, hello.life
-        self.clients.record.add("connected", peer=hello.name, party=self.office, a=now() - self.begun)
+        self.clients.record.add(
+            "connected", peer=hello.name, party=self.office, a=now() - self.begun
+        )
 
     def heard(self, end, message):
         kind = type(message)
--- a/cherrydoor/rehearsal/crowding.py
+++ b/cherrydoor/rehearsal/crowding.py
@@ -7,9 +7,9 @@
 import asyncio
 from pathlib import Path
 
-EVERY = 100.0           # ms between two looks
-LEAST = 20.0            # ms without a core, between two looks, that are noted
-PAUSE = 50.0            # ms by which a look comes late that are noted
+EVERY = 100.0  # ms between two looks
+LEAST = 20.0  # ms without a core, between two looks, that are noted
+PAUSE = 50.0  # ms by which a look comes late that are noted
 
 
 def without_core(process):
--- a/cherrydoor/rehearsal/effects.py
+++ b/cherrydoor/rehearsal/effects.py
@@ -22,26 +22,54 @@
             effects[row["clause"], row["mark"]].append(row)
         for (clause, mark), rows in effects.items():
             if kinds[clause]["kind"] != "redeliverable" and len(rows) > 1:
-                self.broke(2, rows[1]["t"], f"an effect twice ({kinds[clause]['kind']}, {mark})", rows[1]["peer"],
-                           rows[1]["event"])
+                self.broke(
+                    2,
+                    rows[1]["t"],
+                    f"an effect twice ({kinds[clause]['kind']}, {mark})",
+                    rows[1]["peer"],
+                    rows[1]["event"],
+                )
         ends = self.launch_ends()
         for number, launches in self.launches.items():
             launches.sort(key=lambda r: r["t"])
             kind = kinds[launches[0]["clause"]]
             for before, after in zip(launches, launches[1:], strict=False):
-                both = min(ends[key(before)], ends[key(after)]) - after["t"]    # 0 where one came dead on arrival
+                both = (
+                    min(ends[key(before)], ends[key(after)]) - after["t"]
+                )  # 0 where one came dead on arrival
                 if not self.terms["twice"] and both > SLACK:
                     self.broke(2, after["t"], "two launches out at once", after["peer"], number)
                 if kind["kind"] == "at-most-once" and not self.never_ran(before):
-                    self.broke(2, after["t"], "a further launch of what may have run", after["peer"], number)
-                if kind["kind"] == "keyed" and not self.never_ran(before) and (
-                        after["t"] - before["t"] > kind["memory"] + SLACK):
-                    self.broke(2, after["t"], "a further launch past what hosts remember", after["peer"], number)
+                    self.broke(
+                        2,
+                        after["t"],
+                        "a further launch of what may have run",
+                        after["peer"],
+                        number,
+                    )
+                if (
+                    kind["kind"] == "keyed"
+                    and not self.never_ran(before)
+                    and (after["t"] - before["t"] > kind["memory"] + SLACK)
+                ):
+                    self.broke(
+                        2,
+                        after["t"],
+                        "a further launch past what hosts remember",
+                        after["peer"],
+                        number,
+                    )
             answer = next((r for r in self.ends.get(number, ()) if r["what"] == "answer"), None)
             ran = [r for r in launches if not self.never_ran(r)]
-            harmless = kind["kind"] == "redeliverable" or kind["kind"] == "keyed" and kind["group"] == "all"
+            harmless = (
+                kind["kind"] == "redeliverable"
+                or kind["kind"] == "keyed"
+                and kind["group"] == "all"
+            )
             if answer and answer["fate"] == "deferred" and ran and not harmless:
-                self.broke(2, answer["t"], "a deferral of what may have run", answer["peer"], number)
+                self.broke(
+                    2, answer["t"], "a deferral of what may have run", answer["peer"], number
+                )
 
     def never_ran(self, launch):
         outcome = self.outcomes.get(key(launch))
@@ -50,10 +78,12 @@
     def launch_ends(self):
         """When each launch ended as its host saw it: answered, recalled, cut, or past its limit."""
         found = {}
-        recalls = defaultdict(list)     # of what has run to its end the host knows the id alone
+        recalls = defaultdict(list)  # of what has run to its end the host knows the id alone
         for row in self.seen.of("host", "recall"):
             recalls[row["who"], row["peer"], row["id"]].append(row["t"])
-        lost = {key(r): r["t"] for r in self.seen.of("host", "answer lost")}        # it ran, and nobody was told
+        lost = {
+            key(r): r["t"] for r in self.seen.of("host", "answer lost")
+        }  # it ran, and nobody was told
         cuts = {key(r): r["t"] for r in self.seen.of("host", "cut")}
         downs = defaultdict(list)
         for row in self.seen.of("host", "host down"):
--- a/cherrydoor/rehearsal/estates.py
+++ b/cherrydoor/rehearsal/estates.py
@@ -19,32 +19,52 @@
     def estates(self):
         """Nothing acts for a life that is over, or under a number that has been passed, at a host that knows; and
         nobody, whoever it is, launches what its client has an answer of."""
-        told = defaultdict(list)        # (host, gateway) -> (when, life, number), as accepted there
+        told = defaultdict(list)  # (host, gateway) -> (when, life, number), as accepted there
         for row in self.seen.of("host", "over"):
             if row["fate"]:
                 continue
             before = told[row["who"], row["text"]]
             if any(life == row["a"] and number > row["number"] for _, life, number in before):
-                self.broke(2, row["t"], f"{row['who']} took a lower number for {row['text']}", row["peer"])
+                self.broke(
+                    2, row["t"], f"{row['who']} took a lower number for {row['text']}", row["peer"]
+                )
             before.append((row["t"], row["a"], row["number"]))
         for number, launches in self.launches.items():
             answer = next((r for r in self.ends.get(number, ()) if r["what"] == "answer"), None)
             for row in launches:
                 life = float(row["text"] or 0)
-                if any(t < row["t"] and 0 < life <= over for t, over, _ in told.get((row["who"], row["peer"]), ())):
+                if any(
+                    t < row["t"] and 0 < life <= over
+                    for t, over, _ in told.get((row["who"], row["peer"]), ())
+                ):
                     self.broke(2, row["t"], "a launch of a life that is over", row["peer"], number)
                 taker = self.sent[number]["peer"] if number in self.sent else row["peer"]
                 if row["peer"] != taker and any(
-                        t < row["t"] and row["c"] < passed and over == self.life_of(number)
-                        for t, over, passed in told.get((row["who"], taker), ())):
-                    self.broke(2, row["t"], "a launch under a number that has been passed", row["peer"], number)
+                    t < row["t"] and row["c"] < passed and over == self.life_of(number)
+                    for t, over, passed in told.get((row["who"], taker), ())
+                ):
+                    self.broke(
+                        2,
+                        row["t"],
+                        "a launch under a number that has been passed",
+                        row["peer"],
+                        number,
+                    )
                 if answer is not None and row["peer"] != taker and row["t"] > answer["t"] + SLACK:
-                    self.broke(1, row["t"], "a launch elsewhere after the final answer", row["peer"], number)
+                    self.broke(
+                        1,
+                        row["t"],
+                        "a launch elsewhere after the final answer",
+                        row["peer"],
+                        number,
+                    )
 
     def life_of(self, number):
         """The life that took an event, by the first launch of its own gateway; None where none came."""
         taker = self.sent[number]["peer"] if number in self.sent else None
-        return next((float(r["text"] or 0) for r in self.launches[number] if r["peer"] == taker), None)
+        return next(
+            (float(r["text"] or 0) for r in self.launches[number] if r["peer"] == taker), None
+        )
 
     def emptied(self):
         """Nothing is steered to a site from when its drain says that it is empty until it is undone."""
@@ -60,7 +80,13 @@
             for row in launches:
                 for site, begun, end in spans:
                     if zones.get(row["who"]) == site and begun + SLACK < row["t"] < end:
-                        self.broke(3, row["t"], f"a launch at {site}, which is said to be empty", row["peer"], number)
+                        self.broke(
+                            3,
+                            row["t"],
+                            f"a launch at {site}, which is said to be empty",
+                            row["peer"],
+                            number,
+                        )
 
     def taken_over(self):
         """What became of events whose connection ended without an answer; {} where nothing could be claimed."""
@@ -87,8 +113,19 @@
         if not claims:
             return {}
         took.sort()
-        middle = {"p50 ms to an answer": round(took[len(took) // 2], 1), "p99 ms to an answer":
-                  round(took[int(len(took) * 0.99)], 1)} if took else {}
+        middle = (
+            {
+                "p50 ms to an answer": round(took[len(took) // 2], 1),
+                "p99 ms to an answer": round(took[int(len(took) * 0.99)], 1),
+            }
+            if took
+            else {}
+        )
         overs = [r for r in self.seen.of("host", "over") if not r["fate"]]
-        return {**dict(found.most_common()), **middle, "lives over": len({(r["text"], r["a"]) for r in overs}),
-                "adopted": len(self.seen.of("host", "adopt")), "refused at hosts": len(self.seen.of("host", "refused"))}
+        return {
+            **dict(found.most_common()),
+            **middle,
+            "lives over": len({(r["text"], r["a"]) for r in overs}),
+            "adopted": len(self.seen.of("host", "adopt")),
+            "refused at hosts": len(self.seen.of("host", "refused")),
+        }
--- a/cherrydoor/rehearsal/parts.py
+++ b/cherrydoor/rehearsal/parts.py
@@ -19,15 +19,31 @@
     """One process, in a group of its own. Its standard input is held open: when we die, it ends."""
 
     def __init__(self, name, log_file):
-        self.name, self.log_file, self.process, self.waiting, self.tags = name, log_file, None, {}, 0
+        self.name, self.log_file, self.process, self.waiting, self.tags = (
+            name,
+            log_file,
+            None,
+            {},
+            0,
+        )
         self.said = asyncio.Queue()
 
     async def start(self, *words, given=None, descriptors=0):
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrydoor", *words, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-            stderr=self.log_file, start_new_session=True, limit=2**24,
-            preexec_fn=partial(resource.setrlimit, resource.RLIMIT_NOFILE, (descriptors,) * 2) if descriptors else None,
-            env=os.environ | {"PYTHONPATH": os.pathsep.join(p for p in sys.path if p)})
+            sys.executable,
+            "-m",
+            "cherrydoor",
+            *words,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=self.log_file,
+            start_new_session=True,
+            limit=2**24,
+            preexec_fn=partial(resource.setrlimit, resource.RLIMIT_NOFILE, (descriptors,) * 2)
+            if descriptors
+            else None,
+            env=os.environ | {"PYTHONPATH": os.pathsep.join(p for p in sys.path if p)},
+        )
         if given is not None:
             self.process.stdin.write(json.dumps(given).encode() + b"\n")
         self.task = asyncio.get_running_loop().create_task(self.listen())
@@ -62,12 +78,14 @@
         """A command; the future gives its result."""
         self.tags += 1
         future = self.waiting[self.tags] = asyncio.get_running_loop().create_future()
-        self.process.stdin.write(json.dumps({"do": do, "tag": self.tags, **values}).encode() + b"\n")
+        self.process.stdin.write(
+            json.dumps({"do": do, "tag": self.tags, **values}).encode() + b"\n"
+        )
         return future
 
     def signal(self, number):
         if self.process and self.process.returncode is None:
-            with contextlib.suppress(ProcessLookupError):       # it ended a moment ago
+            with contextlib.suppress(ProcessLookupError):  # it ended a moment ago
                 os.killpg(self.process.pid, number)
 
     async def end(self, wait=5.0):
--- a/cherrydoor/rehearsal/seen.py
+++ b/cherrydoor/rehearsal/seen.py
@@ -24,7 +24,9 @@
         table = pa.concat_tables(tables).sort_by("t")
         self.kinds = {}
         for key in set(zip(table["end"].to_pylist(), table["what"].to_pylist(), strict=True)):
-            mask = pa.compute.and_(pa.compute.equal(table["end"], key[0]), pa.compute.equal(table["what"], key[1]))
+            mask = pa.compute.and_(
+                pa.compute.equal(table["end"], key[0]), pa.compute.equal(table["what"], key[1])
+            )
             self.kinds[key] = table.filter(mask).to_pylist()
 
     def of(self, end, what):
@@ -32,7 +34,9 @@
 
 
 def plain(schema):
-    return pa.schema([(f.name, pa.string() if pa.types.is_dictionary(f.type) else f.type) for f in schema])
+    return pa.schema(
+        [(f.name, pa.string() if pa.types.is_dictionary(f.type) else f.type) for f in schema]
+    )
 
 
 class Break:
--- a/cherrydoor/rehearsal/traffic.py
+++ b/cherrydoor/rehearsal/traffic.py
@@ -83,8 +83,22 @@
 
 def draw(day):
     """All arrivals of a day. Each part has a random stream of its own, so that a trouble added moves no other."""
-    streams = dict(zip(("times", "functions", "clauses", "parties", "gateways", "patience", "timers", "troubles"),
-                       map(np.random.default_rng, np.random.SeedSequence(day["seed"]).spawn(8)), strict=True))
+    streams = dict(
+        zip(
+            (
+                "times",
+                "functions",
+                "clauses",
+                "parties",
+                "gateways",
+                "patience",
+                "timers",
+                "troubles",
+            ),
+            map(np.random.default_rng, np.random.SeedSequence(day["seed"]).spawn(8)),
+            strict=True,
+        )
+    )
     at = poisson(streams["times"], day)
     function, fresh = zipf_of(streams["functions"], day, at)
     timed_at, timed_function, timed_gateway = timers(streams["timers"], day, fresh)
@@ -98,20 +112,35 @@
     function = np.concatenate([function, timed_function, function[repeats]])
     gateway = np.concatenate([gateway, timed_gateway, gateway[repeats]])
     extra = np.zeros(len(at), bool)
-    extra[len(at) - len(repeats):] = True
+    extra[len(at) - len(repeats) :] = True
     clauses = np.array([e["share"] for e in day["events"]], float)
     offices = np.array([o["share"] for o in day["offices"]] or [1.0], float)
     clause = streams["clauses"].choice(len(clauses), len(at), p=clauses / clauses.sum())
     if day["functions"]["typed"]:
-        clause = np.searchsorted(np.cumsum(clauses / clauses.sum()), (function * 6271 + 7) % 1000 / 1000, side="right")
-    owner = (function * 7919 + 13) % 1000 / 1000        # a function belongs to one office, as deeds do
-    party = np.searchsorted(np.cumsum(offices / offices.sum()), owner, side="right").clip(0, len(offices) - 1)
+        clause = np.searchsorted(
+            np.cumsum(clauses / clauses.sum()), (function * 6271 + 7) % 1000 / 1000, side="right"
+        )
+    owner = (function * 7919 + 13) % 1000 / 1000  # a function belongs to one office, as deeds do
+    party = np.searchsorted(np.cumsum(offices / offices.sum()), owner, side="right").clip(
+        0, len(offices) - 1
+    )
     share = day["clients"]["try_share"]
     patience = streams["patience"].uniform(share, 1.0, len(at)) if share < 1 else np.ones(len(at))
-    leaves = np.where(streams["patience"].uniform(0, 1, len(at)) < day["clients"]["impatient"],
-                      streams["patience"].uniform(20, 600, len(at)), 0.0)
-    return Arrivals(at=at, function=function, clause=clause, party=party, gateway=gateway, patience=patience,
-                    leaves=leaves, extra=extra)
+    leaves = np.where(
+        streams["patience"].uniform(0, 1, len(at)) < day["clients"]["impatient"],
+        streams["patience"].uniform(20, 600, len(at)),
+        0.0,
+    )
+    return Arrivals(
+        at=at,
+        function=function,
+        clause=clause,
+        party=party,
+        gateway=gateway,
+        patience=patience,
+        leaves=leaves,
+        extra=extra,
+    )
 
 
 def troubled(rng, day, at, function, fresh):
@@ -121,7 +150,11 @@
         if trouble["what"] not in ("hot", "scan"):
             continue
         since = at - day["warm"] - trouble["at"]
-        struck = (since >= 0) & (since < trouble["lasts"]) & (rng.uniform(0, 1, len(at)) < trouble["part"])
+        struck = (
+            (since >= 0)
+            & (since < trouble["lasts"])
+            & (rng.uniform(0, 1, len(at)) < trouble["part"])
+        )
         count = int(struck.sum())
         if trouble["what"] == "hot":
             few = max(1, int(trouble["size"]))
@@ -139,7 +172,11 @@
     for trouble in day["troubles"]:
         if trouble["what"] == "repeats":
             since = at - day["warm"] - trouble["at"]
-            struck = (since >= 0) & (since < trouble["lasts"]) & (rng.uniform(0, 1, len(at)) < trouble["part"])
+            struck = (
+                (since >= 0)
+                & (since < trouble["lasts"])
+                & (rng.uniform(0, 1, len(at)) < trouble["part"])
+            )
             found.append(np.flatnonzero(struck))
     return np.concatenate(found)
 
