--- a/cherrydoor/rehearsal/troubles.py
+++ b/cherrydoor/rehearsal/troubles.py
@@ -14,13 +14,22 @@
     def __init__(self, day):
         self.day, self.found, self.drawn = day, [], 0
         self.hosts, self.next_host = list(range(day["fleet"]["hosts"])), day["fleet"]["hosts"]
-        self.like = {}              # number of a successor -> the host whose build it takes
+        self.like = {}  # number of a successor -> the host whose build it takes
         for trouble in sorted(day["troubles"], key=lambda t: t["at"]):
             plan = getattr(self, trouble["what"].replace("-", "_"), None)
             self.add(trouble["at"] + day["warm"], "trouble", name=trouble["what"], on=True)
-            self.add(trouble["at"] + day["warm"] + trouble["lasts"], "trouble", name=trouble["what"], on=False)
-            if plan and trouble["what"] not in day.get("without", ()):      # left out, but marked
-                plan(trouble, trouble["at"] + day["warm"], trouble["at"] + day["warm"] + trouble["lasts"])
+            self.add(
+                trouble["at"] + day["warm"] + trouble["lasts"],
+                "trouble",
+                name=trouble["what"],
+                on=False,
+            )
+            if plan and trouble["what"] not in day.get("without", ()):  # left out, but marked
+                plan(
+                    trouble,
+                    trouble["at"] + day["warm"],
+                    trouble["at"] + day["warm"] + trouble["lasts"],
+                )
         self.found.sort(key=lambda step: step[0])
 
     def add(self, at, what, **values):
@@ -44,7 +53,7 @@
         """At least one of them, chosen by the seed."""
         of = list(self.hosts if of is None else of)
         ranked = sorted(of, key=lambda one: (self.chance(), one))
-        return sorted(ranked[:max(1, round(part * len(of)))])
+        return sorted(ranked[: max(1, round(part * len(of)))])
 
     def successor(self, host):
         new, self.next_host = self.next_host, self.next_host + 1
@@ -74,15 +83,29 @@
     def ageing(self, trouble, at, end):
         hosts = self.struck(trouble)
         for i in range(1, 9):
-            self.add(at + (end - at) * i / 9, "hosts", do="slow", hosts=hosts,
-                     values={"times": 1 + (trouble["size"] - 1) * i / 8})
+            self.add(
+                at + (end - at) * i / 9,
+                "hosts",
+                do="slow",
+                hosts=hosts,
+                values={"times": 1 + (trouble["size"] - 1) * i / 8},
+            )
         self.add(end, "hosts", do="slow", hosts=hosts, values={"times": 1.0})
 
     def pauses(self, trouble, at, end):
-        self.told(trouble, at, end, "pause", {"ms": 150.0 * trouble["size"], "every": 1500.0}, {"ms": 0})
+        self.told(
+            trouble, at, end, "pause", {"ms": 150.0 * trouble["size"], "every": 1500.0}, {"ms": 0}
+        )
 
     def late_reports(self, trouble, at, end):
-        self.told(trouble | {"part": 1.0, "on": None}, at, end, "late", {"ms": 1000.0 * trouble["size"]}, {"ms": 0.0})
+        self.told(
+            trouble | {"part": 1.0, "on": None},
+            at,
+            end,
+            "late",
+            {"ms": 1000.0 * trouble["size"]},
+            {"ms": 0.0},
+        )
 
     def lost_answers(self, trouble, at, end):
         self.told(trouble, at, end, "lose", {"share": min(1.0, trouble["size"])}, {"share": 0.0})
@@ -91,7 +114,14 @@
         """One event type is left unanswered, mostly; the others are served."""
         names = [event["name"] for event in self.day["events"]]
         name = trouble.get("event") or names[0]
-        self.told(trouble, at, end, "deaf", {"clause": name, "share": min(1.0, trouble["size"])}, {"clause": name})
+        self.told(
+            trouble,
+            at,
+            end,
+            "deaf",
+            {"clause": name, "share": min(1.0, trouble["size"])},
+            {"clause": name},
+        )
 
     def silent(self, trouble, at, end):
         self.told(trouble, at, end, "silent", {"on": True}, {"on": False})
@@ -124,7 +154,7 @@
         """In batches: drain, leave, and a cold successor on another port."""
         hosts = self.struck(trouble)
         size = max(1, round(len(hosts) * 0.2))
-        batches = [hosts[i:i + size] for i in range(0, len(hosts), size)]
+        batches = [hosts[i : i + size] for i in range(0, len(hosts), size)]
         gap, drain = (end - at) / len(batches), 1000.0 * trouble["size"]
         for i, batch in enumerate(batches):
             for host in batch:
@@ -139,7 +169,9 @@
             when = at + (end - at) * (i // max(1, len(hosts) // 3)) / 3
             self.add(when, "drain", host=host)
             self.add(when + 1000.0 * trouble["size"], "leave", host=host)
-            self.add(when + 1000.0 * trouble["size"] + 4000, "join", host=self.successor(host), like=host)
+            self.add(
+                when + 1000.0 * trouble["size"] + 4000, "join", host=self.successor(host), like=host
+            )
 
     def gateway_crash(self, trouble, at, end):
         for gateway in self.struck(trouble, range(self.day["gateways"]["count"])):
@@ -174,8 +206,17 @@
 
     def noise(self, trouble, at, end):
         """Frames between gateways come late, twice and out of order, and a share (`part`) not at all."""
-        self.add(at, "noise", values={"delay": 1.0, "spread": 20.0 * trouble["size"], "double": 0.1, "reorder": 0.1,
-                                      "drop": trouble["part"] / 10})
+        self.add(
+            at,
+            "noise",
+            values={
+                "delay": 1.0,
+                "spread": 20.0 * trouble["size"],
+                "double": 0.1,
+                "reorder": 0.1,
+                "drop": trouble["part"] / 10,
+            },
+        )
         self.add(end, "noise", values={})
 
     def slow_store(self, trouble, at, end):
@@ -199,8 +240,13 @@
     def bad_release(self, trouble, at, end):
         """One that fails on a share of events (size 0 to 1), or one that is slow (times, above 1)."""
         size = trouble["size"]
-        self.add(at, "release", functions=self.foremost(trouble["part"]), version=int(at),
-                 bad={"fail": size} if size <= 1 else {"slow": size})
+        self.add(
+            at,
+            "release",
+            functions=self.foremost(trouble["part"]),
+            version=int(at),
+            bad={"fail": size} if size <= 1 else {"slow": size},
+        )
 
     def foremost(self, part):
         count = self.day["functions"]["count"]
@@ -214,8 +260,12 @@
         self.add(at, "reconnect", count=max(1, int(trouble["size"])))
 
     def key_change(self, trouble, at, end):
-        self.add(at, "key change", times=max(1, int(trouble["size"])), gateways=self.some(
-            trouble["part"], range(self.day["gateways"]["count"])))
+        self.add(
+            at,
+            "key change",
+            times=max(1, int(trouble["size"])),
+            gateways=self.some(trouble["part"], range(self.day["gateways"]["count"])),
+        )
 
     def flush(self, trouble, at, end):
         count = self.day["functions"]["count"]
@@ -223,6 +273,9 @@
         self.add(at, "flush", functions=functions, release=int(at))
 
     def failing(self, trouble, at, end):
-        functions = [function_name(f) for f in self.some(trouble["part"], range(self.day["functions"]["count"]))]
+        functions = [
+            function_name(f)
+            for f in self.some(trouble["part"], range(self.day["functions"]["count"]))
+        ]
         self.add(at, "hosts", do="fail", hosts=None, values={"functions": functions, "on": True})
         self.add(end, "hosts", do="fail", hosts=None, values={"functions": functions, "on": False})
--- a/cherrydoor/site/calls.py
+++ b/cherrydoor/site/calls.py
@@ -5,8 +5,8 @@
 """
 
 HALVES = 4000.0
-MOST = 4000             # functions
-LEAST = 0.05            # of a launch, below which a count has faded
+MOST = 4000  # functions
+LEAST = 0.05  # of a launch, below which a count has faded
 
 
 class Calls:
@@ -26,7 +26,9 @@
         part = 0.5 ** ((now - self.at) / HALVES)
         self.at = now
         for function in list(self.counts):
-            left = {site: n * part for site, n in self.counts[function].items() if n * part >= LEAST}
+            left = {
+                site: n * part for site, n in self.counts[function].items() if n * part >= LEAST
+            }
             if left:
                 self.counts[function] = left
             else:
@@ -42,5 +44,7 @@
         """
         self.fade(now)
         seconds = HALVES / 1000 / 0.693 * (1 - 0.5 ** ((now - self.begun) / HALVES))
-        found = [(name, n[site] / max(seconds, 0.1)) for name, n in self.counts.items() if site in n]
+        found = [
+            (name, n[site] / max(seconds, 0.1)) for name, n in self.counts.items() if site in n
+        ]
         return sorted(found, key=lambda one: (-one[1], one[0]))
--- a/cherrydoor/site/conducting.py
+++ b/cherrydoor/site/conducting.py
@@ -13,7 +13,7 @@
 from cherrydoor.site.waves import Open
 
 log = structlog.get_logger()
-LAST_WORD = 2.0         # s for which the tenure is kept after the last wave, so that all hear of it under its number
+LAST_WORD = 2.0  # s for which the tenure is kept after the last wave, so that all hear of it under its number
 
 
 class Conducting:
@@ -35,7 +35,9 @@
 
     def want(self, site):
         self.wanted[site] = None
-        self.tenures.hold(f"site/{site}", lambda number: self.began(site, number), lambda number: self.ended(site))
+        self.tenures.hold(
+            f"site/{site}", lambda number: self.began(site, number), lambda number: self.ended(site)
+        )
 
     def began(self, site, number):
         """Listens first: a word that the drain goes on under a new number has all gateways report here. One that is
@@ -47,9 +49,19 @@
             last = None
         self.wanted[site] = self.now()
         step, even = asked or (STEP, False)
-        wave = f.Wave(site, number, last.wave if last else 0, self.me, last.state if last else "moving",
-                      last.away if last else [], last.shed if last else [], last.copies if last else [],
-                      f"{self.me} conducts", last.step if last else step, last.even if last else even)
+        wave = f.Wave(
+            site,
+            number,
+            last.wave if last else 0,
+            self.me,
+            last.state if last else "moving",
+            last.away if last else [],
+            last.shed if last else [],
+            last.copies if last else [],
+            f"{self.me} conducts",
+            last.step if last else step,
+            last.even if last else even,
+        )
         self.told("", wave)
 
     def ended(self, site):
@@ -64,8 +76,12 @@
         return [report for at, report in self.heard.get(site, {}).values() if now - at <= FRESH]
 
     def sites(self, site):
-        return gathered_sites([[(one.site, one.rate, one.took, one.hosts) for one in report.zones]
-                               for report in self.fresh(site)])
+        return gathered_sites(
+            [
+                [(one.site, one.rate, one.took, one.hosts) for one in report.zones]
+                for report in self.fresh(site)
+            ]
+        )
 
     def lots(self, site):
         """What all gateways told of its functions as one, versions of one together; [(function, version, host)]."""
@@ -83,23 +99,45 @@
         self.steps.pop(site, None)
         made, _, copies = self.planned(site, last.step)
         if not last.wave and made.refused(last.even):
-            log.warning("a drain is refused", gateway=self.me, site=site, missing=round(made.missing, 1))
+            log.warning(
+                "a drain is refused", gateway=self.me, site=site, missing=round(made.missing, 1)
+            )
             self.told("", f.Wave(site, number, 1, self.me, "over", why=made.refusal()))
             return self.let_go(site)
-        one = d.Conductor(site, number, self.me, made, self.peers.members.living, self.now(), last,
-                          [copy for copy in copies if copy[0] != REST], lambda: self.hosts(site))
+        one = d.Conductor(
+            site,
+            number,
+            self.me,
+            made,
+            self.peers.members.living,
+            self.now(),
+            last,
+            [copy for copy in copies if copy[0] != REST],
+            lambda: self.hosts(site),
+        )
         self.conductors[site] = one
         one.neighbours.heard(self.sites(site))
-        log.info("this gateway conducts a site's drain", gateway=self.me, site=site, number=number,
-                 wave=one.wave, waves=len(made.waves), asked=round(made.asked, 1), room=round(made.room, 1))
+        log.info(
+            "this gateway conducts a site's drain",
+            gateway=self.me,
+            site=site,
+            number=number,
+            wave=one.wave,
+            waves=len(made.waves),
+            asked=round(made.asked, 1),
+            room=round(made.room, 1),
+        )
         self.carry_out(site, one.start(self.now()))
 
     def hosts(self, site):
         """Of the list as it stands here, draining ones too; None where there is none yet, as after a start."""
         if not self.shell.desk.hosts:
             return None
-        return [host.id for host in self.shell.desk.hosts.values()
-                if host.row.zone == site and host.row.state != "gone"]
+        return [
+            host.id
+            for host in self.shell.desk.hosts.values()
+            if host.row.zone == site and host.row.state != "gone"
+        ]
 
     def looked(self, site, conductor):
         """What all tell may show that a copy stands which nobody had to order: calls that moved on had it loaded."""
@@ -119,8 +157,13 @@
                 for name in self.versions_of(action.function):
                     self.shell.post(self.shell.desk.foreseen, name, site)
             elif isinstance(action, d.Ask):
-                self.shell.post(self.shell.desk.question, action.host, c.Count, d.SAYS,
-                                lambda host, fate, said: self.counted(site, host, said))
+                self.shell.post(
+                    self.shell.desk.question,
+                    action.host,
+                    c.Count,
+                    d.SAYS,
+                    lambda host, fate, said: self.counted(site, host, said),
+                )
             else:
                 self.told("", action.wave)
                 if action.wave.state == "over":
@@ -128,7 +171,9 @@
 
     def versions_of(self, function):
         """As this gateway calls the function by now."""
-        known = [name for name in self.shell.desk.gate.history.functions if self.named(name) == function]
+        known = [
+            name for name in self.shell.desk.gate.history.functions if self.named(name) == function
+        ]
         return known or [function]
 
     def counted(self, site, host, said):
@@ -164,10 +209,21 @@
 def shown(one):
     """A conductor's drain for people."""
     watch = one.watch.reports.values()
-    return {"site": one.site, "number": one.number, "wave": one.wave, "state": one.state, "why": one.why,
-            "waves": len(one.waves), "known to be borne": one.plan.sure, "reached": one.at, "shed": one.shed,
-            "room": round(one.plan.room, 1), "asked": round(one.plan.asked, 1),
-            "within target before": one.fall.before, "neighbours standing": round(one.neighbours.standing(), 2),
-            "in hand": sum(r.in_hand for r in watch),
-            "in hand by hosts": sum(word.in_hand or 0 for word in one.leftover.words.values()),
-            "confirmed": sum(r.wave >= (one.number, one.wave) for r in watch)}
+    return {
+        "site": one.site,
+        "number": one.number,
+        "wave": one.wave,
+        "state": one.state,
+        "why": one.why,
+        "waves": len(one.waves),
+        "known to be borne": one.plan.sure,
+        "reached": one.at,
+        "shed": one.shed,
+        "room": round(one.plan.room, 1),
+        "asked": round(one.plan.asked, 1),
+        "within target before": one.fall.before,
+        "neighbours standing": round(one.neighbours.standing(), 2),
+        "in hand": sum(r.in_hand for r in watch),
+        "in hand by hosts": sum(word.in_hand or 0 for word in one.leftover.words.values()),
+        "confirmed": sum(r.wave >= (one.number, one.wave) for r in watch),
+    }
--- a/cherrydoor/site/decide.py
+++ b/cherrydoor/site/decide.py
@@ -17,16 +17,19 @@
 from cherrydoor.site.watch import Watch
 from cherrydoor.site.waves import SETTLE, Waves
 
-CONFIRM = 5000.0        # ms after which a gateway that has not confirmed a wave is a straggler, and not waited for
-CAREFUL = 3             # times as long where neighbours are not known to bear it: overload takes its time to show
-GATHER = 1500.0         # ms for which a new conductor listens before it plans
-WAVE = 2000.0           # ms that a wave takes where nothing holds it up: announced, confirmed, watched
-SAYS = 1000.0           # ms for which a host's word is waited for
-BACK = 3                # steps back after which it stands until an operator says more
+CONFIRM = 5000.0  # ms after which a gateway that has not confirmed a wave is a straggler, and not waited for
+CAREFUL = (
+    3  # times as long where neighbours are not known to bear it: overload takes its time to show
+)
+GATHER = 1500.0  # ms for which a new conductor listens before it plans
+WAVE = 2000.0  # ms that a wave takes where nothing holds it up: announced, confirmed, watched
+SAYS = 1000.0  # ms for which a host's word is waited for
+BACK = 3  # steps back after which it stands until an operator says more
 
 
 class Ask(Struct, frozen=True):
     """A host is asked what it has in hand."""
+
     host: str
 
 
@@ -35,7 +38,9 @@
     that are there, hosts() those of the site's hosts in the list. Waits in state "copies", "moving" and "emptying";
     stands in "held", "empty", "over"."""
 
-    def __init__(self, site, number, me, plan: Plan, living, now, last=None, copies=(), hosts=lambda: ()):
+    def __init__(
+        self, site, number, me, plan: Plan, living, now, last=None, copies=(), hosts=lambda: ()
+    ):
         """last: the highest Wave that anybody holds, None at the beginning; copies: [(function, the name that hosts
         know it by, host)] that stand."""
         self.site, self.number, self.me, self.plan, self.living = site, number, me, plan, living
@@ -44,22 +49,41 @@
         self.waves = [list(wave) for wave in plan.waves]
         self.watch, self.copies = Watch(), [Copy(name, host) for _, name, host in copies]
         self.openings = Openings(function for function, _, _ in copies)
-        self.since, self.fall, self.back, self.shed = now, Fall(), 0, list(last.shed) if last else []
-        self.watched, self.healing = now, 0.0           # since when a share counts; how long a step back takes to show
-        self.undone, self.step = last is not None and last.state == "undoing", last.step if last else STEP
-        self.even, self.held = last is not None and last.even, last is not None and last.state == "held"
+        self.since, self.fall, self.back, self.shed = (
+            now,
+            Fall(),
+            0,
+            list(last.shed) if last else [],
+        )
+        self.watched, self.healing = (
+            now,
+            0.0,
+        )  # since when a share counts; how long a step back takes to show
+        self.undone, self.step = (
+            last is not None and last.state == "undoing",
+            last.step if last else STEP,
+        )
+        self.even, self.held = (
+            last is not None and last.even,
+            last is not None and last.state == "held",
+        )
         self.why = last.why if last is not None and self.held else ""
         self.neighbours, self.leftover = Neighbours(site), Leftover(hosts)
         # never back: what nothing is steered to any more stays so, whatever the plan has found since
-        while self.at < len(self.waves) and (last is not None and last.state in EMPTY or all(
-                self.shares.get(s.function, 0.0) >= s.share for s in self.waves[self.at])):
+        while self.at < len(self.waves) and (
+            last is not None
+            and last.state in EMPTY
+            or all(self.shares.get(s.function, 0.0) >= s.share for s in self.waves[self.at])
+        ):
             self.at += 1
 
     # ---- notes
     def start(self, now):
         if self.undone:
             return self.undo(now)
-        if self.held:           # an operator's word, or three falls, outlive the conductor that heard of them
+        if (
+            self.held
+        ):  # an operator's word, or three falls, outlive the conductor that heard of them
             self.held = False
             return self.stand(self.why)
         return self.go_on(now)
@@ -111,7 +135,7 @@
         if not excess or not self.at or not self.neighbours.takes_back():
             return []
         if self.state == "moving" and (self.waited_for(now) or now - self.since < SETTLE):
-            return []           # the last one is still on its way
+            return []  # the last one is still on its way
         while excess > 0 and self.at:
             self.at -= 1
             excess -= sum(step.rate for step in self.waves[self.at])
@@ -126,7 +150,12 @@
     def moved(self, now):
         careful = self.at > self.plan.sure
         settle = SETTLE * (CAREFUL if careful and not self.undone else 1)
-        if self.waited_for(now) or now - self.since < settle or now < self.watched + SETTLE / 2 and not self.undone:
+        if (
+            self.waited_for(now)
+            or now - self.since < settle
+            or now < self.watched + SETTLE / 2
+            and not self.undone
+        ):
             return []
         if self.undone:
             return self.undo(now)
@@ -137,10 +166,17 @@
 
     def worse(self, now):
         """Whether what is within target has fallen for long since all went away, and something can be done about it."""
-        if now - self.since > BLAMED or not self.at or not (self.even or self.neighbours.takes_back()):
+        if (
+            now - self.since > BLAMED
+            or not self.at
+            or not (self.even or self.neighbours.takes_back())
+        ):
             return False
-        found = self.fall.seen(now, *self.watch.share(max(self.watched, now - WATCHED)),
-                               NARROW if self.at > self.plan.sure else FALL)
+        found = self.fall.seen(
+            now,
+            *self.watch.share(max(self.watched, now - WATCHED)),
+            NARROW if self.at > self.plan.sure else FALL,
+        )
         return found and self.fall.lasts(now)
 
     def step_back(self, now):
@@ -150,7 +186,9 @@
         self.at, self.back = max(0, self.at - 1), self.back + 1
         self.shares = self.reached()
         if self.even:
-            self.shed = list(dict.fromkeys(step.function for wave in self.waves[self.at:] for step in wave))
+            self.shed = list(
+                dict.fromkeys(step.function for wave in self.waves[self.at :] for step in wave)
+            )
             return self.emptying(now)
         return self.stand(self.why) if ended or self.back >= BACK else self.announce(now, "moving")
 
@@ -163,7 +201,11 @@
         if late and now - self.since <= CONFIRM:
             return []
         if busy or late:
-            self.why = "in hand at " + " ".join(busy[:3]) if busy else "not confirmed by " + " ".join(late[:3])
+            self.why = (
+                "in hand at " + " ".join(busy[:3])
+                if busy
+                else "not confirmed by " + " ".join(late[:3])
+            )
         if busy:
             return []
         actions = [Ask(name) for name in self.leftover.ask(now)]
@@ -172,4 +214,3 @@
             return actions
         self.wave, self.state = self.wave + 1, "empty"
         return [self.say("empty")]
-
--- a/cherrydoor/site/falls.py
+++ b/cherrydoor/site/falls.py
@@ -4,13 +4,13 @@
 chance and passes; a deep one is overload, which grows while it is waited for.
 """
 
-FALL = 0.05             # by which the share within target may fall, against before the drain ...
-NARROW = 0.02           # ... and where neighbours are not known to bear more: overload feeds itself once it has begun
-PATIENCE = 4000.0       # ms of such a fall after which the last wave is taken back; so much less as it is deeper ...
-LEAST = 1000.0          # ... but so long at the least
-HEALS = 4000.0          # ms after a step back in which it has no effect yet: what waits at hosts is served or given up
-WATCHED = 4000.0        # ms of events that a share is made of once all is away
-BLAMED = 20000.0        # ms after the last wave for which the drain is held to be the cause of a fall
+FALL = 0.05  # by which the share within target may fall, against before the drain ...
+NARROW = 0.02  # ... and where neighbours are not known to bear more: overload feeds itself once it has begun
+PATIENCE = 4000.0  # ms of such a fall after which the last wave is taken back; so much less as it is deeper ...
+LEAST = 1000.0  # ... but so long at the least
+HEALS = 4000.0  # ms after a step back in which it has no effect yet: what waits at hosts is served or given up
+WATCHED = 4000.0  # ms of events that a share is made of once all is away
+BLAMED = 20000.0  # ms after the last wave for which the drain is held to be the cause of a fall
 
 
 class Fall:
@@ -27,9 +27,14 @@
             self.since, self.why = None, ""
             return False
         self.since = now if self.since is None else self.since
-        self.depth, self.why = self.before - share, f"{share:.2f} within target, {self.before:.2f} before"
+        self.depth, self.why = (
+            self.before - share,
+            f"{share:.2f} within target, {self.before:.2f} before",
+        )
         return True
 
     def lasts(self, now):
         """Whether it has been borne for long enough."""
-        return self.since is not None and now - self.since > max(LEAST, PATIENCE * FALL / max(FALL, self.depth))
+        return self.since is not None and now - self.since > max(
+            LEAST, PATIENCE * FALL / max(FALL, self.depth)
+        )
--- a/cherrydoor/site/follow.py
+++ b/cherrydoor/site/follow.py
@@ -12,7 +12,7 @@
 
 from cherrydoor.site.plan import REST
 
-EMPTY = ("emptying", "empty")       # states in which nothing is steered to the site any more
+EMPTY = ("emptying", "empty")  # states in which nothing is steered to the site any more
 
 
 def session(document, party, function):
@@ -40,6 +40,7 @@
 
 class Told(Struct, frozen=True):
     """What becomes of an event: the site that does not count for it, and why it is deferred at once, if it is."""
+
     away: str = ""
     defer: str = ""
 
@@ -54,11 +55,16 @@
         """True where it is newer than what is held."""
         held = self.drains.get(wave.site)
         if held is not None and (held.number, held.wave) >= (wave.number, wave.wave):
-            self.counts["waves that were old"] += (held.number, held.wave) > (wave.number, wave.wave)
+            self.counts["waves that were old"] += (held.number, held.wave) > (
+                wave.number,
+                wave.wave,
+            )
             return False
         if held is not None and held.state == "over":
-            self.since.pop(wave.site, None)         # another drain: its sessions move anew
-        before = {one.function: one.share for one in held.away} if held and held.state != "over" else {}
+            self.since.pop(wave.site, None)  # another drain: its sessions move anew
+        before = (
+            {one.function: one.share for one in held.away} if held and held.state != "over" else {}
+        )
         since = self.since.setdefault(wave.site, {})
         for one in wave.away:
             if one.share > before.get(one.function, 0.0):
@@ -68,8 +74,11 @@
 
     def moving(self):
         """Sites of which sessions have moved."""
-        return [site for site, wave in self.drains.items()
-                if wave.state != "over" and (wave.away or wave.state in EMPTY)]
+        return [
+            site
+            for site, wave in self.drains.items()
+            if wave.state != "over" and (wave.away or wave.state in EMPTY)
+        ]
 
     def tells(self, now, function, kind, memory, one):
         """Told of an event whose session is `one`. kind, memory: of its event type; memory 0 where all hosts remember
--- a/cherrydoor/site/leftover.py
+++ b/cherrydoor/site/leftover.py
@@ -5,16 +5,23 @@
 has nothing in hand, and that nothing came between. Times are ms.
 """
 
-APART = 1000.0          # ms between the two words of a host
-AGAIN = 500.0           # ms after which a host is asked again
-AT_ONCE = 32            # hosts asked within that time: each may need a connection, and descriptors are few
+APART = 1000.0  # ms between the two words of a host
+AGAIN = 500.0  # ms after which a host is asked again
+AT_ONCE = 32  # hosts asked within that time: each may need a connection, and descriptors are few
 
 
 class Word:
     """since: when the first of its words came that nothing has come after; None while it has something in hand."""
 
     def __init__(self):
-        self.asked, self.in_hand, self.came, self.since, self.by, self.said = -1e18, 0, None, None, [], False
+        self.asked, self.in_hand, self.came, self.since, self.by, self.said = (
+            -1e18,
+            0,
+            None,
+            None,
+            [],
+            False,
+        )
 
 
 class Leftover:
@@ -30,9 +37,10 @@
         if listed is None:
             return []
         self.words = {name: self.words.get(name) or Word() for name in listed}
-        due = sorted((name for name in listed if now - self.words[name].asked >= AGAIN),
-                     key=lambda name: self.words[name].asked)[:AT_ONCE - (len(listed) - sum(
-                         now - one.asked >= AGAIN for one in self.words.values()))]
+        due = sorted(
+            (name for name in listed if now - self.words[name].asked >= AGAIN),
+            key=lambda name: self.words[name].asked,
+        )[: AT_ONCE - (len(listed) - sum(now - one.asked >= AGAIN for one in self.words.values()))]
         for name in due:
             self.words[name].asked = now
         return due
@@ -54,16 +62,21 @@
 
     def empty(self, now):
         """By the word of every host. Who has no list knows of no host, and of none that is empty."""
-        return self.known and all(one.said and one.since is not None and now - one.since >= APART
-                                  for one in self.words.values())
+        return self.known and all(
+            one.said and one.since is not None and now - one.since >= APART
+            for one in self.words.values()
+        )
 
     def why(self):
         """What it waits for, for people."""
         if not self.known:
             return "no list of hosts is known to who conducts"
         silent = [name for name, one in self.words.items() if not one.said]
-        busy = [f"{name} has {one.in_hand} in hand, of {' '.join(one.by)}"
-                for name, one in self.words.items() if one.by]
+        busy = [
+            f"{name} has {one.in_hand} in hand, of {' '.join(one.by)}"
+            for name, one in self.words.items()
+            if one.by
+        ]
         if busy:
             return "hosts still get work: " + ", ".join(busy[:3])
         return f"hosts that do not say what they have: {' '.join(silent[:3])}" if silent else ""
--- a/cherrydoor/site/neighbours.py
+++ b/cherrydoor/site/neighbours.py
@@ -9,13 +9,16 @@
 
 from typing import NamedTuple
 
-FRESH = 15000.0         # ms for which a gateway's word counts: three of the longest pauses between two words
-LOST = 0.25             # share of the neighbours' hosts that has to be missing before waves wait for them
-FULL = 0.9              # of what neighbours can do, that may be filled; when some are lost the site takes back the rest
+FRESH = (
+    15000.0  # ms for which a gateway's word counts: three of the longest pauses between two words
+)
+LOST = 0.25  # share of the neighbours' hosts that has to be missing before waves wait for them
+FULL = 0.9  # of what neighbours can do, that may be filled; when some are lost the site takes back the rest
 
 
 class Site(NamedTuple):
     """hosts that stand, events a second that go there, how busy they are at the most: None where nothing tells it."""
+
     hosts: int
     rate: float
     busy: float | None
@@ -93,24 +96,36 @@
     def standing(self):
         """The share of the neighbours' hosts that stands."""
         most = sum(self.most.values())
-        now = sum(min(self.most[name], self.sites[name].hosts) if name in self.sites else 0 for name in self.most)
+        now = sum(
+            min(self.most[name], self.sites[name].hosts) if name in self.sites else 0
+            for name in self.most
+        )
         return now / most if most else 1.0
 
     def lost(self):
         """Why no wave goes out, "" where nothing is lost."""
         if self.standing() > 1 - LOST:
             return ""
-        short = [f"{name} {self.sites[name].hosts if name in self.sites else 0} of {most}"
-                 for name, most in sorted(self.most.items()) if name not in self.sites or self.sites[name].hosts < most]
+        short = [
+            f"{name} {self.sites[name].hosts if name in self.sites else 0} of {most}"
+            for name, most in sorted(self.most.items())
+            if name not in self.sites or self.sites[name].hosts < most
+        ]
         return "neighbours are lost: " + ", ".join(short) + " hosts stand"
 
     def excess(self):
         """Events a second beyond what neighbours bear that are left; 0 where it is not known."""
-        could = sum(full * self.sites[name].hosts / self.most[name] for name, full in self.could.items()
-                    if name in self.sites)
+        could = sum(
+            full * self.sites[name].hosts / self.most[name]
+            for name, full in self.could.items()
+            if name in self.sites
+        )
         if not self.could or not self.lost():
             return 0.0
-        return max(0.0, sum(one.rate for name, one in self.sites.items() if name != self.site) - FULL * could)
+        return max(
+            0.0,
+            sum(one.rate for name, one in self.sites.items() if name != self.site) - FULL * could,
+        )
 
     def takes_back(self):
         """Whether the drained site's own hosts still stand."""
--- a/cherrydoor/site/opening.py
+++ b/cherrydoor/site/opening.py
@@ -9,21 +9,29 @@
 
 from cherrydoor.site.plan import Step
 
-OPEN = 4000.0           # ms after which a copy that does not stand is ordered again ...
-TRIES = 3               # ... so often; then its function is put off to the last wave
-GIVEN = 30000.0         # ms for which the last wave's copies are ordered; then the drain stands
+OPEN = 4000.0  # ms after which a copy that does not stand is ordered again ...
+TRIES = 3  # ... so often; then its function is put off to the last wave
+GIVEN = 30000.0  # ms for which the last wave's copies are ordered; then the drain stands
 
 
 class Openings:
     """`stood`: functions of which a copy stands outside; `without`: those that move without one."""
 
     def __init__(self, stood):
-        self.stood, self.without, self.opening, self.tried, self.off = set(stood), set(), {}, Counter(), {}
+        self.stood, self.without, self.opening, self.tried, self.off = (
+            set(stood),
+            set(),
+            {},
+            Counter(),
+            {},
+        )
         self.since, self.stuck = 0.0, False
 
     def begin(self, now, wave):
         """Functions of which a copy is to be ordered now."""
-        wanted = [s.function for s in wave if s.opens and s.function not in self.stood | self.without]
+        wanted = [
+            s.function for s in wave if s.opens and s.function not in self.stood | self.without
+        ]
         self.opening, self.since = dict.fromkeys(wanted, now), now
         self.tried.update(wanted)
         return wanted
--- a/cherrydoor/site/plan.py
+++ b/cherrydoor/site/plan.py
@@ -9,14 +9,18 @@
 
 from msgspec import Struct, structs
 
-STEP = 0.25             # of the site's events a second that one wave moves at most
-COPIES = 4              # copies that one wave has opened at most: the store and cold memory bear so many at a time
-LEAST = 0.02            # of the site's traffic that a lot must have to stand by itself; smaller ones are the rest
-NAMED = 60              # functions that a report names; the others go as the rest
-REST = ""               # the name of the rest: every function that is not named
+STEP = 0.25  # of the site's events a second that one wave moves at most
+COPIES = (
+    4  # copies that one wave has opened at most: the store and cold memory bear so many at a time
+)
+LEAST = (
+    0.02  # of the site's traffic that a lot must have to stand by itself; smaller ones are the rest
+)
+NAMED = 60  # functions that a report names; the others go as the rest
+REST = ""  # the name of the rest: every function that is not named
 
 
-KINDS = ("redeliverable", "keyed", "at-most-once")      # the later, the stricter
+KINDS = ("redeliverable", "keyed", "at-most-once")  # the later, the stricter
 
 
 def stricter(*kinds):
@@ -30,6 +34,7 @@
 class Lot(Struct, frozen=True):
     """rate: events a second at the site; benefit: lost with each that is late; kind: of the event type, the strictest;
     hosts: where matching copies stand elsewhere; memory: how long hosts remember marks, ms, of keyed ones."""
+
     function: str
     rate: float
     benefit: float = 1.0
@@ -41,6 +46,7 @@
 class Step(Struct, frozen=True):
     """From this wave on sessions below this share of a function's are away; `opens`: a copy has to stand first; rate:
     events a second that move with it."""
+
     function: str
     share: float
     opens: bool = False
@@ -50,6 +56,7 @@
 class Plan(Struct, frozen=True):
     """waves: steps of each, shares counted from nothing; sure: how many of them neighbours are known to bear, those
     beyond are smaller; room, asked: in events a second."""
+
     waves: list[list[Step]] = []
     sure: int = 0
     room: float = 0.0
@@ -65,8 +72,10 @@
         return self.missing > 0 and not even
 
     def refusal(self):
-        return (f"neighbours are known to bear {self.room:.1f} more of the {self.asked:.1f} events a second here: "
-                f"{self.missing:.1f} are missing; --even tries them last and defers what finds no room")
+        return (
+            f"neighbours are known to bear {self.room:.1f} more of the {self.asked:.1f} events a second here: "
+            f"{self.missing:.1f} are missing; --even tries them last and defers what finds no room"
+        )
 
 
 def priority(lot):
@@ -82,8 +91,14 @@
     for one in told:
         name = named(one.function)
         was = sums.get(name) or Lot(name, 0.0, 0.0, one.kind)
-        sums[name] = Lot(name, one.rate + was.rate, max(one.benefit, was.benefit), stricter(one.kind, was.kind),
-                         tuple(dict.fromkeys([*was.hosts, *one.hosts])), max(one.memory, was.memory))
+        sums[name] = Lot(
+            name,
+            one.rate + was.rate,
+            max(one.benefit, was.benefit),
+            stricter(one.kind, was.kind),
+            tuple(dict.fromkeys([*was.hosts, *one.hosts])),
+            max(one.memory, was.memory),
+        )
         copies.update(dict.fromkeys((name, one.function, host) for host in one.hosts))
     return list(sums.values()), list(copies)
 
@@ -109,8 +124,16 @@
     rate = sum(lot.rate for lot in small)
     if rate:
         benefit = sum(lot.rate * lot.benefit for lot in small) / rate
-        big.append(Lot(REST, rate, benefit, stricter(*(lot.kind for lot in small)), ("",),
-                       max(lot.memory for lot in small)))
+        big.append(
+            Lot(
+                REST,
+                rate,
+                benefit,
+                stricter(*(lot.kind for lot in small)),
+                ("",),
+                max(lot.memory for lot in small),
+            )
+        )
     return sorted(big, key=priority)
 
 
@@ -134,14 +157,18 @@
             if moved >= most - 1e-9 or opens and opened >= copies or beyond and sure < 0 and wave:
                 waves.append(wave)
                 wave, moved, opened = [], 0.0, 0.0
-            if beyond and sure < 0:     # from here on it shows whether there is room: no smaller lot goes first
+            if (
+                beyond and sure < 0
+            ):  # from here on it shows whether there is room: no smaller lot goes first
                 sure, most = len(waves), most / 2
             part = min(1 - share, (most - moved) / lot.rate, 1.0 if beyond else left / lot.rate)
             share = min(1.0, share + part)
             left -= part * lot.rate
             moved += part * lot.rate
             opened += opens
-            wave.append(Step(lot.function, 1.0 if share > 1 - 1e-9 else share, opens, part * lot.rate))
+            wave.append(
+                Step(lot.function, 1.0 if share > 1 - 1e-9 else share, opens, part * lot.rate)
+            )
     if wave:
         waves.append(wave)
     return Plan(waves, sure if sure >= 0 else len(waves), room, asked)
@@ -164,5 +191,5 @@
     >>> served(plan([Lot("a", 1.0), Lot("b", 1.0, 5.0)], 1.0), [Lot("a", 1.0), Lot("b", 1.0, 5.0)])
     5.0
     """
-    shares = {step.function: step.share for wave in chosen.waves[:chosen.sure] for step in wave}
+    shares = {step.function: step.share for wave in chosen.waves[: chosen.sure] for step in wave}
     return sum(lot.rate * lot.benefit * shares.get(lot.function, 0.0) for lot in gathered(lots))
--- a/cherrydoor/site/shell.py
+++ b/cherrydoor/site/shell.py
@@ -12,8 +12,8 @@
 from cherrydoor.site.watch import pause
 
 log = structlog.get_logger()
-LOOK = 0.25             # s between looks at what is to be said and led
-KNOWN = 4000            # functions of which event types are remembered
+LOOK = 0.25  # s between looks at what is to be said and led
+KNOWN = 4000  # functions of which event types are remembered
 
 
 class Sites(Conducting):
@@ -26,13 +26,17 @@
         self.kinds = {c.name: c for c in lease.clauses}
         self.benefits = self.shell.figures.benefits
         self.conductors, self.wanted, self.heard, self.seen, self.timer = {}, {}, {}, {}, None
-        self.steps = {}             # site -> (share of a wave, --even) as an operator said; until it is conducted
+        self.steps = {}  # site -> (share of a wave, --even) as an operator said; until it is conducted
         self.taken = self.good = 0
         self.calls = Calls(self.now())
-        self.reported = {}          # site -> (when, wave) of the last report; as many as there are drains
+        self.reported = {}  # site -> (when, wave) of the last report; as many as there are drains
         self.named = plain(self.shell.releases)
         peers.linked.append(self.linked)
-        for kind, what in ((f.Wave, self.told), (f.Followed, self.followed), (f.Drain, self.ordered)):
+        for kind, what in (
+            (f.Wave, self.told),
+            (f.Followed, self.followed),
+            (f.Drain, self.ordered),
+        ):
             peers.follow(kind, what)
 
     def start(self):
@@ -48,8 +52,13 @@
     def tells(self, event):
         clause = self.kinds[event.clause]
         narrow = clause.memory if clause.kind == "keyed" and clause.group != "all" else 0.0
-        return self.follower.tells(self.now(), event.function, clause.kind, narrow,
-                                   d.session(event.document, event.party, event.function))
+        return self.follower.tells(
+            self.now(),
+            event.function,
+            clause.kind,
+            narrow,
+            d.session(event.document, event.party, event.function),
+        )
 
     def defers(self, event):
         return self.tells(event).defer if self.follower.drains else ""
@@ -76,7 +85,7 @@
         if not self.follower.hear(self.now(), wave):
             held = self.follower.drains.get(wave.site)
             if held is not None and sender and (held.number, held.wave) > (wave.number, wave.wave):
-                self.peers.say(sender, held)        # whoever is behind hears of it from whom it told
+                self.peers.say(sender, held)  # whoever is behind hears of it from whom it told
             return
         desk = self.shell.desk
         for one in wave.copies:
@@ -85,8 +94,16 @@
         for name in list(self.peers.ends):
             if name != sender:
                 self.peers.say(name, wave)
-        log.info("a site is drained", gateway=self.me, site=wave.site, number=wave.number, wave=wave.wave,
-                 state=wave.state, conductor=wave.conductor, why=wave.why)
+        log.info(
+            "a site is drained",
+            gateway=self.me,
+            site=wave.site,
+            number=wave.number,
+            wave=wave.wave,
+            state=wave.state,
+            conductor=wave.conductor,
+            why=wave.why,
+        )
         conductor = self.conductors.get(wave.site)
         if conductor is not None and wave.conductor != self.me:
             self.tenures.outdone(f"site/{wave.site}", wave.number)
@@ -99,26 +116,41 @@
     def report(self, site, number, wave, taken=0, good=0):
         """How this gateway fares, and what it knows of the site. taken, good: events since the last report."""
         desk = self.shell.desk
-        in_hand = sum(len(link.out) for host in desk.hosts.values() if host.row.zone == site for link in host.links)
+        in_hand = sum(
+            len(link.out)
+            for host in desk.hosts.values()
+            if host.row.zone == site
+            for link in host.links
+        )
         rates = self.calls.rates(self.now(), site)
         self.seen = {name: types for name, types in self.seen.items() if name in self.calls.counts}
         rest = sum(rate for _, rate in rates[NAMED:])
-        told = [self.lot(name, rate, desk.gate.zone.outside(name, site)) for name, rate in rates[:NAMED]]
+        told = [
+            self.lot(name, rate, desk.gate.zone.outside(name, site)) for name, rate in rates[:NAMED]
+        ]
         if rest:
             told.append(f.LotTold(REST, rest))
         zones = [f.ZoneTold(*one) for one in desk.gate.zone.sites()]
-        return f.Followed(self.me, self.peers.me.life, site, number, wave, in_hand, taken, good, told, zones)
+        return f.Followed(
+            self.me, self.peers.me.life, site, number, wave, in_hand, taken, good, told, zones
+        )
 
     def lot(self, name, rate, hosts):
         kinds = [self.kinds[c] for c in self.seen.get(name, ())] or list(self.kinds.values())[:1]
-        return f.LotTold(name, rate, max(self.benefits[c.name] for c in kinds), stricter(*(c.kind for c in kinds)),
-                         max(c.memory for c in kinds), hosts[:8])
+        return f.LotTold(
+            name,
+            rate,
+            max(self.benefits[c.name] for c in kinds),
+            stricter(*(c.kind for c in kinds)),
+            max(c.memory for c in kinds),
+            hosts[:8],
+        )
 
     def followed(self, sender, report):
         if report.to != self.me:
-            self.peers.say(report.to, report)       # a keeper passes it on
+            self.peers.say(report.to, report)  # a keeper passes it on
             return
-        if report.site not in self.wanted:          # whoever conducts is another by now
+        if report.site not in self.wanted:  # whoever conducts is another by now
             return
         self.heard.setdefault(report.site, {})[report.gateway] = (self.now(), report)
         conductor = self.conductors.get(report.site)
@@ -129,7 +161,9 @@
         """To the conductor: straight where it is linked, else by way of a keeper."""
         message.to = to
         if to == self.me:
-            return self.loop.call_soon(self.followed if type(message) is f.Followed else self.ordered, "", message)
+            return self.loop.call_soon(
+                self.followed if type(message) is f.Followed else self.ordered, "", message
+            )
         if not self.peers.say(to, message):
             via = next((name for name in self.tenures.keepers if name in self.peers.ends), None)
             if via is not None:
@@ -145,11 +179,16 @@
         for site, wave in list(self.follower.drains.items()):
             self.tell(site, wave, now)
             if wave.state != "over" and site not in self.wanted and self.me in self.tenures.keepers:
-                self.want(site)         # keepers take over a drain whose conductor is lost
+                self.want(site)  # keepers take over a drain whose conductor is lost
         for site, began in list(self.wanted.items()):
             conductor = self.conductors.get(site)
             number = self.tenures.number(f"site/{site}")
-            if conductor is None and number is not None and began is not None and now - began > GATHER:
+            if (
+                conductor is None
+                and number is not None
+                and began is not None
+                and now - began > GATHER
+            ):
                 self.conduct(site, number)
             elif conductor is not None and number == conductor.number:
                 self.looked(site, conductor)
@@ -160,7 +199,7 @@
         mine = wave.number, wave.wave
         due = pause(len(self.peers.members.living()))
         if wave.state == "over":
-            due = 1e18              # once
+            due = 1e18  # once
         if mine != last or now - at >= due - 1.0:
             self.reported[site] = now, mine
             taken, good, self.taken, self.good = self.taken, self.good, 0, 0
@@ -170,18 +209,27 @@
     def order(self, said):
         """A command: drain, plan (a dry run), show, hold, resume, undo."""
         do, site = said["what"], str(said["site"])
-        sites = {host.row.zone for host in self.shell.desk.hosts.values() if host.row.state != "gone"}
+        sites = {
+            host.row.zone for host in self.shell.desk.hosts.values() if host.row.state != "gone"
+        }
         if site not in sites:
-            return {"error": f"no host of the list is at site {site!r}; there are {' '.join(sorted(sites)) or 'none'}"}
+            return {
+                "error": f"no host of the list is at site {site!r}; there are {' '.join(sorted(sites)) or 'none'}"
+            }
         held = self.follower.drains.get(site)
         on = held is not None and held.state != "over"
         if do == "show":
             return self.table(site)
         if do == "plan":
-            return self.dry(site, step_within(1000.0 * float(said.get("within") or 3600.0) - GATHER, WAVE) or 1.0)
+            return self.dry(
+                site,
+                step_within(1000.0 * float(said.get("within") or 3600.0) - GATHER, WAVE) or 1.0,
+            )
         if do == "drain":
             if on:
-                return {"error": f"{site} is drained already, by {held.conductor}: wave {held.wave}, {held.state}"}
+                return {
+                    "error": f"{site} is drained already, by {held.conductor}: wave {held.wave}, {held.state}"
+                }
             other = next((w.site for w in self.follower.drains.values() if w.state != "over"), None)
             if other is not None:
                 return {"error": f"{other} is being drained: one site at a time"}
@@ -189,11 +237,13 @@
                 return {"error": f"{site} has no neighbour"}
             step = step_within(1000.0 * float(said.get("within") or 3600.0) - GATHER, WAVE)
             if step is None:
-                return {"error": f"a drain takes {(GATHER + WAVE) / 1000:g} s at the least: to listen, and a wave"}
+                return {
+                    "error": f"a drain takes {(GATHER + WAVE) / 1000:g} s at the least: to listen, and a wave"
+                }
             made = self.look_at(site, step)[0]
             if made.refused(bool(said.get("even"))):
                 return {"error": made.refusal()}
-            if site in self.conductors:             # the one before is over, and its tenure still held
+            if site in self.conductors:  # the one before is over, and its tenure still held
                 self.let_go(site)
             self.steps[site] = step, bool(said.get("even"))
             self.want(site)
@@ -220,15 +270,33 @@
         """What would be done, by what this gateway knows alone, or as conductor by what all have told."""
         made, lots, _ = self.look_at(site, step)
         by = {lot.function: lot for lot in lots}
-        return {"site": site, "asked": round(made.asked, 1), "room": round(made.room, 1),
-                "missing": round(made.missing, 1), "refusal": made.refusal(),
-                "beyond": list(dict.fromkeys(step.function for wave in made.waves[made.sure:] for step in wave)),
-                "told by": sorted(self.heard[site]),
-                "sites": {name: {"rate": round(one.rate, 1), "busy": one.busy, "hosts": one.hosts}
-                          for name, one in self.sites(site).items()},
-                "waves": [[{"function": s.function or "(rest)", "share": round(s.share, 3), "opens": s.opens,
-                            "benefit": by[s.function].benefit if s.function in by else 1.0} for s in wave]
-                          for wave in made.waves]}
+        return {
+            "site": site,
+            "asked": round(made.asked, 1),
+            "room": round(made.room, 1),
+            "missing": round(made.missing, 1),
+            "refusal": made.refusal(),
+            "beyond": list(
+                dict.fromkeys(step.function for wave in made.waves[made.sure :] for step in wave)
+            ),
+            "told by": sorted(self.heard[site]),
+            "sites": {
+                name: {"rate": round(one.rate, 1), "busy": one.busy, "hosts": one.hosts}
+                for name, one in self.sites(site).items()
+            },
+            "waves": [
+                [
+                    {
+                        "function": s.function or "(rest)",
+                        "share": round(s.share, 3),
+                        "opens": s.opens,
+                        "benefit": by[s.function].benefit if s.function in by else 1.0,
+                    }
+                    for s in wave
+                ]
+                for wave in made.waves
+            ],
+        }
 
     def table(self, site):
         held, conductor = self.follower.drains.get(site), self.conductors.get(site)
--- a/cherrydoor/site/watch.py
+++ b/cherrydoor/site/watch.py
@@ -1,8 +1,11 @@
 """What gateways report of a drain: which wave each goes by, what it has in hand, how its events fare. Pure."""
 
-LEAST = 30              # events by which a share within target is judged
-KEPT = 400              # reports that shares are made of
-LOOK, CROWD = 250.0, 50  # ms between two reports of one gateway, longer by each so many gateways there are
+LEAST = 30  # events by which a share within target is judged
+KEPT = 400  # reports that shares are made of
+LOOK, CROWD = (
+    250.0,
+    50,
+)  # ms between two reports of one gateway, longer by each so many gateways there are
 
 
 def pause(gateways):
@@ -26,14 +29,19 @@
     """`reports` is bounded by the names of gateways."""
 
     def __init__(self):
-        self.reports, self.good = {}, []        # good: (when, good, taken) of the last reports
+        self.reports, self.good = {}, []  # good: (when, good, taken) of the last reports
 
     def heard(self, now, report):
         """False where it is of an earlier life than what was heard before."""
         held = self.reports.setdefault(report.gateway, Report())
         if report.life < held.life:
             return False
-        held.wave, held.in_hand, held.heard, held.life = (report.number, report.wave), report.in_hand, now, report.life
+        held.wave, held.in_hand, held.heard, held.life = (
+            (report.number, report.wave),
+            report.in_hand,
+            now,
+            report.life,
+        )
         if report.taken:
             self.good.append((now, report.good, report.taken))
             del self.good[:-KEPT]
@@ -41,7 +49,9 @@
 
     def late(self, living, wave):
         """Living gateways that have not confirmed this wave."""
-        return [name for name in living if name not in self.reports or self.reports[name].wave < wave]
+        return [
+            name for name in living if name not in self.reports or self.reports[name].wave < wave
+        ]
 
     def busy(self, living):
         """Living gateways with something in hand at the site."""
--- a/cherrydoor/site/waves.py
+++ b/cherrydoor/site/waves.py
@@ -7,11 +7,12 @@
 from cherrydoor.frames.site import Away, Wave
 from cherrydoor.site.follow import EMPTY
 
-SETTLE = 1500.0         # ms for which a wave is watched before the next
+SETTLE = 1500.0  # ms for which a wave is watched before the next
 
 
 class Open(Struct, frozen=True):
     """A copy of the function is to stand outside the site before its sessions move."""
+
     function: str
 
 
@@ -81,14 +82,27 @@
     def say(self, state):
         shed = self.shed if state in EMPTY else []
         away = [Away(name, share) for name, share in self.shares.items() if share > 0]
-        return Say(Wave(self.site, self.number, self.wave, self.me, state, away, shed, self.copies, self.why,
-                        self.step, self.even))
+        return Say(
+            Wave(
+                self.site,
+                self.number,
+                self.wave,
+                self.me,
+                state,
+                away,
+                shed,
+                self.copies,
+                self.why,
+                self.step,
+                self.even,
+            )
+        )
 
     def copies_stand(self, now):
         openings, last = self.openings, self.at == len(self.waves) - 1
         again, off = openings.late(now, last)
         for name in off:
-            self.waves[self.at:] = openings.put_off(name, self.waves[self.at:])
+            self.waves[self.at :] = openings.put_off(name, self.waves[self.at :])
             self.why = f"put off, as no copy stands: {' '.join(openings.off)}"
         if last and (why := openings.given_up(now)):
             return self.stand(why)
@@ -103,7 +117,7 @@
     def reached(self):
         """function -> share, by the waves that stand."""
         reached: dict = {}
-        for wave in self.waves[:self.at]:
+        for wave in self.waves[: self.at]:
             for step in wave:
                 reached[step.function] = max(step.share, reached.get(step.function, 0.0))
         return reached
--- a/cherrydoor/standin/capacity.py
+++ b/cherrydoor/standin/capacity.py
@@ -30,7 +30,11 @@
         """The share of its capacity that a host has by its age."""
         if not self.started or not self.build.cold:
             return 1.0
-        return min(1.0, self.build.cold_from + (1 - self.build.cold_from) * (now() - self.started) / self.build.cold)
+        return min(
+            1.0,
+            self.build.cold_from
+            + (1 - self.build.cold_from) * (now() - self.started) / self.build.cold,
+        )
 
     def speed(self):
         return 0.0 if self.paused_until > now() else self.build.speed * self.level() / self.slow
@@ -45,7 +49,9 @@
             self.work.popleft()
         can = self.build.cores * self.build.speed * self.level() * self.build.fall
         sent = sum(w for _, w in self.work)
-        if sent > self.build.multiple * can + 2 * sent / len(self.work):      # two events are left to chance
+        if sent > self.build.multiple * can + 2 * sent / len(
+            self.work
+        ):  # two events are left to chance
             self.fell = True
             self.record.add("fell", self.id, a=sent, b=self.build.multiple * can)
             self.kill("fell over")
@@ -84,6 +90,9 @@
 
     def tied(self):
         """The share of memory of copies at work or loading."""
-        used = sum((copies.standing - copies.idle() + copies.loading) * copies.facts.memory
-                   for copies in self.functions.values() if copies.facts)
+        used = sum(
+            (copies.standing - copies.idle() + copies.loading) * copies.facts.memory
+            for copies in self.functions.values()
+            if copies.facts
+        )
         return min(10.0, max(0.0, used / self.build.memory))
--- a/cherrydoor/standin/command.py
+++ b/cherrydoor/standin/command.py
@@ -36,7 +36,11 @@
                 result = await result
             say("done", of=tag, result=result)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            say("wrong", line=line.decode(errors="replace").strip(), error=f"{type(error).__name__}: {error}")
+            say(
+                "wrong",
+                line=line.decode(errors="replace").strip(),
+                error=f"{type(error).__name__}: {error}",
+            )
 
 
 class HostCommands:
@@ -47,14 +51,26 @@
         return getattr(self, name.replace(" ", "_"))(**values)
 
     def each(self, hosts):
-        found = [self.farm.hosts[h] for h in hosts] if hosts is not None else list(self.farm.hosts.values())
+        found = (
+            [self.farm.hosts[h] for h in hosts]
+            if hosts is not None
+            else list(self.farm.hosts.values())
+        )
         return [h for h in found if h.up]
 
     async def add(self, builds, names=None, cold=False, binds=None):
         """Starts hosts; gives their ids."""
-        return [(await self.farm.add(names[i] if names else "127.0.0.1:0", Build(**build), cold,
-                                    binds[i] if binds else "")).id
-                for i, build in enumerate(builds)]
+        return [
+            (
+                await self.farm.add(
+                    names[i] if names else "127.0.0.1:0",
+                    Build(**build),
+                    cold,
+                    binds[i] if binds else "",
+                )
+            ).id
+            for i, build in enumerate(builds)
+        ]
 
     def drain(self, hosts, on=True):
         for host in self.each(hosts):
@@ -101,7 +117,9 @@
     def again(self, host, pause):
         if pause and host.pause is pause and host.up:
             host.stand_still(pause[0])
-            self.farm.loop.call_later((pause[0] + pause[1] * (0.5 + host.chance())) / 1000, self.again, host, pause)
+            self.farm.loop.call_later(
+                (pause[0] + pause[1] * (0.5 + host.chance())) / 1000, self.again, host, pause
+            )
 
     def late(self, hosts=None, ms=0.0):
         for host in self.each(hosts):
@@ -127,8 +145,10 @@
             self.farm.bad[function] = what
 
     def who(self):
-        return {h.id: {"up": h.up, "held": len(h.jobs) if h.up else 0, "started": h.since} for h in
-                self.farm.hosts.values()}
+        return {
+            h.id: {"up": h.up, "held": len(h.jobs) if h.up else 0, "started": h.since}
+            for h in self.farm.hosts.values()
+        }
 
 
 async def hosts(said):
@@ -138,8 +158,12 @@
     if said.get("store"):
         host, _, port = said["store"].rpartition(":")
         from cherrydoor.ends import End
+
         await farm.loop.create_connection(
-            lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")), host, int(port))
+            lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")),
+            host,
+            int(port),
+        )
     obey = HostCommands(farm)
     ids = await obey.add(said.get("builds", []), said.get("names"), binds=said.get("binds"))
     farm.sweep()
@@ -150,8 +174,9 @@
 
 async def store(said):
     record = Record(said.get("record"), "store", "store")
-    one = await Store(record, Catalogue(**said.get("catalogue", {})), **said.get("figures", {})).start(
-        port=said.get("port", 0))
+    one = await Store(
+        record, Catalogue(**said.get("catalogue", {})), **said.get("figures", {})
+    ).start(port=said.get("port", 0))
 
     def obey(name, values):
         if name == "release":
@@ -160,6 +185,7 @@
             one.set(**values)
         else:
             raise ValueError(f"unknown: {name}")
+
     say("ready", port=one.port)
     await commands(obey)
     record.close()
@@ -178,6 +204,7 @@
             one.deaf = values["on"]
         else:
             raise ValueError(f"unknown: {name}")
+
     say("ready", port=one.port)
     await commands(obey)
     record.close()
@@ -185,6 +212,7 @@
 
 async def feed(said):
     from cherrydoor.standin.feed import Feed
+
     record = Record(said.get("record"), "feed", "feed")
     one = await Feed(record, **said.get("figures", {})).start(port=said.get("port", 0))
 
@@ -195,6 +223,7 @@
             one.misses = values["share"]
         else:
             raise ValueError(f"unknown: {name}")
+
     say("ready", port=one.port)
     await commands(obey)
     record.close()
@@ -202,6 +231,7 @@
 
 async def crowd(said):
     from cherrydoor.standin.crowd import crowd as play
+
     await play(said, say, commands)
 
 
--- a/cherrydoor/standin/copies.py
+++ b/cherrydoor/standin/copies.py
@@ -8,10 +8,35 @@
 class Build:
     """What a host is: figures that its commands may change while it runs. Times in ms, memory in MB."""
 
-    def __init__(self, cores=2, speed=1.0, memory=6000.0, queue=24, loads=4, keep=10000.0, eager=True, disk=8000.0,
-                 cold_from=1.0, cold=0.0, multiple=0.0, fall=0.0, report=300.0, late=0.0, noise=0.05,
-                 tells_held=False, error_rate=0.0, remember=5000.0, zone="", cell=0, misses=False, load_fail=0.0,
-                 tells_copy=True, tells_crowd=True, tells_queue=False, tells_tied=False):
+    def __init__(
+        self,
+        cores=2,
+        speed=1.0,
+        memory=6000.0,
+        queue=24,
+        loads=4,
+        keep=10000.0,
+        eager=True,
+        disk=8000.0,
+        cold_from=1.0,
+        cold=0.0,
+        multiple=0.0,
+        fall=0.0,
+        report=300.0,
+        late=0.0,
+        noise=0.05,
+        tells_held=False,
+        error_rate=0.0,
+        remember=5000.0,
+        zone="",
+        cell=0,
+        misses=False,
+        load_fail=0.0,
+        tells_copy=True,
+        tells_crowd=True,
+        tells_queue=False,
+        tells_tied=False,
+    ):
         self.__dict__.update({k: v for k, v in locals().items() if k != "self"})
 
 
--- a/cherrydoor/standin/cores.py
+++ b/cherrydoor/standin/cores.py
@@ -11,7 +11,14 @@
     """
 
     def __init__(self, count, now):
-        self.count, self.heap, self.had, self.at, self.rate, self.serial = count, [], 0.0, now, 0.0, 0
+        self.count, self.heap, self.had, self.at, self.rate, self.serial = (
+            count,
+            [],
+            0.0,
+            now,
+            0.0,
+            0,
+        )
         self.dropped = set()
 
     def advance(self, now, speed):
--- a/cherrydoor/standin/crowd.py
+++ b/cherrydoor/standin/crowd.py
@@ -62,8 +62,14 @@
         """Let in is who is still there after half a second."""
         if not self.told:
             self.told = True
-            self.crowd.record.add("came back", peer=self.gateway, party=self.office, fate=fate, text=why,
-                                  a=self.took if self.end else now() - self.begun)
+            self.crowd.record.add(
+                "came back",
+                peer=self.gateway,
+                party=self.office,
+                fate=fate,
+                text=why,
+                a=self.took if self.end else now() - self.begun,
+            )
 
 
 class Crowd:
@@ -74,9 +80,12 @@
 
     def flood(self, doors, per_second, tls=False):
         """From now on so many connections a second over all doors; 0 ends it."""
-        self.doors, self.rate = [(d.rpartition(":")[0], int(d.rpartition(":")[2])) for d in doors], per_second
+        self.doors, self.rate = (
+            [(d.rpartition(":")[0], int(d.rpartition(":")[2])) for d in doors],
+            per_second,
+        )
         first = greeting(tls)
-        self.says = (b"", first[:len(first) // 2], first, first + b"\0\0\1\0")
+        self.says = (b"", first[: len(first) // 2], first, first + b"\0\0\1\0")
         if per_second and self.task is None:
             self.task = self.loop.create_task(self.pour())
 
@@ -97,8 +106,13 @@
                 self.leave(self.open.popleft()[1])
             if t - counted > 1000:
                 counted = t
-                self.record.add("flood", number=self.opened, a=float(self.told), b=float(len(self.open)),
-                                c=float(self.failed))
+                self.record.add(
+                    "flood",
+                    number=self.opened,
+                    a=float(self.told),
+                    b=float(len(self.open)),
+                    c=float(self.failed),
+                )
                 self.opened = self.told = self.failed = 0
             await asyncio.sleep(TICK)
         self.task = None
@@ -154,12 +168,25 @@
             try:
                 async with asyncio.timeout(wait):
                     await self.loop.create_connection(
-                        lambda: End(comer, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", office, now())), host,
-                        int(port), local_addr=(offices[office]["address"], 0), ssl=contexts[office])
+                        lambda: End(
+                            comer, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", office, now())
+                        ),
+                        host,
+                        int(port),
+                        local_addr=(offices[office]["address"], 0),
+                        ssl=contexts[office],
+                    )
             except (OSError, TimeoutError) as error:
                 comer.tell("refused", str(error) or "time-out")
-        await asyncio.gather(*(one(gateway, door, office) for gateway, door in doors.items() for office in offices
-                               for _ in range(count)))
+
+        await asyncio.gather(
+            *(
+                one(gateway, door, office)
+                for gateway, door in doors.items()
+                for office in offices
+                for _ in range(count)
+            )
+        )
 
 
 async def crowd(said, say, commands):
@@ -175,6 +202,7 @@
             task.add_done_callback(tasks.discard)
         else:
             raise ValueError(f"unknown: {name}")
+
     say("ready")
     await commands(obey)
     record.close()
--- a/cherrydoor/standin/estates.py
+++ b/cherrydoor/standin/estates.py
@@ -10,9 +10,12 @@
 from cherrydoor.frames import custody as c
 from cherrydoor.standin.record import now
 
-REMEMBERS = 6000.0      # ms for which ended launches are told of
-MOST, BYTES = 4000, 8 * 2**20       # of them that are remembered, and of their answers; the oldest go first
-LONG = 600000.0         # ms for which the number under which a life was taken over is remembered
+REMEMBERS = 6000.0  # ms for which ended launches are told of
+MOST, BYTES = (
+    4000,
+    8 * 2**20,
+)  # of them that are remembered, and of their answers; the oldest go first
+LONG = 600000.0  # ms for which the number under which a life was taken over is remembered
 
 
 class Past:
@@ -20,7 +23,13 @@
 
     def __init__(self, job, fate, body):
         self.at, self.origin, self.number, self.launch, self.fate, self.body = (
-            now(), job.origin, job.number, job.launch, fate, body)
+            now(),
+            job.origin,
+            job.number,
+            job.launch,
+            fate,
+            body,
+        )
 
 
 class Estates:
@@ -35,7 +44,7 @@
 
     def begin_estates(self):
         self.ended, self.past, self.past_bytes, self.numbers = {}, deque(), 0, 0
-        self.passed = {}        # (gateway, life) -> the highest number under which its estate was taken over here, when
+        self.passed = {}  # (gateway, life) -> the highest number under which its estate was taken over here, when
 
     def origin(self, end, launch):
         return (launch.giver, launch.life) if launch.giver else (end.name, end.life)
@@ -55,24 +64,47 @@
         self.past.append(Past(job, fate, body))
         self.past_bytes += len(body)
         old = now() - REMEMBERS
-        while self.past and (self.past[0].at < old or len(self.past) > MOST or self.past_bytes > BYTES):
+        while self.past and (
+            self.past[0].at < old or len(self.past) > MOST or self.past_bytes > BYTES
+        ):
             self.past_bytes -= len(self.past.popleft().body)
 
     def over(self, end, message):
         """That life is over: nothing more of it is taken, and what it had here is told to its heir."""
         origin = message.gateway, message.life
         passed = self.passed.get(origin, (0, 0.0))[0]
-        self.record.add("over", self.id, end.name, message.id, number=message.number, text=message.gateway,
-                        a=float(message.life), fate="refused" if passed > message.number else "")
+        self.record.add(
+            "over",
+            self.id,
+            end.name,
+            message.id,
+            number=message.number,
+            text=message.gateway,
+            a=float(message.life),
+            fate="refused" if passed > message.number else "",
+        )
         if passed > message.number:
             return self.say(end, c.Holds(message.id, passed))
         self.passed = {key: one for key, one in self.passed.items() if one[1] > now() - LONG}
         self.passed[origin] = message.number, now()
         self.ended[message.gateway] = max(message.life, self.ended.get(message.gateway, 0))
-        jobs = [c.Job(job.number, job.launch.client, job.launch.event, job.launch.number)
-                for job in self.jobs.values() if job.origin == origin]
-        jobs += [c.Job(one.number, one.launch.client, one.launch.event, one.launch.number, one.fate, one.body)
-                 for one in self.past if one.origin == origin]
+        jobs = [
+            c.Job(job.number, job.launch.client, job.launch.event, job.launch.number)
+            for job in self.jobs.values()
+            if job.origin == origin
+        ]
+        jobs += [
+            c.Job(
+                one.number,
+                one.launch.client,
+                one.launch.event,
+                one.launch.number,
+                one.fate,
+                one.body,
+            )
+            for one in self.past
+            if one.origin == origin
+        ]
         self.say(end, c.Holds(message.id, message.number, jobs))
         for other in [other for other in self.ends if self.refused(other)]:
             other.close(c.LIFE_OVER)
@@ -85,8 +117,12 @@
 
     def adopt(self, end, message):
         """The job's outcome goes to the heir; it may have ended meanwhile."""
-        found = next(((key, job) for key, job in self.jobs.items() if job.number == message.job), None)
-        self.record.add("adopt", self.id, end.name, message.id, found[1].launch.event if found else 0)
+        found = next(
+            ((key, job) for key, job in self.jobs.items() if job.number == message.job), None
+        )
+        self.record.add(
+            "adopt", self.id, end.name, message.id, found[1].launch.event if found else 0
+        )
         if found is not None:
             key, job = found
             del self.jobs[key]
@@ -98,6 +134,7 @@
 
     def tell_past(self, end, id_, past):
         from cherrydoor.frames import messages as m
+
         if past is None:
             return self.say(end, m.Outcome(id_, "error"))
         self.say(end, m.Outcome(id_, past.fate, 1, body=past.body))
@@ -106,8 +143,16 @@
         """A recall by the connection that launched it, or by another one of the same life."""
         job = self.jobs.get((end, message.id))
         if job is None and end.life:
-            job = next((one for one in self.jobs.values() if one.launch.id == message.id and one.end.name == end.name
-                        and one.end.life == end.life), None)
+            job = next(
+                (
+                    one
+                    for one in self.jobs.values()
+                    if one.launch.id == message.id
+                    and one.end.name == end.name
+                    and one.end.life == end.life
+                ),
+                None,
+            )
         return job
 
     ends: Any
--- a/cherrydoor/standin/farm.py
+++ b/cherrydoor/standin/farm.py
@@ -40,10 +40,15 @@
     """All hosts of one process, and what they share only as a model: marks of keyed events by group, and releases."""
 
     def __init__(self, record, catalogue, seed=1):
-        self.record, self.catalogue, self.seed, self.loop = record, catalogue, seed, asyncio.get_running_loop()
+        self.record, self.catalogue, self.seed, self.loop = (
+            record,
+            catalogue,
+            seed,
+            asyncio.get_running_loop(),
+        )
         self.hosts, self.store, self.marks, self.failing = {}, Store(self), {}, set()
         self.releases = {}
-        self.bad = {}               # version -> what is wrong with it: parts fail, crash, load_fail; times slow
+        self.bad = {}  # version -> what is wrong with it: parts fail, crash, load_fail; times slow
 
     async def add(self, name="127.0.0.1:0", build=None, cold=False, bind=""):
         host = Host(self, name, build or Build(), f"{self.seed}/{len(self.hosts)}", bind)
@@ -67,9 +72,16 @@
 
     def group(self, host, launch):
         scope = self.scopes.get(launch.clause) if launch.mark else None
-        return scope and {"all": "", "zone": host.build.zone, "cell": f"{host.build.zone}/{host.build.cell}"}[scope]
-
-    scopes: dict = {}           # keyed clause -> all, zone or cell
+        return (
+            scope
+            and {
+                "all": "",
+                "zone": host.build.zone,
+                "cell": f"{host.build.zone}/{host.build.cell}",
+            }[scope]
+        )
+
+    scopes: dict = {}  # keyed clause -> all, zone or cell
 
     def first(self, host, launch):
         """False where the group remembers the mark: then no effect happens."""
--- a/cherrydoor/standin/feed.py
+++ b/cherrydoor/standin/feed.py
@@ -13,12 +13,26 @@
     hear nothing of a release until they follow anew."""
 
     def __init__(self, record, notice=(50.0, 500.0), misses=0.0, seed=1):
-        self.record, self.notice, self.misses, self.seed, self.drawn = record, notice, misses, seed, 0
-        self.loop, self.releases, self.followers, self.revision = asyncio.get_running_loop(), {}, {}, 0
+        self.record, self.notice, self.misses, self.seed, self.drawn = (
+            record,
+            notice,
+            misses,
+            seed,
+            0,
+        )
+        self.loop, self.releases, self.followers, self.revision = (
+            asyncio.get_running_loop(),
+            {},
+            {},
+            0,
+        )
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(self, m.TO_FEED, lambda: m.Hello(m.VERSION, "feed", "feed", now())), where, port)
+            lambda: End(self, m.TO_FEED, lambda: m.Hello(m.VERSION, "feed", "feed", now())),
+            where,
+            port,
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -52,6 +66,8 @@
             if self.chance() < self.misses:
                 self.record.add("release missed", peer=end.reader.hello.name)
                 continue
-            at = max(last, now() + self.notice[0] + (self.notice[1] - self.notice[0]) * self.chance())
+            at = max(
+                last, now() + self.notice[0] + (self.notice[1] - self.notice[0]) * self.chance()
+            )
             self.followers[end] = at
             self.loop.call_later((at - now()) / 1000, self.tell, end, "changes", found)
--- a/cherrydoor/standin/host.py
+++ b/cherrydoor/standin/host.py
@@ -30,7 +30,7 @@
         self.up, self.draining, self.images = False, False, {}
         self.quiet = self.refuse = False
         self.slow, self.lose, self.pause, self.paused_until = 1.0, 0.0, None, 0.0
-        self.deaf = {}              # event type -> share of its events that are left unanswered
+        self.deaf = {}  # event type -> share of its events that are left unanswered
         self.alarm = None
 
     def chance(self):
@@ -40,17 +40,26 @@
     # ---- life
     async def start(self, port=0, cold=True):
         host, _, given = (self.bind or self.id).rpartition(":")
-        self.server = await self.loop.create_server(lambda: End(self, custody.TO_HOST, self.hello), host or "127.0.0.1",
-                                                    port or int(given or 0), backlog=1024, reuse_address=True)
+        self.server = await self.loop.create_server(
+            lambda: End(self, custody.TO_HOST, self.hello),
+            host or "127.0.0.1",
+            port or int(given or 0),
+            backlog=1024,
+            reuse_address=True,
+        )
         self.bind = self.bind and f"{host}:{self.server.sockets[0].getsockname()[1]}"
-        self.id = self.id if self.bind else f"{host or '127.0.0.1'}:{self.server.sockets[0].getsockname()[1]}"
+        self.id = (
+            self.id
+            if self.bind
+            else f"{host or '127.0.0.1'}:{self.server.sockets[0].getsockname()[1]}"
+        )
         self.begin(cold)
         return self.id
 
     def begin(self, cold):
         """A process that has just started: empty, and cold where it is told to be."""
         self.up, self.draining, self.started = True, False, now() if cold else 0.0
-        self.tallies = {}           # version -> events, errors, slow since the start
+        self.tallies = {}  # version -> events, errors, slow since the start
         self.since = wall() if cold else 0.0
         self.cores, self.functions, self.jobs = Cores(self.build.cores, now()), {}, {}
         self.loads, self.load_queue, self.reports, self.work = set(), deque(), deque(), deque()
@@ -59,8 +68,14 @@
         if not self.build.disk:
             self.images = {}
         b = self.build
-        self.record.add("host up", self.id, a=b.cores * b.speed, b=self.started, text=f"{b.zone}/{b.cell}",
-                        number=int(cold))
+        self.record.add(
+            "host up",
+            self.id,
+            a=b.cores * b.speed,
+            b=self.started,
+            text=f"{b.zone}/{b.cell}",
+            number=int(cold),
+        )
         self.kick()
 
     def hello(self):
@@ -89,10 +104,12 @@
 
     def lost(self, end):
         self.ends.discard(end)
-        if getattr(end, "life", 0):     # its work goes on: the gateway may be lost, and have an heir
+        if getattr(end, "life", 0):  # its work goes on: the gateway may be lost, and have an heir
             return
         for job in [j for j in self.jobs.values() if j.end is end] if self.up else ():
-            self.record.add("cut", self.id, end.name, job.launch.id, job.launch.event, job.launch.number)
+            self.record.add(
+                "cut", self.id, end.name, job.launch.id, job.launch.event, job.launch.number
+            )
             self.let_go(job)
 
     def heard(self, end, message):
@@ -108,8 +125,12 @@
                 self.let_go(job)
         elif kind is m.Probe:
             self.record.add("probe", self.id, end.name, message.id)
-            self.cores.add(now(), self.speed(), 0.3, lambda: self.say(end, m.Probed(message.id, "handled",
-                                                                                    self.told_held())))
+            self.cores.add(
+                now(),
+                self.speed(),
+                0.3,
+                lambda: self.say(end, m.Probed(message.id, "handled", self.told_held())),
+            )
             self.kick()
         elif kind is m.Order:
             self.ordered(end, message)
@@ -140,9 +161,22 @@
             self.record.add("refused", self.id, end.name, launch.id, launch.event, launch.number)
             return self.say(end, m.Outcome(launch.id, "full"))
         mean = self.farm.mean_work(launch.function)
-        self.record.add("launch", self.id, end.name, launch.id, launch.event, launch.number, launch.function,
-                        launch.clause, launch.client, launch.mark, a=launch.limit, b=mean, c=float(launch.under),
-                        text=str(end.life) if end.life else "")
+        self.record.add(
+            "launch",
+            self.id,
+            end.name,
+            launch.id,
+            launch.event,
+            launch.number,
+            launch.function,
+            launch.clause,
+            launch.client,
+            launch.mark,
+            a=launch.limit,
+            b=mean,
+            c=float(launch.under),
+            text=str(end.life) if end.life else "",
+        )
         if self.falls(mean):
             return
         copies = self.functions.get(launch.function) or Copies(launch.function)
@@ -150,8 +184,12 @@
         self.numbers += 1
         job = Job(end, launch, copies, self.origin(end, launch), self.numbers)
         job.crowd = min(30, copies.held())
-        if self.draining or len(self.jobs) >= self.build.queue or self.build.misses and not (
-                copies.standing or copies.loading):
+        if (
+            self.draining
+            or len(self.jobs) >= self.build.queue
+            or self.build.misses
+            and not (copies.standing or copies.loading)
+        ):
             self.answer(job, "missing" if self.build.misses and not self.draining else "full")
             return self.tidy(copies)
         self.jobs[end, launch.id] = job
@@ -164,13 +202,20 @@
                 del self.jobs[end, launch.id]
                 self.answer(job, "full")
                 return self.tidy(copies)
-        elif (self.build.eager and copies.held() > (copies.standing + copies.loading) * copies.facts.lanes
-              and not copies.loading):
+        elif (
+            self.build.eager
+            and copies.held() > (copies.standing + copies.loading) * copies.facts.lanes
+            and not copies.loading
+        ):
             self.begin_load(copies)
         self.run_waiting(copies)
 
     def run_waiting(self, copies):
-        while copies.waiting and copies.standing and copies.running < copies.standing * copies.facts.lanes:
+        while (
+            copies.waiting
+            and copies.standing
+            and copies.running < copies.standing * copies.facts.lanes
+        ):
             job = copies.waiting.popleft()
             copies.running += 1
             # an effect is one by its mark: a repeat that is remembered answers without one
@@ -181,7 +226,9 @@
                 self.loop.call_later(2.0, self.rise)
             if not self.farm.first(self, job.launch):
                 work = 0.1
-            job.serial = self.cores.add(now(), self.speed(), work, lambda job=job: self.finished(job))
+            job.serial = self.cores.add(
+                now(), self.speed(), work, lambda job=job: self.finished(job)
+            )
         self.kick()
 
     def finished(self, job):
@@ -191,15 +238,32 @@
         self.jobs.pop((job.end, job.launch.id), None)
         launch = job.launch
         if self.farm.effect(self, launch):
-            self.record.add("effect", self.id, job.end.name, launch.id, launch.event, launch.number,
-                            launch.function, launch.clause, launch.client, launch.mark)
+            self.record.add(
+                "effect",
+                self.id,
+                job.end.name,
+                launch.id,
+                launch.event,
+                launch.number,
+                launch.function,
+                launch.clause,
+                launch.client,
+                launch.mark,
+            )
         bad = self.farm.bad.get(launch.function, {})
-        fails = (self.chance() < self.build.error_rate or launch.function in self.farm.failing
-                 or self.chance() < bad.get("fail", 0.0))
+        fails = (
+            self.chance() < self.build.error_rate
+            or launch.function in self.farm.failing
+            or self.chance() < bad.get("fail", 0.0)
+        )
         lose = max(self.lose, self.deaf.get(launch.clause, 0.0))
         if lose and self.chance() < lose:
-            self.remember(job, "error" if fails else "handled", b"x" * min(len(launch.body), 4 * 2**20))
-            self.record.add("answer lost", self.id, job.end.name, launch.id, launch.event, launch.number)
+            self.remember(
+                job, "error" if fails else "handled", b"x" * min(len(launch.body), 4 * 2**20)
+            )
+            self.record.add(
+                "answer lost", self.id, job.end.name, launch.id, launch.event, launch.number
+            )
         else:
             self.answer(job, "error" if fails else "handled")
         self.run_waiting(copies)
@@ -210,22 +274,47 @@
         body = b"x" * min(len(launch.body), 4 * 2**20) if fate == "handled" else b""
         self.remember(job, fate, body)
         if not self.quiet:
-            self.record.add("outcome", self.id, job.end.name, launch.id, launch.event, launch.number,
-                            launch.function, fate=fate, a=copy, b=job.crowd)
+            self.record.add(
+                "outcome",
+                self.id,
+                job.end.name,
+                launch.id,
+                launch.event,
+                launch.number,
+                launch.function,
+                fate=fate,
+                a=copy,
+                b=job.crowd,
+            )
         else:
-            self.record.add("answer lost", self.id, job.end.name, launch.id, launch.event, launch.number)
+            self.record.add(
+                "answer lost", self.id, job.end.name, launch.id, launch.event, launch.number
+            )
         held = self.told_held() if self.build.tells_held else None
         tally = None
         if fate == "handled" or fate == "error" and copy != 4:
             told = self.tallies.setdefault(launch.function, [0, 0, 0])
             told[0] += 1
             told[1] += fate == "error"
-            told[2] += bool(fate == "handled" and copy == 1 and launch.usual and now() - job.at > launch.usual)
+            told[2] += bool(
+                fate == "handled" and copy == 1 and launch.usual and now() - job.at > launch.usual
+            )
             tally = tuple(told)
         b, tells = self.build, fate == "handled" and self.build.tells_copy or copy == 4
-        self.say(job.end, m.Outcome(launch.id, fate, copy if tells else 0, job.crowd if b.tells_crowd else 0, held,
-                                    body, tally, self.waiting() if b.tells_queue else None,
-                                    self.tied() if b.tells_tied else None))
+        self.say(
+            job.end,
+            m.Outcome(
+                launch.id,
+                fate,
+                copy if tells else 0,
+                job.crowd if b.tells_crowd else 0,
+                held,
+                body,
+                tally,
+                self.waiting() if b.tells_queue else None,
+                self.tied() if b.tells_tied else None,
+            ),
+        )
 
     def rise(self):
         """Up again by itself after a version took it down: the list is not told, its own hello is."""
--- a/cherrydoor/standin/loads.py
+++ b/cherrydoor/standin/loads.py
@@ -33,8 +33,13 @@
 
     def room(self, memory):
         """Frees memory of idle copies, the one idle longest first; False where that is not enough."""
-        used = sum((c.standing + c.loading) * c.facts.memory for c in self.functions.values() if c.facts)
-        idle = sorted((c for c in self.functions.values() if c.idle() > 0 and not c.waiting), key=lambda c: c.used)
+        used = sum(
+            (c.standing + c.loading) * c.facts.memory for c in self.functions.values() if c.facts
+        )
+        idle = sorted(
+            (c for c in self.functions.values() if c.idle() > 0 and not c.waiting),
+            key=lambda c: c.used,
+        )
         for copies in idle:
             while used + memory > self.build.memory and copies.idle() > 0:
                 copies.standing -= 1
@@ -44,7 +49,9 @@
     def begin_load(self, copies):
         """True if a load is under way or waits for its turn."""
         copies.facts = copies.facts or self.farm.facts(copies.name)
-        if len(self.loads) + len(self.load_queue) >= 3 * self.build.loads or not self.room(copies.facts.memory):
+        if len(self.loads) + len(self.load_queue) >= 3 * self.build.loads or not self.room(
+            copies.facts.memory
+        ):
             return False
         copies.loading += 1
         if len(self.loads) >= self.build.loads:
@@ -59,8 +66,12 @@
         image = self.images.get(copies.name)
         if image is not None and image.release == self.farm.releases.get(copies.name, 0):
             return self.fetched(copies, began, image)
-        self.farm.store.fetch(copies.name, lambda facts, life=self.since: self.up and life == self.since
-                              and self.fetched(copies, began, facts))
+        self.farm.store.fetch(
+            copies.name,
+            lambda facts, life=self.since: (
+                self.up and life == self.since and self.fetched(copies, began, facts)
+            ),
+        )
 
     def fetched(self, copies, began, facts):
         unfit = self.chance() < self.farm.bad.get(copies.name, {}).get("load_fail", 0.0)
@@ -77,8 +88,10 @@
         def started():
             self.cores.add(now(), self.speed(), core, lambda: self.load_over(copies, began, True))
             self.kick()
-        self.loop.call_later((facts.start - core) / 1000,
-                             lambda: self.up and life == self.since and started())
+
+        self.loop.call_later(
+            (facts.start - core) / 1000, lambda: self.up and life == self.since and started()
+        )
 
     def load_over(self, copies, began, good):
         self.loads.discard((copies, began))
@@ -105,15 +118,25 @@
             self.loop.call_soon(self.void, copies.name)
 
     def ordered(self, end, order):
-        self.record.add("order", self.id, end.name, order.id, function=order.function, number=order.copies)
+        self.record.add(
+            "order", self.id, end.name, order.id, function=order.function, number=order.copies
+        )
         copies = self.functions.get(order.function) or Copies(order.function)
         if not order.copies:
             return self.say(end, m.Ordered(order.id, "handled", copies.standing))
         self.functions[order.function], copies.used = copies, now()
-        while not self.draining and copies.standing + copies.loading < order.copies and self.begin_load(copies):
+        while (
+            not self.draining
+            and copies.standing + copies.loading < order.copies
+            and self.begin_load(copies)
+        ):
             pass
         copies.asked.append((end, order))
-        self.settle(copies, (end, order), copies.standing + copies.loading >= order.copies and not self.draining)
+        self.settle(
+            copies,
+            (end, order),
+            copies.standing + copies.loading >= order.copies and not self.draining,
+        )
 
     def settle(self, copies, asked, good):
         end, order = asked
--- a/cherrydoor/standin/roll.py
+++ b/cherrydoor/standin/roll.py
@@ -21,7 +21,10 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(self, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "list", now())), where, port)
+            lambda: End(self, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "list", now())),
+            where,
+            port,
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -54,7 +57,9 @@
         self.revision += 1
         name = end.reader.hello.name
         for row in rows:
-            self.record.add("row", peer=name, id=self.revision, function=row.host, fate=row.state, a=row.since)
+            self.record.add(
+                "row", peer=name, id=self.revision, function=row.host, fate=row.state, a=row.since
+            )
         self.record.add("told", peer=name, id=self.revision, fate=how, number=len(rows))
         end.write(m.Rows(self.revision, how, rows))
 
@@ -66,8 +71,11 @@
             self.rows[row.host] = row
         self.record.add("truth", function=row.host, fate=row.state, a=row.since)
         self.past = [p for p in self.past if p[0] > now() - self.stale - 60000] + [
-            (now(), list(self.rows.values()))]
+            (now(), list(self.rows.values()))
+        ]
         for end, last in list(self.followers.items()):
-            at = max(last, now() + self.notice[0] + (self.notice[1] - self.notice[0]) * self.chance())
+            at = max(
+                last, now() + self.notice[0] + (self.notice[1] - self.notice[0]) * self.chance()
+            )
             self.followers[end] = at
             self.loop.call_later((at - now()) / 1000, self.tell, end, "changes", [row])
--- a/cherrydoor/standin/store.py
+++ b/cherrydoor/standin/store.py
@@ -20,7 +20,10 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(self, m.TO_STORE, lambda: m.Hello(m.VERSION, "store", "store", now())), where, port)
+            lambda: End(self, m.TO_STORE, lambda: m.Hello(m.VERSION, "store", "store", now())),
+            where,
+            port,
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -34,19 +37,35 @@
         pass
 
     def heard(self, end, fetch):
-        self.record.add("fetch", peer=end.reader.hello.name, id=fetch.id, function=fetch.function, a=self.in_hand)
+        self.record.add(
+            "fetch",
+            peer=end.reader.hello.name,
+            id=fetch.id,
+            function=fetch.function,
+            a=self.in_hand,
+        )
         if self.in_hand >= self.takes:
-            self.record.add("fetch refused", peer=end.reader.hello.name, id=fetch.id, function=fetch.function)
+            self.record.add(
+                "fetch refused", peer=end.reader.hello.name, id=fetch.id, function=fetch.function
+            )
             return end.write(m.Fetched(fetch.id, "full"))
         self.in_hand += 1
-        self.cores.add(now(), self.speed(), self.catalogue.fetch_time(fetch.function),
-                       lambda: self.fetched(end, fetch))
+        self.cores.add(
+            now(),
+            self.speed(),
+            self.catalogue.fetch_time(fetch.function),
+            lambda: self.fetched(end, fetch),
+        )
         self.kick()
 
     def fetched(self, end, fetch):
         self.in_hand -= 1
         facts = self.catalogue(fetch.function)
-        end.write(msgspec.structs.replace(facts, id=fetch.id, release=self.releases.get(fetch.function, 0)))
+        end.write(
+            msgspec.structs.replace(
+                facts, id=fetch.id, release=self.releases.get(fetch.function, 0)
+            )
+        )
         self.record.add("fetched", peer=end.reader.hello.name, id=fetch.id, function=fetch.function)
 
     def set(self, slow=None, stopped=None):
--- a/cherrydoor/tenure/decide.py
+++ b/cherrydoor/tenure/decide.py
@@ -21,15 +21,16 @@
 
 from cherrydoor.frames.peers import Granted, Refused, Seek, Yield
 
-FIRST, LONGEST = 50.0, 2000.0       # ms of the first back-off, and of the longest
-AGAIN = 250.0           # ms after which one that is held by another is asked for again
-ROUND = 400.0           # ms after which a round of asking is given up
-MOST = 4096             # tasks that a keeper remembers by name; the oldest then fall into `floor`
+FIRST, LONGEST = 50.0, 2000.0  # ms of the first back-off, and of the longest
+AGAIN = 250.0  # ms after which one that is held by another is asked for again
+ROUND = 400.0  # ms after which a round of asking is given up
+MOST = 4096  # tasks that a keeper remembers by name; the oldest then fall into `floor`
 
 
 class Terms(Struct, frozen=True):
     """term: of a tenure; drift: the share by which clocks may differ in speed; margin: taken off by the holder for
     what it does last; longest: no tenure of the fleet has a longer term. In ms."""
+
     term: float = 3000.0
     drift: float = 0.01
     margin: float = 100.0
@@ -45,6 +46,7 @@
 # ---- actions of both sides
 class Save(Struct, frozen=True):
     """The promises as they now stand: synced before the answers that follow it leave."""
+
     promises: "Promises"
 
 
@@ -55,6 +57,7 @@
 
 class Held(Struct, frozen=True):
     """This gateway holds the task until that time; comes again as the time is drawn out."""
+
     task: str
     number: int
     until: float
@@ -62,6 +65,7 @@
 
 class Ended(Struct, frozen=True):
     """This gateway holds it no longer, and does nothing more under it."""
+
     task: str
     number: int
     why: str
@@ -70,6 +74,7 @@
 # ---- the keeper
 class Promise(Struct):
     """The highest number promised for a task, to whom, and until when by this keeper's clock (0: nobody's)."""
+
     number: int
     holder: str = ""
     until: float = 0.0
@@ -78,6 +83,7 @@
 
 class Promises(Struct):
     """What a keeper must not forget. `floor`: no task that is not named is granted at it or below."""
+
     floor: int = 0
     tasks: dict[str, Promise] = {}
 
@@ -89,7 +95,9 @@
         self.terms, self.refuses, self.counts = terms, refuses, Counter()
         self.silent_until = now if promises else now + terms.promised(0.0, terms.longest)
         self.kept = promises or Promises()
-        for promise in self.kept.tasks.values():        # its term runs anew: how long we were away nobody knows
+        for (
+            promise
+        ) in self.kept.tasks.values():  # its term runs anew: how long we were away nobody knows
             promise.until = terms.promised(now, promise.term) if promise.holder else 0.0
 
     def take(self, now, sender, note):
@@ -97,18 +105,31 @@
         if now < self.silent_until:
             self.counts["not answered in the silence after a loss"] += 1
             return []
-        return self.yielded(now, sender, note) if type(note) is Yield else self.sought(now, sender, note)
+        return (
+            self.yielded(now, sender, note)
+            if type(note) is Yield
+            else self.sought(now, sender, note)
+        )
 
     def sought(self, now, sender, note):
         promise = self.kept.tasks.get(note.task) or Promise(self.kept.floor)
         free = not promise.holder or promise.until <= now
         goes_on = promise.holder == sender and promise.number == note.number
         why = "" if goes_on else self.refuses(note.task)
-        if note.term > self.terms.longest or why or not goes_on and (not free or note.number <= promise.number):
+        if (
+            note.term > self.terms.longest
+            or why
+            or not goes_on
+            and (not free or note.number <= promise.number)
+        ):
             self.counts["refused"] += 1
             wait = max(0.0, promise.until - now) if promise.holder else 0.0
-            return [Say(sender, Refused(note.task, note.number, promise.number, wait, why, note.round))]
-        self.kept.tasks[note.task] = Promise(note.number, sender, self.terms.promised(now, note.term), note.term)
+            return [
+                Say(sender, Refused(note.task, note.number, promise.number, wait, why, note.round))
+            ]
+        self.kept.tasks[note.task] = Promise(
+            note.number, sender, self.terms.promised(now, note.term), note.term
+        )
         self.counts["granted"] += not goes_on
         self.bound(now)
         granted = Say(sender, Granted(note.task, note.number, note.round))
@@ -128,8 +149,12 @@
         over = len(self.kept.tasks) - MOST
         if over <= 0:
             return
-        free = sorted((p.number, task) for task, p in self.kept.tasks.items() if not p.holder or p.until <= now)
-        for number, task in free[:over + MOST // 8]:
+        free = sorted(
+            (p.number, task)
+            for task, p in self.kept.tasks.items()
+            if not p.holder or p.until <= now
+        )
+        for number, task in free[: over + MOST // 8]:
             self.kept.floor = max(self.kept.floor, number)
             del self.kept.tasks[task]
 
@@ -140,8 +165,21 @@
     for a further one, so that no gateway keeps all."""
 
     def __init__(self, task, me, keepers, terms, seed, now, busy=lambda: 0, delay=0.0):
-        self.task, self.me, self.keepers, self.terms, self.seed = task, me, list(keepers), terms, seed
-        self.state, self.number, self.highest, self.tries, self.drawn, self.busy = "waiting", 0, 0, 0, 0, busy
+        self.task, self.me, self.keepers, self.terms, self.seed = (
+            task,
+            me,
+            list(keepers),
+            terms,
+            seed,
+        )
+        self.state, self.number, self.highest, self.tries, self.drawn, self.busy = (
+            "waiting",
+            0,
+            0,
+            0,
+            0,
+            busy,
+        )
         self.asked, self.until, self.round, self.grants, self.refusals = 0.0, 0.0, 0, set(), set()
         self.at = now + delay + self.spread(FIRST) * (busy() > 0)
 
@@ -173,7 +211,10 @@
         """One round to all keepers; in holding it is under the same number, and its grants draw out the time."""
         self.asked, self.round, self.grants, self.refusals = now, self.round + 1, set(), set()
         self.at = now + ROUND if self.state == "asking" else min(self.until, now + ROUND)
-        return [Say(keeper, Seek(self.task, self.number, self.terms.term, self.round)) for keeper in self.keepers]
+        return [
+            Say(keeper, Seek(self.task, self.number, self.terms.term, self.round))
+            for keeper in self.keepers
+        ]
 
     def take(self, now, sender, note):
         if note.task != self.task or sender not in self.keepers:
@@ -197,7 +238,7 @@
         until = self.terms.held(self.asked)
         if len(self.grants) < self.most or now >= until:
             return []
-        if self.state == "holding" and now >= self.until:     # it had ended before the last grant came
+        if self.state == "holding" and now >= self.until:  # it had ended before the last grant came
             return self.end(now, "its time is over")
         self.state, self.until, self.tries = "holding", until, 0
         self.highest = max(self.highest, self.number)
@@ -208,7 +249,7 @@
         """A round is lost: what was granted is given back at once, and the next one is later by chance."""
         back = [Say(keeper, Yield(self.task, self.number)) for keeper in self.keepers]
         self.state, self.highest = "waiting", max(self.highest, self.number)
-        if wait:        # somebody holds it: it may be handed over sooner than its time runs out
+        if wait:  # somebody holds it: it may be handed over sooner than its time runs out
             self.tries, self.at = 0, now + min(wait, AGAIN) + self.spread(FIRST)
             return back
         self.at = now + self.spread(min(LONGEST, FIRST * 2 ** min(self.tries, 6)))
--- a/cherrydoor/tenure/promises.py
+++ b/cherrydoor/tenure/promises.py
@@ -13,7 +13,7 @@
 
 log = structlog.get_logger()
 MARK = b"cherrydoor promises 1\n"
-LONGEST = 16 * 2**20        # bytes; a keeper remembers at most MOST tasks by name
+LONGEST = 16 * 2**20  # bytes; a keeper remembers at most MOST tasks by name
 
 
 class Unsound(ValueError):
@@ -67,7 +67,12 @@
 
     def __init__(self, path, name):
         self.path, self.name, self.loop = Path(path), name, asyncio.get_running_loop()
-        self.thread, self.waiting, self.writing, self.failed = ThreadPoolExecutor(1), [], False, False
+        self.thread, self.waiting, self.writing, self.failed = (
+            ThreadPoolExecutor(1),
+            [],
+            False,
+            False,
+        )
 
     def read(self):
         """The promises, or None where there are none or none that can be believed; the reason is logged, and a file
@@ -79,11 +84,18 @@
         except FileNotFoundError:
             log.warning("no promises are here: silent for the longest term", file=str(self.path))
         except OSError as error:
-            log.error("promises cannot be read: silent for the longest term", file=str(self.path), error=str(error))
+            log.error(
+                "promises cannot be read: silent for the longest term",
+                file=str(self.path),
+                error=str(error),
+            )
         except Unsound as error:
             aside = self.path.with_name(self.path.name + ".unsound")
-            log.error("promises are not sound and are set aside: silent for the longest term", file=str(aside),
-                      error=str(error))
+            log.error(
+                "promises are not sound and are set aside: silent for the longest term",
+                file=str(aside),
+                error=str(error),
+            )
             try:
                 self.path.replace(aside)
             except OSError:
@@ -107,7 +119,11 @@
             return
         if error := done.exception():
             if not self.failed:
-                log.error("promises cannot be written: nothing is granted", file=str(self.path), error=str(error))
+                log.error(
+                    "promises cannot be written: nothing is granted",
+                    file=str(self.path),
+                    error=str(error),
+                )
             self.failed = True
         else:
             self.failed = False
--- a/cherrydoor/tenure/shell.py
+++ b/cherrydoor/tenure/shell.py
@@ -7,7 +7,7 @@
 from cherrydoor.tenure.promises import File
 
 log = structlog.get_logger()
-LOOK = 0.02             # s between two looks at contenders, while there are any
+LOOK = 0.02  # s between two looks at contenders, while there are any
 
 
 class Tenures:
@@ -21,10 +21,16 @@
         self.keepers = [one["name"] for one in peers.said["keepers"]]
         self.wanted, self.holding, self.timer, self.closed = {}, {}, None, False
         self.file = file(said["promises"], self.me) if self.me in self.keepers else None
-        self.refusing = []              # callables: a reason not to grant a task, "" for none
-        self.keeper = Keeper(self.terms, self.now(), self.file.read(), self.refuses) if self.file else None
-        for kind, what in ((Seek, self.to_keeper), (Yield, self.to_keeper), (Granted, self.to_contender),
-                           (Refused, self.to_contender)):
+        self.refusing = []  # callables: a reason not to grant a task, "" for none
+        self.keeper = (
+            Keeper(self.terms, self.now(), self.file.read(), self.refuses) if self.file else None
+        )
+        for kind, what in (
+            (Seek, self.to_keeper),
+            (Yield, self.to_keeper),
+            (Granted, self.to_contender),
+            (Refused, self.to_contender),
+        ):
             peers.follow(kind, what)
 
     def refuses(self, task):
@@ -34,7 +40,9 @@
     def say(self, to, what):
         if to != self.me:
             return self.peers.say(to, what)
-        self.loop.call_soon(self.to_keeper if type(what) in (Seek, Yield) else self.to_contender, self.me, what)
+        self.loop.call_soon(
+            self.to_keeper if type(what) in (Seek, Yield) else self.to_contender, self.me, what
+        )
 
     def to_keeper(self, sender, note):
         if self.keeper is None or self.closed:
@@ -53,14 +61,22 @@
     def to_contender(self, sender, note):
         if note.task in self.wanted:
             self.carry_out(self.wanted[note.task][0].take(self.now(), sender, note))
-        elif type(note) is Granted:         # asked for by us, and no longer wanted
+        elif type(note) is Granted:  # asked for by us, and no longer wanted
             self.say(sender, Yield(note.task, note.number))
 
     # ---- what is wanted
     def hold(self, task, began, ended, delay=0.0):
         if task not in self.wanted and not self.closed:
-            one = Contender(task, self.me, self.keepers, self.terms, self.peers.shell.figures.seed, self.now(),
-                            lambda: len(self.holding), delay)
+            one = Contender(
+                task,
+                self.me,
+                self.keepers,
+                self.terms,
+                self.peers.shell.figures.seed,
+                self.now(),
+                lambda: len(self.holding),
+                delay,
+            )
             self.wanted[task] = (one, began, ended)
             self.look()
 
@@ -98,12 +114,19 @@
                 new = action.task not in self.holding
                 self.holding[action.task] = (action.number, action.until)
                 if new:
-                    log.info("a task is held", gateway=self.me, task=action.task, number=action.number)
+                    log.info(
+                        "a task is held", gateway=self.me, task=action.task, number=action.number
+                    )
                     self.wanted[action.task][1](action.number)
             elif type(action) is Ended:
                 self.holding.pop(action.task, None)
-                log.info("a task is no longer held", gateway=self.me, task=action.task, number=action.number,
-                         why=action.why)
+                log.info(
+                    "a task is no longer held",
+                    gateway=self.me,
+                    task=action.task,
+                    number=action.number,
+                    why=action.why,
+                )
                 self.wanted[action.task][2](action.number)
             else:
                 self.say(action.to, action.what)
@@ -125,13 +148,30 @@
     def table(self):
         """What is held here, and what this keeper has promised."""
         now = self.now()
-        held = [{"task": task, "number": number, "left": round(until - now, 1)}
-                for task, (number, until) in sorted(self.holding.items())]
+        held = [
+            {"task": task, "number": number, "left": round(until - now, 1)}
+            for task, (number, until) in sorted(self.holding.items())
+        ]
         kept = self.keeper.kept if self.keeper else None
-        return {"gateway": self.me, "life": self.peers.me.life, "keepers": self.keepers, "held": held,
-                "asked for": sorted(task for task in self.wanted if task not in self.holding),
-                "keeper": kept and {
-                    "silent": max(0.0, round(self.keeper.silent_until - now, 1)), "floor": kept.floor,
-                    "promises": [{"task": task, "number": one.number, "holder": one.holder,
-                                  "left": max(0.0, round(one.until - now, 1)) if one.holder else 0.0}
-                                 for task, one in sorted(kept.tasks.items())], **self.keeper.counts}}
+        return {
+            "gateway": self.me,
+            "life": self.peers.me.life,
+            "keepers": self.keepers,
+            "held": held,
+            "asked for": sorted(task for task in self.wanted if task not in self.holding),
+            "keeper": kept
+            and {
+                "silent": max(0.0, round(self.keeper.silent_until - now, 1)),
+                "floor": kept.floor,
+                "promises": [
+                    {
+                        "task": task,
+                        "number": one.number,
+                        "holder": one.holder,
+                        "left": max(0.0, round(one.until - now, 1)) if one.holder else 0.0,
+                    }
+                    for task, one in sorted(kept.tasks.items())
+                ],
+                **self.keeper.counts,
+            },
+        }
--- a/cherrydoor/together.py
+++ b/cherrydoor/together.py
@@ -10,4 +10,5 @@
     if not shell.figures.peers["door"]:
         return None
     from cherrydoor.custody.fellows import Fellows
+
     return Fellows(shell, life)
--- a/cherrydoor/versions/decide.py
+++ b/cherrydoor/versions/decide.py
@@ -17,27 +17,55 @@
 from cherrydoor.versions.proof import Count, carry, no_worse, worse
 
 ANNOUNCED, LOADING, TRIAL, COMPLETE, WITHDRAWN, SUPERSEDED = (
-    "announced", "loading", "trial", "complete", "withdrawn", "superseded")
-SHARES = (0.2, 0.4, 0.7, 0.9)       # of the documents, by step; the old version keeps some to compare with
-NEED = (20, 40, 60, 150)            # events of the new version that each step has seen before the next
-PATIENCE = 300000.0                 # a step ends after so long with fewer: a function seldom called ...
-UNCALLED = 30000.0                  # ... and after so long where nobody calls it here
-FALSE = 0.02                        # withdrawals of versions that are no worse, at most, over all steps and tests
-AT_STEP = (0.4, 0.2, 0.2, 0.2)      # of it, by step ...
-PART = {"errors": 0.5, "slow": 0.25, "lost": 0.15}      # ... and by test; the rest is for single customers
-HINT = 0.3                          # with this much of a hint against it a step is not taken, and waits
-NEAR = (0.17, 0.1, 0.08)            # a step is taken once errors lie, likely, within this of the old ones
+    "announced",
+    "loading",
+    "trial",
+    "complete",
+    "withdrawn",
+    "superseded",
+)
+SHARES = (
+    0.2,
+    0.4,
+    0.7,
+    0.9,
+)  # of the documents, by step; the old version keeps some to compare with
+NEED = (20, 40, 60, 150)  # events of the new version that each step has seen before the next
+PATIENCE = 300000.0  # a step ends after so long with fewer: a function seldom called ...
+UNCALLED = 30000.0  # ... and after so long where nobody calls it here
+FALSE = 0.02  # withdrawals of versions that are no worse, at most, over all steps and tests
+AT_STEP = (0.4, 0.2, 0.2, 0.2)  # of it, by step ...
+PART = {
+    "errors": 0.5,
+    "slow": 0.25,
+    "lost": 0.15,
+}  # ... and by test; the rest is for single customers
+HINT = 0.3  # with this much of a hint against it a step is not taken, and waits
+NEAR = (0.17, 0.1, 0.08)  # a step is taken once errors lie, likely, within this of the old ones
 MARGIN = {"errors": 0.0, "slow": 0.1, "lost": 0.02}
-SURE, WITHIN = 0.05, 0.05           # complete: errors surely within this of the old ones, or patience has run out
-LOAD_WAIT, LOAD_FAILS = 10000.0, 3  # ms that a load ahead is waited for; loads that may fail in a row
-HALF = 60000.0                      # calls halve in this time
-FEWEST, MOST = 1.0, 8.0             # loads ahead under way at once
-TRIALS = 2                          # functions split over two versions here at once: copies of both are colder, and
-                                    # take memory for both. Others go to the last step once they are loaded
-SELDOM = 4.0                        # calls a minute here below which a function is not split either
-ALIKE, TOGETHER, HELD_OFF = 3, 60000.0, 600000.0     # so many withdrawn within this time hold off all that have not
-                                                     # begun, for so long after the last
-LATE_QUANTILE, LATE = 0.8, 1.3      # an event is slow if it takes so many times what this part of the old one's do
+SURE, WITHIN = (
+    0.05,
+    0.05,
+)  # complete: errors surely within this of the old ones, or patience has run out
+LOAD_WAIT, LOAD_FAILS = (
+    10000.0,
+    3,
+)  # ms that a load ahead is waited for; loads that may fail in a row
+HALF = 60000.0  # calls halve in this time
+FEWEST, MOST = 1.0, 8.0  # loads ahead under way at once
+TRIALS = 2  # functions split over two versions here at once: copies of both are colder, and
+# take memory for both. Others go to the last step once they are loaded
+SELDOM = 4.0  # calls a minute here below which a function is not split either
+ALIKE, TOGETHER, HELD_OFF = (
+    3,
+    60000.0,
+    600000.0,
+)  # so many withdrawn within this time hold off all that have not
+# begun, for so long after the last
+LATE_QUANTILE, LATE = (
+    0.8,
+    1.3,
+)  # an event is slow if it takes so many times what this part of the old one's do
 
 
 def name_of(function, version):
@@ -56,13 +84,17 @@
     >>> 0 <= place("deed", 7, "d1") < 1
     True
     """
-    return int.from_bytes(sha1(f"{function}@{version}/{document}".encode()).digest()[:8], "big") / 2.0**64
+    return (
+        int.from_bytes(sha1(f"{function}@{version}/{document}".encode()).digest()[:8], "big")
+        / 2.0**64
+    )
 
 
 # ---- notes
 @dataclass(slots=True)
 class Fed:
     """From the feed: this version is announced, or withdrawn or completed by whoever releases."""
+
     function: str
     version: int
     state: str = ANNOUNCED
@@ -71,6 +103,7 @@
 @dataclass(slots=True)
 class Ordered:
     """From the operator: hold, go on, withdraw or complete what is on trial."""
+
     function: str
     what: str
 
@@ -80,6 +113,7 @@
     """A launch has ended. name: the version's; fate: handled, error, lost, or any other; took in ms; cold: it began or
     awaited a load; failed: the load itself failed. tally: (events, errors, slow) of that version at the host since it
     started, all gateways' together, or None."""
+
     name: str
     host: str
     fate: str
@@ -93,6 +127,7 @@
 @dataclass(slots=True)
 class Loaded:
     """An order to load has ended."""
+
     name: str
     fate: str
     took: float
@@ -112,6 +147,7 @@
 @dataclass(slots=True)
 class Unload:
     """Idle copies of this version may go, at these hosts."""
+
     name: str
     hosts: tuple
 
@@ -119,6 +155,7 @@
 @dataclass(slots=True)
 class Said:
     """A change of state, for the log and whoever watches."""
+
     function: str
     version: int
     state: str
@@ -127,6 +164,7 @@
 
 class Quantile:
     """A quantile that follows: one step up where it is passed, a smaller one down where not."""
+
     __slots__ = ("value", "count")
 
     def __init__(self):
@@ -161,11 +199,13 @@
         if note.tally is None:
             return
         before = self.last.get(note.host)
-        if before is None:      # from here on, and this event itself
+        if before is None:  # from here on, and this event itself
             self.base[note.host] = (note.tally[0] - 1, note.tally[1] - error, note.tally[2])
-        elif note.tally[0] < before[0] / 2:     # the host has started anew: what it told before stands
-            self.base[note.host] = tuple(b - x for b, x in zip(self.base[note.host], before, strict=True))
-        elif note.tally[0] < before[0]:         # an answer that was overtaken by a later one
+        elif note.tally[0] < before[0] / 2:  # the host has started anew: what it told before stands
+            self.base[note.host] = tuple(
+                b - x for b, x in zip(self.base[note.host], before, strict=True)
+            )
+        elif note.tally[0] < before[0]:  # an answer that was overtaken by a later one
             return
         self.last[note.host] = note.tally
         told = [sum(self.last[h][i] - self.base[h][i] for h in self.last) for i in range(3)]
@@ -175,7 +215,9 @@
         """The larger of what hosts told and what was seen here: the latter is part of the former, where they tell."""
         if what == "lost":
             return self.lost
-        told, own = (self.errors, self.own_errors) if what == "errors" else (self.slow, self.own_slow)
+        told, own = (
+            (self.errors, self.own_errors) if what == "errors" else (self.slow, self.own_slow)
+        )
         return told if told.all >= own.all else own
 
     def halve(self):
@@ -184,21 +226,32 @@
         self.parties = {}
 
     def kept(self):
-        return {"errors": [self.of("errors").bad, self.of("errors").all], "slow": [self.of("slow").bad,
-                self.of("slow").all], "lost": [self.lost.bad, self.lost.all]}
+        return {
+            "errors": [self.of("errors").bad, self.of("errors").all],
+            "slow": [self.of("slow").bad, self.of("slow").all],
+            "lost": [self.lost.bad, self.lost.all],
+        }
 
     def take_back(self, kept):
         """What was kept over a start stands as own counts; hosts tell the rest anew."""
-        self.own_errors, self.own_slow, self.lost = (Count(*kept[k]) for k in ("errors", "slow", "lost"))
+        self.own_errors, self.own_slow, self.lost = (
+            Count(*kept[k]) for k in ("errors", "slow", "lost")
+        )
 
 
 class Release:
     """One release of a function, from its announcement to its end."""
 
     def __init__(self, line, version, now):
-        self.line, self.version, self.state, self.step, self.held = line, version, ANNOUNCED, 0, False
+        self.line, self.version, self.state, self.step, self.held = (
+            line,
+            version,
+            ANNOUNCED,
+            0,
+            False,
+        )
         self.since, self.begun, self.fails, self.why, self.fallback = now, now, 0, "", line.version
-        self.splits = True          # called often enough here for a share to mean something
+        self.splits = True  # called often enough here for a share to mean something
         self.new, self.old, self.hosts, self.looked, self.carried = Seen(), Seen(), {}, 0, 0.0
 
     @property
@@ -213,10 +266,15 @@
         """(what the new version is surely worse in, or "")."""
         part = FALSE * AT_STEP[self.step]
         for what, margin in MARGIN.items():
-            if worse(self.new.of(what), self.old.of(what), part * PART[what], margin,
-                     self.carried if what == "errors" else 0.0):
+            if worse(
+                self.new.of(what),
+                self.old.of(what),
+                part * PART[what],
+                margin,
+                self.carried if what == "errors" else 0.0,
+            ):
                 return what
-        for party, count in self.new.parties.items():       # one that fails for one customer alone
+        for party, count in self.new.parties.items():  # one that fails for one customer alone
             old = self.old.parties.get(party, Count())
             old = old if old.all >= 5 else self.old.of("errors")
             if worse(count, old, part * (1 - sum(PART.values())) / len(self.new.parties), 0.02):
@@ -226,12 +284,17 @@
     def next_step(self, now):
         """Evidence begins anew: within a step both versions have a constant share, so that whatever strikes both while
         it lasts counts alike for both. Across steps it would not."""
-        self.carried = max(0.0, self.carried + carry(self.new.of("errors"), self.old.of("errors"), 0.0))
+        self.carried = max(
+            0.0, self.carried + carry(self.new.of("errors"), self.old.of("errors"), 0.0)
+        )
         self.step, self.since, self.looked = self.step + 1, now, 0
         self.new, self.old = Seen(), Seen()
 
     def hinted(self):
-        return any(worse(self.new.of(what), self.old.of(what), HINT, margin) for what, margin in MARGIN.items())
+        return any(
+            worse(self.new.of(what), self.old.of(what), HINT, margin)
+            for what, margin in MARGIN.items()
+        )
 
     def enough(self, now, called):
         """Whether this step has seen what it needs, or has lasted as long as one waits for a seldom-called function."""
@@ -240,7 +303,9 @@
             return False
         late = now - self.since >= (PATIENCE if seen or called else UNCALLED)
         if self.step == len(SHARES) - 1:
-            proved = seen >= NEED[-1] and no_worse(self.new.of("errors"), self.old.of("errors"), SURE, WITHIN)
+            proved = seen >= NEED[-1] and no_worse(
+                self.new.of("errors"), self.old.of("errors"), SURE, WITHIN
+            )
             return proved or late
         likely = no_worse(self.new.of("errors"), self.old.of("errors"), HINT, NEAR[self.step])
         return seen >= NEED[self.step] and likely or late
@@ -249,11 +314,12 @@
 @dataclass(slots=True)
 class Line:
     """A function as the feed has it: the version in service, the release on the way, and how it went."""
+
     function: str
     version: int = 0
     release: Release | None = None
     newest: int = 0
-    ended: dict = field(default_factory=dict)       # version -> why it was withdrawn; the newest few
+    ended: dict = field(default_factory=dict)  # version -> why it was withdrawn; the newest few
 
 
 class Pacer:
@@ -268,7 +334,7 @@
             self.room = max(FEWEST, self.room / 2)
         elif self.usual is None or ms <= 1.5 * self.usual:
             self.room = min(MOST, self.room + 1 / self.room)
-        if good:        # the quicker tells more: slow ones are the crowd's doing
+        if good:  # the quicker tells more: slow ones are the crowd's doing
             self.usual = ms if self.usual is None else min(ms, self.usual * 1.02)
 
 
@@ -278,11 +344,19 @@
     def __init__(self, now):
         self.now, self.lines, self.calls, self.halved = now, {}, {}, now
         self.queue, self.under_way, self.pacer = [], {}, Pacer()
-        self.bad = deque(maxlen=ALIKE)      # when releases were last found bad here
-        self.background = Seen()        # all versions that are not on trial, halved each minute: what a release that
-                                        # leaves nothing to its old version is compared with
+        self.bad = deque(maxlen=ALIKE)  # when releases were last found bad here
+        self.background = (
+            Seen()
+        )  # all versions that are not on trial, halved each minute: what a release that
+        # leaves nothing to its old version is compared with
         self.quantiles, self.inbox, self.actions, self.changed = {}, deque(), [], False
-        self.hear = {Fed: self.fed, Ordered: self.ordered, Ended: self.ended, Loaded: self.loaded, Tick: self.tick}
+        self.hear = {
+            Fed: self.fed,
+            Ordered: self.ordered,
+            Ended: self.ended,
+            Loaded: self.loaded,
+            Tick: self.tick,
+        }
 
     def take(self, now, note):
         self.now = max(now, self.now)
@@ -301,8 +375,11 @@
         if line is None:
             return function
         release = line.release
-        if release is not None and release.state == TRIAL and place(
-                function, release.version, document) < release.share():
+        if (
+            release is not None
+            and release.state == TRIAL
+            and place(function, release.version, document) < release.share()
+        ):
             return release.name
         return name_of(function, line.version)
 
@@ -311,7 +388,11 @@
         function, _, version = name.partition("@")
         line = self.lines.get(function)
         release = line and line.release
-        if release is not None and version == str(release.version) and release.state in (TRIAL, WITHDRAWN):
+        if (
+            release is not None
+            and version == str(release.version)
+            and release.state in (TRIAL, WITHDRAWN)
+        ):
             return name_of(function, release.fallback)
         return name
 
@@ -326,7 +407,7 @@
         if line is None:
             line = self.lines[note.function] = Line(note.function)
         if note.state == ANNOUNCED:
-            if note.version <= line.newest:         # twice, or out of order
+            if note.version <= line.newest:  # twice, or out of order
                 return
             line.newest = note.version
             if line.release is not None and line.release.state in (ANNOUNCED, LOADING, TRIAL):
@@ -339,13 +420,27 @@
         line.newest = max(line.newest, note.version)
         release = line.release
         if note.state == WITHDRAWN:
-            if release is not None and release.version == note.version and release.state != WITHDRAWN:
+            if (
+                release is not None
+                and release.version == note.version
+                and release.state != WITHDRAWN
+            ):
                 self.withdraw(release, "by whoever released it")
-            elif line.version == note.version:      # it is in service here without having been seen on trial
+            elif (
+                line.version == note.version
+            ):  # it is in service here without having been seen on trial
                 line.version, line.ended[note.version] = 0, "withdrawn by whoever released it"
                 self.changed = True
-        elif note.state == COMPLETE and note.version not in line.ended and note.version >= line.version:
-            if release is not None and release.version == note.version and release.state != COMPLETE:
+        elif (
+            note.state == COMPLETE
+            and note.version not in line.ended
+            and note.version >= line.version
+        ):
+            if (
+                release is not None
+                and release.version == note.version
+                and release.state != COMPLETE
+            ):
                 self.complete(release, "by whoever released it")
             elif release is None or release.version < note.version:
                 if release is not None and release.state in (ANNOUNCED, LOADING, TRIAL):
@@ -380,7 +475,7 @@
                 self.queue.pop(0)
                 continue
             if self.calls.get(release.line.function, 0.0) < 0.5:
-                break       # and all that follow are called as seldom
+                break  # and all that follow are called as seldom
             self.queue.pop(0)
             release.state, release.since = LOADING, self.now
             self.under_way[release.name] = (self.now, release)
@@ -388,20 +483,29 @@
             self.actions.append(LoadAhead(release.name))
         for release in self.queue:
             # nobody calls it here: were it called meanwhile, it would be loaded ahead while the old version serves
-            if (self.calls.get(release.line.function, 0.0) < 0.5 and not release.held
-                    and self.now - release.since >= UNCALLED):
+            if (
+                self.calls.get(release.line.function, 0.0) < 0.5
+                and not release.held
+                and self.now - release.since >= UNCALLED
+            ):
                 self.begin(release)
         self.queue = [r for r in self.queue if r.state == ANNOUNCED]
 
     def held_off(self):
         """Several found bad together are likely bad by one cause, and so is what was released with them: what has not
         begun waits with the old version. Harms releases that only happen to follow; an operator completes those."""
-        return len(self.bad) == ALIKE and self.bad[-1] - self.bad[0] <= TOGETHER and self.now - self.bad[-1] < HELD_OFF
+        return (
+            len(self.bad) == ALIKE
+            and self.bad[-1] - self.bad[0] <= TOGETHER
+            and self.now - self.bad[-1] < HELD_OFF
+        )
 
     def on_trial(self):
         """Releases that split a function called here."""
-        return sum(line.release is not None and line.release.state == TRIAL and line.release.splits
-                   for line in self.lines.values())
+        return sum(
+            line.release is not None and line.release.state == TRIAL and line.release.splits
+            for line in self.lines.values()
+        )
 
     def loaded(self, note):
         begun = self.under_way.pop(note.name, None)
@@ -422,7 +526,9 @@
         self.load_next()
 
     def begin(self, release):
-        release.splits = self.calls.get(release.line.function, 0.0) >= SELDOM and self.on_trial() < TRIALS
+        release.splits = (
+            self.calls.get(release.line.function, 0.0) >= SELDOM and self.on_trial() < TRIALS
+        )
         release.state, release.step, release.since, release.begun = TRIAL, 0, self.now, self.now
         release.new, release.old = Seen(), Seen()
         if not release.splits:
@@ -442,7 +548,9 @@
                 one = self.quantiles[function] = Quantile()
             one.add(note.took)
         if not on_trial:
-            self.background.add(Ended(note.name, note.host, note.fate, note.took, note.cold, note.failed), usual)
+            self.background.add(
+                Ended(note.name, note.host, note.fate, note.took, note.cold, note.failed), usual
+            )
         if release is None or release.state not in (LOADING, TRIAL):
             return
         if not on_trial:
@@ -458,7 +566,7 @@
             release.fails = 0
         release.new.add(note, usual)
         seen = release.new.of("errors").all + release.new.lost.all
-        if seen < 1.02 * release.looked:        # with many answers not each of them is worth a look
+        if seen < 1.02 * release.looked:  # with many answers not each of them is worth a look
             return
         release.looked = seen
         if worst := release.verdict():
@@ -467,12 +575,17 @@
             self.go_on(release)
 
     def go_on(self, release):
-        if release.state != TRIAL or release.held or not release.enough(
-                self.now, self.calls.get(release.line.function, 0.0) >= 0.5):
+        if (
+            release.state != TRIAL
+            or release.held
+            or not release.enough(self.now, self.calls.get(release.line.function, 0.0) >= 0.5)
+        ):
             return
         if release.step == len(SHARES) - 1:
             seen = release.new.of("errors").all
-            return self.complete(release, "proved" if seen >= NEED[-1] else f"after {seen} events, seldom called")
+            return self.complete(
+                release, "proved" if seen >= NEED[-1] else f"after {seen} events, seldom called"
+            )
         release.next_step(self.now)
         self.say(release)
 
@@ -506,15 +619,25 @@
         """The one place where a release ends: what it has under way is forgotten without a wait."""
         release.state, release.why, release.held = state, why, False
         for seen in (release.new, release.old if release.splits else Seen()):
-            seen.base, seen.last, seen.parties = {}, {}, {}     # figures stay to be shown, what they were made of goes
+            seen.base, seen.last, seen.parties = (
+                {},
+                {},
+                {},
+            )  # figures stay to be shown, what they were made of goes
         self.under_way.pop(release.name, None)
         self.say(release, why)
         self.load_next()
 
     def say(self, release, why=""):
         self.changed = True
-        self.actions.append(Said(release.line.function, release.version, release.state if release.state != TRIAL else
-                                 f"{TRIAL}, {release.share():.0%}", why))
+        self.actions.append(
+            Said(
+                release.line.function,
+                release.version,
+                release.state if release.state != TRIAL else f"{TRIAL}, {release.share():.0%}",
+                why,
+            )
+        )
 
     # ---- time
     def tick(self, note):
@@ -525,7 +648,9 @@
             self.calls = {f: c / 2 for f, c in self.calls.items() if c >= 0.5}
             self.quantiles = {f: q for f, q in self.quantiles.items() if f in self.calls}
         for name, (at, release) in list(self.under_way.items()):
-            if now - at >= LOAD_WAIT:       # no order was to be had, or it is lost: the first events load it
+            if (
+                now - at >= LOAD_WAIT
+            ):  # no order was to be had, or it is lost: the first events load it
                 del self.under_way[name]
                 self.pacer.took(now - at, False)
                 if release.state == LOADING:
@@ -541,24 +666,38 @@
         self.changed = False
         found = {}
         for line in self.lines.values():
-            one = found[line.function] = {"version": line.version, "newest": line.newest,
-                                          "ended": {str(v): why for v, why in line.ended.items()}}
+            one = found[line.function] = {
+                "version": line.version,
+                "newest": line.newest,
+                "ended": {str(v): why for v, why in line.ended.items()},
+            }
             if (release := line.release) is not None:
-                one["release"] = {"version": release.version, "step": release.step,
-                                  "state": ANNOUNCED if release.state == LOADING else release.state,
-                                  "spent": self.now - release.since, "carried": release.carried,
-                                  "splits": release.splits, "held": release.held, "why": release.why,
-                                  "fallback": release.fallback,
-                                  "new": release.new.kept(),
-                                  "old": (release.old if release.splits else Seen()).kept()}
+                one["release"] = {
+                    "version": release.version,
+                    "step": release.step,
+                    "state": ANNOUNCED if release.state == LOADING else release.state,
+                    "spent": self.now - release.since,
+                    "carried": release.carried,
+                    "splits": release.splits,
+                    "held": release.held,
+                    "why": release.why,
+                    "fallback": release.fallback,
+                    "new": release.new.kept(),
+                    "old": (release.old if release.splits else Seen()).kept(),
+                }
         return found
 
     def take_back(self, kept):
         """What kept() gave before the start. What was loading is announced anew; a step is not shortened by the time
         that the gateway was down."""
         for function, one in kept.items():
-            line = self.lines[function] = Line(function, one["version"], None, one["newest"],
-                                               {int(v): why for v, why in one["ended"].items()})
+            line = self.lines[function] = Line(
+                function,
+                one["version"],
+                None,
+                one["newest"],
+                {int(v): why for v, why in one["ended"].items()},
+            )
             if (said := one.get("release")) is None:
                 continue
             release = line.release = Release(line, said["version"], self.now)
@@ -580,9 +719,26 @@
         for line in self.lines.values():
             if (release := line.release) is None:
                 continue
-            figures = {what: [release.new.of(what).bad, release.new.of(what).all, release.old.of(what).bad,
-                              release.old.of(what).all] for what in MARGIN}
-            rows.append({"function": line.function, "version": release.version, "before": release.fallback,
-                         "state": release.state, "share": release.share(), "held": release.held, "why": release.why,
-                         "calls": round(self.calls.get(line.function, 0.0), 1), **figures})
+            figures = {
+                what: [
+                    release.new.of(what).bad,
+                    release.new.of(what).all,
+                    release.old.of(what).bad,
+                    release.old.of(what).all,
+                ]
+                for what in MARGIN
+            }
+            rows.append(
+                {
+                    "function": line.function,
+                    "version": release.version,
+                    "before": release.fallback,
+                    "state": release.state,
+                    "share": release.share(),
+                    "held": release.held,
+                    "why": release.why,
+                    "calls": round(self.calls.get(line.function, 0.0), 1),
+                    **figures,
+                }
+            )
         return sorted(rows, key=lambda row: (-row["calls"], row["function"]))
--- a/cherrydoor/versions/feed.py
+++ b/cherrydoor/versions/feed.py
@@ -13,8 +13,11 @@
 from cherrydoor.versions import decide as d
 
 log = structlog.get_logger()
-TICK, AGAIN = 0.5, 10.0      # s between looks, and between asking the feed for all that it has: what was lost on the
-                             # way is heard of then. While half of the gateways call another version, hosts hold both
+TICK, AGAIN = (
+    0.5,
+    10.0,
+)  # s between looks, and between asking the feed for all that it has: what was lost on the
+# way is heard of then. While half of the gateways call another version, hosts hold both
 
 
 class Broken(ValueError):
@@ -42,7 +45,7 @@
         self.shell, self.where = shell, said["feed"]
         self.saved = Path(said["saved"]) if said["saved"] else None
         self.control = Control(said["control"], self.obey) if said["control"] else None
-        self.wall = shell.clock.now         # ms since 1970, never back
+        self.wall = shell.clock.now  # ms since 1970, never back
         self.versions = d.Versions(self.wall())
         self.end, self.tasks, self.told = None, [], 0
         self.take_back()
@@ -71,8 +74,14 @@
                 self.shell.post(self.shell.desk.unload, action.name, action.hosts)
             else:
                 self.shell.desk.counts[f"releases: {action.state.split(',')[0]}"] += 1
-                log.info("release", gateway=self.shell.figures.name, function=action.function, version=action.version,
-                         state=action.state, why=action.why)
+                log.info(
+                    "release",
+                    gateway=self.shell.figures.name,
+                    function=action.function,
+                    version=action.version,
+                    state=action.state,
+                    why=action.why,
+                )
 
     async def beat(self):
         loop = asyncio.get_running_loop()
@@ -95,7 +104,11 @@
             new.write_bytes(seal(self.versions.kept()))
             new.replace(self.saved)
         except OSError as error:
-            log.warning("what has become of releases cannot be saved", file=str(self.saved), error=str(error))
+            log.warning(
+                "what has become of releases cannot be saved",
+                file=str(self.saved),
+                error=str(error),
+            )
 
     def take_back(self):
         """A file that is broken is set aside, and the old versions are called until the feed tells more."""
@@ -110,7 +123,11 @@
                 self.saved.replace(aside)
             except OSError:
                 pass
-            log.error("what had become of releases cannot be read and is set aside", file=str(aside), error=str(error))
+            log.error(
+                "what had become of releases cannot be read and is set aside",
+                file=str(aside),
+                error=str(error),
+            )
 
     # ---- the feed
     async def follow(self):
@@ -121,14 +138,18 @@
                 self.gone = loop.create_future()
                 async with asyncio.timeout(5.0):
                     _, end = await loop.create_connection(
-                        lambda: End(self, m.FROM_FEED, self.shell.hello), host, int(port))
+                        lambda: End(self, m.FROM_FEED, self.shell.hello), host, int(port)
+                    )
                 end.write(m.Follow())
                 pause, said = 0.1, False
                 await self.gone
             except (TimeoutError, OSError) as error:
                 if not said:
-                    log.warning("the release feed cannot be reached, going on with what is known", address=self.where,
-                                error=str(error) or "time-out")
+                    log.warning(
+                        "the release feed cannot be reached, going on with what is known",
+                        address=self.where,
+                        error=str(error) or "time-out",
+                    )
                 said = True
             await asyncio.sleep(pause)
             pause = min(2.0, pause * 1.5)
@@ -163,5 +184,7 @@
             return {"error": f"unknown: {what}"}
         self.save()
         rows = self.versions.table()
-        return {"gateway": self.shell.figures.name, "releases": [
-            row for row in rows if said.get("function") in (None, row["function"])]}
+        return {
+            "gateway": self.shell.figures.name,
+            "releases": [row for row in rows if said.get("function") in (None, row["function"])],
+        }
--- a/cherrydoor/versions/proof.py
+++ b/cherrydoor/versions/proof.py
@@ -6,8 +6,8 @@
 
 from math import exp, inf, lgamma, log, log1p
 
-UNKNOWN = 0.5          # what an old version of which nothing is known is held to fail in at most
-A, B = 0.5, 2.0         # of the beta mixture: rates of error near 0 are where it should be sharp
+UNKNOWN = 0.5  # what an old version of which nothing is known is held to fail in at most
+A, B = 0.5, 2.0  # of the beta mixture: rates of error near 0 are where it should be sharp
 
 
 def lbeta(a, b):
@@ -53,6 +53,7 @@
 
 class Count:
     """How often a thing went badly, of how many. `at` is when it was begun."""
+
     __slots__ = ("bad", "all")
 
     def __init__(self, bad=0, all=0):
@@ -88,7 +89,9 @@
     if not new.all or not old.all:
         return 0.0
     rate = min(1.0, old.bounds(0.05)[1] + margin)
-    return max(-1.0, evidence(new.bad, new.all - new.bad, rate)) if new.bad > rate * new.all else -0.5
+    return (
+        max(-1.0, evidence(new.bad, new.all - new.bad, rate)) if new.bad > rate * new.all else -0.5
+    )
 
 
 def no_worse(new, old, alpha, margin):
--- a/conftest.py
+++ b/conftest.py
@@ -17,6 +17,7 @@
 @dataclass(frozen=True)
 class KnownFailure:
     """One line of the file."""
+
     test: str
     cause: str
     issue: str
@@ -33,7 +34,9 @@
             continue
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields):
-            raise pytest.UsageError(f"{FILE}:{number}: 'test id | cause | issue' expected, not {line!r}")
+            raise pytest.UsageError(
+                f"{FILE}:{number}: 'test id | cause | issue' expected, not {line!r}"
+            )
         found.append(KnownFailure(*fields))
     if len(found) > MOST:
         raise pytest.UsageError(f"{FILE}: {len(found)} tests are listed, {MOST} at most")
@@ -46,7 +49,12 @@
     files = {name.partition("::")[0] for name in ids}
     for failure in failures:
         file = failure.test.partition("::")[0]
-        missing = not (Path(root) / file).exists() or file in files and not selected and failure.test not in ids
+        missing = (
+            not (Path(root) / file).exists()
+            or file in files
+            and not selected
+            and failure.test not in ids
+        )
         if missing:
             raise pytest.UsageError(f"{FILE}: no such test: {failure.test}")
 
@@ -58,7 +66,9 @@
     listed = {failure.test: failure for failure in failures}
     for item in items:
         if failure := listed.get(item.nodeid):
-            item.add_marker(pytest.mark.xfail(strict=True, reason=f"{failure.cause} ({failure.issue})"))
+            item.add_marker(
+                pytest.mark.xfail(strict=True, reason=f"{failure.cause} ({failure.issue})")
+            )
 
 
 def pytest_terminal_summary(terminalreporter, config):
--- a/docs/conftest.py
+++ b/docs/conftest.py
@@ -43,8 +43,14 @@
         (self.folder / "door.lease").write_text(BASE % 9)
 
     def run(self, *words):
-        return subprocess.run([sys.executable, "-m", "cherrydoor", *words], cwd=self.folder, capture_output=True,
-                              text=True, timeout=60, env=os.environ | {"PYTHONPATH": str(ROOT)})
+        return subprocess.run(
+            [sys.executable, "-m", "cherrydoor", *words],
+            cwd=self.folder,
+            capture_output=True,
+            text=True,
+            timeout=60,
+            env=os.environ | {"PYTHONPATH": str(ROOT)},
+        )
 
     def ports(self, count):
         held = [socket.socket() for _ in range(count)]
@@ -60,17 +66,37 @@
         if self.parts:
             return
         ports = self.ports(3)
-        keepers = ", ".join(f'{{name: "g{i}", at: "127.0.0.1:{port}"}}' for i, port in enumerate(ports))
+        keepers = ", ".join(
+            f'{{name: "g{i}", at: "127.0.0.1:{port}"}}' for i, port in enumerate(ports)
+        )
         for i, port in enumerate(ports):
             path = self.folder / f"g{i}.lease"
-            path.write_text(BASE.replace('"g0"', f'"g{i}"').replace("number: 0", f"number: {i}") % 9 + f"""
+            path.write_text(
+                BASE.replace('"g0"', f'"g{i}"').replace("number: 0", f"number: {i}") % 9
+                + f"""
 peers: {{door: "127.0.0.1:{port}", keepers: [{keepers}], control: "g{i}.sock"}}
 tenures: {{promises: "g{i}.promises", term: 500ms, margin: 20ms, longest: 500ms}}
-""")
-            self.parts.append(subprocess.Popen(
-                [sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(path), "--tied", "--announce"],
-                cwd=self.folder, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL,
-                env=os.environ | {"PYTHONPATH": str(ROOT)}))
+"""
+            )
+            self.parts.append(
+                subprocess.Popen(
+                    [
+                        sys.executable,
+                        "-m",
+                        "cherrydoor",
+                        "gateway",
+                        "--lease",
+                        str(path),
+                        "--tied",
+                        "--announce",
+                    ],
+                    cwd=self.folder,
+                    stdin=subprocess.PIPE,
+                    stdout=subprocess.PIPE,
+                    stderr=subprocess.DEVNULL,
+                    env=os.environ | {"PYTHONPATH": str(ROOT)},
+                )
+            )
         for part in self.parts:
             part.stdout.readline()
         end = time.monotonic() + 30
@@ -80,7 +106,7 @@
 
     async def ask(self):
         here = Path.cwd()
-        os.chdir(self.folder)           # a socket's path is short
+        os.chdir(self.folder)  # a socket's path is short
         try:
             reader, writer = await asyncio.open_unix_connection("g0.sock")
         finally:
@@ -126,5 +152,12 @@
 
 
 pytest_collect_file = Sybil(
-    parsers=[CodeBlockParser("lease", lease), CodeBlockParser("sh", shell), PythonCodeBlockParser()],
-    patterns=["*.md"], setup=setup, teardown=teardown).pytest()
+    parsers=[
+        CodeBlockParser("lease", lease),
+        CodeBlockParser("sh", shell),
+        PythonCodeBlockParser(),
+    ],
+    patterns=["*.md"],
+    setup=setup,
+    teardown=teardown,
+).pytest()
--- a/tests/admission/test_decide.py
+++ b/tests/admission/test_decide.py
@@ -13,7 +13,9 @@
     doors = Doors(40, [HARBOUR, MEADOW])
     strangers = [doors.come(stranger(i)) for i in range(60)]
     assert len(doors.seated(strangers)) == 25
-    assert doors.word(strangers[-1]) == "no place is free" and doors.said[strangers[-1]].stay_away > 0
+    assert (
+        doors.word(strangers[-1]) == "no place is free" and doors.said[strangers[-1]].stay_away > 0
+    )
     assert len(doors.seated([doors.come("10.1.0.9") for _ in range(10)])) == 10
     assert len(doors.seated([doors.come("10.2.0.9") for _ in range(5)])) == 5
 
@@ -28,7 +30,7 @@
 def test_an_office_beyond_its_own_takes_no_more_than_what_is_common():
     doors = Doors(40, [HARBOUR, MEADOW])
     for i in range(25):
-        doors.come(stranger(i)).open = 1        # busy: none of them makes room
+        doors.come(stranger(i)).open = 1  # busy: none of them makes room
     assert len(doors.seated([doors.come("10.1.0.9") for _ in range(12)])) == 10
     assert doors.guard.places.used() == 25
 
@@ -39,8 +41,8 @@
     for i in range(10):
         strangers.append(doors.come(stranger(i)))
         doors.wait(100)
-    strangers[0].used = doors.now       # it has just been used
-    strangers[1].open = 1               # it waits for an answer
+    strangers[0].used = doors.now  # it has just been used
+    strangers[1].open = 1  # it waits for an answer
     doors.wait(5000)
     strangers[0].used = doors.now
     new = doors.come(stranger(99))
@@ -79,7 +81,7 @@
     doors = Doors(700, [("harbour", 500, 500, ("10.1.0.0/16",))])
     old = [doors.come("10.1.0.9") for _ in range(500)]
     doors.wait(1100)
-    new = [doors.come("10.1.0.9") for _ in range(500)]      # the old ones look alive after a lost floor
+    new = [doors.come("10.1.0.9") for _ in range(500)]  # the old ones look alive after a lost floor
     assert len(doors.seated(new)) == 500 and not doors.seated(old)
 
 
@@ -144,19 +146,22 @@
     assert doors.word(doors.come(stranger(1))) == "no new clients for the moment"
     assert doors.come("10.1.0.9").state == "seated"
     doors.wait(100, memory=0.98)
-    assert doors.word(doors.knock(stranger(2))) == "no new clients for the moment" and doors.guard.stair.step == 3
+    assert (
+        doors.word(doors.knock(stranger(2))) == "no new clients for the moment"
+        and doors.guard.stair.step == 3
+    )
     doors.wait(5000)
     assert doors.guard.stair.step == 0 and doors.come(stranger(3)).state == "seated"
 
 
 def test_the_stair_does_not_flip_where_use_swings_about_an_edge():
     doors, changes, last = Doors(40), 0, 0
-    for i in range(600):        # a minute
+    for i in range(600):  # a minute
         doors.wait(100, steps=1, descriptors=0.92 if i // 3 % 2 else 0.6)
         changes += doors.guard.stair.step != last
         last = doors.guard.stair.step
     assert changes <= 2
-    for i in range(1200):       # calm for longer than the dwell, then up again, and so on
+    for i in range(1200):  # calm for longer than the dwell, then up again, and so on
         doors.wait(100, steps=1, descriptors=0.82 if i % 15 == 0 else 0.1)
         changes += doors.guard.stair.step != last
         last = doors.guard.stair.step
@@ -183,6 +188,7 @@
         doors.wait(100, steps=1, busy=busy)
         assert not quiet_paused
         return read
+
     got = [window(1.0)] + [window(0.9 if doors.guard.flow.level else 1.0) for _ in range(10)]
     assert got[0] == 300 and max(got[1:]) <= 240
     for _ in range(60):
@@ -226,7 +232,7 @@
 
 
 def test_a_million_addresses_leave_tables_of_one_size():
-    doors = Doors(400, pace=0.2)       # so slow that no bucket runs dry meanwhile
+    doors = Doors(400, pace=0.2)  # so slow that no bucket runs dry meanwhile
     for i in range(60000):
         caller = doors.knock(f"{20 + i % 200}.{i // 200 % 256}.{i * 13 % 256}.{i * 31 % 256}")
         doors.go(caller)
@@ -237,17 +243,28 @@
     assert max(map(len, doors.guard.streets.tables)) < 400, "and they shrink once it is over"
 
 
-steps = st.lists(st.one_of(
-    st.tuples(st.just("come"), st.integers(0, 30), st.sampled_from(["", "", "harbour", "meadow", "nobody"])),
-    st.tuples(st.just("listed"), st.integers(0, 1), st.booleans()),
-    st.tuples(st.just("silent"), st.integers(0, 30), st.booleans()),
-    st.tuples(st.just("go"), st.integers(0, 400), st.none()),
-    st.tuples(st.just("use"), st.integers(0, 400), st.integers(0, 2)),
-    st.tuples(st.just("wait"), st.integers(1, 80), st.sampled_from([0.1, 0.85, 0.93, 0.99])),
-    st.tuples(st.just("lack"), st.booleans(), st.none())), min_size=20, max_size=250)
-
-
-@settings(max_examples=120, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
+steps = st.lists(
+    st.one_of(
+        st.tuples(
+            st.just("come"),
+            st.integers(0, 30),
+            st.sampled_from(["", "", "harbour", "meadow", "nobody"]),
+        ),
+        st.tuples(st.just("listed"), st.integers(0, 1), st.booleans()),
+        st.tuples(st.just("silent"), st.integers(0, 30), st.booleans()),
+        st.tuples(st.just("go"), st.integers(0, 400), st.none()),
+        st.tuples(st.just("use"), st.integers(0, 400), st.integers(0, 2)),
+        st.tuples(st.just("wait"), st.integers(1, 80), st.sampled_from([0.1, 0.85, 0.93, 0.99])),
+        st.tuples(st.just("lack"), st.booleans(), st.none()),
+    ),
+    min_size=20,
+    max_size=250,
+)
+
+
+@settings(
+    max_examples=120, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
 @given(steps)
 def test_no_order_of_notes_breaks_the_reserve_or_grows_without_bound(notes):
     doors = Doors(24, [("harbour", 6, 8, ("10.1.0.0/16",)), ("meadow", 3, 3, ("10.2.0.0/16",))])
@@ -259,7 +276,11 @@
             office = places.offices[("harbour", "meadow")[a]]
             room = len(office.seated) < office.own
             caller = doors.knock(f"10.{a + 1}.0.9", sealed=b)
-            assert not room or caller.state != "over" or doors.word(caller) == "this client connects too often"
+            assert (
+                not room
+                or caller.state != "over"
+                or doors.word(caller) == "this client connects too often"
+            )
             if caller.state == "porch" and not b:
                 doors.post(d.Shown(caller, ""))
         elif what == "silent":
@@ -283,6 +304,8 @@
             assert all(s.porch >= 0 and s.group.held >= 0 for s in table.values())
     for caller in list(doors.open):
         doors.go(caller)
-    assert not places.used() and not porch.slots and not porch.unshown and not doors.guard.flow.groups
-    doors.wait(0, steps=400)        # an office is never kept out for ever
+    assert (
+        not places.used() and not porch.slots and not porch.unshown and not doors.guard.flow.groups
+    )
+    doors.wait(0, steps=400)  # an office is never kept out for ever
     assert all(doors.come(f"10.{i}.0.9").state == "seated" for i in (1, 2))
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -16,16 +16,32 @@
 from cherrydoor.frames import codec
 from cherrydoor.frames import messages as m
 
-DROPS = 55, 8       # SO_MEMINFO, and where in it stands how many connections the kernel dropped at the door
-HARBOUR = 'admission: {known: [{name: "harbour", places: 20, most: 30, addresses: ["127.200.0.0/16"]}]}\n'
+DROPS = (
+    55,
+    8,
+)  # SO_MEMINFO, and where in it stands how many connections the kernel dropped at the door
+HARBOUR = (
+    'admission: {known: [{name: "harbour", places: 20, most: 30, addresses: ["127.200.0.0/16"]}]}\n'
+)
 
 
 async def few_descriptors(stack, lease, most=256):
     """The daemon with so many descriptors."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(lease), "--announce", "--tied",
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-        env=environment(), preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)))
+        sys.executable,
+        "-m",
+        "cherrydoor",
+        "gateway",
+        "--lease",
+        str(lease),
+        "--announce",
+        "--tied",
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+        env=environment(),
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
+    )
     stack.opened.append(Ended(process))
     daemon = Daemon(process, [])
     daemon.port = json.loads(await process.stdout.readline())["port"]
@@ -75,7 +91,7 @@
                 self.sockets.append((one, (b"", hello[:9], hello)[self.opened % 3]))
                 self.opened += 1
             await asyncio.sleep(0.002)
-            for one, said in self.sockets[len(self.sockets) - self.opened + before:]:
+            for one, said in self.sockets[len(self.sockets) - self.opened + before :]:
                 try:
                     one.send(said)
                 except OSError:
@@ -103,12 +119,18 @@
 async def known(stack, port, name="127.200.0.1"):
     """A client from that address, or None where it was not let in."""
     from stack import Client
+
     client = Client()
     client.shut = asyncio.get_running_loop().create_future()
     try:
         _, client.end = await asyncio.get_running_loop().create_connection(
-            lambda: End(client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "harbour", now())),
-            "127.0.0.1", port, local_addr=(name, 0))
+            lambda: End(
+                client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "harbour", now())
+            ),
+            "127.0.0.1",
+            port,
+            local_addr=(name, 0),
+        )
     except OSError:
         return None
     await client.until(lambda: client.ends or client.lost_ends)
@@ -119,7 +141,9 @@
 @with_folder
 async def test_a_flood_up_to_the_descriptor_limit_keeps_no_known_client_out(stack, tmp):
     hosts = [Host("handled") for _ in range(4)]
-    daemon = await few_descriptors(stack, await given(stack, tmp, *hosts, more="bounds: {}\n" + HARBOUR))
+    daemon = await few_descriptors(
+        stack, await given(stack, tmp, *hosts, more="bounds: {}\n" + HARBOUR)
+    )
     flood = Flood(daemon.port)
     await flood.beyond(1600)
     clients = []
@@ -138,13 +162,19 @@
 
 
 @with_folder
-async def test_a_known_client_comes_back_with_all_its_connections_while_the_flood_goes_on(stack, tmp):
-    daemon = await few_descriptors(stack, await given(stack, tmp, Host("handled"), more="bounds: {}\n" + HARBOUR))
+async def test_a_known_client_comes_back_with_all_its_connections_while_the_flood_goes_on(
+    stack, tmp
+):
+    daemon = await few_descriptors(
+        stack, await given(stack, tmp, Host("handled"), more="bounds: {}\n" + HARBOUR)
+    )
     flood = Flood(daemon.port)
     await flood.beyond(800)
     for _ in range(3):
         clients = await asyncio.gather(*(known(stack, daemon.port) for _ in range(20)))
-        for number, client in [(client.send(f"deed {i}"), client) for i, client in enumerate(clients)]:
+        for number, client in [
+            (client.send(f"deed {i}"), client) for i, client in enumerate(clients)
+        ]:
             assert (await client.answer(number)).fate == "handled"
         for client in clients:
             client.end.abort()
@@ -154,17 +184,25 @@
 @with_folder
 async def test_a_host_connection_is_had_when_descriptors_are_gone(stack, tmp):
     late = Host("handled")
-    daemon = await few_descriptors(stack, await given(stack, tmp, late, more="bounds: {}\n" + HARBOUR))
+    daemon = await few_descriptors(
+        stack, await given(stack, tmp, late, more="bounds: {}\n" + HARBOUR)
+    )
     strangers = [await known(stack, daemon.port, f"127.{i}.0.1") for i in range(1, 9)]
     client = await known(stack, daemon.port)
     held = {int(name) for name in os.listdir(f"/proc/{daemon.process.pid}/fd")}
-    gone = next(n for n in range(1000) if n not in held)        # no descriptor from here on, and none is free below
+    gone = next(
+        n for n in range(1000) if n not in held
+    )  # no descriptor from here on, and none is free below
     resource.prlimit(daemon.process.pid, resource.RLIMIT_NOFILE, (gone, gone))
     assert (await client.answer(client.send("deed", lasts=4500.0))).fate == "handled"
     assert late.all(m.Launch) and not client.lost_ends
     daemon.process.send_signal(15)
     code, errors = await daemon.end()
-    assert code == 0 and "descriptors have run out" in errors and any(one.lost_ends for one in strangers)
+    assert (
+        code == 0
+        and "descriptors have run out" in errors
+        and any(one.lost_ends for one in strangers)
+    )
 
 
 @story
@@ -173,14 +211,18 @@
     client = await stack.start(Host("handled"), bounds=quick)
     loop = asyncio.get_running_loop()
     hello = codec.encode(m.Hello(m.VERSION, "client", "slow", now()))
-    for first, rest in ((b"", hello), (hello, codec.encode(m.Event(1, "draft", "f", 400.0, now(), body=b"b" * 99)))):
+    for first, rest in (
+        (b"", hello),
+        (hello, codec.encode(m.Event(1, "draft", "f", 400.0, now(), body=b"b" * 99))),
+    ):
         reader, writer = await asyncio.open_connection("127.0.0.1", stack.shell.port)
         writer.write(first)
 
         async def drip(writer=writer, rest=rest):
             for i in range(len(rest) - 1):
-                writer.write(rest[i:i + 1])
+                writer.write(rest[i : i + 1])
                 await asyncio.sleep(0.05)
+
         task = loop.create_task(drip())
         told = await asyncio.wait_for(reader.read(), 20)
         assert b"in time" in told
@@ -193,11 +235,12 @@
 @story
 async def test_events_poured_on_one_connection_leave_the_others_their_target_time(stack):
     from stack import Client
+
     quiet = await stack.start(Host("handled"), Host("handled"))
     pourer = await Client().connect(stack.shell.port)
     stack.opened.append(pourer)
     flow = stack.shell.hall.guard.flow
-    stack.shell.hall.uses.measure = lambda: d.Measured(0.0, 0.0, 1.0)      # the core is short
+    stack.shell.hall.uses.measure = lambda: d.Measured(0.0, 0.0, 1.0)  # the core is short
     sent = []
     while not stack.shell.hall.guard.counts.get("read less"):
         sent += [pourer.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
@@ -206,25 +249,37 @@
     sent += [pourer.send(f"deed {i % 7}", lasts=5000.0) for i in range(200)]
     one = quiet.send("deed 1", lasts=5000.0)
     assert (await quiet.answer(one)).fate == "handled"
-    assert len(pourer.all(m.Answer)) < len(sent), "the quiet one was answered while the other still waited to be read"
+    assert len(pourer.all(m.Answer)) < len(sent), (
+        "the quiet one was answered while the other still waited to be read"
+    )
     for number in sent:
         await pourer.answer(number)
-    assert len(pourer.all(m.Answer)) == len(sent), "each is answered once, none is lost by the waiting"
+    assert len(pourer.all(m.Answer)) == len(sent), (
+        "each is answered once, none is lost by the waiting"
+    )
 
 
 @story
 async def test_five_hundred_connections_of_a_known_client_come_back_at_once(stack):
-    known_part = ('bounds: {connections: 700}\n'
-                  'admission: {known: [{name: "harbour", places: 500, addresses: ["127.200.0.0/16"]}]}')
+    known_part = (
+        "bounds: {connections: 700}\n"
+        'admission: {known: [{name: "harbour", places: 500, addresses: ["127.200.0.0/16"]}]}'
+    )
     await stack.start(Host("handled"), bounds=known_part, plain=False)
-    crowd = 400         # with five hundred beside them all find room in the kernel's queue
-    flood, seats = Flood(stack.shell.port, crowd=crowd), stack.shell.hall.guard.places.offices["harbour"].seated
+    crowd = 400  # with five hundred beside them all find room in the kernel's queue
+    flood, seats = (
+        Flood(stack.shell.port, crowd=crowd),
+        stack.shell.hall.guard.places.offices["harbour"].seated,
+    )
     await flood.beyond(2 * crowd)
     for _ in range(2):
         assert flood.waiting() > crowd // 2, "the known ones come behind a crowd"
         clients = await asyncio.gather(*(known(stack, stack.shell.port) for _ in range(500)))
         assert len(seats) == 500 and not any(client.lost_ends for client in clients)
-        sent = [(client, client.send(f"deed {i % 20}", lasts=4900.0)) for i, client in enumerate(clients[:50])]
+        sent = [
+            (client, client.send(f"deed {i % 20}", lasts=4900.0))
+            for i, client in enumerate(clients[:50])
+        ]
         for client, number in sent:
             assert (await client.answer(number)).fate in ("handled", "deferred")
         await flood.beyond(crowd)
@@ -240,17 +295,27 @@
 
 @story
 async def test_a_known_client_that_misbehaves_harms_no_other(stack):
-    two = ('bounds: {connections: 60}\nadmission: {known: [{name: "harbour", places: 20, addresses: ["127.200.0.0/16"]}'
-           ', {name: "meadow", places: 20, addresses: ["127.201.0.0/16"]}]}')
+    two = (
+        'bounds: {connections: 60}\nadmission: {known: [{name: "harbour", places: 20, addresses: ["127.200.0.0/16"]}'
+        ', {name: "meadow", places: 20, addresses: ["127.201.0.0/16"]}]}'
+    )
     await stack.start(Host("handled"), bounds=two, plain=False)
-    greedy = [client for client in await asyncio.gather(*(known(stack, stack.shell.port) for _ in range(200)))
-              if client is not None]
+    greedy = [
+        client
+        for client in await asyncio.gather(*(known(stack, stack.shell.port) for _ in range(200)))
+        if client is not None
+    ]
     seats = stack.shell.hall.guard.places.offices
     assert len(seats["harbour"].seated) == 40, "its own places and the common ones"
-    meadow = await asyncio.gather(*(known(stack, stack.shell.port, "127.201.0.1") for _ in range(20)))
+    meadow = await asyncio.gather(
+        *(known(stack, stack.shell.port, "127.201.0.1") for _ in range(20))
+    )
     for client in greedy[:3]:
         for i in range(100):
             client.send(f"deed {i}", lasts=4900.0)
     for client in meadow:
-        assert (await client.answer(client.send("deed 1", lasts=4900.0))).fate in ("handled", "deferred")
+        assert (await client.answer(client.send("deed 1", lasts=4900.0))).fate in (
+            "handled",
+            "deferred",
+        )
     assert len(seats["meadow"].seated) == 20 and not any(client.lost_ends for client in meadow)
--- a/tests/behaviour/dispatcher_world.py
+++ b/tests/behaviour/dispatcher_world.py
@@ -229,9 +229,7 @@
                 self.random.choice((None, 0.5)),
             )
         elif kind == n.WIRE_PROBE:
-            message = n.wire_probed(
-                number, n.FULL if self.chance(self.story.failed) else n.HANDLED
-            )
+            message = n.wire_probed(number, n.FULL if self.chance(self.story.failed) else n.HANDLED)
         elif kind == n.WIRE_ORDER:
             failed = self.chance(4 * self.story.failed)
             message = n.wire_ordered(
--- a/tests/behaviour/module_world.py
+++ b/tests/behaviour/module_world.py
@@ -23,7 +23,7 @@
     length: float = 20000.0  # ms
     per_second: float = 60.0  # requests
     hosts: int = 10
-    cold_hosts: float = 0.2         # share of hosts that have just started
+    cold_hosts: float = 0.2  # share of hosts that have just started
     zones: int = 2
     functions: int = 30
     tenants: tuple = ("",)
--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -77,9 +77,7 @@
 
 
 # ---- the decision module: how it is made and called
-def request_class(
-    name, target, max_age, kind=REDELIVERABLE, group="all", memory=0.0, stream=False
-):
+def request_class(name, target, max_age, kind=REDELIVERABLE, group="all", memory=0.0, stream=False):
     return io.Clause(name, target, max_age, kind, group, memory, stream)
 
 
--- a/tests/behaviour/test_decision_digests.py
+++ b/tests/behaviour/test_decision_digests.py
@@ -110,22 +110,14 @@
     ),
 }
 MODULE_DIGESTS = {
-    "hosts replaced, lists late and by changes":
-        "0d1ea502aaad748eb31365584984b8520c4faf523d5f96a024bc9d7b160f56d4",
-    "a cold fleet that falls under load":
-        "caf5c64ca000e3567aa76f2e753ebd12016251d62e3f39f8f9cfaa3d4fa8ff2f",
-    "many gateways, answers tell neither copies nor crowds":
-        "266ec17027866eb7ffd34206d8ba0daa61d370298210d1c6b25499a86ab37d25",
-    "overload by tenants of unlike shares":
-        "5955a3fc785faa1207618cfb3fe7c7739459ff9b3dab3430f730a50c3ed596f2",
-    "a drained zone, functions foreseen":
-        "c53cb6f34d78d11b9ed44fdef5b211b1225aac183c07c2390f783757d4490aef",
-    "hosts that answer missing, lists asked for and failed":
-        "820f4046ab0c850322a9ceaa4613f70a73bd1702340c579c5e07d349e1c3f715",
-    "neither recalls nor probes nor orders, many unanswered":
-        "6724da7db52e6f9e87ff707c2aaffbfae980b9881c1111d1d2cf47427ba8386a",
-    "many gateways, hedged, many silent hosts":
-        "a9ac8d2d5101b6ee40913865d6bd7b5a455b1789ab8b3edb8ad9088853d80118",
+    "hosts replaced, lists late and by changes": "0d1ea502aaad748eb31365584984b8520c4faf523d5f96a024bc9d7b160f56d4",
+    "a cold fleet that falls under load": "caf5c64ca000e3567aa76f2e753ebd12016251d62e3f39f8f9cfaa3d4fa8ff2f",
+    "many gateways, answers tell neither copies nor crowds": "266ec17027866eb7ffd34206d8ba0daa61d370298210d1c6b25499a86ab37d25",
+    "overload by tenants of unlike shares": "5955a3fc785faa1207618cfb3fe7c7739459ff9b3dab3430f730a50c3ed596f2",
+    "a drained zone, functions foreseen": "c53cb6f34d78d11b9ed44fdef5b211b1225aac183c07c2390f783757d4490aef",
+    "hosts that answer missing, lists asked for and failed": "820f4046ab0c850322a9ceaa4613f70a73bd1702340c579c5e07d349e1c3f715",
+    "neither recalls nor probes nor orders, many unanswered": "6724da7db52e6f9e87ff707c2aaffbfae980b9881c1111d1d2cf47427ba8386a",
+    "many gateways, hedged, many silent hosts": "a9ac8d2d5101b6ee40913865d6bd7b5a455b1789ab8b3edb8ad9088853d80118",
 }
 
 
@@ -142,8 +134,7 @@
 
 def test_module_histories_cover_every_action_and_outcome(played):
     counts = {
-        kind: sum(world.canonical.counts[kind] for world in played.values())
-        for kind in range(1, 9)
+        kind: sum(world.canonical.counts[kind] for world in played.values()) for kind in range(1, 9)
     }
     least = {
         n.LAUNCH: 10000,
@@ -206,16 +197,51 @@
     ),
 }
 DISPATCHER_DIGESTS = {
-    "faults of every kind":
-        "54acec1990fb1d58b44e519b52a557c8aee9eaa356fe96b6d9c6b9bd9a59eec9",
-    "asked lists, few open requests, overload":
-        "935ddd74cddf71968b5402bc8f9c6a3d7e571a18f09517922e5ad6ab8d85d6c2",
+    "faults of every kind": "54acec1990fb1d58b44e519b52a557c8aee9eaa356fe96b6d9c6b9bd9a59eec9",
+    "asked lists, few open requests, overload": "935ddd74cddf71968b5402bc8f9c6a3d7e571a18f09517922e5ad6ab8d85d6c2",
 }
 DISPATCHER_COUNTS = {
-    "faults of every kind":
-        [1, 3, 3, 4, 17, 17, 26, 29, 71, 90, 100, 108, 188, 199, 423, 1366, 1506, 1876],
-    "asked lists, few open requests, overload":
-        [1, 2, 5, 11, 16, 16, 20, 21, 27, 31, 32, 53, 78, 103, 205, 679, 728, 894, 1604],
+    "faults of every kind": [
+        1,
+        3,
+        3,
+        4,
+        17,
+        17,
+        26,
+        29,
+        71,
+        90,
+        100,
+        108,
+        188,
+        199,
+        423,
+        1366,
+        1506,
+        1876,
+    ],
+    "asked lists, few open requests, overload": [
+        1,
+        2,
+        5,
+        11,
+        16,
+        16,
+        20,
+        21,
+        27,
+        31,
+        32,
+        53,
+        78,
+        103,
+        205,
+        679,
+        728,
+        894,
+        1604,
+    ],
 }
 
 
--- a/tests/compatibility/wire_messages.py
+++ b/tests/compatibility/wire_messages.py
@@ -32,18 +32,14 @@
 LEAST_TRUST = peers.Trust(3, 4, "meadow", "sign-off", "deed-00002", 1000.0)
 FULL_JOB = custody.Job(1, "harbour", 2, 3, "handled", b"\x00body", False)
 LEAST_JOB = custody.Job(4, "meadow", 5)
-FULL_LOT = site.LotTold(
-    "deed-00001", 12.5, 3.5, "keyed", 512.0, ["10.0.0.1:4001", "10.0.0.2:4001"]
-)
+FULL_LOT = site.LotTold("deed-00001", 12.5, 3.5, "keyed", 512.0, ["10.0.0.1:4001", "10.0.0.2:4001"])
 LEAST_LOT = site.LotTold("deed-00002", 0.5)
 FULL_ZONE = site.ZoneTold("zone-1", 12.5, 81.25, 7)
 LEAST_ZONE = site.ZoneTold("zone-2", 0.5)
 
 MESSAGES = {
     # every connection
-    "hello full": basics.Hello(
-        1, "gateway", "g0", 12.5, 1700000000000.5, 65536, 7, "token", 2**40
-    ),
+    "hello full": basics.Hello(1, "gateway", "g0", 12.5, 1700000000000.5, 65536, 7, "token", 2**40),
     "hello least": basics.Hello(1, "client"),
     "hello host": basics.Hello(1, "host"),
     "hello store": basics.Hello(1, "store"),
--- a/tests/custody/fleet_and_hosts.py
+++ b/tests/custody/fleet_and_hosts.py
@@ -22,7 +22,17 @@
         self.rows = []
 
     def add(self, what, who="", peer="", id=0, event=0, number=0, *more, **named):
-        self.rows.append({"what": what, "who": who, "peer": peer, "id": id, "event": event, "number": number, **named})
+        self.rows.append(
+            {
+                "what": what,
+                "who": who,
+                "peer": peer,
+                "id": id,
+                "event": event,
+                "number": number,
+                **named,
+            }
+        )
 
     def of(self, what, event=None):
         return [row for row in self.rows if row["what"] == what and event in (None, row["event"])]
@@ -37,8 +47,12 @@
     async def connect(self, gate):
         host, _, port = gate.door.rpartition(":")
         _, end = await asyncio.get_running_loop().create_connection(
-            lambda: End(self, custody.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "caller", now())), host,
-            int(port))
+            lambda: End(
+                self, custody.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "caller", now())
+            ),
+            host,
+            int(port),
+        )
         self.ends[gate.name] = end
         await come(lambda: end.reader.hello)
         return end
@@ -53,16 +67,40 @@
     def lost(self, end):
         self.lost_ends.append(end)
 
-    def send(self, gate, clause, lasts=3000.0, mark="", key="secret", function="deed-1", body=b"body", document=""):
+    def send(
+        self,
+        gate,
+        clause,
+        lasts=3000.0,
+        mark="",
+        key="secret",
+        function="deed-1",
+        body=b"body",
+        document="",
+    ):
         self.ids += 1
-        self.ends[gate.name].write(m.Event(self.ids, clause, function, lasts, now(), "", mark or f"m{self.ids}",
-                                           key=key, body=body, document=document))
+        self.ends[gate.name].write(
+            m.Event(
+                self.ids,
+                clause,
+                function,
+                lasts,
+                now(),
+                "",
+                mark or f"m{self.ids}",
+                key=key,
+                body=body,
+                document=document,
+            )
+        )
         return self.ids
 
     def claim(self, gate, taker, event, key="secret", lasts=3000.0):
         self.ids += 1
         hello = self.ends[taker.name].reader.hello
-        self.ends[gate.name].write(custody.Reclaim(self.ids, taker.name, hello.life, event, key, lasts, now()))
+        self.ends[gate.name].write(
+            custody.Reclaim(self.ids, taker.name, hello.life, event, key, lasts, now())
+        )
         return self.ids
 
     async def answer(self, number):
@@ -82,8 +120,10 @@
         store = await Store(self.rows, catalogue).start()
         self.farm, self.roll = Farm(self.rows, catalogue), await Roll(self.rows, (1.0, 2.0)).start()
         await asyncio.get_running_loop().create_connection(
-            lambda: End(self.farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")), "127.0.0.1",
-            store.port)
+            lambda: End(self.farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")),
+            "127.0.0.1",
+            store.port,
+        )
         self.hosts = []
         for _ in range(self.count):
             real = self.ports.take()
@@ -91,7 +131,9 @@
             host = await self.farm.add(name, Build(eager=False), bind=real)
             host.draw = lambda mean: mean
             self.hosts.append(host)
-            self.roll.set(m.Row(host.id, "ready", 0.0, f"floor-{(len(self.hosts) - 1) % self.sites}"))
+            self.roll.set(
+                m.Row(host.id, "ready", 0.0, f"floor-{(len(self.hosts) - 1) % self.sites}")
+            )
         self.list_at = f"127.0.0.1:{self.roll.port}"
         await super().__aenter__()
         await self.together()
@@ -107,8 +149,12 @@
 
     async def entrusted(self, gate):
         """Until all that this gateway has in hand has been told to its witnesses, and what is out is at work."""
-        await until(lambda: gate.ask(do="custody"), lambda said: said and said["in hand"] and not said["untold ms"]
-                    and len(said["witnesses"]) == 2)
+        await until(
+            lambda: gate.ask(do="custody"),
+            lambda said: (
+                said and said["in hand"] and not said["untold ms"] and len(said["witnesses"]) == 2
+            ),
+        )
         return await gate.ask(do="custody")
 
     def hold(self, on=True):
@@ -119,12 +165,21 @@
 
     async def at_work(self, event):
         await come(lambda: self.rows.of("launch", event))
-        await come(lambda: any(job.launch.event == event and job.serial is not None
-                               for host in self.hosts for job in host.jobs.values()))
+        await come(
+            lambda: any(
+                job.launch.event == event and job.serial is not None
+                for host in self.hosts
+                for job in host.jobs.values()
+            )
+        )
 
     def heirs(self, giver):
-        return [line for gate in self.gates for line in gate.logged("an estate is taken over")
-                if f'"giver": "{giver.name}"' in line]
+        return [
+            line
+            for gate in self.gates
+            for line in gate.logged("an estate is taken over")
+            if f'"giver": "{giver.name}"' in line
+        ]
 
 
 async def come(what):
--- a/tests/custody/test_claims.py
+++ b/tests/custody/test_claims.py
@@ -31,7 +31,10 @@
         one = Line(trust(number), 2000.0, 0.0)
         claims.expect("g1", 5, one)
         claims.answer("g1", 5, one, Answer(100 + number, "handled", body=b"x" * 60))
-    assert claims.claim("g1", 5, 102, "k", print) == (False, None) and claims.counts["answers left out"] == 1
+    assert (
+        claims.claim("g1", 5, 102, "k", print) == (False, None)
+        and claims.counts["answers left out"] == 1
+    )
     assert claims.claim("g1", 5, 103, "k", print)[1].body == b"x" * 60
 
 
@@ -41,9 +44,14 @@
     other.trust.client, other.trust.key = "another", "k2"
     claims.expect("g1", 5, first, b"m1")
     claims.expect("g1", 5, other, b"m2")
-    assert claims.claim("g1", 5, 0, "k", print, b"m1")[0] and not claims.claim("g1", 5, 0, "k", print, b"m2")[0]
+    assert (
+        claims.claim("g1", 5, 0, "k", print, b"m1")[0]
+        and not claims.claim("g1", 5, 0, "k", print, b"m2")[0]
+    )
     assert claims.claim("g1", 5, 101, "k2", print)[0] and claims.claim("g1", 5, 101, "k", print)[0]
     claims.expect("g1", 5, first, b"m3")
-    assert not claims.claim("g1", 5, 0, "k", print, b"m1")[0], "expected anew, under its new mark alone"
+    assert not claims.claim("g1", 5, 0, "k", print, b"m1")[0], (
+        "expected anew, under its new mark alone"
+    )
     claims.tick(10000.0)
     assert claims.rows == claims.names == {}
--- a/tests/custody/test_every_order.py
+++ b/tests/custody/test_every_order.py
@@ -11,7 +11,7 @@
 from cherrydoor.frames.custody import Holds, Job
 from cherrydoor.frames.peers import Trust
 
-MOST = 2500         # states looked at for each kind in `make test`: docs/custody.md says what larger ones found
+MOST = 2500  # states looked at for each kind in `make test`: docs/custody.md says what larger ones found
 KINDS = {"draft": d.Kind(), "sign": d.Kind("keyed", "all", 1e6), "file": d.Kind("at-most-once")}
 
 
@@ -32,7 +32,9 @@
         if number < self.over:
             return Holds(0, self.over)
         self.over = number
-        jobs = [Job(n, "c", 1) for n in self.jobs] + [Job(n, "c", 1, 0, "handled", b"x") for n in self.past]
+        jobs = [Job(n, "c", 1) for n in self.jobs] + [
+            Job(n, "c", 1, 0, "handled", b"x") for n in self.past
+        ]
         return Holds(0, number, jobs)
 
     def finish(self, world):
@@ -51,11 +53,28 @@
         self.effects = self.launched = self.answers = self.relaunched = 0
 
     def mark(self):
-        hosts = tuple((h.over, tuple(h.jobs.values()), tuple(h.past.values())) for h in self.hosts.values())
-        heir = self.heir and (self.heir.number, tuple(sorted(self.heir.heard)), tuple(sorted(self.heir.asked)),
-                              self.heir.decided, repr(sorted(self.heir.found.items())))
-        return (hosts, heir, tuple(sorted(map(repr, self.flight))), tuple(self.records), self.giver, self.number,
-                self.dead, self.effects, self.answers, self.relaunched)
+        hosts = tuple(
+            (h.over, tuple(h.jobs.values()), tuple(h.past.values())) for h in self.hosts.values()
+        )
+        heir = self.heir and (
+            self.heir.number,
+            tuple(sorted(self.heir.heard)),
+            tuple(sorted(self.heir.asked)),
+            self.heir.decided,
+            repr(sorted(self.heir.found.items())),
+        )
+        return (
+            hosts,
+            heir,
+            tuple(sorted(map(repr, self.flight))),
+            tuple(self.records),
+            self.giver,
+            self.number,
+            self.dead,
+            self.effects,
+            self.answers,
+            self.relaunched,
+        )
 
     # ---- what may happen
     def moves(self):
@@ -70,7 +89,7 @@
         if self.giver == "up":
             found += [("kill", None), ("stop", None)]
         if self.giver == "stopped" and not self.relaunched and self.clause != "file":
-            found.append(("wake", None))        # it takes its link for lost, and launches what it may
+            found.append(("wake", None))  # it takes its link for lost, and launches what it may
         if self.giver != "up" and self.heir is None and self.number + 1 in self.records:
             found.append(("begin", self.number + 1))
         if self.heir is not None and not self.heir.decided:
@@ -94,7 +113,7 @@
         elif what == "said" and self.heir is not None and self.heir.number == more[0]:
             self.heir.said(self.now, to, more[1])
         elif what == "adopt":
-            pass                # it goes on; its outcome goes to the heir
+            pass  # it goes on; its outcome goes to the heir
 
     def double(self, i):
         self.deliver(i, True)
@@ -195,11 +214,15 @@
 
 def test_an_heir_that_takes_a_silent_hosts_word_for_no_is_caught(monkeypatch):
     real = d.verdict
-    monkeypatch.setattr(d, "verdict", lambda line, kind, found, unheard, now: real(line, kind, found, [], now))
+    monkeypatch.setattr(
+        d, "verdict", lambda line, kind, found, unheard, now: real(line, kind, found, [], now)
+    )
     assert caught()
 
 
 def test_an_heir_that_runs_again_what_is_at_work_is_caught(monkeypatch):
     real = d.verdict
-    monkeypatch.setattr(d, "verdict", lambda line, kind, found, unheard, now: real(line, kind, [], unheard, now))
+    monkeypatch.setattr(
+        d, "verdict", lambda line, kind, found, unheard, now: real(line, kind, [], unheard, now)
+    )
     assert caught()
--- a/tests/custody/test_hosts.py
+++ b/tests/custody/test_hosts.py
@@ -17,7 +17,13 @@
 
 class Job:
     def __init__(self, end, launch, number, origin):
-        self.end, self.launch, self.number, self.origin, self.serial = end, launch, number, origin, 1
+        self.end, self.launch, self.number, self.origin, self.serial = (
+            end,
+            launch,
+            number,
+            origin,
+            1,
+        )
 
 
 class Host(Estates):
@@ -73,6 +79,7 @@
 
     def launch(under):
         return m.Launch(1, 1, "c", "file", "f", 9.0, giver="g", life=5, under=under)
+
     assert host.refused(End("heir", 1), launch(1)) and not host.refused(End("heir", 1), launch(2))
 
 
