--- a/tests/custody/test_taken_over_once.py
+++ b/tests/custody/test_taken_over_once.py
@@ -15,7 +15,9 @@
 
 
 @story
-async def test_what_is_at_work_when_its_gateway_is_killed_is_adopted_and_its_answer_claimed(tmp_path):
+async def test_what_is_at_work_when_its_gateway_is_killed_is_adopted_and_its_answer_claimed(
+    tmp_path,
+):
     async with Town(tmp_path) as town:
         giver, other = town.gates[3], town.gates[4]
         numbers = [town.caller.send(giver, clause) for clause in ("file", "sign", "draft")]
@@ -42,8 +44,11 @@
         await town.at_work(number)
         await town.entrusted(giver)
         await giver.kill()
-        for claim in (town.caller.claim(other, giver, number, "guessed"), town.caller.claim(other, giver, number, ""),
-                      town.caller.claim(other, giver, number + 1000)):
+        for claim in (
+            town.caller.claim(other, giver, number, "guessed"),
+            town.caller.claim(other, giver, number, ""),
+            town.caller.claim(other, giver, number + 1000),
+        ):
             assert type(await town.caller.answer(claim)) is custody.Unknown
         assert (await town.caller.answer(town.caller.claim(other, giver, number))).fate == "handled"
 
@@ -81,15 +86,20 @@
         await town.entrusted(giver)
         await giver.kill()
         await come(lambda: town.rows.of("adopt", number))
-        first = next(gate for gate in town.gates if gate.name == town.rows.of("adopt", number)[0]["peer"])
+        first = next(
+            gate for gate in town.gates if gate.name == town.rows.of("adopt", number)[0]["peer"]
+        )
         await first.kill()
         await come(lambda: len(town.rows.of("adopt", number)) == 2)
         town.hold(False)
         other = next(gate for gate in town.gates if gate not in (giver, first))
         said = await town.caller.answer(town.caller.claim(other, giver, number, lasts=30000.0))
         assert said.fate == "handled" and ran(town, number) == 1
-        told = [row["number"] for row in town.rows.of("over")
-                if row["who"] == town.hosts[0].id and row["text"] == giver.name]
+        told = [
+            row["number"]
+            for row in town.rows.of("over")
+            if row["who"] == town.hosts[0].id and row["text"] == giver.name
+        ]
         assert len(told) == 2 and told[0] < told[1]
 
 
@@ -100,7 +110,10 @@
         giver, other = town.gates[3], town.gates[4]
         town.relay.set(giver.name, "h", hold=True)
         number = town.caller.send(giver, "file")
-        await until(lambda: giver.ask(do="custody"), lambda said: said and said["in hand"] and not said["untold ms"])
+        await until(
+            lambda: giver.ask(do="custody"),
+            lambda said: said and said["in hand"] and not said["untold ms"],
+        )
         await come(lambda: town.relay.counts.get("held"))
         await giver.kill()
         said = await town.caller.answer(town.caller.claim(other, giver, number))
@@ -109,7 +122,9 @@
 
 
 @story
-async def test_a_host_that_does_not_say_leaves_an_at_most_once_event_in_doubt_and_it_is_not_run(tmp_path):
+async def test_a_host_that_does_not_say_leaves_an_at_most_once_event_in_doubt_and_it_is_not_run(
+    tmp_path,
+):
     async with Town(tmp_path, work=1500.0) as town:
         giver, other = town.gates[3], town.gates[4]
         numbers = {clause: town.caller.send(giver, clause) for clause in ("file", "draft")}
@@ -118,7 +133,7 @@
         await town.entrusted(giver)
         for gate in town.gates:
             if gate is not giver:
-                town.relay.set(gate.name, "h", hold=True)       # nobody's question comes through
+                town.relay.set(gate.name, "h", hold=True)  # nobody's question comes through
         await giver.kill()
         said = await town.caller.answer(town.caller.claim(other, giver, numbers["file"]))
         assert said.fate == "dead-lettered" and "may have run" in said.reason
@@ -136,14 +151,22 @@
         await giver.kill()
         await come(lambda: town.rows.of("adopt", number))
         for gate in town.gates[:3]:
-            await until(lambda gate=gate: gate.ask(do="peers"), lambda said: any(
-                row["name"] == giver.name and row["state"] == "over" for row in said["members"]))
+            await until(
+                lambda gate=gate: gate.ask(do="peers"),
+                lambda said: any(
+                    row["name"] == giver.name and row["state"] == "over" for row in said["members"]
+                ),
+            )
         repeat = town.caller.send(other, "file", lasts=30000.0, mark="contract")
-        await until(lambda: other.ask(do="custody"),
-                    lambda said: said["claims"]["waiting"] or said["claims"].get("claimed"))
+        await until(
+            lambda: other.ask(do="custody"),
+            lambda said: said["claims"]["waiting"] or said["claims"].get("claimed"),
+        )
         town.hold(False)
         said = await town.caller.answer(repeat)
-        assert said.fate == "handled" and not town.rows.of("launch", repeat) and ran(town, number) == 1
+        assert (
+            said.fate == "handled" and not town.rows.of("launch", repeat) and ran(town, number) == 1
+        )
 
 
 @story
@@ -159,27 +182,40 @@
         for gate in blind:
             town.relay.cut([giver.name], [gate.name])
         for gate in blind:
-            await until(lambda gate=gate: gate.ask(do="peers"), lambda said: said and any(
-                row["name"] == giver.name and not row["linked"] for row in said["members"]))
+            await until(
+                lambda gate=gate: gate.ask(do="peers"),
+                lambda said: (
+                    said
+                    and any(
+                        row["name"] == giver.name and not row["linked"] for row in said["members"]
+                    )
+                ),
+            )
         town.hold(False)
         assert (await town.caller.answer(number)).fate == "handled"
-        assert ran(town, number) == 1 and not town.heirs(giver) and not giver.logged("this life is over")
+        assert (
+            ran(town, number) == 1
+            and not town.heirs(giver)
+            and not giver.logged("this life is over")
+        )
 
 
 @story
-async def test_a_gateway_cut_off_in_mid_act_finds_its_life_over_and_answers_what_nobody_heard_of(tmp_path):
+async def test_a_gateway_cut_off_in_mid_act_finds_its_life_over_and_answers_what_nobody_heard_of(
+    tmp_path,
+):
     async with Town(tmp_path, work=900.0) as town:
         giver, other = town.gates[3], town.gates[4]
         number = town.caller.send(giver, "file")
         await town.at_work(number)
         await town.entrusted(giver)
         town.relay.set(giver.name, "*", True, cut=True)
-        town.caller.ends[giver.name].close()            # a client claims once it has let go, and not before
+        town.caller.ends[giver.name].close()  # a client claims once it has let go, and not before
         said = await town.caller.answer(town.caller.claim(other, giver, number))
         assert said.fate == "handled" and ran(town, number) == 1
         await until(lambda: giver.ask(do="custody"), lambda said: not said["witnesses"])
         await town.caller.connect(giver)
-        unheard = town.caller.send(giver, "draft")      # taken by a gateway that nobody hears
+        unheard = town.caller.send(giver, "draft")  # taken by a gateway that nobody hears
         town.relay.calm()
         assert (await town.caller.answer(unheard)).fate in ("deferred", "handled")
         await come(lambda: giver.logged("this life is over"))
--- a/tests/custody/test_verdicts.py
+++ b/tests/custody/test_verdicts.py
@@ -7,12 +7,18 @@
 from cherrydoor.frames.custody import Job
 from cherrydoor.frames.peers import Entrust, Out, Trust
 
-KINDS = {"draft": d.Kind(), "sign": d.Kind("keyed", "all", 5000.0), "book": d.Kind("keyed", "zone", 5000.0),
-         "file": d.Kind("at-most-once")}
+KINDS = {
+    "draft": d.Kind(),
+    "sign": d.Kind("keyed", "all", 5000.0),
+    "book": d.Kind("keyed", "zone", 5000.0),
+    "file": d.Kind("at-most-once"),
+}
 
 
 def trust(number, clause="draft", body=b"", lasts=2000.0, key="k"):
-    return Trust(number, 100 + number, "c0", clause, "f", lasts, "party", f"m{number}", key, body=body)
+    return Trust(
+        number, 100 + number, "c0", clause, "f", lasts, "party", f"m{number}", key, body=body
+    )
 
 
 def line(clause="draft", until=2000.0):
@@ -42,11 +48,17 @@
     assert isinstance(verdict(clause, [job("full"), job("missing")]), d.Anew)
 
 
-@pytest.mark.parametrize("clause, anew", [("draft", True), ("sign", True), ("book", False), ("file", False)])
+@pytest.mark.parametrize(
+    "clause, anew", [("draft", True), ("sign", True), ("book", False), ("file", False)]
+)
 def test_where_a_host_does_not_say_the_kind_decides(clause, anew):
     """An at-most-once event may have run there; a keyed one harms nobody while all hosts remember its mark."""
     one = verdict(clause, (), ["h9"])
-    assert isinstance(one, d.Anew) if anew else one.fate == "dead-lettered" and "may have run" in one.reason
+    assert (
+        isinstance(one, d.Anew)
+        if anew
+        else one.fate == "dead-lettered" and "may have run" in one.reason
+    )
     one = verdict(clause, [job("error")])
     assert isinstance(one, d.Anew) if anew else one.fate == "dead-lettered"
 
@@ -127,11 +139,16 @@
     giver.taken(0.0, trust(1, "file"), 2000.0)
     giver.launched(1, "h1")
     giver.taken(0.0, trust(2), 1500.0)
-    giver.answered(2)                   # within the turn: nobody hears of it
+    giver.answered(2)  # within the turn: nobody hears of it
     [(name, said)] = giver.round(1.0, ["w"])
     witness.entrusted(1.0, "g1", said)
     kept = witness.estates["g1", 5]
-    assert name == ["w"] and list(kept.lines) == [1] and kept.lines[1].out == ["h1"] and kept.lines[1].until == 2000.0
+    assert (
+        name == ["w"]
+        and list(kept.lines) == [1]
+        and kept.lines[1].out == ["h1"]
+        and kept.lines[1].until == 2000.0
+    )
     assert giver.told(1) and giver.round(2.0, ["w"]) == []
     giver.launched(1, "h2")
     giver.answered(1)
@@ -157,7 +174,9 @@
         giver.taken(0.0, trust(number), 2000.0)
         giver.launched(number, f"h{number}")
     giver.round(1.0, ["a"])
-    assert [(n, s.whole, len(s.events), len(s.out)) for n, s in giver.round(2.0, ["a", "b"])] == [(["b"], True, 3, 3)]
+    assert [(n, s.whole, len(s.events), len(s.out)) for n, s in giver.round(2.0, ["a", "b"])] == [
+        (["b"], True, 3, 3)
+    ]
     giver.unheard("a")
     assert [(n, s.whole, s.rank) for n, s in giver.round(3.0, ["a", "b"])] == [(["a"], True, 0)]
     assert [(n, s.whole, s.events) for n, s in giver.round(4.0, ["b"])] == [(["a"], True, [])]
@@ -179,15 +198,27 @@
     witness = Witness()
     for giver in "abcde":
         witness.entrusted(0.0, giver, Entrust(5, 1, True, [trust(1)], [Out(1, "h1")]))
-    seek, leave = witness.tick(10.0, {"a": (5, "here"), "b": (5, "vanished"), "c": (6, "here"), "d": (5, "left"),
-                                      "e": (5, "silent")}, "abcde", 500.0)
+    seek, leave = witness.tick(
+        10.0,
+        {
+            "a": (5, "here"),
+            "b": (5, "vanished"),
+            "c": (6, "here"),
+            "d": (5, "left"),
+            "e": (5, "silent"),
+        },
+        "abcde",
+        500.0,
+    )
     assert [e.giver for e in seek] == ["b", "c", "e"] and {e.giver for e in leave} == {"a", "d"}
     assert ("d", 5) not in witness.estates and seek[0].task == "estate/b/5"
     witness.done(20.0, "b", 5)
     witness.entrusted(30.0, "b", Entrust(5, 0, True, [trust(2)]))
     assert ("b", 5) not in witness.estates, "an estate that is settled takes nothing more"
     witness.tick(3000.0, {}, (), 500.0)
-    assert not any(e.lines for e in witness.estates.values()), "each line goes when its time is over"
+    assert not any(e.lines for e in witness.estates.values()), (
+        "each line goes when its time is over"
+    )
 
 
 def test_an_estate_whose_giver_tells_others_by_now_is_dropped_before_it_is_stale():
@@ -204,9 +235,14 @@
 
 # ---- the returned
 def test_what_no_witness_has_heard_of_is_answered_as_a_life_ends_by_what_may_have_run():
-    assert d.own_end(KINDS["file"], [])[0] == "deferred" and d.own_end(KINDS["draft"], ["x"])[0] == "deferred"
+    assert (
+        d.own_end(KINDS["file"], [])[0] == "deferred"
+        and d.own_end(KINDS["draft"], ["x"])[0] == "deferred"
+    )
     assert d.own_end(KINDS["file"], ["x"])[0] == "dead-lettered"
-    assert len({round(d.stay_away(3, n)) for n in range(50)}) > 40, "clients are not told to come back together"
+    assert len({round(d.stay_away(3, n)) for n in range(50)}) > 40, (
+        "clients are not told to come back together"
+    )
 
 
 def test_a_keeper_that_hears_a_life_grants_nobody_its_estate_whatever_is_said_of_it():
@@ -214,4 +250,6 @@
     moment before that peer's answer."""
     for said in ("here", "silent", "vanished"):
         assert d.heard_here(True, said) and not d.heard_here(False, said)
-    assert not d.heard_here(True, "left") and not d.heard_here(True, "over"), "those are its own word, or a host's"
+    assert not d.heard_here(True, "left") and not d.heard_here(True, "over"), (
+        "those are its own word, or a host's"
+    )
--- a/tests/emulator/test_heirs.py
+++ b/tests/emulator/test_heirs.py
@@ -8,11 +8,37 @@
 def play(folder, seed):
     day = read_day("heirs", seed=seed)
     # no keeper among them, and never one with both of its witnesses: what is then lost is told and not judged
-    day |= {"length": 12000.0, "warm": 2000.0, "troubles": [
-        {"at": 1500.0, "what": "gateway-crash", "lasts": 2500.0, "part": 0.2, "size": 1.0, "on": [3, 6]},
-        {"at": 4000.0, "what": "gateway-stall", "lasts": 2500.0, "part": 0.2, "size": 1.0, "on": [4, 5]},
-        {"at": 5000.0, "what": "crash", "lasts": 3000.0, "part": 0.2, "size": 1.0},
-        {"at": 7500.0, "what": "gateway-crash", "lasts": 2500.0, "part": 0.4, "size": 1.0, "on": [5, 7]}]}
+    day |= {
+        "length": 12000.0,
+        "warm": 2000.0,
+        "troubles": [
+            {
+                "at": 1500.0,
+                "what": "gateway-crash",
+                "lasts": 2500.0,
+                "part": 0.2,
+                "size": 1.0,
+                "on": [3, 6],
+            },
+            {
+                "at": 4000.0,
+                "what": "gateway-stall",
+                "lasts": 2500.0,
+                "part": 0.2,
+                "size": 1.0,
+                "on": [4, 5],
+            },
+            {"at": 5000.0, "what": "crash", "lasts": 3000.0, "part": 0.2, "size": 1.0},
+            {
+                "at": 7500.0,
+                "what": "gateway-crash",
+                "lasts": 2500.0,
+                "part": 0.4,
+                "size": 1.0,
+                "on": [5, 7],
+            },
+        ],
+    }
     emulate(day, folder)
     return audit(folder)
 
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -36,9 +36,22 @@
         folder = tmp_path / hashing
         folder.mkdir()
         (folder / "little.day").write_text(LITTLE)
-        done = subprocess.run([sys.executable, "-m", "cherrydoor", "emulate", str(folder / "little.day"), "--json",
-                               "--out", str(folder / "out")], capture_output=True, text=True, timeout=120,
-                              env=os.environ | {"PYTHONPATH": os.getcwd(), "PYTHONHASHSEED": hashing})
+        done = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "cherrydoor",
+                "emulate",
+                str(folder / "little.day"),
+                "--json",
+                "--out",
+                str(folder / "out"),
+            ],
+            capture_output=True,
+            text=True,
+            timeout=120,
+            env=os.environ | {"PYTHONPATH": os.getcwd(), "PYTHONHASHSEED": hashing},
+        )
         assert done.returncode == 0, done.stderr
         told.append(hashlib.sha256(done.stdout.encode()).hexdigest())
     assert told[0] == told[1]
@@ -66,8 +79,11 @@
         await asyncio.sleep(1)
         with pytest.raises(ConnectionRefusedError):
             await world.create_connection(Ear, "127.0.0.1", 1)
+
     world.run_until_complete(story())
-    assert b"".join(x for _, x in heard if x != "lost") == bytes(range(5)) and heard[-1][1] == "lost"
+    assert (
+        b"".join(x for _, x in heard if x != "lost") == bytes(range(5)) and heard[-1][1] == "lost"
+    )
     assert all(t >= 3600.0001 for t, x in heard if x != "lost") and world.time() < 3602
 
 
@@ -76,16 +92,20 @@
 
     async def story():
         await world.create_future()
+
     with pytest.raises(RuntimeError, match="nothing is left to happen"):
         world.run_until_complete(story())
 
 
 def test_a_gateway_killed_and_one_that_stands_still(tmp_path):
-    text = LITTLE[:LITTLE.index("troubles:")] + """troubles: [
+    text = (
+        LITTLE[: LITTLE.index("troubles:")]
+        + """troubles: [
   {at: 1s, what: "gateway-crash", lasts: 800ms, part: 30%}
   {at: 2s, what: "gateway-stall", lasts: 1s, part: 30%}
 ]
 """
+    )
     found = played(tmp_path, text)
     assert found["broken"] == [] and sum(found["line"]["due"]) > 100
     assert any("killed" in why for why in found["excused"]) or found["answers"]["handled"]
--- a/tests/frames/test_codec.py
+++ b/tests/frames/test_codec.py
@@ -9,12 +9,33 @@
 
 ids, spans, names = st.integers(0, 2**62), st.floats(0, 1e10), st.text(max_size=30)
 some = st.one_of(
-    st.builds(m.Event, ids, names, names, st.floats(0.001, 1e10), st.floats(-1e15, 1e15), names, names,
-              st.floats(0, 1e6), spans, st.binary(max_size=300)),
-    st.builds(m.Withdraw, ids), st.builds(m.Answer, ids, st.sampled_from(["handled", "deferred"]), spans, names),
-    st.builds(m.Outcome, ids, st.sampled_from(["full", "error"]), st.integers(0, 4), st.integers(0, 99)),
-    st.builds(m.Order, ids, names, st.integers(0, 16)), st.builds(m.Fetched, ids, st.just("handled")),
-    st.builds(m.Rows, st.integers(0, 99), st.just("whole"), st.lists(st.builds(m.Row, names, st.just("ready")))))
+    st.builds(
+        m.Event,
+        ids,
+        names,
+        names,
+        st.floats(0.001, 1e10),
+        st.floats(-1e15, 1e15),
+        names,
+        names,
+        st.floats(0, 1e6),
+        spans,
+        st.binary(max_size=300),
+    ),
+    st.builds(m.Withdraw, ids),
+    st.builds(m.Answer, ids, st.sampled_from(["handled", "deferred"]), spans, names),
+    st.builds(
+        m.Outcome, ids, st.sampled_from(["full", "error"]), st.integers(0, 4), st.integers(0, 99)
+    ),
+    st.builds(m.Order, ids, names, st.integers(0, 16)),
+    st.builds(m.Fetched, ids, st.just("handled")),
+    st.builds(
+        m.Rows,
+        st.integers(0, 99),
+        st.just("whole"),
+        st.lists(st.builds(m.Row, names, st.just("ready"))),
+    ),
+)
 hello = m.Hello(m.VERSION, "client")
 
 
@@ -58,7 +79,9 @@
 
 
 def fault(body, kinds=m.ALL, before=hello):
-    return feed((encode(before) if before else b"") + len(body).to_bytes(4, "big") + body, kinds=kinds)[1].fault
+    return feed(
+        (encode(before) if before else b"") + len(body).to_bytes(4, "big") + body, kinds=kinds
+    )[1].fault
 
 
 def test_each_kind_of_bad_frame_has_its_reason():
@@ -67,9 +90,21 @@
     assert "ask" in fault(pack({"is": "ask"}), kinds=m.FROM_CLIENT)
     assert "missing required field `id`" in fault(pack({"is": "withdraw"}))
     assert "Expected `int`" in fault(pack({"is": "withdraw", "id": "seven"}))
-    assert "Expected `float`" in fault(pack({"is": "event", "id": 1, "clause": "a", "function": "f",
-                                             "lasts": float("nan"), "sent": 0.0}))
-    assert fault(b"") and fault(b"\xc1") and fault(pack([1, 2])) and fault(pack({"is": "ask"}) + b"x")
+    assert "Expected `float`" in fault(
+        pack(
+            {
+                "is": "event",
+                "id": 1,
+                "clause": "a",
+                "function": "f",
+                "lasts": float("nan"),
+                "sent": 0.0,
+            }
+        )
+    )
+    assert (
+        fault(b"") and fault(b"\xc1") and fault(pack([1, 2])) and fault(pack({"is": "ask"}) + b"x")
+    )
 
 
 def test_unknown_keys_are_ignored():
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -25,7 +25,7 @@
 """
 MAY = "may: {launches: 3, recall: true, probe: true, order: true, advice: 1s}\n"
 REST = {"cold": "cold: {}", "ration": "ration: {}", "bounds": "bounds: {}", "may": MAY}
-LONG = 20.0         # s after which a test that waits for something has failed
+LONG = 20.0  # s after which a test that waits for something has failed
 
 
 def now():
@@ -34,6 +34,7 @@
 
 def story(test):
     """Runs an async test on uvloop and cleans up whatever the stack opened."""
+
     @wraps(test)
     def run():
         async def whole():
@@ -42,8 +43,10 @@
                 await asyncio.wait_for(test(stack), 60)
             finally:
                 await stack.stop()
+
         uvloop.run(whole())
-    del run.__wrapped__         # so that pytest does not look for a fixture named stack
+
+    del run.__wrapped__  # so that pytest does not look for a fixture named stack
     return run
 
 
@@ -76,12 +79,14 @@
 
     async def until(self, met):
         """Waits until met() gives something true and returns it."""
+
         async def wait():
             while not (result := met()):
                 future = asyncio.get_running_loop().create_future()
                 self.waiting.append(future)
                 await future
             return result
+
         return await asyncio.wait_for(wait(), LONG)
 
     async def got(self, kind, count=1):
@@ -94,13 +99,27 @@
 
     def __init__(self, answers=None, since=0.0):
         super().__init__()
-        self.answers, self.since, self.server, self.largest, self.tls = answers, since, None, m.LARGEST, None
+        self.answers, self.since, self.server, self.largest, self.tls = (
+            answers,
+            since,
+            None,
+            m.LARGEST,
+            None,
+        )
 
     async def start(self, port=0):
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: End(self, m.TO_HOST, lambda: m.Hello(
-            m.VERSION, "host", self.id, now(), self.since, self.largest)), "127.0.0.1", port, reuse_address=True,
-            ssl=self.tls)
+        self.server = await loop.create_server(
+            lambda: End(
+                self,
+                m.TO_HOST,
+                lambda: m.Hello(m.VERSION, "host", self.id, now(), self.since, self.largest),
+            ),
+            "127.0.0.1",
+            port,
+            reuse_address=True,
+            ssl=self.tls,
+        )
         self.id = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
 
@@ -130,8 +149,11 @@
     async def start(self):
         loop = asyncio.get_running_loop()
         self.rows, self.revision = {}, 0
-        self.server = await loop.create_server(lambda: End(self, m.TO_LIST, lambda: m.Hello(
-            m.VERSION, "list", "list", now())), "127.0.0.1", 0)
+        self.server = await loop.create_server(
+            lambda: End(self, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "list", now())),
+            "127.0.0.1",
+            0,
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -150,7 +172,9 @@
         live = [e for e in self.ends if not e.transport.is_closing()]
         for end in live:
             end.write(m.Rows(self.revision, how, list(rows)))
-        await self.until(lambda: sum(h.revision == self.revision for h in self.all(m.Heard)) >= len(live))
+        await self.until(
+            lambda: sum(h.revision == self.revision for h in self.all(m.Heard)) >= len(live)
+        )
 
 
 class Client(Played):
@@ -160,15 +184,39 @@
 
     async def connect(self, port):
         _, self.end = await asyncio.get_running_loop().create_connection(
-            lambda: End(self, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "c", now())), "127.0.0.1", port)
+            lambda: End(self, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "c", now())),
+            "127.0.0.1",
+            port,
+        )
         await self.until(lambda: self.ends)
         return self
 
-    def send(self, function="deed", clause="draft", lasts=4000.0, mark="", body=b"", number=None, sent=None):
+    def send(
+        self,
+        function="deed",
+        clause="draft",
+        lasts=4000.0,
+        mark="",
+        body=b"",
+        number=None,
+        sent=None,
+    ):
         self.ids += 1
         number = self.ids if number is None else number
-        self.end.write(m.Event(number, clause, function, lasts, now() if sent is None else sent, "", mark, 4.0, 0.0,
-                               body))
+        self.end.write(
+            m.Event(
+                number,
+                clause,
+                function,
+                lasts,
+                now() if sent is None else sent,
+                "",
+                mark,
+                4.0,
+                0.0,
+                body,
+            )
+        )
         return number
 
     async def answer(self, number):
@@ -214,9 +262,11 @@
 
     async def settled(self, met):
         """Waits for something inside the gateway that no end can see, turn by turn."""
+
         async def wait():
             while not met():
                 await asyncio.sleep(0)
+
         await asyncio.wait_for(wait(), LONG)
 
     @property
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -25,7 +25,10 @@
     one, other = Host(), Host()
     client = await stack.start(one, other)
     number = client.send(lasts=4500.0)
-    await asyncio.wait([asyncio.ensure_future(h.got(m.Launch)) for h in (one, other)], return_when="FIRST_COMPLETED")
+    await asyncio.wait(
+        [asyncio.ensure_future(h.got(m.Launch)) for h in (one, other)],
+        return_when="FIRST_COMPLETED",
+    )
     silent, well = (one, other) if one.all(m.Launch) else (other, one)
     well.answers = "handled"
     assert (await client.answer(number)).fate == "handled"
@@ -69,7 +72,7 @@
 async def test_an_answer_from_a_host_that_was_not_asked(stack):
     asked, other = Host(), Host()
     client = await stack.start(asked, other)
-    for i in range(12):                 # so that both hosts hold something
+    for i in range(12):  # so that both hosts hold something
         client.send(f"deed {i}", lasts=3000.0)
     await asked.got(m.Launch)
     await other.got(m.Launch)
@@ -90,8 +93,12 @@
         for clause in ("draft", "archive"):
             clauses[client.send(f"deed {i}", clause, lasts=4500.0)], i = clause, i + 1
         sent = len(clauses)
-        await stack.settled(lambda sent=sent: sent == sum(
-            map(len, (first.all(m.Launch), second.all(m.Launch), client.all(m.Answer)))))
+        await stack.settled(
+            lambda sent=sent: (
+                sent
+                == sum(map(len, (first.all(m.Launch), second.all(m.Launch), client.all(m.Answer))))
+            )
+        )
     waits = {launch.event for launch in first.all(m.Launch)}
     for launch in second.all(m.Launch):
         second.outcome(launch)
@@ -115,7 +122,9 @@
         client.send(lasts=4500.0)
     await host.got(m.Launch, 5)
     client.end.abort()
-    assert {r.id for r in await host.got(m.Recall, 5)} == {launch.id for launch in host.all(m.Launch)}
+    assert {r.id for r in await host.got(m.Recall, 5)} == {
+        launch.id for launch in host.all(m.Launch)
+    }
     await stack.settled(lambda: not stack.shell.desk.taken)
     assert not stack.shell.desk.clients and not stack.shell.door.ends
 
@@ -137,7 +146,9 @@
 async def test_a_launch_whose_event_is_over_ends_with_the_clients_time(stack):
     host = Host()
     client = await stack.start(host)
-    number = client.send(clause="archive", lasts=500.0)     # never recalled by the module: it may have run
+    number = client.send(
+        clause="archive", lasts=500.0
+    )  # never recalled by the module: it may have run
     await host.got(m.Launch)
     client.end.write(m.Withdraw(number))
     await stack.settled(lambda: stack.counts["clients left"])
@@ -197,18 +208,27 @@
     await stack.host(far, zone="elsewhere")
     near.outcome(launch, "error", 0)
     answer = await client.answer(number)
-    assert answer.fate == "dead-lettered" and not far.all(m.Launch), "it left its zone, where repeats are dropped"
+    assert answer.fate == "dead-lettered" and not far.all(m.Launch), (
+        "it left its zone, where repeats are dropped"
+    )
     await stack.host(twin, zone="z")
     near.answers = "error"
     outcome = await client.answer(client.send(clause="sign", lasts=4500.0, mark="m2"))
-    assert not [x for x in far.all(m.Launch) if x.number > 0] and outcome.fate in ("handled", "dead-lettered")
+    assert not [x for x in far.all(m.Launch) if x.number > 0] and outcome.fate in (
+        "handled",
+        "dead-lettered",
+    )
 
 
 @story
 async def test_a_ration_of_orders_at_its_limit(stack):
     hosts = [Host("handled") for _ in range(3)]
-    client = await stack.start(*hosts, ration="ration: {free: 2, share: 0, within: 60s}",
-                               may="may: {launches: 3, order: true, advice: 1s}", cold="misses: true\ncold: {}")
+    client = await stack.start(
+        *hosts,
+        ration="ration: {free: 2, share: 0, within: 60s}",
+        may="may: {launches: 3, order: true, advice: 1s}",
+        cold="misses: true\ncold: {}",
+    )
     for host in hosts:
         host.answers = "missing"
     numbers = [client.send(f"deed {i}", lasts=900.0) for i in range(12)]
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -17,9 +17,19 @@
     @classmethod
     async def start(cls, stack, lease):
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(lease), "--announce", "--tied",
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            env=environment())
+            sys.executable,
+            "-m",
+            "cherrydoor",
+            "gateway",
+            "--lease",
+            str(lease),
+            "--announce",
+            "--tied",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            env=environment(),
+        )
         stack.opened.append(Ended(process))
         daemon = cls(process, [])
         line = await process.stdout.readline()
@@ -34,6 +44,7 @@
 
 class Ended:
     """So that a test which fails leaves no process."""
+
     server = None
 
     def __init__(self, process):
@@ -54,15 +65,18 @@
         await stack.host(host, tell=False)
     stack.list.rows = {h.id: m.Row(h.id, "ready", 0.0, "z", 0) for h in hosts}
     lease = tmp / "g.lease"
-    lease.write_text(LEASE % stack.list.port + f'saved: "{tmp}/saved"\ndoor: "127.0.0.1:{port}"\n'
-                     "may: {launches: 3, recall: true, probe: true, advice: 1s}\ncold: {}\nration: {}\n"
-                     + (more or "bounds: {}"))
+    lease.write_text(
+        LEASE % stack.list.port + f'saved: "{tmp}/saved"\ndoor: "127.0.0.1:{port}"\n'
+        "may: {launches: 3, recall: true, probe: true, advice: 1s}\ncold: {}\nration: {}\n"
+        + (more or "bounds: {}")
+    )
     return lease
 
 
 async def client_of(stack, port):
     from stack import Client
-    await stack.list.got(m.Heard)       # before it knows a host, it defers
+
+    await stack.list.got(m.Heard)  # before it knows a host, it defers
     client = await Client().connect(port)
     stack.opened.append(client)
     return client
@@ -71,22 +85,36 @@
 def with_folder(test):
     def run(tmp_path):
         story(lambda stack: test(stack, tmp_path))()
+
     run.__name__ = test.__name__
     return run
 
 
 def test_a_wrong_lease_is_told_whole(tmp_path):
     import subprocess
+
     bad = tmp_path / "bad.lease"
     bad.write_text('name: "g"\nnumber: 3\ngateways: 2\nlist: "nowhere"\nclauses: []\n')
-    done = subprocess.run([sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(bad)], capture_output=True,
-                          text=True, env=environment(), timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(bad)],
+        capture_output=True,
+        text=True,
+        env=environment(),
+        timeout=60,
+    )
     assert done.returncode == 64 and "clauses" in done.stderr and "Traceback" not in done.stderr
-    bad.write_text('name: "g"\nnumber: 3\ngateways: 2\nlist: "nowhere"\n\n'
-                   'clauses: [{name: "a", target: 2s, max_age: 1s}]\n'
-                   "cold: {}\nration: {}\nmay: {}\nbounds: {}\n")
-    done = subprocess.run([sys.executable, "-m", "cherrydoor", "lease", "check", str(bad), "--json"],
-                          capture_output=True, text=True, env=environment(), timeout=60)
+    bad.write_text(
+        'name: "g"\nnumber: 3\ngateways: 2\nlist: "nowhere"\n\n'
+        'clauses: [{name: "a", target: 2s, max_age: 1s}]\n'
+        "cold: {}\nration: {}\nmay: {}\nbounds: {}\n"
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "cherrydoor", "lease", "check", str(bad), "--json"],
+        capture_output=True,
+        text=True,
+        env=environment(),
+        timeout=60,
+    )
     assert done.returncode == 64
     assert {p["path"] for p in json.loads(done.stdout)} == {"list", "number", "clauses.0.target"}
 
@@ -168,13 +196,15 @@
     daemon.process.send_signal(signal.SIGSTOP)
     begun = now()
     short = [client.send(f"deed {i}", lasts=300.0) for i in range(10)]
-    while now() < begun + 600:          # what is provoked here is that their time runs out meanwhile
+    while now() < begun + 600:  # what is provoked here is that their time runs out meanwhile
         await asyncio.sleep(0.05)
     long = [client.send(f"deed {i}", lasts=4500.0) for i in range(10)]
     daemon.process.send_signal(signal.SIGCONT)
     for number in long:
         await client.answer(number)
-    assert not any(client.answers(n) for n in short), "their time was over before the gateway could take them"
+    assert not any(client.answers(n) for n in short), (
+        "their time was over before the gateway could take them"
+    )
     assert {launch.event for launch in host.all(m.Launch)}.isdisjoint(short)
     daemon.process.send_signal(signal.SIGTERM)
     assert (await daemon.end())[0] == 0
@@ -191,6 +221,7 @@
     async def logged(text):
         while text not in (line := (await daemon.process.stderr.readline()).decode()):
             assert line
+
     good = lease.read_text()
     lease.write_text(good + "\nnonsense: 3")
     daemon.process.send_signal(signal.SIGHUP)
--- a/tests/keys/rings.py
+++ b/tests/keys/rings.py
@@ -38,14 +38,17 @@
 
 
 def lease_part(folder, more=""):
-    return (f'bounds: {{}}\nkeys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
-            f'authorities: "{folder}/authorities.pem", revoked: "{folder}/revoked.pem", '
-            f'tokens: "{folder}/tokens.jwks", look: 50ms, {more}}}\n')
+    return (
+        f'bounds: {{}}\nkeys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
+        f'authorities: "{folder}/authorities.pem", revoked: "{folder}/revoked.pem", '
+        f'tokens: "{folder}/tokens.jwks", look: 50ms, {more}}}\n'
+    )
 
 
 def made(folder):
     """A folder of keys for gateway g0 and clients harbour and meadow."""
     from cherrydoor.keys.make import Folder
+
     keys = Folder(folder)
     keys.authority()
     keys.issue("gateway", "g0", addresses=["127.0.0.1"])
@@ -65,8 +68,14 @@
     """A client over TLS, with the certificate of that name; its connection may have been refused."""
     client = Client()
     await asyncio.get_running_loop().create_connection(
-        lambda: End(client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", name, now(), token=token)), "127.0.0.1",
-        port or stack.shell.port, ssl=client_context(folder, name), server_hostname="127.0.0.1")
+        lambda: End(
+            client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", name, now(), token=token)
+        ),
+        "127.0.0.1",
+        port or stack.shell.port,
+        ssl=client_context(folder, name),
+        server_hostname="127.0.0.1",
+    )
     stack.opened.append(client)
     await client.until(lambda: client.ends or client.lost_ends)
     if client.ends:
--- a/tests/keys/test_in_service.py
+++ b/tests/keys/test_in_service.py
@@ -21,25 +21,37 @@
 async def test_clients_are_known_by_certificate_and_by_token(stack, tmp):
     keys = made(tmp)
     await stack.start(Host("handled"), bounds=lease_part(tmp), known=KNOWN, plain=False)
-    for office, name, token in (("harbour", "harbour", ""), ("meadow", "meadow", ""),
-                                ("harbour", "", keys.token("k1", "harbour"))):
+    for office, name, token in (
+        ("harbour", "harbour", ""),
+        ("meadow", "meadow", ""),
+        ("harbour", "", keys.token("k1", "harbour")),
+    ):
         before = seated(stack, office)
         client = await sealed(stack, tmp, name, token)
-        assert (await client.answer(client.send())).fate == "handled" and seated(stack, office) == before + 1
+        assert (await client.answer(client.send())).fate == "handled" and seated(
+            stack, office
+        ) == before + 1
     stranger = await sealed(stack, tmp)
     assert (await stranger.answer(stranger.send())).fate == "handled"
-    for token, why in ((keys.token("k1", "meadow"), "may not speak for"), ("nonsense", "no token"),
-                       (keys.token("k1", "harbour", -1.0), "ended"),
-                       (keys.token("k1", "harbour")[:-9] + "AAAAAAAAA", "does not hold")):
+    for token, why in (
+        (keys.token("k1", "meadow"), "may not speak for"),
+        ("nonsense", "no token"),
+        (keys.token("k1", "harbour", -1.0), "ended"),
+        (keys.token("k1", "harbour")[:-9] + "AAAAAAAAA", "does not hold"),
+    ):
         refused = await sealed(stack, tmp, "", token)
         await refused.until(lambda refused=refused: refused.lost_ends)
         assert why in refused.ends[0].why
 
 
 @with_folder
-async def test_a_client_without_tls_and_one_that_needs_a_certificate_are_turned_away_alone(stack, tmp):
+async def test_a_client_without_tls_and_one_that_needs_a_certificate_are_turned_away_alone(
+    stack, tmp
+):
     made(tmp)
-    await stack.start(Host("handled"), bounds=lease_part(tmp, 'clients: "need"'), known=KNOWN, plain=False)
+    await stack.start(
+        Host("handled"), bounds=lease_part(tmp, 'clients: "need"'), known=KNOWN, plain=False
+    )
     plain = await asyncio.open_connection("127.0.0.1", stack.shell.port)
     plain[1].write(b"\0\0\0\x08\x81\xa2is\xa3ask")
     await asyncio.wait_for(plain[0].read(), 20)
@@ -58,8 +70,9 @@
 async def test_keys_change_under_load_twice_and_with_a_wrong_file_in_between(stack, tmp):
     keys = made(tmp)
     host, other = Host("handled"), Host("handled")
-    await stack.start(host, other, bounds=lease_part(tmp, "standing: 0ms"), known=KNOWN,
-                      plain=False)
+    await stack.start(
+        host, other, bounds=lease_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
+    )
     ring, sent, answered, ended, stop = stack.shell.keeper.ring, 0, 0, 0, False
 
     async def load(name):
@@ -72,16 +85,17 @@
             if client.answers(number):
                 assert client.answers(number)[0].fate == "handled"
                 answered += 1
-            else:       # it was ended before its event was taken: then no host has heard of it
+            else:  # it was ended before its event was taken: then no host has heard of it
                 assert "has changed" in client.end.why
                 ended += 1
             client.end.close()
+
     tasks = [asyncio.ensure_future(load(name)) for name in ("harbour", "meadow")]
     first = ring.serving("pair").serial
     keys.issue("gateway", "g0", addresses=["127.0.0.1"])
     await stack.settled(lambda: ring.serving("pair").serial != first)
     second, key = ring.serving("pair").serial, (tmp / "g0.key").read_bytes()
-    (tmp / "g0.key").write_bytes(key[:len(key) // 2])       # half-written
+    (tmp / "g0.key").write_bytes(key[: len(key) // 2])  # half-written
     await stack.settled(lambda: ring.kept["pair"].said)
     assert ring.serving("pair").serial == second
     keys.issue("gateway", "g0", addresses=["127.0.0.1"])
@@ -94,20 +108,28 @@
     await asyncio.gather(*tasks)
     assert sent == answered + ended and ended <= 6
     taken = stack.counts["taken"]
-    assert taken == answered == len(host.all(m.Launch)) + len(other.all(m.Launch)), "no event taken is cut off"
+    assert taken == answered == len(host.all(m.Launch)) + len(other.all(m.Launch)), (
+        "no event taken is cut off"
+    )
 
 
 @with_folder
 async def test_a_change_over_of_authorities_from_beginning_to_end(stack, tmp):
     keys = made(tmp)
-    await stack.start(Host("handled"), bounds=lease_part(tmp, "standing: 0ms"), known=KNOWN, plain=False)
+    await stack.start(
+        Host("handled"), bounds=lease_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
+    )
     ring, old = stack.shell.keeper.ring, await sealed(stack, tmp, "harbour")
     keys.authority(more=True)
     keys.issue("gateway", "g0", addresses=["127.0.0.1"])
     keys.issue("client", "meadow")
-    await stack.settled(lambda: len(ring.serving("authorities")) == 2 and not ring.kept["pair"].said)
+    await stack.settled(
+        lambda: len(ring.serving("authorities")) == 2 and not ring.kept["pair"].said
+    )
     new = await sealed(stack, tmp, "meadow")
-    assert (await new.answer(new.send())).fate == "handled" and (await sealed(stack, tmp, "harbour")).ends
+    assert (await new.answer(new.send())).fate == "handled" and (
+        await sealed(stack, tmp, "harbour")
+    ).ends
     keys.retire()
     await stack.settled(lambda: len(ring.serving("authorities")) == 1)
     await old.until(lambda: old.lost_ends)
@@ -136,7 +158,9 @@
     strange.issue("host", "h1", addresses=["127.0.0.1"])
     host, impostor = Host("handled"), Host("handled")
     host.tls = files.context(True, *files.pair(tmp / "h0.pem", tmp / "h0.key")[2:])
-    impostor.tls = files.context(True, *files.pair(tmp / "elsewhere/h1.pem", tmp / "elsewhere/h1.key")[2:])
+    impostor.tls = files.context(
+        True, *files.pair(tmp / "elsewhere/h1.pem", tmp / "elsewhere/h1.key")[2:]
+    )
     await stack.start(host, impostor, bounds=lease_part(tmp, "hosts: true"), plain=False)
     client = await sealed(stack, tmp)
     for i in range(8):
@@ -150,8 +174,11 @@
     stack.list = await Listing().start()
     stack.opened.append(stack.list)
     from stack import LEASE
+
     lease = tmp / "g.lease"
-    lease.write_text(LEASE % stack.list.port + "may: {}\ncold: {}\nration: {}\n" + lease_part(tmp) + KNOWN)
+    lease.write_text(
+        LEASE % stack.list.port + "may: {}\ncold: {}\nration: {}\n" + lease_part(tmp) + KNOWN
+    )
     daemon = await Daemon.start(stack, lease)
     token = keys.token("k1", "harbour")
     await sealed(stack, tmp, "", token[:-9] + "AAAAAAAAA", daemon.port)
@@ -176,7 +203,9 @@
     keeper = Keeper(Where(str(tmp_path / "g0.pem"), str(tmp_path / "g0.key")), None)
     with pytest.raises(files.BadKeys, match="do not belong together"):
         asyncio.run(keeper.start())
-    (tmp_path / "tokens.jwks").write_text(json.dumps({"keys": [{"kty": "oct", "k": "c2VjcmV0", "kid": "x"}]}))
+    (tmp_path / "tokens.jwks").write_text(
+        json.dumps({"keys": [{"kty": "oct", "k": "c2VjcmV0", "kid": "x"}]})
+    )
     with pytest.raises(files.BadKeys, match="no public Ed25519") as told:
         files.tokens(tmp_path / "tokens.jwks")
     assert "c2VjcmV0" not in str(told.value)
@@ -188,7 +217,9 @@
     made(tmp_path)
     good = (tmp_path / "g0.key").read_bytes()
     (tmp_path / "g0.key").write_bytes(good[:80])
-    keeper = Keeper(Where(str(tmp_path / "g0.pem"), str(tmp_path / "g0.key"), settle=20000.0, look=50.0), None)
+    keeper = Keeper(
+        Where(str(tmp_path / "g0.pem"), str(tmp_path / "g0.key"), settle=20000.0, look=50.0), None
+    )
 
     async def start():
         starting = asyncio.ensure_future(keeper.start())
@@ -197,6 +228,7 @@
         (tmp_path / "g0.key").write_bytes(good)
         await starting
         keeper.close()
+
     asyncio.run(start())
     assert keeper.server is not None
 
@@ -204,13 +236,20 @@
 @with_folder
 async def test_handshakes_that_never_end_keep_nobody_out(stack, tmp):
     made(tmp)
-    await stack.start(Host("handled"), bounds=lease_part(tmp), plain=False, known=KNOWN.replace(
-        "{known", "{hello: 500ms, known").replace("places: 8}]", 'places: 8, addresses: ["127.0.0.1/32"]}]'))
+    await stack.start(
+        Host("handled"),
+        bounds=lease_part(tmp),
+        plain=False,
+        known=KNOWN.replace("{known", "{hello: 500ms, known").replace(
+            "places: 8}]", 'places: 8, addresses: ["127.0.0.1/32"]}]'
+        ),
+    )
     first, idle = greeting(True), []
     for i in range(300):
-        reader, writer = await asyncio.open_connection("127.0.0.1", stack.shell.port,
-                                                       local_addr=(f"127.3.{i % 200}.1", 0))
-        writer.write(first[:(0, 40, len(first))[i % 3]])
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", stack.shell.port, local_addr=(f"127.3.{i % 200}.1", 0)
+        )
+        writer.write(first[: (0, 40, len(first))[i % 3]])
         idle.append((reader, writer))
         if i % 30 == 29:
             client = await sealed(stack, tmp, "meadow")
--- a/tests/keys/test_ring.py
+++ b/tests/keys/test_ring.py
@@ -12,14 +12,20 @@
 def test_a_bad_pair_is_refused_with_the_reason_and_the_old_one_stays():
     facts = Facts()
     assert kinds(facts.offer("pair", pair("old"))) == ["TakeUp"]
-    for what, why in ((pair(until=-DAY), "ended"), (pair(since=2 * DAY), "begins at 2024-10-06 00:00 UTC only"),
-                      (pair(matches=False), "do not belong together")):
+    for what, why in (
+        (pair(until=-DAY), "ended"),
+        (pair(since=2 * DAY), "begins at 2024-10-06 00:00 UTC only"),
+        (pair(matches=False), "do not belong together"),
+    ):
         [keep] = facts.offer("pair", what)
         assert why in keep.why and facts.ring.serving("pair").name == "old"
     [keep] = facts.offer("pair", fault="half-written")
     assert keep.why == "half-written" and facts.ring.serving("pair").name == "old"
     assert facts.offer("pair", fault="half-written") == [], "the same word is not said again"
-    assert kinds(facts.offer("pair", pair("new"))) == ["TakeUp"] and facts.ring.serving("pair").name == "new"
+    assert (
+        kinds(facts.offer("pair", pair("new"))) == ["TakeUp"]
+        and facts.ring.serving("pair").name == "new"
+    )
 
 
 def test_a_certificate_refused_by_a_clock_that_was_wrong_is_taken_up_later():
@@ -36,7 +42,11 @@
     facts.wait(-5000 * DAY)
     assert facts.ring.serving("pair").name == "old"
     warned = facts.wait(5095 * DAY)
-    assert kinds(warned) == ["Warn"] and warned[0].left < 0 and facts.ring.serving("pair").name == "old"
+    assert (
+        kinds(warned) == ["Warn"]
+        and warned[0].left < 0
+        and facts.ring.serving("pair").name == "old"
+    )
 
 
 def test_a_word_well_before_the_end_and_at_each_step_once():
@@ -71,7 +81,9 @@
     facts.offer("authorities", (new,))
     [out] = facts.wait(60000)
     assert out.connection == "harbour" and not out.at_once
-    assert kinds(facts.offer("authorities", ())) == ["Keep"] and facts.ring.serving("authorities") == (new,)
+    assert kinds(facts.offer("authorities", ())) == ["Keep"] and facts.ring.serving(
+        "authorities"
+    ) == (new,)
 
 
 def test_a_revoked_client_is_put_out_at_once_and_an_older_list_does_not_bring_it_back():
@@ -80,7 +92,9 @@
     facts.take(d.Joined("harbour", "1", "a"))
     facts.take(d.Joined("meadow", "2", "a"))
     actions = facts.offer("revoked", (d.Revoked("a", 4, frozenset({"1"})),))
-    assert [(a.connection, a.at_once) for a in actions if isinstance(a, d.PutOut)] == [("harbour", True)]
+    assert [(a.connection, a.at_once) for a in actions if isinstance(a, d.PutOut)] == [
+        ("harbour", True)
+    ]
     [keep] = facts.offer("revoked", (d.Revoked("a", 3, frozenset()),))
     assert "older" in keep.why
     [keep] = facts.offer("revoked", (d.Revoked("a", 5, frozenset(), False),))
--- a/tests/lease/test_records.py
+++ b/tests/lease/test_records.py
@@ -35,21 +35,32 @@
 
 def test_defaults_units_and_references():
     said = lease(GOOD + "\nbase: 1.5s // so wait follows\nsize: 64KiB")
-    assert said["wait"] == said["base"] == 1500.0 and said["size"] == 65536 and said["share"] == 0.05
+    assert (
+        said["wait"] == said["base"] == 1500.0 and said["size"] == 65536 and said["share"] == 0.05
+    )
     assert said["clauses"] == [{"name": "draft", "target": 2000.0, "kind": "redeliverable"}]
 
 
 def test_a_place_written_twice_must_agree():
     assert lease(GOOD + "\nwait: 2s\nwait: 2000ms")["wait"] == 2000
     [problem] = wrong(GOOD + "\nwait: 2s\nwait: 3s")
-    assert problem.path == "wait" and problem.expected == "2s" and problem.found == "3s" and problem.line == 3
+    assert (
+        problem.path == "wait"
+        and problem.expected == "2s"
+        and problem.found == "3s"
+        and problem.line == 3
+    )
 
 
 def test_all_problems_come_at_once_with_file_line_column_path_expected_and_found():
     found = wrong('clauses: [{name: 5, target: -1s, kind: "often"}]\nbas: 3s\nshare: 900%')
     assert [(p.line, p.column, p.path) for p in found] == [
-        (1, 18, "clauses.0.name"), (1, 29, "clauses.0.target"), (1, 40, "clauses.0.kind"), (2, 1, "bas"),
-        (3, 8, "share")]
+        (1, 18, "clauses.0.name"),
+        (1, 29, "clauses.0.target"),
+        (1, 40, "clauses.0.kind"),
+        (2, 1, "bas"),
+        (3, 8, "share"),
+    ]
     assert found[0].expected == "string" and found[0].found == "5" and found[0].file == "f"
     assert found[2].expected == '"redeliverable" or "keyed"' and "base" in found[3].expected
 
@@ -60,8 +71,12 @@
 
 
 def test_closed_records_refuse_unknown_fields_and_patterns_take_any_name():
-    assert lease(GOOD + "\noffices: {harbour: {weight: 3}, meadow: {}}")["offices"]["meadow"] == {"weight": 1}
-    assert [p.path for p in wrong(GOOD + "\noffices: {harbour: {wieght: 3}}")] == ["offices.harbour.wieght"]
+    assert lease(GOOD + "\noffices: {harbour: {weight: 3}, meadow: {}}")["offices"]["meadow"] == {
+        "weight": 1
+    }
+    assert [p.path for p in wrong(GOOD + "\noffices: {harbour: {wieght: 3}}")] == [
+        "offices.harbour.wieght"
+    ]
 
 
 def test_syntax_errors_are_all_told():
@@ -79,10 +94,19 @@
     assert lease(show(said)) == said
 
 
-HOSTILE = ["[" * 1_000_000, "a: " + "[" * 39 + "]" * 39, "x: 1\n" * 25000, "a: " + "(1|2|3) & " * 300 + "1",
-           "\n".join(f"a{i}: a{i + 1} & a{i + 1}" for i in range(80)),
-           "\n".join(f"a{i}: *a{i + 1} | a{i + 1}" for i in range(80)),
-           "#A: {b: *#A | #A, c: *#A | #A}\nd: #A", 'a: "' + "\\u00" * 30, "a: " + "9" * 5000, "a: 1e999", "\x00"]
+HOSTILE = [
+    "[" * 1_000_000,
+    "a: " + "[" * 39 + "]" * 39,
+    "x: 1\n" * 25000,
+    "a: " + "(1|2|3) & " * 300 + "1",
+    "\n".join(f"a{i}: a{i + 1} & a{i + 1}" for i in range(80)),
+    "\n".join(f"a{i}: *a{i + 1} | a{i + 1}" for i in range(80)),
+    "#A: {b: *#A | #A, c: *#A | #A}\nd: #A",
+    'a: "' + "\\u00" * 30,
+    "a: " + "9" * 5000,
+    "a: 1e999",
+    "\x00",
+]
 
 
 def test_hostile_files_are_refused_within_seconds():
@@ -113,7 +137,7 @@
     }
     path = tmp_path / "g.lease"
     path.write_text(good + plain)
-    assert lease_of(path).terms.tells == (True, True)       # a file of the old shape stays as it was
+    assert lease_of(path).terms.tells == (True, True)  # a file of the old shape stays as it was
     path.write_text(good + plain + "tells: {copy: false, crowd: false}\n")
     assert lease_of(path).lease.tells_copy is False and lease_of(path).terms.tells == (False, False)
     for key, text in mixes.items():
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -12,7 +12,7 @@
 from cherrydoor.rehearsal.between import Relay
 from cherrydoor.rehearsal.parts import Ports
 
-LONGEST = 20.0          # s that any story may wait for what must come
+LONGEST = 20.0  # s that any story may wait for what must come
 
 
 class Gate:
@@ -26,28 +26,72 @@
 
     def lease(self):
         fleet = self.fleet
-        keepers = [{"name": g.name, "at": g.at} for g in fleet.gates[:fleet.keepers]]
-        said = {"name": self.name, "number": self.number, "gateways": len(fleet.gates), "seed": 7 + self.number,
-                "zone": f"floor-{self.number % 3}", "door": self.door, "list": fleet.list_at,
-                "clauses": [{"name": "draft", "target": Duration(800.0), "max_age": Duration(3000.0)},
-                            {"name": "sign", "target": Duration(800.0), "max_age": Duration(3000.0), "kind": "keyed",
-                             "memory": Duration(5000.0)},
-                            {"name": "file", "target": Duration(800.0), "max_age": Duration(4000.0),
-                             "kind": "at-most-once"}],
-                "may": {"launches": 3, "recall": True, "order": True}, "cold": {}, "ration": {}, "bounds": {},
-                "peers": {"door": self.real, "at": self.at, "keepers": keepers, "next": 2, "control": self.control,
-                          "beat": Duration(100.0), "silent": Duration(700.0), **fleet.peers},
-                "tenures": {"promises": str(self.folder / f"{self.name}.promises"), "term": Duration(800.0),
-                            "margin": Duration(50.0), "longest": Duration(1000.0)}, **self.more}
+        keepers = [{"name": g.name, "at": g.at} for g in fleet.gates[: fleet.keepers]]
+        said = {
+            "name": self.name,
+            "number": self.number,
+            "gateways": len(fleet.gates),
+            "seed": 7 + self.number,
+            "zone": f"floor-{self.number % 3}",
+            "door": self.door,
+            "list": fleet.list_at,
+            "clauses": [
+                {"name": "draft", "target": Duration(800.0), "max_age": Duration(3000.0)},
+                {
+                    "name": "sign",
+                    "target": Duration(800.0),
+                    "max_age": Duration(3000.0),
+                    "kind": "keyed",
+                    "memory": Duration(5000.0),
+                },
+                {
+                    "name": "file",
+                    "target": Duration(800.0),
+                    "max_age": Duration(4000.0),
+                    "kind": "at-most-once",
+                },
+            ],
+            "may": {"launches": 3, "recall": True, "order": True},
+            "cold": {},
+            "ration": {},
+            "bounds": {},
+            "peers": {
+                "door": self.real,
+                "at": self.at,
+                "keepers": keepers,
+                "next": 2,
+                "control": self.control,
+                "beat": Duration(100.0),
+                "silent": Duration(700.0),
+                **fleet.peers,
+            },
+            "tenures": {
+                "promises": str(self.folder / f"{self.name}.promises"),
+                "term": Duration(800.0),
+                "margin": Duration(50.0),
+                "longest": Duration(1000.0),
+            },
+            **self.more,
+        }
         path = self.folder / f"{self.name}.lease"
         path.write_text(show(said) + "\n")
         return path
 
     async def start(self):
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(self.lease()), "--announce", "--tied",
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"PYTHONPATH": os.getcwd()})
+            sys.executable,
+            "-m",
+            "cherrydoor",
+            "gateway",
+            "--lease",
+            str(self.lease()),
+            "--announce",
+            "--tied",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"PYTHONPATH": os.getcwd()},
+        )
         self.task = asyncio.ensure_future(self.listen())
         assert await asyncio.wait_for(self.process.stdout.readline(), LONGEST), self.lines
         return self
@@ -85,8 +129,14 @@
     async def held(self, task):
         """The number under which it holds the task, or None."""
         said = await self.ask(do="tenures")
-        return next((row["number"] for row in said["held"] if row["task"] == task and row["left"] > 0), None) \
-            if said else None
+        return (
+            next(
+                (row["number"] for row in said["held"] if row["task"] == task and row["left"] > 0),
+                None,
+            )
+            if said
+            else None
+        )
 
 
 class Fleet:
@@ -115,7 +165,10 @@
     async def together(self):
         """Until each sees all others."""
         for gate in self.gates:
-            await until(lambda gate=gate: gate.sees(), lambda seen: list(seen.values()) == ["here"] * len(self.gates))
+            await until(
+                lambda gate=gate: gate.sees(),
+                lambda seen: list(seen.values()) == ["here"] * len(self.gates),
+            )
         return self.gates
 
     async def holder(self, task, above=0, among=None):
@@ -123,9 +176,14 @@
         found = []
 
         async def look():
-            found[:] = [(gate, number) for gate in among or self.gates
-                        if gate.process.returncode is None and (number := await gate.held(task) or 0) > above]
+            found[:] = [
+                (gate, number)
+                for gate in among or self.gates
+                if gate.process.returncode is None
+                and (number := await gate.held(task) or 0) > above
+            ]
             return found
+
         await until(look, bool)
         return found[0]
 
@@ -143,7 +201,9 @@
 
 def story(test):
     """A test that is a coroutine, given a folder."""
+
     def run(tmp_path):
         asyncio.run(test(tmp_path))
+
     run.__name__, run.__doc__ = test.__name__, test.__doc__
     return run
--- a/tests/peers/test_statements.py
+++ b/tests/peers/test_statements.py
@@ -9,8 +9,16 @@
 from cherrydoor.peers.decide import FORGET, MOST, Me, Members, merged
 from cherrydoor.peers.links import Close, Dial, Links, Say
 
-ROWS = st.builds(Member, st.sampled_from("ab"), st.integers(1, 3), st.sampled_from(("x", "y")), st.just("s"),
-                 st.just(False), st.sampled_from(("here", "silent", "vanished", "left", "over")), st.integers(0, 2))
+ROWS = st.builds(
+    Member,
+    st.sampled_from("ab"),
+    st.integers(1, 3),
+    st.sampled_from(("x", "y")),
+    st.just("s"),
+    st.just(False),
+    st.sampled_from(("here", "silent", "vanished", "left", "over")),
+    st.integers(0, 2),
+)
 
 
 def members(name="me", life=5, site="s0"):
@@ -43,7 +51,11 @@
     other.state(2.0, "a", 5, "silent")
     one.hear(3.0, other.round(3.0))
     other.hear(4.0, one.round(4.0))
-    assert other.members["a"].state == "here" and one.counts["suspicions answered"] == 1 and not one.ended
+    assert (
+        other.members["a"].state == "here"
+        and one.counts["suspicions answered"] == 1
+        and not one.ended
+    )
     assert other.over(5.0, "a", 5)
     one.hear(6.0, other.round(6.0))
     assert one.ended and one.members["a"].state == "over"
@@ -86,7 +98,7 @@
     one, links = linked("a", "k", "z")
     dialled = {action.name for action in said(links.tick(0.0), Dial)}
     assert dialled == {"k", *links.witnesses} and len(dialled) <= 2
-    for name, ours in (("a", False), ("z", True)):      # the lesser name's dial stays
+    for name, ours in (("a", False), ("z", True)):  # the lesser name's dial stays
         assert links.up(1.0, name, 1, ours)[0]
         assert not links.up(2.0, name, 1, not ours)[0]
         assert links.up(3.0, name, 1, ours)[0], "the same one made anew replaces a dead one"
@@ -105,7 +117,11 @@
     assert one.members["k"].state == "vanished"
     one, links = linked("a", "k")
     links.up(1.0, "k", 1, True)
-    assert said(links.tick(200.0), Say)[0].what == Beat() and links.recent("k", 1) and not links.recent("k", 2)
+    assert (
+        said(links.tick(200.0), Say)[0].what == Beat()
+        and links.recent("k", 1)
+        and not links.recent("k", 2)
+    )
     assert said(links.tick(1100.0), Close)[0].name == "k" and one.members["k"].state == "silent"
 
 
--- a/tests/peers/test_who_is_there.py
+++ b/tests/peers/test_who_is_there.py
@@ -83,16 +83,22 @@
 @story
 async def test_peers_are_believed_by_their_certificates_and_under_that_name_alone(tmp_path):
     from cherrydoor.keys.make import Folder
+
     keys = Folder(tmp_path / "keys")
     keys.authority()
     for name in ("g0", "g1", "g2"):
         keys.issue("gateway", name, addresses=["127.0.0.1"])
     fleet = Fleet(tmp_path, 3)
     for gate in fleet.gates:
-        shown = "g1" if gate.name == "g2" else gate.name        # g2 shows another's certificate
-        gate.more = {"keys": {"certificate": str(keys.path / f"{shown}.pem"), "key": str(keys.path / f"{shown}.key"),
-                              "authorities": str(keys.path / "authorities.pem")}}
-        gate.at = gate.real                                     # a relay cannot read what is sealed
+        shown = "g1" if gate.name == "g2" else gate.name  # g2 shows another's certificate
+        gate.more = {
+            "keys": {
+                "certificate": str(keys.path / f"{shown}.pem"),
+                "key": str(keys.path / f"{shown}.key"),
+                "authorities": str(keys.path / "authorities.pem"),
+            }
+        }
+        gate.at = gate.real  # a relay cannot read what is sealed
     await asyncio.gather(*(gate.start() for gate in fleet.gates))
     try:
         first, second, wrong = fleet.gates
@@ -101,12 +107,17 @@
             async def ask():
                 said = await gate.ask(do="peers")
                 return {row["name"] for row in said["members"] if row["linked"]} if said else set()
+
             return ask
+
         await until(linked(first), lambda seen: seen == {"g1"})
         await until(linked(second), lambda seen: seen == {"g0"})
         # it greets others before they have turned it away, so it is they who tell
         for gate in (first, second):
-            await until(lambda gate=gate: asyncio.sleep(0, gate.logged("certificate is not of that name")), bool)
+            await until(
+                lambda gate=gate: asyncio.sleep(0, gate.logged("certificate is not of that name")),
+                bool,
+            )
         assert await linked(first)() == {"g1"} and await linked(second)() == {"g0"}
     finally:
         await fleet.__aexit__()
--- a/tests/platform/crossing.py
+++ b/tests/platform/crossing.py
@@ -5,7 +5,9 @@
 
 from town import LONG, SETTINGS, call
 
-ONCE = SETTINGS | {"requestClasses": [{"name": "draft", "aim": 600000, "deadline": 3000000, "repeat": "once"}]}
+ONCE = SETTINGS | {
+    "requestClasses": [{"name": "draft", "aim": 600000, "deadline": 3000000, "repeat": "once"}]
+}
 
 
 class RawClient:
--- a/tests/platform/test_change_in_service.py
+++ b/tests/platform/test_change_in_service.py
@@ -27,15 +27,17 @@
 
 
 @story
-async def test_a_bulletin_that_breaks_off_falls_silent_or_doubles_is_asked_for_what_is_missing(town):
+async def test_a_bulletin_that_breaks_off_falls_silent_or_doubles_is_asked_for_what_is_missing(
+    town,
+):
     await town.start(("a", "b"))
     bulletin = town.bulletins[0]
     await bulletin.until_asked(1)
     bulletin.tell(town.event(2, a="terminating"))
     await town.until_told(2)
     for writer in bulletin.writers:
-        writer.write(bulletin.text(town.event(2, a="in_service")))      # its number has been told
-        writer.write(b"id: 3\ndata: {\"no\": 3, \"ros")                 # torn
+        writer.write(bulletin.text(town.event(2, a="in_service")))  # its number has been told
+        writer.write(b'id: 3\ndata: {"no": 3, "ros')  # torn
     bulletin.events.append(town.event(3, b="in_service"))
     bulletin.cut()
     await bulletin.until_asked(2)
@@ -81,7 +83,7 @@
     late = await town.client()
     other = late.call()
     await host.until(b"exec", 2)
-    await idle.closed()         # the door is closed now
+    await idle.closed()  # the door is closed now
     for writer in host.writers:
         writer.write(reply(number.encode(), b"DONE") + reply(other.encode(), b"DONE"))
     assert (await held.answer()).status == (await late.answer()).status == 200
@@ -99,6 +101,7 @@
 
     def fails(now, note):
         raise ZeroDivisionError("a fault of the test")
+
     platform.desk.gate.take = fails
     (await town.client()).call(function=f"{5:016x}")
     assert (await client.answer()).status == 502
@@ -117,6 +120,7 @@
 
         def close(self, reason):
             pass
+
     client = await town.client()
     client.call()
     async with asyncio.timeout(LONG):
@@ -131,7 +135,9 @@
 
 @story
 async def test_more_hosts_share_the_same_descriptors(town):
-    platform = await town.start_within(("a",), limits={"cores": 1.0, "memory_mb": 64, "sockets": 128})
+    platform = await town.start_within(
+        ("a",), limits={"cores": 1.0, "memory_mb": 64, "sockets": 128}
+    )
     before = platform.station.terms.links
     for name in "bcdefghijkl":
         await town.host(name)
@@ -142,16 +148,31 @@
     assert before == 12 and 1 <= platform.station.terms.links < 4
 
 
-@pytest.mark.parametrize("changed, place", [
-    ({"seed": 5}, "seed"), ({"listen": "nowhere"}, "listen"), ({"limits": {"cores": 1.0, "memory_mb": 64}},
-                                                               "limits.sockets"),
-    ({"known": {"no": 1}}, "known.items"), ({"bulletin": ""}, "bulletin"), ({"settings": {}}, "settings"),
-    ({"settings": SETTINGS | {"prices": {"handshake": "dear"}}}, "settings.prices.handshake"),
-    ({"settings": {"me": 0, "instances": 1, "requestClasses": [{"name": "draft"}]}},
-     r"settings.requestClasses\[0\].deadline: a number of at least 1 expected")])
+@pytest.mark.parametrize(
+    "changed, place",
+    [
+        ({"seed": 5}, "seed"),
+        ({"listen": "nowhere"}, "listen"),
+        ({"limits": {"cores": 1.0, "memory_mb": 64}}, "limits.sockets"),
+        ({"known": {"no": 1}}, "known.items"),
+        ({"bulletin": ""}, "bulletin"),
+        ({"settings": {}}, "settings"),
+        ({"settings": SETTINGS | {"prices": {"handshake": "dear"}}}, "settings.prices.handshake"),
+        (
+            {"settings": {"me": 0, "instances": 1, "requestClasses": [{"name": "draft"}]}},
+            r"settings.requestClasses\[0\].deadline: a number of at least 1 expected",
+        ),
+    ],
+)
 def test_a_wrong_configuration_ends_the_start_with_the_keys_place(changed, place):
-    said = {"name": "n1", "listen": "127.0.0.1:1", "seed": "8c", "bulletin": "127.0.0.1:2",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "known": {"no": 0, "items": []},
-            "settings": {"me": 0, "instances": 1, "requestClasses": []}}
+    said = {
+        "name": "n1",
+        "listen": "127.0.0.1:1",
+        "seed": "8c",
+        "bulletin": "127.0.0.1:2",
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+        "known": {"no": 0, "items": []},
+        "settings": {"me": 0, "instances": 1, "requestClasses": []},
+    }
     with pytest.raises(configuration.Wrong, match=place):
         configuration.Station(said | changed, None, 1024)
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -24,29 +24,52 @@
 def test_a_call_is_the_same_whole_and_split_at_every_byte():
     data = call(ID, body=b"\x00\xffbody\r\n\r\n")
     whole = note_of(data)
-    assert whole == invoke.Call(ID, "draft", "acme", FUNCTION, 2000.0,
-                                {"memory_mb": 512.0, "lanes": 4.0, "load_ms": 200.0}, b"\x00\xffbody\r\n\r\n")
+    assert whole == invoke.Call(
+        ID,
+        "draft",
+        "acme",
+        FUNCTION,
+        2000.0,
+        {"memory_mb": 512.0, "lanes": 4.0, "load_ms": 200.0},
+        b"\x00\xffbody\r\n\r\n",
+    )
     assert all(note_of(data, [cut]) == whole for cut in range(1, len(data)))
     assert note_of(data, range(1, len(data))) == whole
 
 
-@pytest.mark.parametrize("data, status", [
-    (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
-    (call(ID, function="7F3A9C21E0B4D655"), 404), (call(ID, function="7f3a"), 404), (call("12"), 400),
-    (call(ID, kind=""), 400), (call(ID, patience="-5"), 400), (call(ID, patience="nan"), 400),
-    (call(ID, patience="0"), 400), (call(ID, patience="1e9"), 400), (call(ID, more="lanes:-1"), 400),
-    (call(ID, more="lanes:0"), 400), (call(ID, more="memory_mb:99999999999"), 400), (call(ID, more="lanes"), 400),
-    (call(ID, extra=("Transfer-Encoding: chunked",)) + b"5\r\nhello\r\n0\r\n\r\n", 400),
-    (call(ID).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"0\r\n\r\n", 411),
-    (call(ID, extra=("X-Call-Id: 00000000000000ff",)), 400), (call(ID, extra=("X-Patience-Ms: 5",)), 400),
-    (call(ID, extra=("X-Dedupe-Key: a,limit=1",)), 400), (call(ID, extra=("X-Dedupe-Key: " + "k" * 129,)), 400),
-    (call(ID, extra=("X-Dedupe-Key: a", "X-Dedupe-Key: b")), 400),
-    (call(ID).replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
-    (call(ID).replace(b"Content-Length: 0", b"Content-Length: 16385"), 413),
-    (call(ID).replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
-    (call(ID).replace(b"Content-Length: 0", b"Content-Length: 99999999999999999999999"), 400),
-    (call(ID, extra=("Content-Length: 7",)), 400), (call(ID, extra=("X-Long: " + "x" * 9000,)), 431),
-    (call(ID).replace(b"HTTP/1.1", b"HTTP/1.0"), 505), (call(ID).replace(b"POST", b"PUT"), 405)])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n", 400),
+        (call(ID, function="7F3A9C21E0B4D655"), 404),
+        (call(ID, function="7f3a"), 404),
+        (call("12"), 400),
+        (call(ID, kind=""), 400),
+        (call(ID, patience="-5"), 400),
+        (call(ID, patience="nan"), 400),
+        (call(ID, patience="0"), 400),
+        (call(ID, patience="1e9"), 400),
+        (call(ID, more="lanes:-1"), 400),
+        (call(ID, more="lanes:0"), 400),
+        (call(ID, more="memory_mb:99999999999"), 400),
+        (call(ID, more="lanes"), 400),
+        (call(ID, extra=("Transfer-Encoding: chunked",)) + b"5\r\nhello\r\n0\r\n\r\n", 400),
+        (call(ID).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"0\r\n\r\n", 411),
+        (call(ID, extra=("X-Call-Id: 00000000000000ff",)), 400),
+        (call(ID, extra=("X-Patience-Ms: 5",)), 400),
+        (call(ID, extra=("X-Dedupe-Key: a,limit=1",)), 400),
+        (call(ID, extra=("X-Dedupe-Key: " + "k" * 129,)), 400),
+        (call(ID, extra=("X-Dedupe-Key: a", "X-Dedupe-Key: b")), 400),
+        (call(ID).replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
+        (call(ID).replace(b"Content-Length: 0", b"Content-Length: 16385"), 413),
+        (call(ID).replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
+        (call(ID).replace(b"Content-Length: 0", b"Content-Length: 99999999999999999999999"), 400),
+        (call(ID, extra=("Content-Length: 7",)), 400),
+        (call(ID, extra=("X-Long: " + "x" * 9000,)), 431),
+        (call(ID).replace(b"HTTP/1.1", b"HTTP/1.0"), 505),
+        (call(ID).replace(b"POST", b"PUT"), 405),
+    ],
+)
 def test_what_is_no_call_is_owed_a_refusal_whole_or_split(data, status):
     for cuts in ((), (10,), (60, 61, 200)):
         note = note_of(data, cuts)
@@ -107,21 +130,42 @@
 
 # ---- hosts
 def test_answers_come_out_at_every_split():
-    data = (reply(ID.encode(), b"DONE", b"tell=spawn,queue_fn=3,meter=inflight:7;util:0.61", b"\r\n*4\r\n")
-            + reply(b"o5", b"WAIT", b"copies=2"))
-    want = [resp.Answer(ID, resp.DONE, 2, 3, None, {"inflight": 7.0, "util": 0.61}, b"\r\n*4\r\n"),
-            resp.Answer("o5", resp.FULL, 0, None, 2)]
+    data = reply(
+        ID.encode(), b"DONE", b"tell=spawn,queue_fn=3,meter=inflight:7;util:0.61", b"\r\n*4\r\n"
+    ) + reply(b"o5", b"WAIT", b"copies=2")
+    want = [
+        resp.Answer(ID, resp.DONE, 2, 3, None, {"inflight": 7.0, "util": 0.61}, b"\r\n*4\r\n"),
+        resp.Answer("o5", resp.FULL, 0, None, 2),
+    ]
     for step in (1, 2, 7, len(data)):
         reader = resp.Reader()
-        found = [answer for at in range(0, len(data), step) for answer in reader.feed(data[at:at + step])]
+        found = [
+            answer
+            for at in range(0, len(data), step)
+            for answer in reader.feed(data[at : at + step])
+        ]
         assert found == want and not reader.held and not reader.spoilt
 
 
-@pytest.mark.parametrize("data", [
-    b"noise\r\n", b"*3\r\n", b"*-1\r\n", b"*4\r\n$-1\r\n", b"*4\r\n:1\r\n", b"*4\r\n$3000000000\r\n",
-    b"*4\r\n$16\r\n" + ID.encode() + b"\r\n$4\r\nDONE\r\n$1\r\n-\r\n$3000000000\r\nxxxx", b"*99999999999999999999",
-    b"*4\r\n$2\r\nabc\r\n", reply(b"a", b"FINE"), reply(b"a", b"DONE", b"queue_fn=-1"),
-    reply(b"a", b"DONE", b"tell=what"), reply(b"a", b"DONE", b"meter=util:nan"), reply(b"\xff", b"DONE")])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"noise\r\n",
+        b"*3\r\n",
+        b"*-1\r\n",
+        b"*4\r\n$-1\r\n",
+        b"*4\r\n:1\r\n",
+        b"*4\r\n$3000000000\r\n",
+        b"*4\r\n$16\r\n" + ID.encode() + b"\r\n$4\r\nDONE\r\n$1\r\n-\r\n$3000000000\r\nxxxx",
+        b"*99999999999999999999",
+        b"*4\r\n$2\r\nabc\r\n",
+        reply(b"a", b"FINE"),
+        reply(b"a", b"DONE", b"queue_fn=-1"),
+        reply(b"a", b"DONE", b"tell=what"),
+        reply(b"a", b"DONE", b"meter=util:nan"),
+        reply(b"\xff", b"DONE"),
+    ],
+)
 def test_what_is_no_answer_spoils_the_connection_at_once_and_keeps_nothing(data):
     reader = resp.Reader()
     assert reader.feed(reply(b"b", b"DONE") + data) == [resp.Answer("b", resp.DONE)]
@@ -139,29 +183,57 @@
 def test_a_command_passes_id_class_function_and_body_on_unchanged():
     assert resp.execute(ID, "draft", FUNCTION, 1200.9, b"\x00\r\n") == (
         b"*4\r\n$4\r\nexec\r\n$16\r\n9b1f03aa5c7e2d41\r\n$42\r\ncls=draft,item=7f3a9c21e0b4d655,limit=1200\r\n"
-        b"$3\r\n\x00\r\n\r\n")
+        b"$3\r\n\x00\r\n\r\n"
+    )
 
 
 # ---- the bulletin
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
-EVENT = {"no": 41, "roster": {"generation": 7, "reset": False, "instances": [
-    {"instanceId": "s-1", "hostPort": "10.1.0.9:10080", "zone": "east", "machineType": "std", "cell": 2,
-     "lifecycle": "terminating", "weight": 4, "startedAtMs": 5}]}}
+EVENT = {
+    "no": 41,
+    "roster": {
+        "generation": 7,
+        "reset": False,
+        "instances": [
+            {
+                "instanceId": "s-1",
+                "hostPort": "10.1.0.9:10080",
+                "zone": "east",
+                "machineType": "std",
+                "cell": 2,
+                "lifecycle": "terminating",
+                "weight": 4,
+                "startedAtMs": 5,
+            }
+        ],
+    },
+}
 
 
 def test_an_idempotency_key_passes_on_unchanged_and_its_absence_adds_no_field():
     note = note_of(call(ID, extra=("X-Dedupe-Key: 41-7f:a/b",)))
     assert note.idempotency_key == "41-7f:a/b" and note_of(call(ID)).idempotency_key == ""
-    assert b"limit=900,nonce=41-7f:a/b\r\n" in resp.execute(ID, "draft", FUNCTION, 900.0, b"", note.idempotency_key)
+    assert b"limit=900,nonce=41-7f:a/b\r\n" in resp.execute(
+        ID, "draft", FUNCTION, 900.0, b"", note.idempotency_key
+    )
     assert b"nonce" not in resp.execute(ID, "draft", FUNCTION, 900.0, b"")
 
 
 def test_bulletin_events_come_out_at_every_split_and_a_torn_one_does_not():
-    text = HEAD + b": beat\n\nid: 41\ndata: " + json.dumps(EVENT).encode() + b"\n\nid: 42\ndata: {\"no\": 42"
+    text = (
+        HEAD
+        + b": beat\n\nid: 41\ndata: "
+        + json.dumps(EVENT).encode()
+        + b'\n\nid: 42\ndata: {"no": 42'
+    )
     for step in (1, 3, len(text)):
         reader = sse.Reader()
-        found = [told for at in range(0, len(text), step) for told in reader.feed(text[at:at + step])]
-        assert found == [sse.Told(41, False, [sse.Entry("s-1", "10.1.0.9:10080", "draining", "east", 2, 5.0)])]
+        found = [
+            told for at in range(0, len(text), step) for told in reader.feed(text[at : at + step])
+        ]
+        assert found == [
+            sse.Told(41, False, [sse.Entry("s-1", "10.1.0.9:10080", "draining", "east", 2, 5.0)])
+        ]
 
 
 def test_a_bulletin_in_chunks_reads_the_same():
@@ -170,14 +242,23 @@
     reader.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     half = len(data) // 2
     found = reader.feed(b"%x\r\n%b\r\n" % (half, data[:half])) + reader.feed(
-        b"%x\r\n%b\r\n" % (len(data) - half, data[half:]))
+        b"%x\r\n%b\r\n" % (len(data) - half, data[half:])
+    )
     assert [told.no for told in found] == [41]
 
 
-@pytest.mark.parametrize("data", [
-    b"HTTP/1.1 500 No\r\n\r\n", b"\x00\x00noise\r\n\r\n", HEAD + b"data: {\"no\":\n\n", HEAD + b"data: []\n\n",
-    HEAD + b'data: {"no": 1, "roster": {"reset": true, "instances": [{"lifecycle": "asleep"}]}}\n\n',
-    HEAD + b"data: " + b"x" * (5 << 20)])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"HTTP/1.1 500 No\r\n\r\n",
+        b"\x00\x00noise\r\n\r\n",
+        HEAD + b'data: {"no":\n\n',
+        HEAD + b"data: []\n\n",
+        HEAD
+        + b'data: {"no": 1, "roster": {"reset": true, "instances": [{"lifecycle": "asleep"}]}}\n\n',
+        HEAD + b"data: " + b"x" * (5 << 20),
+    ],
+)
 def test_what_is_no_bulletin_is_told_as_unreadable(data):
     with pytest.raises(sse.Unreadable):
         sse.Reader().feed(data)
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -39,7 +39,9 @@
     for host in town.hosts:
         host.answers = host.handles
     assert (await town.handled()).status == 200 and executed(town).count(number) == 1
-    assert not platform.desk.gate.events and not any(h.out for h in platform.desk.gate.hosts.values())
+    assert not platform.desk.gate.events and not any(
+        h.out for h in platform.desk.gate.hosts.values()
+    )
 
 
 @story
@@ -49,7 +51,7 @@
     client.call()
     await client.answer()
     [end] = platform.door.ends
-    end.transport.pause_reading()           # as where a stall keeps the loop from its sockets
+    end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
     client.sock.close()
     event = m.Event(7, "draft", FUNCTION, 2000.0, platform.clock.now(), "acme")
     platform.post(platform.desk.came, end.client, event)
@@ -69,7 +71,7 @@
     [end] = platform.door.ends
     end.transport.pause_reading()
     client.sock.close()
-    end.client.connected = lambda now: True             # the guard, taken out
+    end.client.connected = lambda now: True  # the guard, taken out
     [link] = [link for host in platform.desk.hosts.values() for link in host.links if link.out]
     later = platform.clock.now() + 200
     platform.clock.now = lambda: later
@@ -106,7 +108,7 @@
     client.call()
     await until(lambda: executed(town))
     late = platform.clock.now() + 60000
-    platform.clock.now = lambda: late       # all alarms are due: the event's time is up, too
+    platform.clock.now = lambda: late  # all alarms are due: the event's time is up, too
     client.sock.close()
     platform.rung()
     await until(lambda: not platform.desk.taken)
@@ -129,12 +131,15 @@
 
 
 @story
-async def test_what_may_run_once_and_waits_for_a_connection_is_not_sent_once_its_client_has_left(town):
+async def test_what_may_run_once_and_waits_for_a_connection_is_not_sent_once_its_client_has_left(
+    town,
+):
     platform, dialled, written = await town.start_within(settings=ONCE), [], []
     platform.desk.dial, platform.station.terms.connect = dialled.append, 60000.0
 
     class Wire:
         write, close = written.append, lambda self, reason: None
+
     client = RawClient(town)
     client.call()
     await until(lambda: dialled)
@@ -147,21 +152,33 @@
 
 @story
 async def test_nothing_goes_to_a_host_whose_drain_is_told_in_the_same_turn(town):
-    platform = await town.start_within(settings=SETTINGS | {"prices": {"handshake": 0.08}})     # one connection
+    platform = await town.start_within(
+        settings=SETTINGS | {"prices": {"handshake": 0.08}}
+    )  # one connection
     client = RawClient(town)
     client.call()
     await client.answer()
     [end] = platform.door.ends
     before = len(town.hosts[0].got)
-    platform.post(platform.desk.came, end.client, m.Event(7, "draft", FUNCTION, 2000.0, platform.clock.now(), "acme"))
-    platform.desk.post(platform.desk.order, type("Order", (), {"host": "a", "function": FUNCTION, "copies": 1}))
+    platform.post(
+        platform.desk.came,
+        end.client,
+        m.Event(7, "draft", FUNCTION, 2000.0, platform.clock.now(), "acme"),
+    )
+    platform.desk.post(
+        platform.desk.order, type("Order", (), {"host": "a", "function": FUNCTION, "copies": 1})
+    )
     platform.post(platform.desk.listed, "changes", [m.Row("a", "draining", 0.0, "east", 0)])
-    platform.desk.post(platform.desk.order, type("Order", (), {"host": "a", "function": FUNCTION, "copies": 1}))
+    platform.desk.post(
+        platform.desk.order, type("Order", (), {"host": "a", "function": FUNCTION, "copies": 1})
+    )
     assert b"HTTP/1.1 503" in await client.answer()
     platform.post(platform.desk.unload, FUNCTION, ["a"])
     await town.hosts[0].until(b"release")
     words = [words[0] for _, words in town.hosts[0].got[before:]]
-    assert words == [b"ensure", b"release"], "the order before the drain was told, and none after it"
+    assert words == [b"ensure", b"release"], (
+        "the order before the drain was told, and none after it"
+    )
 
 
 @story
@@ -180,7 +197,9 @@
 
 
 @story
-async def test_an_idle_connection_closed_over_an_unread_request_ends_with_an_answer_and_no_reset(town):
+async def test_an_idle_connection_closed_over_an_unread_request_ends_with_an_answer_and_no_reset(
+    town,
+):
     platform = await town.start_within()
     client = RawClient(town)
     client.call()
@@ -201,9 +220,12 @@
         if words[0] == b"exec" and len(host.commands(b"exec")) == 1:
             return reply(words[1], b"LACK")
         if words[0] == b"exec":
-            host.writers[0].write(reply(words[1], b"LACK"))         # once more, late, where the first had been
+            host.writers[0].write(
+                reply(words[1], b"LACK")
+            )  # once more, late, where the first had been
             return None
         return host.handles(words)
+
     host.answers = answers
     client = await town.client()
     number = client.call()
@@ -219,7 +241,7 @@
     platform = await town.start_within(("a", "b"), settings=ONCE)
     assert (await town.handled()).status == 200
     [end] = platform.floor.ends
-    end.transport.pause_reading()           # as where a stall keeps the loop from its sockets
+    end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
     [host] = [host for host in town.hosts if host.writers]
     host.writers[0].write_eof()
     assert (await town.handled(patience="900")).status == 200 and len(host.commands(b"exec")) == 1
@@ -234,10 +256,15 @@
     for client in clients:
         client.call()
     [listener] = platform.hall.listeners
-    listener.ready(2)                       # as many as a pass takes in; two more wait
+    listener.ready(2)  # as many as a pass takes in; two more wait
     later = platform.clock.now() + 400
     platform.clock.now = lambda: later
     listener.ready(2)
     assert listener.since is None, "nobody waits any more, though a whole pass was taken in"
     await until(lambda: len(platform.desk.taken) == 4)
-    assert [round((taken.until - taken.at) / 100) for taken in platform.desk.taken.values()] == [20, 20, 16, 16]
+    assert [round((taken.until - taken.at) / 100) for taken in platform.desk.taken.values()] == [
+        20,
+        20,
+        16,
+        16,
+    ]
--- a/tests/platform/test_in_service.py
+++ b/tests/platform/test_in_service.py
@@ -51,10 +51,19 @@
 @story
 async def test_bad_calls_reach_no_host_and_usual_ones_are_served_meanwhile(town):
     await town.start()
-    bad = [call(town.number(), kind="no-such"), call(town.number(), customer="nobody"), call("12"),
-           call(town.number(), patience="900000"), b"\x00" * 100 + b"\r\n\r\n", b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-           call(town.number(), extra=("Transfer-Encoding: chunked",)) + b"0\r\n\r\n" + call(town.number()),
-           b"POST " + b"x" * 20000, call(town.number()).replace(b"Content-Length: 0", b"Content-Length: 60000000")]
+    bad = [
+        call(town.number(), kind="no-such"),
+        call(town.number(), customer="nobody"),
+        call("12"),
+        call(town.number(), patience="900000"),
+        b"\x00" * 100 + b"\r\n\r\n",
+        b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+        call(town.number(), extra=("Transfer-Encoding: chunked",))
+        + b"0\r\n\r\n"
+        + call(town.number()),
+        b"POST " + b"x" * 20000,
+        call(town.number()).replace(b"Content-Length: 0", b"Content-Length: 60000000"),
+    ]
     for data in bad:
         client = await town.client()
         client.send(data)
@@ -88,9 +97,9 @@
 async def test_connections_that_asked_once_and_stay_make_room_for_those_who_come(town):
     await town.start()
     stay = []
-    for n in range(160):        # nearly twice as many as there are places
+    for n in range(160):  # nearly twice as many as there are places
         if n == 80:
-            await asyncio.sleep(0.3)        # from then on they are idle for long enough
+            await asyncio.sleep(0.3)  # from then on they are idle for long enough
         stay.append(await town.client())
         stay[-1].call()
         assert (await stay[-1].answer()).status == 200
@@ -109,7 +118,10 @@
     platform.say("clients are refused", more=1)
     platform.said["clients are refused"] = -1e18, 1
     platform.say("clients are refused", more=2)
-    assert said == [("clients are refused", {"more": 0}), ("clients are refused", {"more": 2, "left_out": 1})]
+    assert said == [
+        ("clients are refused", {"more": 0}),
+        ("clients are refused", {"more": 2, "left_out": 1}),
+    ]
 
 
 @story
@@ -143,11 +155,18 @@
 async def test_a_spoilt_answer_ends_its_connection_alone_and_the_event_is_launched_elsewhere(town):
     await town.start(("a", "b"))
     for host in town.hosts:
+
         def spoils(words, host=host):
             others = [one for one in town.hosts if one is not host]
             if words[0] == b"exec" and not others[0].commands(b"exec"):
-                return b"*4\r\n$16\r\n" + words[1] + b"\r\n$4\r\nDONE\r\n$1\r\n-\r\n$3000000000\r\n" + b"x" * 5000
+                return (
+                    b"*4\r\n$16\r\n"
+                    + words[1]
+                    + b"\r\n$4\r\nDONE\r\n$1\r\n-\r\n$3000000000\r\n"
+                    + b"x" * 5000
+                )
             return host.handles(words)
+
         host.answers = spoils
     assert (await town.handled()).status == 200
     await town.said("a word of 3000000000 bytes")
@@ -158,10 +177,12 @@
 async def test_an_answer_that_stops_short_is_not_waited_for(town):
     await town.start(("a", "b"))
     for host in town.hosts:
+
         def stops(words, host=host):
             whole = host.handles(words)
             other = next(one for one in town.hosts if one is not host)
             return whole[:-5] if words[0] == b"exec" and not other.commands(b"exec") else whole
+
         host.answers = stops
     assert (await town.handled()).status == 200
     await town.said("an answer stops short")
@@ -174,7 +195,12 @@
 
     def more(words):
         good = host.handles(words)
-        return reply(b"00000000000000ee", b"DONE", b"-", b"not yours") + good + good if words[0] == b"exec" else good
+        return (
+            reply(b"00000000000000ee", b"DONE", b"-", b"not yours") + good + good
+            if words[0] == b"exec"
+            else good
+        )
+
     host.answers = more
     client = await town.client()
     for _ in range(3):
@@ -198,7 +224,7 @@
     await town.start()
     host = town.hosts[0]
     assert (await town.handled()).status == 200
-    dead = {0}                  # what was open is silent for good, as after a cut; what comes up anew is well
+    dead = {0}  # what was open is silent for good, as after a cut; what comes up anew is well
     host.answers = lambda words: None if host.got[-1][0] in dead else host.handles(words)
     assert (await town.handled(patience="900")).status != 200
     async with asyncio.timeout(LONG):
@@ -208,7 +234,9 @@
 
 
 @pytest.mark.parametrize("price, most", [(0.0, 6), (0.08, 1), (0.02, 4)])
-def test_where_a_handshake_has_a_price_launches_share_connections_until_these_have_borne_it(tmp_path, price, most):
+def test_where_a_handshake_has_a_price_launches_share_connections_until_these_have_borne_it(
+    tmp_path, price, most
+):
     @story
     async def shared(town):
         await town.start(settings=SETTINGS | {"prices": {"handshake": price}})
@@ -218,6 +246,7 @@
             client.call()
         await host.until(b"exec", 6)
         assert len({number for number, words in host.got if words[0] == b"exec"}) == most
+
     shared(tmp_path)
 
 
--- a/tests/platform/test_list_and_signals.py
+++ b/tests/platform/test_list_and_signals.py
@@ -55,7 +55,12 @@
 async def test_a_move_while_the_old_bulletin_is_being_dialled_leaves_no_connection_there(town):
     platform = await town.start_within()
     await town.bulletins[0].until_asked(1)
-    loop, old, begun, go_on = asyncio.get_running_loop(), town.bulletins[0], asyncio.Event(), asyncio.Event()
+    loop, old, begun, go_on = (
+        asyncio.get_running_loop(),
+        town.bulletins[0],
+        asyncio.Event(),
+        asyncio.Event(),
+    )
     connect = loop.create_connection
 
     async def slowly(make, host, port, **more):
@@ -63,6 +68,7 @@
             begun.set()
             await go_on.wait()
         return await connect(make, host, port, **more)
+
     loop.create_connection = slowly
     old.cut()
     await begun.wait()
@@ -78,13 +84,18 @@
     platform = await town.start_within()
     bulletin = town.bulletins[0]
     await bulletin.until_asked(1)
-    loop, connect, lacking = asyncio.get_running_loop(), asyncio.get_running_loop().create_connection, [3]
+    loop, connect, lacking = (
+        asyncio.get_running_loop(),
+        asyncio.get_running_loop().create_connection,
+        [3],
+    )
 
     async def lacks(make, *where, **more):
         if lacking[0]:
             lacking[0] -= 1
             raise OSError(24, "Too many open files")
         return await connect(make, *where, **more)
+
     loop.create_connection = lacks
     idle = [RawClient(town) for _ in range(20)]
     await until(lambda: len(platform.door.ends) == 20)
@@ -101,7 +112,7 @@
     new = await town.bulletin()
     file = town.configuration()
     whole = file.read_text()
-    file.write_text(whole[:len(whole) // 2])
+    file.write_text(whole[: len(whole) // 2])
     town.signal("SIGHUP")
     await town.said("the old one is kept")
     file.write_text(whole)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -42,9 +42,19 @@
 
 
 def station(settings):
-    return configuration.Station({
-        "name": "n1", "listen": "127.0.0.1:1", "seed": "8c", "bulletin": "127.0.0.1:2", "settings": settings,
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "known": {"no": 0, "items": []}}, None, 1024)
+    return configuration.Station(
+        {
+            "name": "n1",
+            "listen": "127.0.0.1:1",
+            "seed": "8c",
+            "bulletin": "127.0.0.1:2",
+            "settings": settings,
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+            "known": {"no": 0, "items": []},
+        },
+        None,
+        1024,
+    )
 
 
 class HostWire:
@@ -55,7 +65,9 @@
 
     def write(self, message):
         if type(message) is m.Launch:
-            self.desk.post(self.desk.heard, self.link, m.Outcome(message.id, "handled", 1, 2, None, b""))
+            self.desk.post(
+                self.desk.heard, self.link, m.Outcome(message.id, "handled", 1, 2, None, b"")
+            )
 
     def close(self, reason):
         pass
@@ -73,12 +85,22 @@
     """What 40 events get of a gateway with these settings, between two warm hosts and a cold one."""
     dialled, wire = [], ClientWire()
     desk = Desk(Gateway(found.lease), found.terms, dialled.append, 1000.0)
-    desk.post(desk.listed, "whole", [m.Row(name, "ready", since, "east", 0) for name, since in
-                                     (("a", 0.0), ("b", 0.0), ("c", 900.0))])
+    desk.post(
+        desk.listed,
+        "whole",
+        [
+            m.Row(name, "ready", since, "east", 0)
+            for name, since in (("a", 0.0), ("b", 0.0), ("c", 900.0))
+        ],
+    )
     client = Client(wire)
     for number in range(40):
         now = 1000.0 + 50 * number
-        desk.post(desk.came, client, m.Event(number, kind, FUNCTION, 2000.0, now, "acme", "", 4.0, 200.0, b""))
+        desk.post(
+            desk.came,
+            client,
+            m.Event(number, kind, FUNCTION, 2000.0, now, "acme", "", 4.0, 200.0, b""),
+        )
         desk.turn(now)
         for link in dialled:
             desk.post(desk.linked, link, HostWire(desk, link))
@@ -96,6 +118,8 @@
             found = station(settings)
         except configuration.Wrong as error:
             names = [key for key in place if isinstance(key, str)]
-            assert str(error).startswith("settings") and any(name in str(error) for name in names), error
+            assert str(error).startswith("settings") and any(
+                name in str(error) for name in names
+            ), error
             continue
         assert answers_of(found, found.lease.clauses[0].name).count("handled") >= 30, (place, value)
--- a/tests/platform/town.py
+++ b/tests/platform/town.py
@@ -13,18 +13,45 @@
 from cherrydoor.platform import configuration
 from cherrydoor.platform.process import Platform
 
-LONG = 20.0         # s after which a test that waits for something has failed
+LONG = 20.0  # s after which a test that waits for something has failed
 MORE = "memory_mb:512;lanes:4;load_ms:200"
 FUNCTION = "7f3a9c21e0b4d655"
 SETTINGS = {
-    "instances": 1, "me": 0, "zone": "east", "resolution": 1000, "discovery": "push",
-    "requestClasses": [{"name": "draft", "aim": 600000, "deadline": 3000000, "repeat": "repeatable"}],
+    "instances": 1,
+    "me": 0,
+    "zone": "east",
+    "resolution": 1000,
+    "discovery": "push",
+    "requestClasses": [
+        {"name": "draft", "aim": 600000, "deadline": 3000000, "repeat": "repeatable"}
+    ],
     "tenants": [{"name": "acme", "portion": 1.0, "quotaPerS": 100.0}],
-    "permissions": {"cancel": True, "mayProbe": True, "maxAttempts": 6, "retryAfter": True, "maxRetryAfter": 1000000,
-                    "connIdle": 15000000, "connectTimeout": 250000, "mostHeld": 20000},
-    "rules": {"coldFrom": 0.2, "cold": 5000000, "overloadFactor": 3.0, "fall": 3000000, "drainGrace": 2000000},
-    "familyInfo": {"ifCold": "load", "lingerIdle": 8000000, "loadControl": True, "saysWarm": True, "saysCompany": True,
-                   "loadWait": 4000000}}
+    "permissions": {
+        "cancel": True,
+        "mayProbe": True,
+        "maxAttempts": 6,
+        "retryAfter": True,
+        "maxRetryAfter": 1000000,
+        "connIdle": 15000000,
+        "connectTimeout": 250000,
+        "mostHeld": 20000,
+    },
+    "rules": {
+        "coldFrom": 0.2,
+        "cold": 5000000,
+        "overloadFactor": 3.0,
+        "fall": 3000000,
+        "drainGrace": 2000000,
+    },
+    "familyInfo": {
+        "ifCold": "load",
+        "lingerIdle": 8000000,
+        "loadControl": True,
+        "saysWarm": True,
+        "saysCompany": True,
+        "loadWait": 4000000,
+    },
+}
 
 
 # Starts the gateway in a process that the kernel refuses what the platform refuses: other programs, fork, io_uring,
@@ -59,6 +86,7 @@
 
 def story(test):
     """Runs an async test with a town of its own, and clears it up."""
+
     @wraps(test)
     def run(tmp_path):
         async def whole():
@@ -68,8 +96,10 @@
                     await test(town)
             finally:
                 await town.close()
+
         asyncio.run(whole())
-    del run.__wrapped__         # pytest hands it a folder, not a town
+
+    del run.__wrapped__  # pytest hands it a folder, not a town
     return run
 
 
@@ -78,7 +108,13 @@
     are kept, as (connection's number, words)."""
 
     def __init__(self, name):
-        self.name, self.got, self.answers, self.writers, self.news = name, [], self.handles, [], asyncio.Event()
+        self.name, self.got, self.answers, self.writers, self.news = (
+            name,
+            [],
+            self.handles,
+            [],
+            asyncio.Event(),
+        )
 
     async def open(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -99,7 +135,10 @@
         try:
             while True:
                 size = int((await reader.readline())[1:])
-                words = [await reader.readexactly(int((await reader.readline())[1:]) + 2) for _ in range(size)]
+                words = [
+                    await reader.readexactly(int((await reader.readline())[1:]) + 2)
+                    for _ in range(size)
+                ]
                 words = [word[:-2] for word in words]
                 self.got.append((number, words))
                 self.news.set()
@@ -122,14 +161,22 @@
 
 def reply(number, word, fields=b"-", body=b""):
     """An answer of a host, as bytes."""
-    return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in (number, word, fields, body))
+    return b"*4\r\n" + b"".join(
+        b"$%d\r\n%b\r\n" % (len(w), w) for w in (number, word, fields, body)
+    )
 
 
 class Bulletin:
     """Serves `events` from the number asked for; `asked` has those numbers; mute() stops it with connections open."""
 
     def __init__(self):
-        self.events, self.asked, self.writers, self.muted, self.news = [], [], [], False, asyncio.Event()
+        self.events, self.asked, self.writers, self.muted, self.news = (
+            [],
+            [],
+            [],
+            False,
+            asyncio.Event(),
+        )
 
     async def open(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -147,7 +194,9 @@
         head = await reader.readuntil(b"\r\n\r\n")
         lines = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if line)
         last = int(lines[b"last-event-id"])
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")
+        writer.write(
+            b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+        )
         self.muted = False
         self.writers.append(writer)
         for event in self.events:
@@ -222,10 +271,27 @@
                 return b""
 
 
-def call(number, function=FUNCTION, kind="draft", customer="acme", patience="2000", more=MORE, body=b"", extra=()):
-    lines = [f"POST /call/{function}/sync HTTP/1.1", "Host: backend.local", f"X-Class: {kind}", f"X-Call-Id: {number}",
-             f"X-Patience-Ms: {patience}", f"X-Customer: {customer}", f"X-Extras: {more}",
-             f"Content-Length: {len(body)}", *extra]
+def call(
+    number,
+    function=FUNCTION,
+    kind="draft",
+    customer="acme",
+    patience="2000",
+    more=MORE,
+    body=b"",
+    extra=(),
+):
+    lines = [
+        f"POST /call/{function}/sync HTTP/1.1",
+        "Host: backend.local",
+        f"X-Class: {kind}",
+        f"X-Call-Id: {number}",
+        f"X-Patience-Ms: {patience}",
+        f"X-Customer: {customer}",
+        f"X-Extras: {more}",
+        f"Content-Length: {len(body)}",
+        *extra,
+    ]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
@@ -250,17 +316,41 @@
     def event(self, no, whole=False, **states):
         """A bulletin's event: states of hosts by name; those that are said already keep their addresses."""
         ports = {host.name: host.port for host in self.hosts}
-        return {"no": no, "roster": {"generation": no, "reset": whole, "instances": [
-            {"instanceId": name, "hostPort": f"127.0.0.1:{ports[name]}", "zone": "east", "machineType": "std",
-             "cell": 0, "lifecycle": state, "weight": 1, "startedAtMs": 0} for name, state in states.items()]}}
+        return {
+            "no": no,
+            "roster": {
+                "generation": no,
+                "reset": whole,
+                "instances": [
+                    {
+                        "instanceId": name,
+                        "hostPort": f"127.0.0.1:{ports[name]}",
+                        "zone": "east",
+                        "machineType": "std",
+                        "cell": 0,
+                        "lifecycle": state,
+                        "weight": 1,
+                        "startedAtMs": 0,
+                    }
+                    for name, state in states.items()
+                ],
+            },
+        }
 
     def configuration(self, **changed):
         """Writes the configuration's file; its path."""
-        said = {"name": "n1", "listen": f"127.0.0.1:{self.port}", "seed": "8c1f30d27a5be964",
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-                "bulletin": f"127.0.0.1:{self.bulletins[-1].port}",
-                "known": {"no": 1, "items": [self.event(1, True, **{h.name: "in_service" for h in self.hosts})]},
-                "settings": SETTINGS} | changed
+        said = {
+            "name": "n1",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "bulletin": f"127.0.0.1:{self.bulletins[-1].port}",
+            "known": {
+                "no": 1,
+                "items": [self.event(1, True, **{h.name: "in_service" for h in self.hosts})],
+            },
+            "settings": SETTINGS,
+        } | changed
         file = self.path / "config.json"
         file.write_text(json.dumps(said))
         return file
@@ -268,10 +358,20 @@
     def run(self, file, held=False, **more):
         """Starts the gateway as in service, or held by the platform's filter."""
         how = ["-c", HELD] if held else ["-m", "cherrydoor", "platform"]
-        env = {**os.environ, "PROXY_CONFIG": str(file), "PROXY_LISTEN": f"127.0.0.1:{self.port}", "PROXY_NAME": "n1"}
-        self.log = open(self.path / "log", "a+")    # noqa: SIM115
-        self.process = subprocess.Popen([sys.executable, *how], stdin=subprocess.DEVNULL, stdout=self.log,
-                                        stderr=self.log, env=env | more)
+        env = {
+            **os.environ,
+            "PROXY_CONFIG": str(file),
+            "PROXY_LISTEN": f"127.0.0.1:{self.port}",
+            "PROXY_NAME": "n1",
+        }
+        self.log = open(self.path / "log", "a+")  # noqa: SIM115
+        self.process = subprocess.Popen(
+            [sys.executable, *how],
+            stdin=subprocess.DEVNULL,
+            stdout=self.log,
+            stderr=self.log,
+            env=env | more,
+        )
 
     async def built(self, hosts):
         for name in hosts:
--- a/tests/rehearsal/test_audit.py
+++ b/tests/rehearsal/test_audit.py
@@ -151,8 +151,10 @@
 
 
 def test_orders_beyond_the_ration(run, tmp_path):
-    for i in range(5):                  # 2 free and a tenth of 30 events
-        run.add("host", "order", 5000.0 + i, who="h1", peer="g0", id=900 + i, function="f", number=1)
+    for i in range(5):  # 2 free and a tenth of 30 events
+        run.add(
+            "host", "order", 5000.0 + i, who="h1", peer="g0", id=900 + i, function="f", number=1
+        )
     assert run.judge(tmp_path)[0] == []
     run.add("host", "order", 5006.0, who="h1", peer="g0", id=950, function="f", number=1)
     assert [rule for rule, _ in run.judge(tmp_path / "more")[0]] == [5]
@@ -171,8 +173,9 @@
     record = Record(tmp_path, "client", "c")
     record.add("sent", id=1)
     record.flush()
-    record.add("sent", id=2)            # never flushed: its process is killed here
+    record.add("sent", id=2)  # never flushed: its process is killed here
     import pyarrow.parquet as pq
+
     [file] = tmp_path.glob("*.parquet")
     assert pq.read_table(file)["id"].to_pylist() == [1]
 
--- a/tests/rehearsal/test_audit_estates.py
+++ b/tests/rehearsal/test_audit_estates.py
@@ -18,7 +18,9 @@
     for host in ("h1", "h2"):
         run.add("host", "over", sent + 30, who=host, peer="g1", id=1, number=1, text="g0", a=5.0)
     run.add("host", "adopt", sent + 31, who="h1", peer="g1", id=2, event=8)
-    run.add("client", "answer", sent + 110, peer="g2", id=900, event=8, fate="handled", clause="claimed")
+    run.add(
+        "client", "answer", sent + 110, peer="g2", id=900, event=8, fate="handled", clause="claimed"
+    )
     run.at = sent
     return run
 
@@ -58,7 +60,18 @@
 
 def test_a_host_that_refuses_the_lower_number_is_no_break(run, tmp_path):
     run.add("host", "over", run.at + 50, who="h1", peer="g2", id=1, number=2, text="g0", a=5.0)
-    run.add("host", "over", run.at + 60, who="h1", peer="g1", id=3, number=1, text="g0", a=5.0, fate="refused")
+    run.add(
+        "host",
+        "over",
+        run.at + 60,
+        who="h1",
+        peer="g1",
+        id=3,
+        number=1,
+        text="g0",
+        a=5.0,
+        fate="refused",
+    )
     assert run.judge(tmp_path)[0] == []
 
 
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -41,8 +41,13 @@
 
 
 def cherrydoor(*words):
-    return subprocess.run([sys.executable, "-m", "cherrydoor", *words], capture_output=True, text=True, timeout=120,
-                          env=os.environ | {"PYTHONPATH": os.getcwd()})
+    return subprocess.run(
+        [sys.executable, "-m", "cherrydoor", *words],
+        capture_output=True,
+        text=True,
+        timeout=120,
+        env=os.environ | {"PYTHONPATH": os.getcwd()},
+    )
 
 
 def test_a_little_bad_day_keeps_every_rule(tmp_path):
@@ -88,13 +93,19 @@
     done = cherrydoor("rehearse", str(day), "--out", str(tmp_path / "out"), "--json", "--quiet")
     assert done.returncode == 0, done.stderr + done.stdout[-2000:]
     found = json.loads(done.stdout)
-    assert found["broken"] == [] and found["answers"]["handled"] > 50 and found["answers"]["dead-lettered"] > 0
+    assert (
+        found["broken"] == []
+        and found["answers"]["handled"] > 50
+        and found["answers"]["dead-lettered"] > 0
+    )
 
 
 def test_a_little_crash_at_the_gate_keeps_every_rule_and_every_known_client(tmp_path):
     day = tmp_path / "gate.day"
     first = LITTLE.index("troubles:")
-    day.write_text(LITTLE[:first] + """
+    day.write_text(
+        LITTLE[:first]
+        + """
 offices: [{name: "harbour", share: 2}, {name: "meadow", share: 1}]
 doors: {tls: true, known: 10, places: 40, descriptors: 160}
 troubles: [
@@ -103,7 +114,8 @@
   {at: 1s, what: "gateway-crash", lasts: 500ms, part: 20%}
   {at: 2.5s, what: "reconnect", lasts: 500ms, size: 6}
 ]
-""")
+"""
+    )
     done = cherrydoor("rehearse", str(day), "--out", str(tmp_path / "out"), "--json", "--quiet")
     assert done.returncode == 0, done.stderr + done.stdout[-2000:]
     found = json.loads(done.stdout)
@@ -130,8 +142,11 @@
     day = tmp_path / "little.day"
     day.write_text(LITTLE)
     words = ["rehearse", str(day), "--out", str(tmp_path / "out")]
-    running = subprocess.Popen([sys.executable, "-m", "cherrydoor", *words], stderr=subprocess.PIPE,
-                               env=os.environ | {"PYTHONPATH": os.getcwd()})
+    running = subprocess.Popen(
+        [sys.executable, "-m", "cherrydoor", *words],
+        stderr=subprocess.PIPE,
+        env=os.environ | {"PYTHONPATH": os.getcwd()},
+    )
     while not list(tmp_path.glob("out/traffic/client*")):
         assert running.poll() is None
         time.sleep(0.01)
@@ -170,8 +185,12 @@
 def test_every_trouble_can_be_scripted(tmp_path):
     schema = (SHIPPED.parent.parent / "lease" / "day.schema").read_text()
     names = schema.split("what: ")[1].splitlines()[0].replace('"', "").split(" | ")
-    text = LITTLE.split("troubles:")[0] + "troubles: [" + "\n".join(
-        f'{{at: 100ms, lasts: 1s, what: "{name}"}}' for name in names) + "]"
+    text = (
+        LITTLE.split("troubles:")[0]
+        + "troubles: ["
+        + "\n".join(f'{{at: 100ms, lasts: 1s, what: "{name}"}}' for name in names)
+        + "]"
+    )
     day = tmp_path / "all.day"
     day.write_text(text)
     said = read_day(day)
@@ -180,7 +199,11 @@
     handled = {name[3:].replace("_", " ") for name in dir(Conductor) if name.startswith("do_")}
     assert does <= handled and len(names) == 34
     assert {t["what"] for t in said["troubles"]} - {n.replace("_", "-") for n in dir(Steps)} == {
-        "burst", "hot", "scan", "repeats"}, "these four are in the traffic itself"
+        "burst",
+        "hot",
+        "scan",
+        "repeats",
+    }, "these four are in the traffic itself"
 
 
 def test_a_trouble_after_the_end_is_refused(tmp_path):
--- a/tests/rehearsal/traffic.py
+++ b/tests/rehearsal/traffic.py
@@ -5,13 +5,36 @@
 from cherrydoor.rehearsal.audit import audit
 from cherrydoor.standin.record import Record
 
-TERMS = {"name": "doctored", "seed": 1, "length": 60000, "warm": 0.0, "grace": 1000.0, "spare": 50.0, "twice": False,
-         "decides": "module", "cold": {"from": 0.25, "time": 8000.0, "multiple": 3.0, "fall": 2000.0},
-         "ration": {"free": 2, "share": 0.1, "within": 5000.0},
-         "events": {name: {"target": 750.0, "max_age": 2500.0, "kind": kind, "group": "all",
-                           "memory": 4000.0, "benefit": 1.0, "stream": False} for name, kind in (
-                               ("draft", "redeliverable"), ("sign", "keyed"), ("archive", "at-most-once"))},
-         "offices": {}, "builds": {}}
+TERMS = {
+    "name": "doctored",
+    "seed": 1,
+    "length": 60000,
+    "warm": 0.0,
+    "grace": 1000.0,
+    "spare": 50.0,
+    "twice": False,
+    "decides": "module",
+    "cold": {"from": 0.25, "time": 8000.0, "multiple": 3.0, "fall": 2000.0},
+    "ration": {"free": 2, "share": 0.1, "within": 5000.0},
+    "events": {
+        name: {
+            "target": 750.0,
+            "max_age": 2500.0,
+            "kind": kind,
+            "group": "all",
+            "memory": 4000.0,
+            "benefit": 1.0,
+            "stream": False,
+        }
+        for name, kind in (
+            ("draft", "redeliverable"),
+            ("sign", "keyed"),
+            ("archive", "at-most-once"),
+        )
+    },
+    "offices": {},
+    "builds": {},
+}
 
 
 class Run:
@@ -38,15 +61,35 @@
         self.add("list", "heard", t + 5, peer=gateway, id=revision)
 
     def event(self, number, t, clause="draft", fate="handled", host="h1", took=100.0):
-        self.add("client", "sent", t, peer="g0", id=number, event=number, function="f", clause=clause,
-                 mark=f"m{number}", a=t, b=2500.0, c=float(number), party="harbour")
+        self.add(
+            "client",
+            "sent",
+            t,
+            peer="g0",
+            id=number,
+            event=number,
+            function="f",
+            clause=clause,
+            mark=f"m{number}",
+            a=t,
+            b=2500.0,
+            c=float(number),
+            party="harbour",
+        )
         self.launch(number, t + 1, clause, host, took - 2)
         self.add("client", "answer", t + took, peer="g0", id=number, event=number, fate=fate)
 
     def launch(self, number, t, clause="draft", host="h1", took=90.0, fate="handled", work=50.0):
         self.launch_ids += 1
-        same = dict(who=host, peer="g0", id=self.launch_ids, event=number, function="f", clause=clause,
-                    mark=f"m{number}")
+        same = dict(
+            who=host,
+            peer="g0",
+            id=self.launch_ids,
+            event=number,
+            function="f",
+            clause=clause,
+            mark=f"m{number}",
+        )
         self.add("host", "launch", t, a=2400.0, b=work, **same)
         if fate:
             if fate == "handled":
--- a/tests/site/play.py
+++ b/tests/site/play.py
@@ -6,7 +6,11 @@
 from cherrydoor.site.neighbours import Site
 from cherrydoor.site.plan import Lot, plan
 
-LOTS = [Lot("gold", 10.0, 5.0, hosts=("h1",)), Lot("iron", 20.0, 1.0), Lot("lead", 10.0, 0.5, hosts=("h2",))]
+LOTS = [
+    Lot("gold", 10.0, 5.0, hosts=("h1",)),
+    Lot("iron", 20.0, 1.0),
+    Lot("lead", 10.0, 0.5, hosts=("h2",)),
+]
 
 
 class Play:
@@ -15,8 +19,17 @@
     def __init__(self, lots=LOTS, room=100.0, names=("a", "b"), last=None, number=1, hosts=()):
         self.now, self.names, self.good = 0.0, list(names), 1.0
         self.made = plan(lots, room, 0.5)
-        self.one = d.Conductor("s", number, "a", self.made, lambda: self.names, 0.0, last, [("gold", "gold", "h1")],
-                               lambda: hosts)
+        self.one = d.Conductor(
+            "s",
+            number,
+            "a",
+            self.made,
+            lambda: self.names,
+            0.0,
+            last,
+            [("gold", "gold", "h1")],
+            lambda: hosts,
+        )
         self.done(self.one.start(0.0))
 
     def done(self, actions):
@@ -28,9 +41,21 @@
 
     def confirm(self, names=None, in_hand=0, wave=None):
         for name in names or self.names:
-            self.done(self.one.followed(self.now, Followed(
-                name, 1, "s", self.one.number, self.one.wave if wave is None else wave, in_hand, 100,
-                int(100 * self.good))))
+            self.done(
+                self.one.followed(
+                    self.now,
+                    Followed(
+                        name,
+                        1,
+                        "s",
+                        self.one.number,
+                        self.one.wave if wave is None else wave,
+                        in_hand,
+                        100,
+                        int(100 * self.good),
+                    ),
+                )
+            )
 
     def word(self, host, in_hand, came, by=()):
         """A host's own count, and then some time."""
@@ -53,7 +78,11 @@
 
 def fleet(east, west=4, own=4, busy=0.4, rate=20.0):
     """What all gateways tell of two neighbours and of the site itself."""
-    return {"east": Site(east, rate, busy), "west": Site(west, rate, busy), "s": Site(own, 10.0, 0.4)}
+    return {
+        "east": Site(east, rate, busy),
+        "west": Site(west, rate, busy),
+        "s": Site(own, 10.0, 0.4),
+    }
 
 
 def fallen(play, good, most=60):
--- a/tests/site/test_conductor.py
+++ b/tests/site/test_conductor.py
@@ -12,12 +12,16 @@
     play = Play()
     assert play.wave is None and play.opens == ["iron"]
     play.done(play.one.stands(10.0, "iron", "h3"))
-    assert play.wave.wave == 1 and ("iron", "h3") in [(c.function, c.host) for c in play.wave.copies]
+    assert play.wave.wave == 1 and ("iron", "h3") in [
+        (c.function, c.host) for c in play.wave.copies
+    ]
     play.later(2000.0)
     play.confirm(["a"])
     assert play.wave.wave == 1 and play.one.state == "moving", "b has not confirmed"
     play.confirm(["b"])
-    assert play.wave.wave == 2 and [a.share for a in play.wave.away if a.function == "gold"] == [1.0]
+    assert play.wave.wave == 2 and [a.share for a in play.wave.away if a.function == "gold"] == [
+        1.0
+    ]
 
 
 def test_a_straggler_is_waited_for_so_long_and_no_longer():
@@ -41,7 +45,9 @@
         play.done(play.one.stands(play.now, "iron", "h3"))
         play.later(2000.0)
         play.confirm()
-    assert "zinc" not in {a.function for a in play.wave.away} and "zinc" in play.one.openings.opening
+    assert (
+        "zinc" not in {a.function for a in play.wave.away} and "zinc" in play.one.openings.opening
+    )
     play.done(play.one.stands(play.now, "zinc", "h4"))
     assert {a.function: a.share for a in play.wave.away}["zinc"] == 1.0
 
@@ -65,12 +71,16 @@
     last = play.wave
     after = Play(last=last, number=2)
     assert after.one.wave > last.wave and after.one.at == 2
-    more = Play([*LOTS, Lot("new", 30.0, 9.0)], last=Wave("s", 2, 9, "a", "empty", last.away), number=3)
+    more = Play(
+        [*LOTS, Lot("new", 30.0, 9.0)], last=Wave("s", 2, 9, "a", "empty", last.away), number=3
+    )
     assert more.wave.state == "emptying", "what is steered there no more is not steered there again"
     shares = {a.function: a.share for a in last.away}
     after.later(2000.0)
     after.confirm()
-    assert all({a.function: a.share for a in after.wave.away}.get(f, 0) >= s for f, s in shares.items())
+    assert all(
+        {a.function: a.share for a in after.wave.away}.get(f, 0) >= s for f, s in shares.items()
+    )
 
 
 def test_undo_brings_sessions_back_in_the_same_order_reversed():
@@ -95,7 +105,11 @@
     play.done(play.one.operator(1.0, "hold"))
     assert play.wave.state == "held" and not play.later(60000.0)
     after = Play(last=play.wave, number=2)
-    assert after.wave.state == "held" and after.wave.why == "by an operator" and not after.later(60000.0)
+    assert (
+        after.wave.state == "held"
+        and after.wave.why == "by an operator"
+        and not after.later(60000.0)
+    )
     for held in (play, after):
         held.done(held.one.operator(held.now, "resume"))
         assert held.opens == ["iron"]
--- a/tests/site/test_room.py
+++ b/tests/site/test_room.py
@@ -58,7 +58,9 @@
         play.confirm()
         play.done(play.one.stands(10.0, "iron", "h3"))
         took.append(fallen(play, good))
-        assert play.wave.wave == 2 and play.wave.away == [] and "before" in play.one.why, "the first wave went back"
+        assert play.wave.wave == 2 and play.wave.away == [] and "before" in play.one.why, (
+            "the first wave went back"
+        )
     assert took[0] > 4000.0 > 1.2 * took[1]
 
 
--- a/tests/site/test_waves.py
+++ b/tests/site/test_waves.py
@@ -13,20 +13,32 @@
 from cherrydoor.site.neighbours import Site, gathered_sites, room_of
 from cherrydoor.site.plan import REST, Lot, gathered, merged, plan, served
 
-LOTS = [Lot("gold", 10.0, 5.0, hosts=("h1",)), Lot("iron", 20.0, 1.0), Lot("lead", 10.0, 0.5, hosts=("h2",))]
+LOTS = [
+    Lot("gold", 10.0, 5.0, hosts=("h1",)),
+    Lot("iron", 20.0, 1.0),
+    Lot("lead", 10.0, 0.5, hosts=("h2",)),
+]
 
 
 def test_waves_go_by_benefit_then_by_what_moving_costs_and_are_bounded():
     made = plan(LOTS, 100.0, 0.25)
     assert [[(s.function, round(s.share, 2), s.opens) for s in wave] for wave in made.waves] == [
-        [("gold", 1.0, False)], [("iron", 0.5, True)], [("iron", 1.0, False)], [("lead", 1.0, False)]]
+        [("gold", 1.0, False)],
+        [("iron", 0.5, True)],
+        [("iron", 1.0, False)],
+        [("lead", 1.0, False)],
+    ]
     assert made.missing == 0.0 and made.sure == len(made.waves)
 
 
 def test_what_goes_beyond_the_room_that_is_known_goes_last_and_in_smaller_waves():
     made = plan(LOTS, 25.0, 0.5)
     assert [[(s.function, round(s.share, 2)) for s in wave] for wave in made.waves] == [
-        [("gold", 1.0), ("iron", 0.5)], [("iron", 0.75)], [("iron", 1.0), ("lead", 0.5)], [("lead", 1.0)]]
+        [("gold", 1.0), ("iron", 0.5)],
+        [("iron", 0.75)],
+        [("iron", 1.0), ("lead", 0.5)],
+        [("lead", 1.0)],
+    ]
     assert made.sure == 2 and made.missing == 15.0 and "15.0 are missing" in made.refusal()
 
 
@@ -40,7 +52,10 @@
     assert {lot.function: lot.kind for lot in lots} == {"big": "redeliverable", REST: "keyed"}
 
 
-@given(st.lists(st.tuples(st.floats(0.5, 50), st.floats(0.1, 9)), min_size=1, max_size=9), st.floats(0.0, 200.0))
+@given(
+    st.lists(st.tuples(st.floats(0.5, 50), st.floats(0.1, 9)), min_size=1, max_size=9),
+    st.floats(0.0, 200.0),
+)
 @settings(max_examples=200, deadline=None)
 def test_greedy_by_benefit_is_what_a_fractional_knapsack_would_take(given_, room):
     """Shares can be split, so the order of benefit is the best there is: the gap to a solver's bound is none."""
@@ -53,7 +68,10 @@
 
 
 def test_room_is_what_busy_neighbours_leave_and_unknown_where_none_tells():
-    assert room_of({"a": Site(4, 50.0, 0.9), "b": Site(4, 40.0, 0.5), "c": Site(4, 40.0, None)}, "a") == 32.0
+    assert (
+        room_of({"a": Site(4, 50.0, 0.9), "b": Site(4, 40.0, 0.5), "c": Site(4, 40.0, None)}, "a")
+        == 32.0
+    )
     assert room_of({"a": Site(4, 50.0, 0.9), "b": Site(4, 40.0, None)}, "a") is None
 
 
@@ -64,13 +82,22 @@
 
 
 def test_versions_of_a_function_move_as_one_and_copies_stay_each_versions_own():
-    told = [LotTold("deed@1", 2.0, hosts=["h1"]), LotTold("deed@2", 1.0, 3.0, "keyed", hosts=["h2"]),
-            LotTold("other", 1.0)]
+    told = [
+        LotTold("deed@1", 2.0, hosts=["h1"]),
+        LotTold("deed@2", 1.0, 3.0, "keyed", hosts=["h2"]),
+        LotTold("other", 1.0),
+    ]
     lots, copies = merged(told, plain(object()))
     assert [(lot.function, lot.rate, lot.benefit, lot.kind) for lot in lots] == [
-        ("deed", 3.0, 3.0, "keyed"), ("other", 1.0, 1.0, "redeliverable")]
+        ("deed", 3.0, 3.0, "keyed"),
+        ("other", 1.0, 1.0, "redeliverable"),
+    ]
     assert copies == [("deed", "deed@1", "h1"), ("deed", "deed@2", "h2")]
-    assert [lot.function for lot in merged(told, plain(None))[0]] == ["deed@1", "deed@2", "other"], "no releases here"
+    assert [lot.function for lot in merged(told, plain(None))[0]] == [
+        "deed@1",
+        "deed@2",
+        "other",
+    ], "no releases here"
 
 
 def test_a_release_loads_ahead_outside_a_site_whose_sessions_have_moved_as_well():
@@ -130,7 +157,9 @@
     assert away(follower, "gold").away == "s" and not away(follower, "lead").defer
     follower.hear(0.0, wave(1, 2, "emptying", ["lead"], gold=1.0))
     assert "no room" in away(follower, "lead").defer and not away(follower, "gold").defer
-    assert away(follower, "unheard of").away == "s", "nothing new is steered there once it is to be empty"
+    assert away(follower, "unheard of").away == "s", (
+        "nothing new is steered there once it is to be empty"
+    )
 
 
 def test_a_keyed_event_does_not_move_while_a_part_of_the_hosts_remembers_its_mark():
@@ -142,4 +171,8 @@
 
 
 def test_a_session_is_a_document_else_a_party_and_function():
-    assert follow.session("doc", "p", "f") == follow.session("doc", "q", "g") != follow.session("", "p", "f")
+    assert (
+        follow.session("doc", "p", "f")
+        == follow.session("doc", "q", "g")
+        != follow.session("", "p", "f")
+    )
--- a/tests/tenure/test_every_order.py
+++ b/tests/tenure/test_every_order.py
@@ -10,7 +10,7 @@
 from cherrydoor.frames.peers import Granted, Seek
 from cherrydoor.tenure.decide import Contender, Ended, Held, Keeper, Promises, Terms
 
-MOST = 4500         # worlds looked at in the three searches: the bound that is stated in docs/tenure.md
+MOST = 4500  # worlds looked at in the three searches: the bound that is stated in docs/tenure.md
 STEPS = (0.0, 450.0, 1100.0)
 
 
@@ -30,7 +30,13 @@
         if one.at <= world.now or one.state == "holding" and world.now >= one.until:
             found.append((f"{name} turns", lambda w, n=name: w.tick(n), faults))
         elif not world.flight or one.at - world.now < 1.0:
-            found.append((f"until {name}", lambda w, n=name: w.step(max(0.0, w.contenders[n].at - w.now)), faults))
+            found.append(
+                (
+                    f"until {name}",
+                    lambda w, n=name: w.step(max(0.0, w.contenders[n].at - w.now)),
+                    faults,
+                )
+            )
     for ms in STEPS[1:]:
         found.append((f"{ms} later", lambda w, ms=ms: w.step(ms), faults))
     return found
@@ -91,7 +97,9 @@
         if rng.random() < crash:
             # a majority that keeps its promises: the file of one keeper at a time may be lost
             name = rng.choice(world.names)
-            lost = rng.random() < 0.5 and all(k.silent_until <= world.now for k in world.keepers.values())
+            lost = rng.random() < 0.5 and all(
+                k.silent_until <= world.now for k in world.keepers.values()
+            )
             world.restart(name, not lost)
         if world.wrong:
             return world.wrong[0], world.acted
@@ -168,11 +176,15 @@
 LONG = Terms(term=1000.0, drift=0.01, margin=-30.0, longest=1000.0)
 
 
-@pytest.mark.parametrize("out", [
-    {"keep": NoSilence}, {"make": FromAnswer}, {"keep": NoPromise}, {"keep": NoNumber}],
-    ids=["silence after a loss", "asking time", "promises at a start", "rising number"])
+@pytest.mark.parametrize(
+    "out",
+    [{"keep": NoSilence}, {"make": FromAnswer}, {"keep": NoPromise}, {"keep": NoNumber}],
+    ids=["silence after a loss", "asking time", "promises at a start", "rising number"],
+)
 def test_each_guard_taken_out_is_caught(out):
-    assert any(history(seed, **out)[0] for seed in range(300)), "no history of these needs this guard"
+    assert any(history(seed, **out)[0] for seed in range(300)), (
+        "no history of these needs this guard"
+    )
 
 
 def all_to(world, to):
@@ -207,7 +219,7 @@
     world = holding(make=make)
     world.step(world.contenders["a"].at)
     world.tick("a")
-    all_to(world, "keepers")            # their answers are long under way, and the next round is lost
+    all_to(world, "keepers")  # their answers are long under way, and the next round is lost
     held = list(world.flight)
     world.step(world.contenders["a"].at - world.now)
     world.tick("a")
--- a/tests/tenure/test_one_holder.py
+++ b/tests/tenure/test_one_holder.py
@@ -13,8 +13,12 @@
 
 def numbers(fleet):
     """Every number under which a task was held by anybody, as logged."""
-    found = [int(re.search(r"number\W+(\d+)", line)[1]) for gate in fleet.gates
-             for line in gate.logged("a task is held") if TASK in line]
+    found = [
+        int(re.search(r"number\W+(\d+)", line)[1])
+        for gate in fleet.gates
+        for line in gate.logged("a task is held")
+        if TASK in line
+    ]
     return sorted(found)
 
 
@@ -27,7 +31,7 @@
 async def test_a_killed_holder_is_followed_under_a_higher_number(tmp_path):
     async with Fleet(tmp_path, 6) as fleet:
         await fleet.together()
-        await want(fleet.gates[3:])         # none of them a keeper: two kills leave a majority
+        await want(fleet.gates[3:])  # none of them a keeper: two kills leave a majority
         holder, number = await fleet.holder(TASK)
         for _ in range(2):
             await holder.kill()
@@ -49,7 +53,10 @@
         heir, higher = await fleet.holder(TASK, number, others)
         holder.signal(signal.SIGCONT)
         await until(lambda: asyncio.sleep(0, holder.logged("no longer held")), bool)
-        assert await holder.held(TASK) != number and (await heir.held(TASK) or higher) >= higher > number
+        assert (
+            await holder.held(TASK) != number
+            and (await heir.held(TASK) or higher) >= higher > number
+        )
 
 
 @story
@@ -84,7 +91,9 @@
 
 
 @story
-async def test_keepers_that_come_up_with_their_promises_and_without_keep_the_numbers_rising(tmp_path):
+async def test_keepers_that_come_up_with_their_promises_and_without_keep_the_numbers_rising(
+    tmp_path,
+):
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.together()
         await want(fleet.gates[3:])
@@ -97,7 +106,10 @@
             await keeper.start()
             if not kept:
                 assert (await keeper.ask(do="tenures"))["keeper"]["silent"] > 0
-                await until(lambda keeper=keeper: keeper.ask(do="tenures"), lambda said: not said["keeper"]["silent"])
+                await until(
+                    lambda keeper=keeper: keeper.ask(do="tenures"),
+                    lambda said: not said["keeper"]["silent"],
+                )
             await fleet.together()
         holder, _ = await fleet.holder(TASK)
         assert (await holder.ask(do="yield", task=TASK)) is not None
@@ -108,6 +120,7 @@
 
 def test_a_file_of_promises_is_believed_by_its_checksum_and_its_owner_alone(tmp_path):
     from cherrydoor.tenure.decide import Promise, Promises
+
     kept = Promises(7, {"a": Promise(9, "g1", 5.0, 800.0)})
     data = seal("g0", kept)
     assert unseal("g0", data) == kept
--- a/tests/tenure/world.py
+++ b/tests/tenure/world.py
@@ -38,7 +38,9 @@
             number = self.held[name][0]
             if number >= self.acted:
                 self.acted = number
-            elif self.lost:     # a keeper forgot what it had promised: what is acted on refuses, and tells
+            elif (
+                self.lost
+            ):  # a keeper forgot what it had promised: what is acted on refuses, and tells
                 self.refused += 1
                 self.carry_out(name, self.contenders[name].outdone(self.now, self.acted))
             else:
@@ -91,13 +93,31 @@
     def mark(self):
         """What tells two worlds apart: all that decides what can follow."""
         soon = 100 * self.terms.term
-        rel = lambda t: round(min(soon, max(-soon, t - self.now)), 1)     # noqa: E731
-        keepers = tuple((rel(k.silent_until) if k.silent_until > self.now else 0, tuple(
-            (t, p.number, p.holder, rel(p.until) if p.holder else 0) for t, p in k.kept.tasks.items())
-            ) for k in self.keepers.values())
-        contenders = tuple((c.state, c.number, c.highest, c.round, rel(c.asked), rel(c.until) if c.state == "holding"
-                            else 0, rel(c.at), tuple(sorted(c.grants)), tuple(sorted(c.refusals)))
-                           for c in self.contenders.values())
+        rel = lambda t: round(min(soon, max(-soon, t - self.now)), 1)  # noqa: E731
+        keepers = tuple(
+            (
+                rel(k.silent_until) if k.silent_until > self.now else 0,
+                tuple(
+                    (t, p.number, p.holder, rel(p.until) if p.holder else 0)
+                    for t, p in k.kept.tasks.items()
+                ),
+            )
+            for k in self.keepers.values()
+        )
+        contenders = tuple(
+            (
+                c.state,
+                c.number,
+                c.highest,
+                c.round,
+                rel(c.asked),
+                rel(c.until) if c.state == "holding" else 0,
+                rel(c.at),
+                tuple(sorted(c.grants)),
+                tuple(sorted(c.refusals)),
+            )
+            for c in self.contenders.values()
+        )
         held = tuple(sorted((n, number, rel(until)) for n, (number, until) in self.held.items()))
         flight = tuple(sorted(repr(f) for f in self.flight.values()))
         return hash((keepers, contenders, held, flight, self.acted, self.lost))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,8 +8,14 @@
 from cherrydoor.adapter.__main__ import main
 from cherrydoor.adapter.wire import done
 
-SAID = {"me": 0, "instances": 1, "unheard": {"of": 1}, "zone": "z", "permissions": {"maxAttempts": 2},
-        "requestClasses": [{"name": "c", "aim": 500000, "deadline": 900000, "repeat": "repeatable"}]}
+SAID = {
+    "me": 0,
+    "instances": 1,
+    "unheard": {"of": 1},
+    "zone": "z",
+    "permissions": {"maxAttempts": 2},
+    "requestClasses": [{"name": "c", "aim": 500000, "deadline": 900000, "repeat": "repeatable"}],
+}
 OPEN = f"""batch 1000
 new_instance gateway_0 5 {json.dumps(SAID)}
 peers_known gateway_0 1 SAVED 2
@@ -29,15 +35,22 @@
     code, out, err = talk(
         OPEN + "batch 1001\n" + KNOCK + "your_turn\nbatch 41001\n"
         "done gateway_0 77 40000 0 turned_away 0 10.0.0.1:8080 8 odd:1.5\nyour_turn\n"
-        "batch 41002\nbell gateway_0 sweep\ndetach gateway_0\nyour_turn\n")
+        "batch 41002\nbell gateway_0 sweep\ndetach gateway_0\nyour_turn\n"
+    )
     assert (code, err) == (0, "") and out.count("ready") == 4
     assert "pass_on gateway_0 77 10.0.0.1:8080 -" in out and "shed gateway_0 77 -" in out
 
 
 def test_bad_input_is_named_and_ends_it():
-    for bad in ("knock gateway_0 77 c - 00ff", "knock gateway_9 7", "hello gateway_0", "detach",
-                "bell gateway_0 ", "done gateway_0 77 40000 0 odd 0 10.0.0.1:8080 8 -",
-                "cancelled_by_client gateway_0 x"):
+    for bad in (
+        "knock gateway_0 77 c - 00ff",
+        "knock gateway_9 7",
+        "hello gateway_0",
+        "detach",
+        "bell gateway_0 ",
+        "done gateway_0 77 40000 0 odd 0 10.0.0.1:8080 8 -",
+        "cancelled_by_client gateway_0 x",
+    ):
         code, _, err = talk(OPEN + "batch 1001\n" + bad + "\nyour_turn\n")
         assert code != 0 and "line 8" in err, bad
     assert talk("bunch 1\n")[0] != 0 and talk(OPEN + "batch 1001\n")[0] != 0
@@ -49,7 +62,16 @@
 
 
 def test_what_a_deployment_does_not_tell_is_none_and_a_failed_load_is_told_everywhere():
-    words = ["77", "40000", "0", "served", "1", "10.0.0.1:8080", "-", "inflight:3,queue:1,x0:0.5,odd:2"]
+    words = [
+        "77",
+        "40000",
+        "0",
+        "served",
+        "1",
+        "10.0.0.1:8080",
+        "-",
+        "inflight:3,queue:1,x0:0.5,odd:2",
+    ]
     mute = LEASE._replace(tells_copy=False, tells_crowd=False)
     told, untold = done(words, LEASE), done(words, mute)
     assert (told.copy, told.crowd) == (0, 0) and (untold.copy, untold.crowd) == (None, None)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,7 +12,7 @@
 
 CORES = 2
 HOSTS, COLD_HOST = "abcdefghij", "k"
-SETTLED, COLD = 20000.0, 10000.0        # ms until the cold host starts, and from there until it is warm
+SETTLED, COLD = 20000.0, 10000.0  # ms until the cold host starts, and from there until it is warm
 MULTIPLE, FALL = 3.0, 3000.0
 FUNCTIONS = 60
 
@@ -26,20 +26,46 @@
         self.work, self.cold_from = work, cold_from
         self.random, self.queue, self.serial, self.pressed = random.Random(seed), [], 0, []
         self.free, self.told = dict.fromkeys(HOSTS + COLD_HOST, 0.0), [SETTLED + COLD] * gateways
-        lease = io.Lease(0, gateways, 0, "z", 1.0, (io.Clause("draft", 750.0, 2500.0),), launches=6, recalls=True,
-                         probes=True, cold_from=cold_from, cold=COLD, fall_multiple=MULTIPLE, fall=FALL, linger=8000.0)
-        self.gateways = [Gateway(lease._replace(me=i, seed=seed * 1000 + i)) for i in range(gateways)]
+        lease = io.Lease(
+            0,
+            gateways,
+            0,
+            "z",
+            1.0,
+            (io.Clause("draft", 750.0, 2500.0),),
+            launches=6,
+            recalls=True,
+            probes=True,
+            cold_from=cold_from,
+            cold=COLD,
+            fall_multiple=MULTIPLE,
+            fall=FALL,
+            linger=8000.0,
+        )
+        self.gateways = [
+            Gateway(lease._replace(me=i, seed=seed * 1000 + i)) for i in range(gateways)
+        ]
         self.open, self.tries, self.events = {}, {}, 0
         rows = [io.Row(name, io.READY, 0.0, "z", 0) for name in HOSTS + COLD_HOST]
         for number, gateway in enumerate(self.gateways):
             self.act(number, 0.0, gateway.start(0.0))
             self.at(0.0, self.note, number, io.Listing(io.SAVED, tuple(rows)))
             late = self.told[number] = SETTLED + self.random.uniform(200.0, 2500.0)
-            self.at(late, self.note, number, io.Listing(
-                io.CHANGES, (io.Row(COLD_HOST, io.READY, SETTLED, "z", 0),)))
+            self.at(
+                late,
+                self.note,
+                number,
+                io.Listing(io.CHANGES, (io.Row(COLD_HOST, io.READY, SETTLED, "z", 0),)),
+            )
             if surge:
-                self.at(SETTLED + surge + self.random.uniform(0.0, 1000.0), self.note, number, io.Listing(
-                    io.CHANGES, tuple(row._replace(state=io.DRAINING) for row in rows[:-1])))
+                self.at(
+                    SETTLED + surge + self.random.uniform(0.0, 1000.0),
+                    self.note,
+                    number,
+                    io.Listing(
+                        io.CHANGES, tuple(row._replace(state=io.DRAINING) for row in rows[:-1])
+                    ),
+                )
         rate = load * (len(HOSTS) + 1) * CORES / work
         when = 0.0
         while when < SETTLED + COLD:
@@ -60,7 +86,9 @@
         number = self.random.randrange(len(self.gateways))
         self.events += 1
         function = f"f{min(int(self.random.paretovariate(0.5)), FUNCTIONS)}"
-        self.note(now, number, io.Arrival(self.events, "draft", "", function, now + 2500.0, 4.0, 0.0))
+        self.note(
+            now, number, io.Arrival(self.events, "draft", "", function, now + 2500.0, 4.0, 0.0)
+        )
 
     def note(self, now, number, note):
         self.act(number, now, self.gateways[number].take(now, note))
@@ -76,8 +104,12 @@
                 if action.host == COLD_HOST and now >= SETTLED:
                     self.pressed.append((now, now >= self.told[number]))
                 took = self.serve(now, action.host)
-                self.at(now + took, self.note, number, io.Outcome(
-                    action.event, index, io.HANDLED, True, action.host, took, 1, 0))
+                self.at(
+                    now + took,
+                    self.note,
+                    number,
+                    io.Outcome(action.event, index, io.HANDLED, True, action.host, took, 1, 0),
+                )
 
     def serve(self, now, host):
         """Time to the answer: requests of a host wait in turn for all that its cores can do."""
@@ -87,7 +119,11 @@
 
     def level(self, now):
         """The share of its capacity that the cold host has then."""
-        return min(1.0, self.cold_from + (1 - self.cold_from) * (now - SETTLED) / COLD) if now >= SETTLED else 1.0
+        return (
+            min(1.0, self.cold_from + (1 - self.cold_from) * (now - SETTLED) / COLD)
+            if now >= SETTLED
+            else 1.0
+        )
 
     def allowed(self, start):
         """What the settings allow in the window that begins then: multiple times capacity times window, and chance."""
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -8,9 +8,15 @@
 
 
 def command(*words, **more):
-    return subprocess.Popen([sys.executable, "-m", "cherrydoor", *words], stdin=subprocess.PIPE, text=True,
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-                            env=os.environ | {"PYTHONPATH": os.getcwd()}, **more)
+    return subprocess.Popen(
+        [sys.executable, "-m", "cherrydoor", *words],
+        stdin=subprocess.PIPE,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        env=os.environ | {"PYTHONPATH": os.getcwd()},
+        **more,
+    )
 
 
 def ready(process):
@@ -24,13 +30,15 @@
     hosts = ready(parts[1])["hosts"]
     parts.append(command("list", *(word for host in hosts for word in ("--host", host))))
     lease = tmp_path / "g.lease"
-    lease.write_text(f'name: "g"\nnumber: 0\ngateways: 1\nlist: "127.0.0.1:{ready(parts[2])["port"]}"\n'
-                     'clauses: [{name: "draft", target: 2s, max_age: 20s}]\nmay: {launches: 3, recall: true}\n')
+    lease.write_text(
+        f'name: "g"\nnumber: 0\ngateways: 1\nlist: "127.0.0.1:{ready(parts[2])["port"]}"\n'
+        'clauses: [{name: "draft", target: 2s, max_age: 20s}]\nmay: {launches: 3, recall: true}\n'
+    )
     parts.append(command("gateway", "--lease", str(lease), "--announce"))
     try:
         door = f"127.0.0.1:{ready(parts[3])['port']}"
         words = ["send", door, "--clause", "draft", "--lasts", "20000", "--body", "abc", "--json"]
-        for _ in range(50):             # until the gateway has heard of its hosts
+        for _ in range(50):  # until the gateway has heard of its hosts
             sent = command(*words)
             out, _ = sent.communicate(timeout=60)
             if sent.returncode == 0:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -85,15 +85,25 @@
     assert fleet.gate.may(event, a) and fleet.gate.may(event, b)
     event.away = "north"
     assert not fleet.gate.may(event, a) and fleet.gate.may(event, b)
-    assert fleet.gate.zone.outside(func.name, "south") == ["a"] and fleet.gate.zone.outside(func.name, "north") == []
+    assert (
+        fleet.gate.zone.outside(func.name, "south") == ["a"]
+        and fleet.gate.zone.outside(func.name, "north") == []
+    )
     assert fleet.gate.zone.outside("never called", "north") == []
-    assert {zone: hosts for zone, _, _, hosts in fleet.gate.zone.sites()} == {"north": 1, "south": 1}
+    assert {zone: hosts for zone, _, _, hosts in fleet.gate.zone.sites()} == {
+        "north": 1,
+        "south": 1,
+    }
     a.shut = 1e18
-    assert {zone: hosts for zone, _, _, hosts in fleet.gate.zone.sites()} == {"north": 0, "south": 1}
+    assert {zone: hosts for zone, _, _, hosts in fleet.gate.zone.sites()} == {
+        "north": 0,
+        "south": 1,
+    }
 
 
 class Open:
     """An event that the gate has no other objection to."""
+
     over = streams = False
     until, tries, kind, away = 1e18, (), None, ""
 
@@ -129,7 +139,9 @@
 
 def test_a_function_foreseen_is_opened_at_its_home_within_the_ration_and_never_at_one_that_drains():
     fleet = Fleet(orders=True, loads_free=2.0, loads_share=0.1, loads_within=5000.0)
-    orders = [a for i in range(6) for a in fleet.take(io.Foreseen(f"deed@{i}")) if isinstance(a, io.Order)]
+    orders = [
+        a for i in range(6) for a in fleet.take(io.Foreseen(f"deed@{i}")) if isinstance(a, io.Order)
+    ]
     assert len(orders) == 2 and orders[0].function == "deed@0"
     home = orders[0].host
     assert fleet.take(io.Foreseen("deed@0")) == [], "one order is out already"
@@ -145,14 +157,18 @@
     fleet = Fleet(orders=True, misses=True)
     event, _ = fleet.event()
     found = fleet.answer(event, io.MISSING)
-    assert kinds(found) == [io.Order] and str(event) in [a.token for a in found if isinstance(a, io.Ring)]
+    assert kinds(found) == [io.Order] and str(event) in [
+        a.token for a in found if isinstance(a, io.Ring)
+    ]
     fleet.rest(100)
     fleet.take(io.Wake(str(event)))
     assert fleet.sent[event] == [found[0].host] * 2
     brief, _ = fleet.event("other", max_age=200.0)
     found = fleet.answer(brief, io.MISSING, later=180.0)
     assert [a.at for a in found if isinstance(a, io.Ring)][0] < fleet.gate.events[brief].until
-    assert kinds(fleet.take(io.Wake(str(brief)), later=25.0)) == [io.Defer]     # in time for its client
+    assert kinds(fleet.take(io.Wake(str(brief)), later=25.0)) == [
+        io.Defer
+    ]  # in time for its client
 
 
 def test_overload_defers_what_would_be_late_and_launches_nothing_further():
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -43,7 +43,7 @@
     fleet = Fleet()
     home = fleet.handle("rare")
     host = fleet.gate.hosts[home]
-    while not host.busy():       # busy with another function that lives there
+    while not host.busy():  # busy with another function that lives there
         host.post("sent", Stuck(host), fleet.now)
         fleet.list()
     assert fleet.handle("rare") == home
@@ -51,6 +51,7 @@
 
 class Stuck:
     """A launch of some other function, as a host's inbox sees it."""
+
     stood, sent, silent, clause = True, 0.0, False, io.Clause("other", 500.0, 5000.0)
 
     def __init__(self, host):
@@ -62,7 +63,7 @@
     fleet = Fleet()
     home = fleet.handle("deed")
     swept = next(f for f in (f"f{i}" for i in range(50)) if fleet.handle(f) == home)
-    fleet.event(swept)                              # its copy was swept out: it waits for a load
+    fleet.event(swept)  # its copy was swept out: it waits for a load
     for _ in range(4):
         assert fleet.handle("deed", later=120.0) == home
     stuck = fleet.gate.hosts[home]
@@ -98,7 +99,9 @@
     for crowd, spread in ((0, 1), (2, 2)):
         fleet = Fleet(gateways=100)
         fleet.crowd = crowd
-        hosts = {fleet.handle("deed")} | {fleet.sent[fleet.event("deed", later=1.0)[0]][0] for _ in range(2)}
+        hosts = {fleet.handle("deed")} | {
+            fleet.sent[fleet.event("deed", later=1.0)[0]][0] for _ in range(2)
+        }
         assert len(hosts) == spread
 
 
@@ -138,7 +141,7 @@
     fleet = Fleet()
     fleet.crowd = 1
     home = fleet.gate.hosts[fleet.handle("deed")]
-    home.others = Tally(fleet.now, 20.0)        # as the home's report told
+    home.others = Tally(fleet.now, 20.0)  # as the home's report told
     assert fleet.handle("deed") != home.id
     fleet.now += 20000
     assert fleet.handle("deed") == home.id
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,22 +13,42 @@
 def run(folder, known):
     """The exit code and output of a run with these lines in the file; None for no file."""
     (folder / "conftest.py").write_text(CONFTEST.read_text())
-    (folder / "test_it.py").write_text("def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n")
+    (folder / "test_it.py").write_text(
+        "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
+    )
     if known is not None:
         (folder / "KNOWN-RED.txt").write_text(known)
-    done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir", str(folder)],
-                          cwd=folder, capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir", str(folder)],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
-@pytest.mark.parametrize("known, code, said", [
-    (None, 1, "1 failed, 1 passed"), ("\n", 1, "1 failed, 1 passed"),
-    (f"{RED} | the host loses it | issue 7\n", 0, f"KNOWN RED: {RED}: the host loses it (issue 7)"),
-    (f"{RED} | a | 7\n{GREEN} | b | 8\n", 1, "[XPASS(strict)]"),
-    (f"{RED} | a | 7\ntest_it.py::test_gone | b | 8\n", 4, "no such test: test_it.py::test_gone"),
-    ("test_gone.py::test_red | a | 7\n", 4, "no such test: test_gone.py::test_red"),
-    (f"{RED} | a | 7\n" * 4, 4, "4 tests are listed, 3 at most"),
-    (f"{RED} | a\n", 4, "KNOWN-RED.txt:1: 'test id | cause | issue' expected")])
+@pytest.mark.parametrize(
+    "known, code, said",
+    [
+        (None, 1, "1 failed, 1 passed"),
+        ("\n", 1, "1 failed, 1 passed"),
+        (
+            f"{RED} | the host loses it | issue 7\n",
+            0,
+            f"KNOWN RED: {RED}: the host loses it (issue 7)",
+        ),
+        (f"{RED} | a | 7\n{GREEN} | b | 8\n", 1, "[XPASS(strict)]"),
+        (
+            f"{RED} | a | 7\ntest_it.py::test_gone | b | 8\n",
+            4,
+            "no such test: test_it.py::test_gone",
+        ),
+        ("test_gone.py::test_red | a | 7\n", 4, "no such test: test_gone.py::test_red"),
+        (f"{RED} | a | 7\n" * 4, 4, "4 tests are listed, 3 at most"),
+        (f"{RED} | a\n", 4, "KNOWN-RED.txt:1: 'test id | cause | issue' expected"),
+    ],
+)
 def test_known_failures_are_expected_strictly_and_wrong_lists_are_red(tmp_path, known, code, said):
     found, output = run(tmp_path, known)
     assert found == code and said in output, output
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -14,14 +14,18 @@
     fleet = Fleet()
     fleet.crowd = 1
     home = fleet.handle("deed")
-    second = next(h for h in (fleet.sent[fleet.event("deed")[0]][0] for _ in range(12)) if h != home)
+    second = next(
+        h for h in (fleet.sent[fleet.event("deed")[0]][0] for _ in range(12)) if h != home
+    )
     assert second in fleet.rows and len({fleet.sent[e][0] for e in fleet.sent}) == 2
     calm = Fleet()
     first = calm.handle("deed")
     for _ in range(3):
         assert calm.sent[calm.event("deed")[0]][0] == first
     calm.rest(60000)
-    assert "deed" not in calm.gate.history.functions or calm.gate.history.functions["deed"].count < 1
+    assert (
+        "deed" not in calm.gate.history.functions or calm.gate.history.functions["deed"].count < 1
+    )
 
 
 def test_home_at_t2_sheds_until_below_t1():
@@ -63,7 +67,7 @@
     other = next(h for h in "abcd" if h != home)
     fleet.gate.history.functions["deed"].copies[fleet.gate.hosts[other]] = fleet.now
     fleet.event("deed")
-    fleet.now += 600        # the home has stalled, and no sweep has come yet
+    fleet.now += 600  # the home has stalled, and no sweep has come yet
     assert fleet.handle("deed") == other
 
 
@@ -77,7 +81,7 @@
     fleet.list(io.CHANGES, **{home: {"state": io.GONE}, "zz": {"since": 1.0}})
     assert fleet.handle("deed") == "zz"
     for f, host in others.items():
-        assert fleet.handle(f) == ("zz" if host == home else host)      # no other range moved
+        assert fleet.handle(f) == ("zz" if host == home else host)  # no other range moved
 
 
 def test_cold_host_takes_its_range_back_bit_by_bit():
@@ -101,7 +105,7 @@
     fleet.now += 2000
     scout, _ = fleet.event("deed")
     assert fleet.sent[scout] == [home]
-    assert fleet.handle("deed") == stand_in         # home loads for the scout
+    assert fleet.handle("deed") == stand_in  # home loads for the scout
     fleet.answer(scout, copy=2)
     assert fleet.handle("deed") == home
 
@@ -119,13 +123,15 @@
     fleet = Fleet(orders=True)
     fleet.crowd = 1
     home = fleet.handle("deed")
-    _, found = fleet.event("deed")          # one stays out, so that the home is the busier of the two
+    _, found = fleet.event("deed")  # one stays out, so that the home is the busier of the two
     for _ in range(8):
         event, actions = fleet.event("deed", later=1.0)
         found += actions
         fleet.answer(event)
     order = next(a for a in found if isinstance(a, io.Order))
-    assert {h for hosts in fleet.sent.values() for h in hosts} == {home} and kinds(found).count(io.Order) == 1
+    assert {h for hosts in fleet.sent.values() for h in hosts} == {home} and kinds(found).count(
+        io.Order
+    ) == 1
     fleet.take(io.Loaded("deed", order.host, io.HANDLED, 1, 600.0))
     assert fleet.sent[fleet.event("deed")[0]] == [order.host]
 
@@ -138,9 +144,13 @@
         for _ in range(4):
             found += fleet.event("deed", later=1.0)[1]
         hosts = {fleet.sent[e][0] for e in range(2, 6)}
-        kept = fleet.gate.zone.kept(fleet.gate.history.functions["deed"])     # one alone knows by its own calls
+        kept = fleet.gate.zone.kept(
+            fleet.gate.history.functions["deed"]
+        )  # one alone knows by its own calls
         assert bool(kept) == (gateways == 200 and crowd == 8)
-        assert (hosts != {home} and not kinds(found).count(io.Order)) == (gateways == 200 and crowd == 8)
+        assert (hosts != {home} and not kinds(found).count(io.Order)) == (
+            gateways == 200 and crowd == 8
+        )
 
 
 def test_second_workers_that_too_little_work_calls_for_are_not_held_to_be_kept():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -8,7 +8,12 @@
 def untold(fleet, host, function, took=50.0, held=None, fate=io.HANDLED, later=10.0):
     """An event whose answer tells neither copy nor crowd."""
     event, _ = fleet.event(function, later=later)
-    fleet.take(io.Outcome(event, 0, fate, fate == io.HANDLED, fleet.sent[event][0], took, None, None, held), later)
+    fleet.take(
+        io.Outcome(
+            event, 0, fate, fate == io.HANDLED, fleet.sent[event][0], took, None, None, held
+        ),
+        later,
+    )
     return fleet.sent[event][0]
 
 
@@ -61,9 +66,9 @@
     assert home.busy() and home.wait(fleet.gate.history.functions["deed"]) > 375
     loads = Fleet(gateways=40)
     for _ in range(3):
-        loads.handle("deed", copy=2)    # the time of a load is none of the work's
+        loads.handle("deed", copy=2)  # the time of a load is none of the work's
     assert loads.gate.each == 0.0
-    few = Fleet("abcdef", gateways=3)   # own events out are a third of all: they tell
+    few = Fleet("abcdef", gateways=3)  # own events out are a third of all: they tell
     few.handle("deed")
     assert few.gate.each == 0.0
 
@@ -85,7 +90,10 @@
     fleet.events += 1
     fleet.take(io.Arrival(fleet.events, "book", "", rare, fleet.now + 5000.0, 4.0, 0.0))
     assert fleet.sent[fleet.events] != [home] and fleet.handle(rare) == home
-    deaf = [fleet.gate.hosts[home].deaf(clause, fleet.now) for clause in fleet.gate.deed.clauses.values()]
+    deaf = [
+        fleet.gate.hosts[home].deaf(clause, fleet.now)
+        for clause in fleet.gate.deed.clauses.values()
+    ]
     assert deaf == [False, True]
 
 
@@ -100,18 +108,24 @@
 
 
 def test_a_full_answer_is_the_queues_where_a_queue_is_reported_and_memorys_where_it_is_tied():
-    for crowd, queue, tied, memory in ((0, 9.0, None, False), (0, None, None, True), (None, None, 0.3, False),
-                                       (None, None, 0.97, True)):
+    for crowd, queue, tied, memory in (
+        (0, 9.0, None, False),
+        (0, None, None, True),
+        (None, None, 0.3, False),
+        (None, None, 0.97, True),
+    ):
         fleet = Fleet()
         event, _ = fleet.event("deed")
         home = fleet.gate.hosts[fleet.sent[event][0]]
-        fleet.take(io.Outcome(event, 0, io.FULL, False, home.id, 1.0, None, crowd, 10.0, queue, tied))
+        fleet.take(
+            io.Outcome(event, 0, io.FULL, False, home.id, 1.0, None, crowd, 10.0, queue, tied)
+        )
         assert (not home.roomy()) == memory, (crowd, queue, tied)
 
 
 def test_a_cold_fleet_bears_what_its_running_hosts_do_and_not_the_mean_of_all():
     def budgets(**cold):
-        fleet = Fleet("abcdefgh", gateways=200)     # so that the floor, a part of one event, is below
+        fleet = Fleet("abcdefgh", gateways=200)  # so that the floor, a part of one event, is below
         for i in range(200):
             fleet.handle(f"f{i % 20}", later=5.0)
         fleet.list(**{host: {"since": fleet.now} for host in cold})
@@ -122,7 +136,9 @@
 
     (first, more), (usual, each) = budgets(a=1, b=1, c=1, d=1), budgets()
     assert more > 1.3 * each, "what is answered from now on is borne by those that run"
-    assert first < 1.01 * usual, "what was answered before was borne by all: cold hosts get no more for it"
+    assert first < 1.01 * usual, (
+        "what was answered before was borne by all: cold hosts get no more for it"
+    )
 
 
 def test_a_gateway_that_stood_still_does_not_take_it_for_the_hosts_silence():
--- a/tests/versions/releases.py
+++ b/tests/versions/releases.py
@@ -9,7 +9,13 @@
     """Keeps what was said, and says what a test would."""
 
     def __init__(self):
-        self.now, self.versions, self.said, self.loads, self.unloads = NOW, d.Versions(NOW), [], [], []
+        self.now, self.versions, self.said, self.loads, self.unloads = (
+            NOW,
+            d.Versions(NOW),
+            [],
+            [],
+            [],
+        )
 
     def take(self, note):
         actions = self.versions.take(self.now, note)
--- a/tests/versions/test_decide.py
+++ b/tests/versions/test_decide.py
@@ -29,8 +29,15 @@
         gate.now += 100
         gate.end(gate.call("deed", f"d{i}"))
     assert gate.state() == d.COMPLETE and gate.call("deed", "x") == "deed@1"
-    assert [s[2] for s in gate.said] == ["announced", "loading", "trial, 20%", "trial, 40%", "trial, 70%",
-                                         "trial, 90%", "complete"]
+    assert [s[2] for s in gate.said] == [
+        "announced",
+        "loading",
+        "trial, 20%",
+        "trial, 40%",
+        "trial, 70%",
+        "trial, 90%",
+        "complete",
+    ]
     assert gate.unloads == [("deed", ("h",))] and gate.said[-1][3] == "proved"
 
 
@@ -88,7 +95,9 @@
     for i in range(4000):
         gate.now += 20
         name, party = gate.call("deed", f"d{i}"), "meadow" if i % 25 == 0 else "harbour"
-        gate.end(name, "error" if name == "deed@1" and party == "meadow" else "handled", party=party)
+        gate.end(
+            name, "error" if name == "deed@1" and party == "meadow" else "handled", party=party
+        )
         if gate.state() == d.WITHDRAWN:
             break
     assert gate.state() == d.WITHDRAWN and i < 3000
@@ -145,10 +154,14 @@
 def test_a_function_that_nobody_calls_here_comes_to_its_end_by_time():
     gate = Gate()
     gate.announce("rare", 1)
-    assert gate.loads == [] and gate.call("seldom") == "seldom" and gate.state("rare") == d.ANNOUNCED
+    assert (
+        gate.loads == [] and gate.call("seldom") == "seldom" and gate.state("rare") == d.ANNOUNCED
+    )
     gate.announce("seldom", 1)
     gate.wait(1000)
-    assert gate.loads == ["seldom@1"] and gate.call("seldom") == "seldom", "the old one serves while it loads"
+    assert gate.loads == ["seldom@1"] and gate.call("seldom") == "seldom", (
+        "the old one serves while it loads"
+    )
     gate.wait(2 * d.UNCALLED + 2000)
     assert gate.state("rare") == d.COMPLETE and "seldom called" in gate.said[-1][3]
     assert gate.call("rare") == "rare@1"
@@ -210,7 +223,11 @@
         if events % 100 == 0:
             gate.take(d.Tick())
     begun = [name for name in names if gate.state(name) != d.ANNOUNCED]
-    assert gate.versions.held_off() and len(begun) < 40 and ("", 0, "held off") in [s[:3] for s in gate.said]
+    assert (
+        gate.versions.held_off()
+        and len(begun) < 40
+        and ("", 0, "held off") in [s[:3] for s in gate.said]
+    )
     waiting = [name for name in names if gate.state(name) == d.ANNOUNCED]
     gate.wait(60000, 5000.0)
     assert all(gate.state(name) == d.ANNOUNCED and gate.call(name) == name for name in waiting)
@@ -252,7 +269,10 @@
 
 
 def test_few_good_versions_are_withdrawn_and_few_bad_ones_completed():
-    withdrawn = sum(d.WITHDRAWN in Fleet(seed, 4, 20.0, before=0.02, fails=0.02).run(200)[1] for seed in range(16))
+    withdrawn = sum(
+        d.WITHDRAWN in Fleet(seed, 4, 20.0, before=0.02, fails=0.02).run(200)[1]
+        for seed in range(16)
+    )
     assert withdrawn <= 1
     completed = sum(d.COMPLETE in Fleet(seed, 4, 20.0, fails=0.1).run(200)[1] for seed in range(16))
     assert completed <= 1
@@ -276,12 +296,30 @@
 
 
 names = st.sampled_from(["deed", "lease"])
-notes = st.lists(st.one_of(
-    st.tuples(st.just("fed"), names, st.integers(1, 4), st.sampled_from([d.ANNOUNCED, d.WITHDRAWN, d.COMPLETE])),
-    st.tuples(st.just("ordered"), names, st.sampled_from(["hold", "go on", "withdraw", "complete"])),
-    st.tuples(st.just("event"), names, st.integers(0, 50), st.sampled_from(["handled", "error", "lost", "full"])),
-    st.tuples(st.just("loaded"), names, st.integers(1, 4), st.sampled_from(["handled", "error"])),
-    st.tuples(st.just("wait"), st.integers(1, 60))), max_size=60)
+notes = st.lists(
+    st.one_of(
+        st.tuples(
+            st.just("fed"),
+            names,
+            st.integers(1, 4),
+            st.sampled_from([d.ANNOUNCED, d.WITHDRAWN, d.COMPLETE]),
+        ),
+        st.tuples(
+            st.just("ordered"), names, st.sampled_from(["hold", "go on", "withdraw", "complete"])
+        ),
+        st.tuples(
+            st.just("event"),
+            names,
+            st.integers(0, 50),
+            st.sampled_from(["handled", "error", "lost", "full"]),
+        ),
+        st.tuples(
+            st.just("loaded"), names, st.integers(1, 4), st.sampled_from(["handled", "error"])
+        ),
+        st.tuples(st.just("wait"), st.integers(1, 60)),
+    ),
+    max_size=60,
+)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/versions/test_on_sockets.py
+++ b/tests/versions/test_on_sockets.py
@@ -39,8 +39,10 @@
     feed = await Feed(Record(None, "feed", "feed"), (0.0, 1.0)).start()
     stack.opened.append(feed)
     feed.ends = ()
-    said = (f'bounds: {{}}\nreleases: {{feed: "127.0.0.1:{feed.port}", saved: "{folder}/g.releases", '
-            f'control: "{folder}/g.sock"}}')
+    said = (
+        f'bounds: {{}}\nreleases: {{feed: "127.0.0.1:{feed.port}", saved: "{folder}/g.releases", '
+        f'control: "{folder}/g.sock"}}'
+    )
     client = await stack.start(*hosts, bounds=said)
     await stack.settled(lambda: feed.followers)
     return feed, client
@@ -51,7 +53,11 @@
     numbers = []
     for i in range(count):
         client.ids += 1
-        client.end.write(m.Event(client.ids, "draft", function, 4900.0, now(), document=f"d{client.ids}", lanes=4.0))
+        client.end.write(
+            m.Event(
+                client.ids, "draft", function, 4900.0, now(), document=f"d{client.ids}", lanes=4.0
+            )
+        )
         numbers.append(client.ids)
         if i % 8 == 7:
             await client.answer(client.ids)
@@ -73,7 +79,9 @@
     versions = stack.shell.releases.versions
     await calls(client, 40)
     feed.release(["deed"], 3)
-    await stack.settled(lambda: "deed" in versions.lines and versions.lines["deed"].release.state == d.TRIAL)
+    await stack.settled(
+        lambda: "deed" in versions.lines and versions.lines["deed"].release.state == d.TRIAL
+    )
     assert [o.function for h in hosts for o in h.all(m.Order)] == ["deed@3"]
     for _ in range(30):
         assert {a.fate for a in await calls(client, 50)} == {"handled"}
@@ -97,7 +105,9 @@
     fates = []
     while line["deed"].release.state == d.TRIAL and len(fates) < 2000:
         fates += [a.fate for a in await calls(client, 40)]
-    assert line["deed"].release.state == d.WITHDRAWN and set(fates) == {"handled"}, "a repeat went to the old version"
+    assert line["deed"].release.state == d.WITHDRAWN and set(fates) == {"handled"}, (
+        "a repeat went to the old version"
+    )
     tries = [x for h in hosts for x in h.all(m.Launch) if x.number]
     assert tries and {x.function for x in tries} == {"deed"}
     seen = len([x for h in hosts for x in h.all(m.Launch) if x.function == "deed@3"])
@@ -109,10 +119,14 @@
 async def test_the_operator_shows_holds_withdraws_and_a_start_keeps_it(stack, tmp):
     feed, client = await released(stack, tmp, Versioned())
     await calls(client, 20)
-    assert "error" in await asked(tmp, do="hold", function="deed") and "error" in await asked(tmp, do="dance")
+    assert "error" in await asked(tmp, do="hold", function="deed") and "error" in await asked(
+        tmp, do="dance"
+    )
     feed.release(["deed"], 3)
     versions = stack.shell.releases.versions
-    await stack.settled(lambda: "deed" in versions.lines and versions.lines["deed"].release.state == d.TRIAL)
+    await stack.settled(
+        lambda: "deed" in versions.lines and versions.lines["deed"].release.state == d.TRIAL
+    )
     [row] = (await asked(tmp, do="hold", function="deed"))["releases"]
     assert row["held"] and row["share"] == 0.2 and row["state"] == "trial"
     [row] = (await asked(tmp, do="withdraw", function="deed"))["releases"]
@@ -128,15 +142,21 @@
     whole = seal({"deed": {"version": 3, "newest": 3, "ended": {}}})
     (tmp / "g.releases").write_bytes(whole[:-4] + b"9}}}")
     feed, client = await released(stack, tmp, host := Versioned())
-    assert (await calls(client, 1))[0].fate == "handled" and host.all(m.Launch)[0].function == "deed"
+    assert (await calls(client, 1))[0].fate == "handled" and host.all(m.Launch)[
+        0
+    ].function == "deed"
     assert (tmp / "g.releases.broken").exists()
 
 
 @with_folder
 async def test_a_client_that_names_a_version_itself_is_refused_and_weighs_nothing(stack, tmp):
     feed, client = await released(stack, tmp, host := Versioned())
-    assert [(await calls(client, 1, f"deed@{x}"))[0].fate for x in ("3", "\u00b2", "")] == ["dead-lettered"] * 3
-    assert (await calls(client, 1))[0].fate == "handled" and {x.function for x in host.all(m.Launch)} == {"deed"}
+    assert [(await calls(client, 1, f"deed@{x}"))[0].fate for x in ("3", "\u00b2", "")] == [
+        "dead-lettered"
+    ] * 3
+    assert (await calls(client, 1))[0].fate == "handled" and {
+        x.function for x in host.all(m.Launch)
+    } == {"deed"}
 
 
 @story
