--- a/bench/admission.py
+++ b/bench/admission.py
@@ -18,10 +18,10 @@
 import uvloop
 
 from cherrydoor.admission import decide as d
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.keys import files
-from cherrydoor.keys.make import Folder
+from cherrydoor.connection import End
+from cherrydoor.protocol import messages as m
+from cherrydoor.tls import files
+from cherrydoor.tls.make import Folder
 
 COUNT = 3000
 
@@ -37,10 +37,10 @@
 
 def gateway(pipe, text, bare):
     """A gateway, or with `bare` a server of asyncio that takes hellos and nothing else."""
-    from cherrydoor.gateway.shell import Shell
-    from cherrydoor.lease import read
-    from cherrydoor.lease.figures import Figures, schema
-    from cherrydoor.logic import Gateway
+    from cherrydoor.config import read
+    from cherrydoor.config.figures import Figures, schema
+    from cherrydoor.gateway.service import Shell
+    from cherrydoor.routing import Gateway
 
     class Owner:
         def greeted(self, end, hello):
--- a/bench/custody.py
+++ b/bench/custody.py
@@ -17,8 +17,8 @@
 import uvloop
 
 from bench.gateway import Answering, Listed
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
+from cherrydoor.connection import End
+from cherrydoor.protocol import messages as m
 from cherrydoor.rehearsal.parts import Ports
 
 RATE, SECONDS, ROUNDS, HOSTS = 500, 8, 3, 8
--- a/bench/drains.py
+++ b/bench/drains.py
@@ -21,8 +21,8 @@
 from cherrydoor.rehearsal.audit import Audit
 from cherrydoor.rehearsal.conduct import rehearse
 from cherrydoor.rehearsal.day import read_day
-from cherrydoor.site import conducting
-from cherrydoor.site import plan as planning
+from cherrydoor.zone_drain import conducting
+from cherrydoor.zone_drain import plan as planning
 
 DRAIN, LENGTH = 8, 44  # s: when it begins, how long the day is
 DAY = """
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -17,13 +17,13 @@
 import numpy as np
 import uvloop
 
-from cherrydoor import interface as io
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.shell import Shell
-from cherrydoor.lease import read
-from cherrydoor.lease.figures import Figures, schema
-from cherrydoor.logic import Gateway
+from cherrydoor.config import read
+from cherrydoor.config.figures import Figures, schema
+from cherrydoor.connection import End
+from cherrydoor.gateway.service import Shell
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import Gateway
+from cherrydoor.routing import messages as io
 
 LEASE = """
 name: "g0", number: 0, gateways: 1, list: "127.0.0.1:%d"
@@ -337,7 +337,7 @@
 
 def codec_alone(count=50000):
     """CPU us an event of reading an Event and an Outcome and writing a Launch and an Answer."""
-    from cherrydoor.frames.codec import Reader, encode
+    from cherrydoor.protocol.codec import Reader, encode
 
     hello, body = encode(m.Hello(1, "client")), b"x" * 200
     one = encode(m.Event(1, "draft", "deed-1", 2500.0, 5.0, lanes=4.0, load=600.0, body=body))
--- a/bench/links.py
+++ b/bench/links.py
@@ -13,8 +13,8 @@
 from cherrydoor.cli import logs
 from cherrydoor.emulator.play import Emulation
 from cherrydoor.emulator.world import World
+from cherrydoor.fakes.record import Clocks
 from cherrydoor.rehearsal.day import read_day
-from cherrydoor.standin.record import Clocks
 
 DAY = """
 name: "links"
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -11,9 +11,9 @@
 import sys
 from zlib import crc32
 
-from cherrydoor.gateway.desk import Desk
-from cherrydoor.logic import Gateway
+from cherrydoor.gateway.dispatcher import Desk
 from cherrydoor.platform import process
+from cherrydoor.routing import Gateway
 
 
 class Traced(Gateway):
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -7,7 +7,7 @@
 from random import Random
 from statistics import median
 
-from cherrydoor.versions import decide as d
+from cherrydoor.releases import decide as d
 
 NOW = 1.8e12
 
--- a/cherrydoor/adapter/__main__.py
+++ b/cherrydoor/adapter/__main__.py
@@ -3,9 +3,9 @@
 import gc
 import sys
 
-from cherrydoor import interface as io
 from cherrydoor.adapter import wire
-from cherrydoor.logic import Gateway
+from cherrydoor.routing import Gateway
+from cherrydoor.routing import messages as io
 
 
 class Stand:
--- a/cherrydoor/adapter/wire.py
+++ b/cherrydoor/adapter/wire.py
@@ -3,7 +3,7 @@
 import json
 from math import floor
 
-from cherrydoor import interface as io
+from cherrydoor.routing import messages as io
 
 FATES = {
     "served": io.HANDLED,
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -8,9 +8,9 @@
 from functools import lru_cache
 
 from cherrydoor.admission import decide as d
-from cherrydoor.frames import codec
-from cherrydoor.frames import messages as m
 from cherrydoor.gateway.sockets import after_input, has_pending_connection
+from cherrydoor.protocol import codec
+from cherrydoor.protocol import messages as m
 
 NO_DESCRIPTORS = {errno.EMFILE, errno.ENFILE}
 NO_ROOM = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
--- a/cherrydoor/cli/commands.py
+++ b/cherrydoor/cli/commands.py
@@ -27,14 +27,14 @@
 def gateway(leases, tied, announce, baseline):
     """Run a gateway until SIGTERM, which has it answer what it holds and leave. SIGHUP checks the lease anew."""
     from cherrydoor.gateway.daemon import main as run
-    from cherrydoor.together import join
+    from cherrydoor.peer_services import join
 
     if baseline:
         from cherrydoor.rehearsal.baselines import MAKERS
 
         make = MAKERS[baseline]
     else:
-        from cherrydoor.logic import Gateway as make
+        from cherrydoor.routing import Gateway as make
 
     def tell(name, port):
         print(json.dumps({"is": "door", "gateway": name, "port": port}), flush=True)
@@ -63,8 +63,8 @@
 @click.option("--json", "as_json", is_flag=True, help="Print problems as JSON.")
 def check(file, as_json):
     """Tell everything that is wrong with FILE; 0 if nothing is, 64 otherwise."""
-    from cherrydoor.lease import Problems
-    from cherrydoor.lease.figures import lease_of
+    from cherrydoor.config import Problems
+    from cherrydoor.config.figures import lease_of
 
     try:
         lease_of(file)
@@ -78,8 +78,8 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON: durations in ms, sizes in bytes.")
 def show_lease(file, as_json):
     """Print FILE with all defaults filled in."""
-    from cherrydoor.lease import Problems, show
-    from cherrydoor.lease.figures import read_file
+    from cherrydoor.config import Problems, show
+    from cherrydoor.config.figures import read_file
 
     try:
         said = read_file(file)
@@ -141,7 +141,7 @@
     text = sys.stdin.buffer.read() if body == "-" else body.encode()
     tls = None
     if folder:
-        from cherrydoor.keys import files
+        from cherrydoor.tls import files
 
         try:
             _, _, trusted = files.authorities(Path(folder) / "authorities.pem")
--- a/cherrydoor/cli/keys.py
+++ b/cherrydoor/cli/keys.py
@@ -15,7 +15,7 @@
 
 def in_folder(do):
     """Runs do(folder) on the folder of keys; its faults in one line."""
-    from cherrydoor.keys.make import CannotMake
+    from cherrydoor.tls.make import CannotMake
 
     try:
         said = do()
@@ -27,7 +27,7 @@
 
 
 def folder_of(path):
-    from cherrydoor.keys.make import Folder
+    from cherrydoor.tls.make import Folder
 
     return Folder(path)
 
@@ -113,8 +113,8 @@
 @click.option("--json", "as_json", is_flag=True)
 def show_keys(folder, lease_file, as_json):
     """Show what there is, and when each ends; 1 where something is wrong or has ended."""
-    from cherrydoor.keys.show import rows_of
-    from cherrydoor.lease import Problems
+    from cherrydoor.config import Problems
+    from cherrydoor.tls.show import rows_of
 
     if (folder is None) == (lease_file is None):
         raise click.UsageError("FOLDER or --lease FILE, one of them")
--- a/cherrydoor/cli/rehearsing.py
+++ b/cherrydoor/cli/rehearsing.py
@@ -46,7 +46,7 @@
 
     Exits with 0 where every rule was kept, 1 where one was broken, 2 where the run could not be made.
     """
-    from cherrydoor.lease import Problems
+    from cherrydoor.config import Problems
     from cherrydoor.rehearsal.conduct import CannotRun
     from cherrydoor.rehearsal.conduct import rehearse as play
     from cherrydoor.rehearsal.day import read_day
@@ -140,8 +140,8 @@
     The same seed gives the same run to the last byte. Exits as `rehearse` does.
     """
     from cherrydoor.cli import logs
+    from cherrydoor.config import Problems
     from cherrydoor.emulator.play import emulate as play
-    from cherrydoor.lease import Problems
     from cherrydoor.rehearsal.conduct import CannotRun
     from cherrydoor.rehearsal.day import read_day
 
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -5,8 +5,8 @@
 
 import uvloop
 
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
+from cherrydoor.connection import End
+from cherrydoor.protocol import messages as m
 
 
 class Sender:
--- a/cherrydoor/cli/standins.py
+++ b/cherrydoor/cli/standins.py
@@ -19,7 +19,7 @@
 def host(store_at, count, cores, memory, record):
     """Run stand-in hosts. Commands come as JSON lines: {"do": "silent"}, {"do": "drain", "hosts": [...]}, {"do":
     "crash"}, {"do": "slow", "times": 3}, {"do": "pause", "ms": 200}, {"do": "lose", "share": 0.5}, {"do": "who"}."""
-    from cherrydoor.standin.command import main as run
+    from cherrydoor.fakes.command import main as run
 
     run(
         "hosts",
@@ -37,7 +37,7 @@
 @click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
 def store(port, at_once, record):
     """Run a stand-in program store. Commands: {"do": "set", "slow": 4}, {"do": "set", "stopped": true}."""
-    from cherrydoor.standin.command import main as run
+    from cherrydoor.fakes.command import main as run
 
     run("store", {"port": port, "record": record, "figures": {"at_once": at_once}})
 
@@ -50,7 +50,7 @@
 @click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
 def list_command(port, hosts, record):
     """Run a stand-in list of hosts. Commands: {"do": "row", "host": "127.0.0.1:4001", "state": "draining"}."""
-    from cherrydoor.standin.command import main as run
+    from cherrydoor.fakes.command import main as run
 
     run("roll", {"port": port, "record": record, "hosts": list(hosts)})
 
@@ -61,7 +61,7 @@
 def feed(port, record):
     """Run a stand-in release feed. Commands: {"do": "release", "functions": ["deed-00001"], "version": 2}, with
     "state": "withdrawn" or "complete" where it is not announced but ended; {"do": "misses", "share": 0.5}."""
-    from cherrydoor.standin.command import main as run
+    from cherrydoor.fakes.command import main as run
 
     run("feed", {"port": port, "record": record})
 
@@ -82,10 +82,10 @@
     elif kind == "between":
         import uvloop
 
-        from cherrydoor.rehearsal.between import play as relay
+        from cherrydoor.rehearsal.fault_injecting_proxy import play as relay
 
         uvloop.run(relay(said))
     else:
-        from cherrydoor.standin.command import main as run
+        from cherrydoor.fakes.command import main as run
 
         run(kind, said)
--- a/cherrydoor/lease/figures.py
+++ b/cherrydoor/config/figures.py
@@ -5,12 +5,12 @@
 from math import inf
 from pathlib import Path
 
-from cherrydoor import interface as io
-from cherrydoor.lease.records import Duration, Problem, Problems, Size, read
+from cherrydoor.config.records import Duration, Problem, Problems, Size, read
+from cherrydoor.routing import messages as io
 
 
 def schema(name):
-    return resources.files("cherrydoor.lease").joinpath(name).read_text()
+    return resources.files("cherrydoor.config").joinpath(name).read_text()
 
 
 def read_file(path, top="#Lease", name="lease.schema", places=None):
--- a/cherrydoor/lease/place.py
+++ b/cherrydoor/config/place.py
@@ -1,6 +1,6 @@
 """A place in a file: what was written for it, where references lead, and what lies below."""
 
-from cherrydoor.lease.terms import (
+from cherrydoor.config.terms import (
     TYPES,
     Bound,
     Duration,
@@ -12,8 +12,8 @@
     Type,
     atom_of,
 )
-from cherrydoor.lease.text import DEEPEST, SCHEMA, Problem
-from cherrydoor.lease.unify import Settled
+from cherrydoor.config.text import DEEPEST, SCHEMA, Problem
+from cherrydoor.config.unify import Settled
 
 STEPS = 8000  # evaluations for one file
 
--- a/cherrydoor/lease/records.py
+++ b/cherrydoor/config/records.py
@@ -8,11 +8,11 @@
 
 from lark import Token, Tree
 
-from cherrydoor.lease.place import STEPS, Place, Run, TooMuch
-from cherrydoor.lease.terms import Duration as Duration
-from cherrydoor.lease.terms import Env, Part
-from cherrydoor.lease.terms import Size as Size
-from cherrydoor.lease.text import Problem, Problems, parse, schema_tree
+from cherrydoor.config.place import STEPS, Place, Run, TooMuch
+from cherrydoor.config.terms import Duration as Duration
+from cherrydoor.config.terms import Env, Part
+from cherrydoor.config.terms import Size as Size
+from cherrydoor.config.text import Problem, Problems, parse, schema_tree
 
 
 def read(text, file="lease", schema="", top="", schema_file="schema", places=None):
--- a/cherrydoor/lease/show.py
+++ b/cherrydoor/config/show.py
@@ -2,7 +2,7 @@
 
 import json
 
-from cherrydoor.lease.records import Duration, Size
+from cherrydoor.config.records import Duration, Size
 
 
 def show(value, depth=0):
--- a/cherrydoor/lease/text.py
+++ b/cherrydoor/config/text.py
@@ -42,7 +42,7 @@
 
 @lru_cache(maxsize=1)
 def parser():
-    text = resources.files("cherrydoor.lease").joinpath("grammar.lark").read_text()
+    text = resources.files("cherrydoor.config").joinpath("grammar.lark").read_text()
     return Lark(text, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
 
--- a/cherrydoor/lease/unify.py
+++ b/cherrydoor/config/unify.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from cherrydoor.lease.terms import Atom, Bound, Either, Part, Row, Type, atom_of
+from cherrydoor.config.terms import Atom, Bound, Either, Part, Row, Type, atom_of
 
 
 class Settled:
--- a/cherrydoor/ends.py
+++ b/cherrydoor/connection.py
@@ -6,8 +6,8 @@
 import asyncio
 from typing import Any
 
-from cherrydoor.frames import codec
-from cherrydoor.frames import messages as m
+from cherrydoor.protocol import codec
+from cherrydoor.protocol import messages as m
 
 MOST_WAITING = (
     32 * 2**20
--- a/cherrydoor/emulator/doors.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -7,9 +7,9 @@
 
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.listener import word_of
-from cherrydoor.custody.fellows import Fellows
-from cherrydoor.gateway.shell import Shell
-from cherrydoor.tenure import decide
+from cherrydoor.failover.fellows import Fellows
+from cherrydoor.gateway.service import Shell
+from cherrydoor.leader_election import decide
 
 
 class Clock:
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -5,25 +5,25 @@
 from pathlib import Path
 from typing import Any
 
-from cherrydoor.emulator.doors import Door
+from cherrydoor.config import read, show
+from cherrydoor.config.figures import Figures, schema
+from cherrydoor.connection import End
+from cherrydoor.emulator.client_listener import Door
 from cherrydoor.emulator.world import World
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.lease import read, show
-from cherrydoor.lease.figures import Figures, schema
-from cherrydoor.logic import Gateway
+from cherrydoor.fakes.catalogue import Catalogue
+from cherrydoor.fakes.command import HostCommands
+from cherrydoor.fakes.copies import Build
+from cherrydoor.fakes.feed import Feed
+from cherrydoor.fakes.host_pool import Farm
+from cherrydoor.fakes.record import Clocks, Record, now
+from cherrydoor.fakes.roll import Roll
+from cherrydoor.fakes.store import Store
+from cherrydoor.protocol import messages as m
 from cherrydoor.rehearsal.baselines import MAKERS
 from cherrydoor.rehearsal.clients import Clients
 from cherrydoor.rehearsal.conduct import CannotRun, Conductor, in_processes
 from cherrydoor.rehearsal.day import builds, lease_values, terms
-from cherrydoor.standin.catalogue import Catalogue
-from cherrydoor.standin.command import HostCommands
-from cherrydoor.standin.copies import Build
-from cherrydoor.standin.farm import Farm
-from cherrydoor.standin.feed import Feed
-from cherrydoor.standin.record import Clocks, Record, now
-from cherrydoor.standin.roll import Roll
-from cherrydoor.standin.store import Store
+from cherrydoor.routing import Gateway
 
 # they are of sockets, descriptors and TLS, or of a relay between fellows
 LEFT_OUT = ("flood", "reconnect", "key-change", "cut-off", "noise")
--- a/cherrydoor/custody/estate.py
+++ b/cherrydoor/failover/estate.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from hashlib import blake2b
 
-from cherrydoor.custody.decide import COST
-from cherrydoor.frames.peers import Entrust, Out
+from cherrydoor.failover.decide import COST
+from cherrydoor.protocol.peers import Entrust, Out
 
 EVENTS, BYTES = 2000, 8 * 2**20  # entrusted at once by one giver; also kept at once of one giver
 
--- a/cherrydoor/custody/fellows.py
+++ b/cherrydoor/failover/fellows.py
@@ -2,13 +2,13 @@
 
 import structlog
 
-from cherrydoor.custody.decide import stay_away
-from cherrydoor.custody.shell import Custody
+from cherrydoor.failover.decide import stay_away
+from cherrydoor.failover.shell import Custody
 from cherrydoor.gateway.control import Control
-from cherrydoor.peers.shell import Peers
-from cherrydoor.site.shell import Sites
-from cherrydoor.tenure.promises import File
-from cherrydoor.tenure.shell import Tenures
+from cherrydoor.leader_election.promises import File
+from cherrydoor.leader_election.shell import Tenures
+from cherrydoor.membership.shell import Peers
+from cherrydoor.zone_drain.shell import Sites
 
 log = structlog.get_logger()
 STILL = "it stood still for longer than its witnesses wait"
--- a/cherrydoor/custody/heir.py
+++ b/cherrydoor/failover/heir.py
@@ -4,12 +4,12 @@
 
 import structlog
 
-from cherrydoor.custody import decide as d
-from cherrydoor.custody.estate import mark_of
-from cherrydoor.frames import custody as c
-from cherrydoor.frames import messages as m
-from cherrydoor.frames import peers as p
-from cherrydoor.gateway.books import Client
+from cherrydoor.failover import decide as d
+from cherrydoor.failover.estate import mark_of
+from cherrydoor.gateway.tables import Client
+from cherrydoor.protocol import failover as c
+from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import peers as p
 
 log = structlog.get_logger()
 REMEMBERED = 60000.0  # ms for which it is known who was heir to what: longer than any client's time
--- a/cherrydoor/custody/shell.py
+++ b/cherrydoor/failover/shell.py
@@ -6,13 +6,13 @@
 
 import structlog
 
-from cherrydoor.custody import decide as d
-from cherrydoor.custody.claims import Claims
-from cherrydoor.custody.estate import Giver, Witness, mark_of
-from cherrydoor.custody.heir import Heirs
-from cherrydoor.frames import custody as c
-from cherrydoor.frames import messages as m
-from cherrydoor.frames import peers as p
+from cherrydoor.failover import decide as d
+from cherrydoor.failover.claims import Claims
+from cherrydoor.failover.estate import Giver, Witness, mark_of
+from cherrydoor.failover.heir import Heirs
+from cherrydoor.protocol import failover as c
+from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import peers as p
 
 log = structlog.get_logger()
 LOOK = 0.05  # s between two looks at estates and claims
--- a/cherrydoor/standin/capacity.py
+++ b/cherrydoor/fakes/capacity.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from cherrydoor.standin.record import now
+from cherrydoor.fakes.record import now
 
 
 class Capacity:
--- a/cherrydoor/standin/catalogue.py
+++ b/cherrydoor/fakes/catalogue.py
@@ -2,7 +2,7 @@
 
 from zlib import crc32
 
-from cherrydoor.frames import messages as m
+from cherrydoor.protocol import messages as m
 
 
 class Catalogue:
--- a/cherrydoor/standin/command.py
+++ b/cherrydoor/fakes/command.py
@@ -8,13 +8,13 @@
 
 import uvloop
 
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.catalogue import Catalogue
-from cherrydoor.standin.copies import Build
-from cherrydoor.standin.farm import Farm
-from cherrydoor.standin.record import Record
-from cherrydoor.standin.roll import Roll
-from cherrydoor.standin.store import Store
+from cherrydoor.fakes.catalogue import Catalogue
+from cherrydoor.fakes.copies import Build
+from cherrydoor.fakes.host_pool import Farm
+from cherrydoor.fakes.record import Record
+from cherrydoor.fakes.roll import Roll
+from cherrydoor.fakes.store import Store
+from cherrydoor.protocol import messages as m
 
 
 def say(what, **more):
@@ -157,7 +157,7 @@
     farm.scopes = said.get("scopes", {})
     if said.get("store"):
         host, _, port = said["store"].rpartition(":")
-        from cherrydoor.ends import End
+        from cherrydoor.connection import End
 
         await farm.loop.create_connection(
             lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")),
@@ -211,7 +211,7 @@
 
 
 async def feed(said):
-    from cherrydoor.standin.feed import Feed
+    from cherrydoor.fakes.feed import Feed
 
     record = Record(said.get("record"), "feed", "feed")
     one = await Feed(record, **said.get("figures", {})).start(port=said.get("port", 0))
@@ -230,7 +230,7 @@
 
 
 async def crowd(said):
-    from cherrydoor.standin.crowd import crowd as play
+    from cherrydoor.fakes.crowd import crowd as play
 
     await play(said, say, commands)
 
--- a/cherrydoor/standin/copies.py
+++ b/cherrydoor/fakes/copies.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from cherrydoor.standin.record import now
+from cherrydoor.fakes.record import now
 
 
 class Build:
--- a/cherrydoor/standin/crowd.py
+++ b/cherrydoor/fakes/crowd.py
@@ -9,10 +9,10 @@
 import ssl
 from collections import deque
 
-from cherrydoor.ends import End
-from cherrydoor.frames import codec
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.record import Record, now
+from cherrydoor.connection import End
+from cherrydoor.fakes.record import Record, now
+from cherrydoor.protocol import codec
+from cherrydoor.protocol import messages as m
 
 STANDS, TICK = 3000.0, 0.01
 
--- a/cherrydoor/standin/estates.py
+++ b/cherrydoor/fakes/estates.py
@@ -7,8 +7,8 @@
 from collections import deque
 from typing import Any
 
-from cherrydoor.frames import custody as c
-from cherrydoor.standin.record import now
+from cherrydoor.fakes.record import now
+from cherrydoor.protocol import failover as c
 
 REMEMBERS = 6000.0  # ms for which ended launches are told of
 MOST, BYTES = (
@@ -133,7 +133,7 @@
         self.tell_past(end, message.id, past)
 
     def tell_past(self, end, id_, past):
-        from cherrydoor.frames import messages as m
+        from cherrydoor.protocol import messages as m
 
         if past is None:
             return self.say(end, m.Outcome(id_, "error"))
--- a/cherrydoor/standin/feed.py
+++ b/cherrydoor/fakes/feed.py
@@ -3,9 +3,9 @@
 import asyncio
 from zlib import crc32
 
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.record import now
+from cherrydoor.connection import End
+from cherrydoor.fakes.record import now
+from cherrydoor.protocol import messages as m
 
 
 class Feed:
--- a/cherrydoor/standin/host.py
+++ b/cherrydoor/fakes/host.py
@@ -8,15 +8,15 @@
 from math import log
 from zlib import crc32
 
-from cherrydoor.ends import End, Some
-from cherrydoor.frames import custody
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.capacity import Capacity
-from cherrydoor.standin.copies import Copies, Job
-from cherrydoor.standin.cores import Cores
-from cherrydoor.standin.estates import Estates
-from cherrydoor.standin.loads import Loads
-from cherrydoor.standin.record import now, wall
+from cherrydoor.connection import End, Some
+from cherrydoor.fakes.capacity import Capacity
+from cherrydoor.fakes.copies import Copies, Job
+from cherrydoor.fakes.cores import Cores
+from cherrydoor.fakes.estates import Estates
+from cherrydoor.fakes.loads import Loads
+from cherrydoor.fakes.record import now, wall
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import messages as m
 
 
 class Host(Loads, Capacity, Estates):
--- a/cherrydoor/standin/farm.py
+++ b/cherrydoor/fakes/host_pool.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.copies import Build
-from cherrydoor.standin.host import Host
-from cherrydoor.standin.record import now
+from cherrydoor.fakes.copies import Build
+from cherrydoor.fakes.host import Host
+from cherrydoor.fakes.record import now
+from cherrydoor.protocol import messages as m
 
 
 class Store:
--- a/cherrydoor/standin/loads.py
+++ b/cherrydoor/fakes/loads.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.copies import Copies
-from cherrydoor.standin.record import now
+from cherrydoor.fakes.copies import Copies
+from cherrydoor.fakes.record import now
+from cherrydoor.protocol import messages as m
 
 
 class Loads:
--- a/cherrydoor/standin/store.py
+++ b/cherrydoor/fakes/store.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.cores import Cores
-from cherrydoor.standin.record import now
+from cherrydoor.connection import End
+from cherrydoor.fakes.cores import Cores
+from cherrydoor.fakes.record import now
+from cherrydoor.protocol import messages as m
 
 
 class Store:
--- a/cherrydoor/gateway/door.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -6,13 +6,13 @@
 
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.reading import CHUNK, Read
-from cherrydoor.ends import End, Some
-from cherrydoor.frames import custody
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.desk import Client
+from cherrydoor.connection import End, Some
+from cherrydoor.gateway.dispatcher import Client
 from cherrydoor.gateway.sockets import peer_closed
-from cherrydoor.keys import decide as k
-from cherrydoor.keys.keeper import NotProved
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import messages as m
+from cherrydoor.tls import decide as k
+from cherrydoor.tls.keeper import NotProved
 
 log = structlog.get_logger()
 
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -15,11 +15,11 @@
 from cherrydoor.admission.decide import divide
 from cherrydoor.admission.listener import Listener
 from cherrydoor.admission.usage import Uses
+from cherrydoor.config.figures import lease_of
+from cherrydoor.config.records import Problems
 from cherrydoor.gateway.metrics import Asked
-from cherrydoor.gateway.shell import Shell, address
-from cherrydoor.keys.files import BadKeys
-from cherrydoor.lease.figures import lease_of
-from cherrydoor.lease.records import Problems
+from cherrydoor.gateway.service import Shell, address
+from cherrydoor.tls.files import BadKeys
 
 log = structlog.get_logger()
 DONE, LATE, BAD_LEASE, PORT_TAKEN, BROKEN = 0, 3, 64, 69, 70
--- a/cherrydoor/gateway/desk.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -8,15 +8,15 @@
 
 from collections import Counter, deque
 
-from cherrydoor import interface as io
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.alarms import MOST_BEHIND, Alarms
-from cherrydoor.gateway.books import LATE, LAUNCHED_AFTER_CLOSE, Sent, Taken
-from cherrydoor.gateway.books import Client as Client
-from cherrydoor.gateway.host_list import HostList
-from cherrydoor.gateway.inheritance import Inheritance
-from cherrydoor.gateway.links import Links
-from cherrydoor.gateway.loading import Loading
+from cherrydoor.gateway.endpoints import HostList
+from cherrydoor.gateway.host_connections import Links
+from cherrydoor.gateway.load_orders import Loading
+from cherrydoor.gateway.tables import LATE, LAUNCHED_AFTER_CLOSE, Sent, Taken
+from cherrydoor.gateway.tables import Client as Client
+from cherrydoor.gateway.takeover import Inheritance
+from cherrydoor.gateway.timers import MOST_BEHIND, Alarms
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import messages as io
 
 
 class Desk(Alarms, Links, HostList, Loading, Inheritance):
--- a/cherrydoor/gateway/roll.py
+++ b/cherrydoor/gateway/endpoint_watch.py
@@ -5,10 +5,10 @@
 import msgspec
 import structlog
 
-from cherrydoor import interface as io
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.turn import address
+from cherrydoor.connection import End
+from cherrydoor.gateway.event_loop import address
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import messages as io
 
 log = structlog.get_logger()
 
--- a/cherrydoor/gateway/host_list.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from cherrydoor import interface as io
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.books import OPEN, SHUT, Host
+from cherrydoor.gateway.tables import OPEN, SHUT, Host
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import messages as io
 
 
 class HostList:
--- a/cherrydoor/gateway/links.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from cherrydoor import interface as io
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.books import DIALING, OPEN, SHUT, Link, Sent
-from cherrydoor.versions import decide as v
+from cherrydoor.gateway.tables import DIALING, OPEN, SHUT, Link, Sent
+from cherrydoor.protocol import messages as m
+from cherrydoor.releases import decide as v
+from cherrydoor.routing import messages as io
 
 MISSED = 32  # events of which a link remembers that they were missing there
 HANDSHAKES = (
--- a/cherrydoor/gateway/shell.py
+++ b/cherrydoor/gateway/service.py
@@ -5,20 +5,20 @@
 
 import structlog
 
-from cherrydoor import interface as io
 from cherrydoor.admission.listener import Hall, Listener
 from cherrydoor.admission.manners import manners_of
 from cherrydoor.admission.usage import Uses
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.books import SHUT
-from cherrydoor.gateway.desk import Desk
-from cherrydoor.gateway.door import ClientEnd, Door
-from cherrydoor.gateway.floor import Floor
-from cherrydoor.gateway.roll import Roll
-from cherrydoor.gateway.turn import Clock, Turn, address
-from cherrydoor.keys.decide import Usage
-from cherrydoor.keys.keeper import Keeper, Where
-from cherrydoor.versions.feed import Releases
+from cherrydoor.gateway.client_listener import ClientEnd, Door
+from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.gateway.endpoint_watch import Roll
+from cherrydoor.gateway.event_loop import Clock, Turn, address
+from cherrydoor.gateway.tables import SHUT
+from cherrydoor.gateway.upstream import Floor
+from cherrydoor.protocol import messages as m
+from cherrydoor.releases.feed import Releases
+from cherrydoor.routing import messages as io
+from cherrydoor.tls.decide import Usage
+from cherrydoor.tls.keeper import Keeper, Where
 
 log = structlog.get_logger()
 LIFE_OVER = "this gateway's life is over"
@@ -29,7 +29,7 @@
 
     def __init__(self, figures, gate, uses=None, places=None, clock=None, join=None):
         """uses: what the process has in use, shared by its gateways; places: connections that there are descriptors
-        for; join: makes its fellows (cherrydoor/together.py), None for a gateway alone."""
+        for; join: makes its fellows (cherrydoor/peer_services.py), None for a gateway alone."""
         super().__init__(clock or Clock())
         self.figures, self.bounds = figures, figures.bounds
         self.door, self.floor = Door(self), Floor(self)
--- a/cherrydoor/gateway/inheritance.py
+++ b/cherrydoor/gateway/takeover.py
@@ -3,9 +3,9 @@
 
 from typing import Any
 
-from cherrydoor import interface as io
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.books import SHUT, Link, Sent
+from cherrydoor.gateway.tables import SHUT, Link, Sent
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import messages as io
 
 
 class Inheritance:
--- a/cherrydoor/gateway/floor.py
+++ b/cherrydoor/gateway/upstream.py
@@ -4,10 +4,11 @@
 
 import structlog
 
-from cherrydoor.ends import End
-from cherrydoor.frames import codec, custody
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.turn import dial
+from cherrydoor.connection import End
+from cherrydoor.gateway.event_loop import dial
+from cherrydoor.protocol import codec
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import messages as m
 
 log = structlog.get_logger()
 
--- a/cherrydoor/tenure/decide.py
+++ b/cherrydoor/leader_election/decide.py
@@ -19,7 +19,7 @@
 
 from msgspec import Struct
 
-from cherrydoor.frames.peers import Granted, Refused, Seek, Yield
+from cherrydoor.protocol.peers import Granted, Refused, Seek, Yield
 
 FIRST, LONGEST = 50.0, 2000.0  # ms of the first back-off, and of the longest
 AGAIN = 250.0  # ms after which one that is held by another is asked for again
--- a/cherrydoor/tenure/promises.py
+++ b/cherrydoor/leader_election/promises.py
@@ -9,7 +9,7 @@
 import msgspec
 import structlog
 
-from cherrydoor.tenure.decide import Promises
+from cherrydoor.leader_election.decide import Promises
 
 log = structlog.get_logger()
 MARK = b"cherrydoor promises 1\n"
--- a/cherrydoor/tenure/shell.py
+++ b/cherrydoor/leader_election/shell.py
@@ -2,9 +2,9 @@
 
 import structlog
 
-from cherrydoor.frames.peers import Granted, Refused, Seek, Yield
-from cherrydoor.tenure.decide import Contender, Ended, Held, Keeper, Save, Terms
-from cherrydoor.tenure.promises import File
+from cherrydoor.leader_election.decide import Contender, Ended, Held, Keeper, Save, Terms
+from cherrydoor.leader_election.promises import File
+from cherrydoor.protocol.peers import Granted, Refused, Seek, Yield
 
 log = structlog.get_logger()
 LOOK = 0.02  # s between two looks at contenders, while there are any
--- a/cherrydoor/peers/decide.py
+++ b/cherrydoor/membership/decide.py
@@ -14,7 +14,7 @@
 
 from msgspec import structs
 
-from cherrydoor.frames.peers import Member as Row
+from cherrydoor.protocol.peers import Member as Row
 
 HERE, SILENT, VANISHED, LEFT, OVER = "here", "silent", "vanished", "left", "over"
 FINAL = (LEFT, OVER)
--- a/cherrydoor/peers/links.py
+++ b/cherrydoor/membership/links.py
@@ -10,8 +10,8 @@
 
 from msgspec import Struct
 
-from cherrydoor.frames.peers import Beat, Members
-from cherrydoor.peers.decide import FINAL, HERE, SILENT, VANISHED
+from cherrydoor.membership.decide import FINAL, HERE, SILENT, VANISHED
+from cherrydoor.protocol.peers import Beat, Members
 
 AGAIN, LONGEST = 100.0, 2000.0  # ms before a dial is tried again, doubled up to the longest
 CROWD = (
--- a/cherrydoor/peers/shell.py
+++ b/cherrydoor/membership/shell.py
@@ -4,14 +4,14 @@
 
 import structlog
 
-from cherrydoor.ends import End
-from cherrydoor.frames import codec
-from cherrydoor.frames import messages as m
-from cherrydoor.frames import peers as p
-from cherrydoor.frames.site import SITE
-from cherrydoor.keys.keeper import NotProved
-from cherrydoor.peers.decide import Me, Members
-from cherrydoor.peers.links import Close, Dial, Links
+from cherrydoor.connection import End
+from cherrydoor.membership.decide import Me, Members
+from cherrydoor.membership.links import Close, Dial, Links
+from cherrydoor.protocol import codec
+from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import peers as p
+from cherrydoor.protocol.zone_drain import SITE
+from cherrydoor.tls.keeper import NotProved
 
 log = structlog.get_logger()
 LOOK = 0.1  # s between two looks at all links
--- a/cherrydoor/together.py
+++ b/cherrydoor/peer_services.py
@@ -9,6 +9,6 @@
     the same process."""
     if not shell.figures.peers["door"]:
         return None
-    from cherrydoor.custody.fellows import Fellows
+    from cherrydoor.failover.fellows import Fellows
 
     return Fellows(shell, life)
--- a/cherrydoor/platform/doors.py
+++ b/cherrydoor/platform/client_listener.py
@@ -5,9 +5,9 @@
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.reading import CHUNK, Read
 from cherrydoor.codecs import invoke
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.desk import Client
+from cherrydoor.gateway.dispatcher import Client
 from cherrydoor.gateway.sockets import has_unread_input, peer_closed
+from cherrydoor.protocol import messages as m
 
 HANDLED, BAD, KNOWN, LOST, DEFERRED = 200, 400, 409, 502, 503
 MOST_WAITING = 256 * 1024  # bytes that may wait for a client that does not read
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -5,7 +5,7 @@
 from cherrydoor.adapter import wire
 from cherrydoor.admission.decide import Manners, seats
 from cherrydoor.codecs import sse
-from cherrydoor.gateway.turn import address
+from cherrydoor.gateway.event_loop import address
 from cherrydoor.platform.settings import Wrong, checked, need, number
 
 RESERVE = (
--- a/cherrydoor/platform/bulletin.py
+++ b/cherrydoor/platform/discovery_watch.py
@@ -3,10 +3,10 @@
 import asyncio
 from typing import Any
 
-from cherrydoor import interface as io
 from cherrydoor.codecs import sse
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.turn import address, open_connection
+from cherrydoor.gateway.event_loop import address, open_connection
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import messages as io
 
 SILENCE = 1.8  # s without a line, where a comment is due each second
 CONNECT = 0.5  # s that a connection may take
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -16,13 +16,13 @@
 from cherrydoor.admission.listener import Hall, Listener
 from cherrydoor.admission.usage import Uses
 from cherrydoor.codecs import invoke
-from cherrydoor.gateway.desk import Desk
-from cherrydoor.gateway.turn import Turn, address
-from cherrydoor.logic import Gateway
+from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.gateway.event_loop import Turn, address
 from cherrydoor.platform import configuration
-from cherrydoor.platform.bulletin import Follower
-from cherrydoor.platform.doors import Door
-from cherrydoor.platform.links import Floor
+from cherrydoor.platform.client_listener import Door
+from cherrydoor.platform.discovery_watch import Follower
+from cherrydoor.platform.upstream import Floor
+from cherrydoor.routing import Gateway
 
 BAD_CONFIGURATION, PORT_TAKEN, BROKEN = 64, 69, 70
 COMING = 0.7  # s after SIGTERM for which clients still come
--- a/cherrydoor/platform/links.py
+++ b/cherrydoor/platform/upstream.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import Any
 
-from cherrydoor import interface as io
 from cherrydoor.codecs import resp
-from cherrydoor.frames import messages as m
+from cherrydoor.gateway.event_loop import dial
 from cherrydoor.gateway.sockets import after_input, peer_closed
-from cherrydoor.gateway.turn import dial
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import messages as io
 
 MOST_WAITING = 4 << 20  # bytes that may wait for a host that does not read
 UNFINISHED = (
--- a/cherrydoor/frames/codec.py
+++ b/cherrydoor/protocol/codec.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cherrydoor.frames import messages
+from cherrydoor.protocol import messages
 
 PREFIX = 4
 _encoder = msgspec.msgpack.Encoder()
--- a/cherrydoor/frames/custody.py
+++ b/cherrydoor/protocol/failover.py
@@ -7,9 +7,9 @@
 
 from msgspec import Meta, Struct
 
-from cherrydoor.frames import messages
-from cherrydoor.frames.basics import Count as Whole
-from cherrydoor.frames.basics import Id, Message, Name
+from cherrydoor.protocol import messages
+from cherrydoor.protocol.basics import Count as Whole
+from cherrydoor.protocol.basics import Id, Message, Name
 
 LIFE_OVER = (
     "that life is over"  # a host's word, in a fault, to a gateway whose estate has been taken over
--- a/cherrydoor/frames/messages.py
+++ b/cherrydoor/protocol/messages.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from cherrydoor.frames.basics import (
+from cherrydoor.protocol.basics import (
     ALWAYS,
     Count,
     Fate,
@@ -25,8 +25,8 @@
     Text,
     Time,
 )
-from cherrydoor.frames.basics import LARGEST as LARGEST
-from cherrydoor.frames.basics import VERSION as VERSION
+from cherrydoor.protocol.basics import LARGEST as LARGEST
+from cherrydoor.protocol.basics import VERSION as VERSION
 
 
 # ---- client to gateway and back
--- a/cherrydoor/frames/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct
 
-from cherrydoor.frames.basics import ALWAYS, Final, Id, Message, Name, Span, Text
+from cherrydoor.protocol.basics import ALWAYS, Final, Id, Message, Name, Span, Text
 
 Bound = Annotated[int, Meta(ge=0, le=2**31)]
 Digest = Annotated[bytes, Meta(max_length=16)]
--- a/cherrydoor/frames/site.py
+++ b/cherrydoor/protocol/zone_drain.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct
 
-from cherrydoor.frames.basics import Id, Message, Name, Span, Text
+from cherrydoor.protocol.basics import Id, Message, Name, Span, Text
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Rate = Annotated[float, Meta(ge=0.0, le=1e9)]
--- a/cherrydoor/rehearsal/acts.py
+++ b/cherrydoor/rehearsal/acts.py
@@ -5,7 +5,7 @@
 import signal
 from typing import Any
 
-from cherrydoor.standin.record import wall
+from cherrydoor.fakes.record import wall
 
 
 class Acts:
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -3,8 +3,8 @@
 The rules, the taking of events, health and answers are as in the module; only where an event goes differs.
 """
 
-from cherrydoor.logic import Gateway
-from cherrydoor.logic.zone import Zone
+from cherrydoor.routing import Gateway
+from cherrydoor.routing.zone_table import Zone
 
 
 def may_get(gate, evt):
--- a/cherrydoor/rehearsal/bench_day.py
+++ b/cherrydoor/rehearsal/bench_day.py
@@ -7,7 +7,7 @@
 import json
 from pathlib import Path
 
-from cherrydoor.lease.records import Problem, Problems
+from cherrydoor.config.records import Problem, Problems
 
 KINDS = {
     "deploy": "deploy",
--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -9,12 +9,12 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from cherrydoor.frames import custody
-from cherrydoor.frames import messages as m
+from cherrydoor.fakes.command import commands, say
+from cherrydoor.fakes.record import Record, now
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import messages as m
 from cherrydoor.rehearsal.connection import Connection
 from cherrydoor.rehearsal.traffic import draw, function_name
-from cherrydoor.standin.command import commands, say
-from cherrydoor.standin.record import Record, now
 
 
 class Try:
--- a/cherrydoor/rehearsal/conduct.py
+++ b/cherrydoor/rehearsal/conduct.py
@@ -5,14 +5,14 @@
 import signal
 from pathlib import Path
 
-from cherrydoor.keys.make import Folder
-from cherrydoor.lease import show
+from cherrydoor.config import show
+from cherrydoor.fakes.record import Record, now
 from cherrydoor.rehearsal.acts import Acts
 from cherrydoor.rehearsal.crowding import Crowding
 from cherrydoor.rehearsal.day import address_of, builds, client_keys, lease_values, terms
 from cherrydoor.rehearsal.parts import CannotRun, Part, Ports
 from cherrydoor.rehearsal.troubles import Steps
-from cherrydoor.standin.record import Record, now
+from cherrydoor.tls.make import Folder
 
 
 def in_processes(count, together, floors):
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from cherrydoor.ends import End
-from cherrydoor.frames import custody
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.crowd import context_of
-from cherrydoor.standin.record import now
+from cherrydoor.connection import End
+from cherrydoor.fakes.crowd import context_of
+from cherrydoor.fakes.record import now
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import messages as m
 
 
 class Connection:
--- a/cherrydoor/rehearsal/day.py
+++ b/cherrydoor/rehearsal/day.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from cherrydoor.lease.figures import bare, read_file
-from cherrydoor.lease.records import Problem, Problems
+from cherrydoor.config.figures import bare, read_file
+from cherrydoor.config.records import Problem, Problems
 
 SHIPPED = Path(__file__).parent / "days"
 
@@ -246,7 +246,7 @@
 
 
 def ms(value):
-    from cherrydoor.lease.records import Duration
+    from cherrydoor.config.records import Duration
 
     return Duration(value)
 
--- a/cherrydoor/rehearsal/between.py
+++ b/cherrydoor/rehearsal/fault_injecting_proxy.py
@@ -12,8 +12,8 @@
 
 from msgspec import msgpack
 
-from cherrydoor.frames.codec import PREFIX
-from cherrydoor.standin.record import Record, now
+from cherrydoor.fakes.record import Record, now
+from cherrydoor.protocol.codec import PREFIX
 
 CALM = {
     "delay": 0.0,
@@ -177,7 +177,7 @@
 
 async def play(said):
     """As a process of a rehearsal."""
-    from cherrydoor.standin.command import commands, say
+    from cherrydoor.fakes.command import commands, say
 
     record = Record(said.get("record"), "between", "between")
     relay = Relay(said.get("seed", 1))
--- a/cherrydoor/versions/decide.py
+++ b/cherrydoor/releases/decide.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from hashlib import sha1
 
-from cherrydoor.versions.proof import Count, carry, no_worse, worse
+from cherrydoor.releases.proof import Count, carry, no_worse, worse
 
 ANNOUNCED, LOADING, TRIAL, COMPLETE, WITHDRAWN, SUPERSEDED = (
     "announced",
--- a/cherrydoor/versions/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -7,10 +7,10 @@
 import msgspec
 import structlog
 
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
+from cherrydoor.connection import End
 from cherrydoor.gateway.control import Control
-from cherrydoor.versions import decide as d
+from cherrydoor.protocol import messages as m
+from cherrydoor.releases import decide as d
 
 log = structlog.get_logger()
 TICK, AGAIN = (
--- a/cherrydoor/logic/table.py
+++ b/cherrydoor/routing/history_table.py
@@ -2,8 +2,8 @@
 
 from hashlib import sha1
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import WINDOW, Actor, Tally
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import WINDOW, Actor, Tally
 
 FEW = 8  # how many functions are the most-called
 BUSY = 0.2  # and the least events of one at work at once, over all gateways, that make it one
--- a/cherrydoor/logic/host.py
+++ b/cherrydoor/routing/host.py
@@ -1,7 +1,7 @@
 """A host and its health, by its own launches' fates first and the list second."""
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import WINDOW, Actor, Tally
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import WINDOW, Actor, Tally
 
 PATIENCE = 0.5  # T2 is the own events out that would take this share of the target time one by one
 OTHERS = 2  # others' events held to be at a host when own ones are compared to the usual
--- a/cherrydoor/logic/rules.py
+++ b/cherrydoor/routing/limits.py
@@ -3,9 +3,9 @@
 from collections import deque
 from zlib import crc32
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import WINDOW, Actor, Tally
-from cherrydoor.logic.event import Customer
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import WINDOW, Actor, Tally
+from cherrydoor.routing.request import Customer
 
 FURTHER = 2  # further launches for one event
 MARGIN = 0.9  # of the multiple in rule 4, for chance
--- a/cherrydoor/logic/event.py
+++ b/cherrydoor/routing/request.py
@@ -1,7 +1,7 @@
 """An event taken, its launches, and the customer it comes from."""
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import WINDOW, Tally
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import WINDOW, Tally
 
 NEVER_RAN = (io.FULL, io.NO_CONNECTION, io.UNSENT, io.MISSING)
 
--- a/cherrydoor/logic/gateway.py
+++ b/cherrydoor/routing/router.py
@@ -1,12 +1,12 @@
 """The door, the loop, and the way of an event from its arrival to its answer."""
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import WINDOW, Tally
-from cherrydoor.logic.event import Customer, Event, Try
-from cherrydoor.logic.host import FADED, Host
-from cherrydoor.logic.rules import Rules
-from cherrydoor.logic.table import Function, History
-from cherrydoor.logic.zone import SURE, Zone
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import WINDOW, Tally
+from cherrydoor.routing.history_table import Function, History
+from cherrydoor.routing.host import FADED, Host
+from cherrydoor.routing.limits import Rules
+from cherrydoor.routing.request import Customer, Event, Try
+from cherrydoor.routing.zone_table import SURE, Zone
 
 SWEEP = 100  # how often hosts look at their own silence
 
--- a/cherrydoor/logic/zone.py
+++ b/cherrydoor/routing/zone_table.py
@@ -2,10 +2,10 @@
 
 from math import modf
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import Actor
-from cherrydoor.logic.host import LEAST
-from cherrydoor.logic.table import BUSY
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import Actor
+from cherrydoor.routing.history_table import BUSY
+from cherrydoor.routing.host import LEAST
 
 SURE = 0.75  # share of the target time that a predicted wait may fill, as predictions err
 SPREAD = 3  # how often a place that a cold host cannot bear is spread anew
--- a/cherrydoor/keys/files.py
+++ b/cherrydoor/tls/files.py
@@ -19,7 +19,7 @@
 from jwt import PyJWK
 from jwt.exceptions import PyJWTError
 
-from cherrydoor.keys import decide as d
+from cherrydoor.tls import decide as d
 
 LONGEST = 1 << 20
 
--- a/cherrydoor/keys/keeper.py
+++ b/cherrydoor/tls/keeper.py
@@ -9,9 +9,9 @@
 import structlog
 from cryptography import x509
 
-from cherrydoor.keys import decide as d
-from cherrydoor.keys import files
-from cherrydoor.keys.make import AUDIENCE
+from cherrydoor.tls import decide as d
+from cherrydoor.tls import files
+from cherrydoor.tls.make import AUDIENCE
 
 log = structlog.get_logger()
 SOON = 0.1  # s between looks at keys that are not good at a start
--- a/cherrydoor/keys/make.py
+++ b/cherrydoor/tls/make.py
@@ -16,7 +16,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from cherrydoor.keys import files
+from cherrydoor.tls import files
 
 AUDIENCE = "cherrydoor"
 PEM = serialization.Encoding.PEM
--- a/cherrydoor/keys/show.py
+++ b/cherrydoor/tls/show.py
@@ -3,7 +3,7 @@
 import time
 from pathlib import Path
 
-from cherrydoor.keys import files
+from cherrydoor.tls import files
 
 
 def left(until, now):
@@ -32,7 +32,7 @@
     """A row for each key: kind, name, state, good, file. Problems where the lease is wrong."""
     now, rows = now or time.time() * 1000, []
     if lease:
-        from cherrydoor.lease.figures import lease_of
+        from cherrydoor.config.figures import lease_of
 
         said = lease_of(lease).keys
         pairs = [(said["certificate"], said["key"])] if said["certificate"] else []
--- a/cherrydoor/site/conducting.py
+++ b/cherrydoor/zone_drain/conducting.py
@@ -4,13 +4,13 @@
 
 import structlog
 
-from cherrydoor.frames import custody as c
-from cherrydoor.frames import site as f
-from cherrydoor.site import decide as d
-from cherrydoor.site.follow import called
-from cherrydoor.site.neighbours import FRESH, gathered_sites, room_of
-from cherrydoor.site.plan import REST, STEP, merged, plan, scaled
-from cherrydoor.site.waves import Open
+from cherrydoor.protocol import failover as c
+from cherrydoor.protocol import zone_drain as f
+from cherrydoor.zone_drain import decide as d
+from cherrydoor.zone_drain.follow import called
+from cherrydoor.zone_drain.neighbours import FRESH, gathered_sites, room_of
+from cherrydoor.zone_drain.plan import REST, STEP, merged, plan, scaled
+from cherrydoor.zone_drain.waves import Open
 
 log = structlog.get_logger()
 LAST_WORD = 2.0  # s for which the tenure is kept after the last wave, so that all hear of it under its number
--- a/cherrydoor/site/decide.py
+++ b/cherrydoor/zone_drain/decide.py
@@ -7,15 +7,15 @@
 
 from msgspec import Struct
 
-from cherrydoor.frames.site import Copy
-from cherrydoor.site.falls import BLAMED, FALL, HEALS, NARROW, WATCHED, Fall
-from cherrydoor.site.follow import EMPTY
-from cherrydoor.site.leftover import Leftover
-from cherrydoor.site.neighbours import Neighbours
-from cherrydoor.site.opening import Openings
-from cherrydoor.site.plan import STEP, Plan
-from cherrydoor.site.watch import Watch
-from cherrydoor.site.waves import SETTLE, Waves
+from cherrydoor.protocol.zone_drain import Copy
+from cherrydoor.zone_drain.falls import BLAMED, FALL, HEALS, NARROW, WATCHED, Fall
+from cherrydoor.zone_drain.follow import EMPTY
+from cherrydoor.zone_drain.leftover import Leftover
+from cherrydoor.zone_drain.neighbours import Neighbours
+from cherrydoor.zone_drain.opening import Openings
+from cherrydoor.zone_drain.plan import STEP, Plan
+from cherrydoor.zone_drain.watch import Watch
+from cherrydoor.zone_drain.waves import SETTLE, Waves
 
 CONFIRM = 5000.0  # ms after which a gateway that has not confirmed a wave is a straggler, and not waited for
 CAREFUL = (
--- a/cherrydoor/site/follow.py
+++ b/cherrydoor/zone_drain/follow.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from cherrydoor.site.plan import REST
+from cherrydoor.zone_drain.plan import REST
 
 EMPTY = ("emptying", "empty")  # states in which nothing is steered to the site any more
 
--- a/cherrydoor/site/opening.py
+++ b/cherrydoor/zone_drain/opening.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from cherrydoor.site.plan import Step
+from cherrydoor.zone_drain.plan import Step
 
 OPEN = 4000.0  # ms after which a copy that does not stand is ordered again ...
 TRIES = 3  # ... so often; then its function is put off to the last wave
--- a/cherrydoor/site/shell.py
+++ b/cherrydoor/zone_drain/shell.py
@@ -3,13 +3,13 @@
 import structlog
 from msgspec import structs
 
-from cherrydoor.frames import site as f
-from cherrydoor.site import follow as d
-from cherrydoor.site.calls import Calls
-from cherrydoor.site.conducting import Conducting, plain, shown
-from cherrydoor.site.decide import GATHER, WAVE
-from cherrydoor.site.plan import NAMED, REST, step_within, stricter
-from cherrydoor.site.watch import pause
+from cherrydoor.protocol import zone_drain as f
+from cherrydoor.zone_drain import follow as d
+from cherrydoor.zone_drain.calls import Calls
+from cherrydoor.zone_drain.conducting import Conducting, plain, shown
+from cherrydoor.zone_drain.decide import GATHER, WAVE
+from cherrydoor.zone_drain.plan import NAMED, REST, step_within, stricter
+from cherrydoor.zone_drain.watch import pause
 
 log = structlog.get_logger()
 LOOK = 0.25  # s between looks at what is to be said and led
--- a/cherrydoor/site/waves.py
+++ b/cherrydoor/zone_drain/waves.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct
 
-from cherrydoor.frames.site import Away, Wave
-from cherrydoor.site.follow import EMPTY
+from cherrydoor.protocol.zone_drain import Away, Wave
+from cherrydoor.zone_drain.follow import EMPTY
 
 SETTLE = 1500.0  # ms for which a wave is watched before the next
 
--- a/docs/conftest.py
+++ b/docs/conftest.py
@@ -17,8 +17,8 @@
 from sybil import Sybil
 from sybil.parsers.markdown import CodeBlockParser, PythonCodeBlockParser
 
-from cherrydoor.lease.figures import problems_of, schema
-from cherrydoor.lease.records import read
+from cherrydoor.config.figures import problems_of, schema
+from cherrydoor.config.records import read
 
 ROOT = Path(__file__).resolve().parent.parent
 BASE = """
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -12,9 +12,9 @@
 from test_process import Daemon, Ended, given, with_folder
 
 from cherrydoor.admission import decide as d
-from cherrydoor.ends import End
-from cherrydoor.frames import codec
-from cherrydoor.frames import messages as m
+from cherrydoor.connection import End
+from cherrydoor.protocol import codec
+from cherrydoor.protocol import messages as m
 
 DROPS = (
     55,
--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -8,14 +8,14 @@
 
 from canonical import Kind
 
-from cherrydoor import interface as io
+from cherrydoor.config.figures import Terms
 from cherrydoor.emulator.play import emulate
-from cherrydoor.frames import messages as wire
-from cherrydoor.gateway.books import Client
-from cherrydoor.gateway.desk import Desk
-from cherrydoor.lease.figures import Terms
-from cherrydoor.logic import Gateway
+from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.gateway.tables import Client
+from cherrydoor.protocol import messages as wire
 from cherrydoor.rehearsal.day import read_day
+from cherrydoor.routing import Gateway
+from cherrydoor.routing import messages as io
 
 # ---- constants of enumerations
 HANDLED, ERROR, FULL, MISSING = io.HANDLED, io.ERROR, io.FULL, io.MISSING
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -11,13 +11,13 @@
 from plain import Transcript, values_of
 
 from cherrydoor.admission import decide as admission
-from cherrydoor.frames import peers as frames
-from cherrydoor.keys import decide as keys
-from cherrydoor.peers import decide as peers
+from cherrydoor.leader_election import decide as tenure
+from cherrydoor.membership import decide as peers
 from cherrydoor.platform.configuration import IDLE, SILENT
-from cherrydoor.tenure import decide as tenure
-from cherrydoor.versions import decide as versions
-from cherrydoor.versions import proof
+from cherrydoor.protocol import peers as frames
+from cherrydoor.releases import decide as versions
+from cherrydoor.releases import proof
+from cherrydoor.tls import decide as keys
 
 # ---- admission: names of the code under test
 
--- a/tests/compatibility/platform_bytes.py
+++ b/tests/compatibility/platform_bytes.py
@@ -1,8 +1,8 @@
 """What goes out on the platform's wires for fixed inputs, and fixed bytes that come in."""
 
-from cherrydoor import interface
 from cherrydoor.adapter import wire
 from cherrydoor.codecs import invoke, resp, sse
+from cherrydoor.routing import messages as interface
 
 PLAIN_CALL = (
     b"POST /call/0123456789abcdef/sync HTTP/1.1\r\nHost: gateway\r\n"
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -21,19 +21,19 @@
 import pyarrow.parquet as parquet
 import pytest
 
-from cherrydoor import interface
-from cherrydoor.frames import messages
-from cherrydoor.gateway.roll import Roll
-from cherrydoor.keys import files as key_files
-from cherrydoor.keys import make as key_maker
-from cherrydoor.lease import figures as configuration
+from cherrydoor.config import figures as configuration
+from cherrydoor.fakes import record
+from cherrydoor.gateway.endpoint_watch import Roll
+from cherrydoor.leader_election import decide as election
+from cherrydoor.leader_election import promises as vote_file
+from cherrydoor.protocol import messages
 from cherrydoor.rehearsal import day as rehearsal_day
 from cherrydoor.rehearsal import seen
-from cherrydoor.standin import record
-from cherrydoor.tenure import decide as election
-from cherrydoor.tenure import promises as vote_file
-from cherrydoor.versions import decide as versions
-from cherrydoor.versions import feed
+from cherrydoor.releases import decide as versions
+from cherrydoor.releases import feed
+from cherrydoor.routing import messages as interface
+from cherrydoor.tls import files as key_files
+from cherrydoor.tls import make as key_maker
 
 STORED = Path(__file__).with_name("stored")
 NOW = 1_700_000_000_000.0
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -27,9 +27,9 @@
 )
 from wire_messages import DIRECTIONS, MESSAGES
 
-from cherrydoor import frames
+from cherrydoor import protocol as frames
 from cherrydoor.codecs import invoke, resp, sse
-from cherrydoor.frames import basics, codec
+from cherrydoor.protocol import basics, codec
 
 GOLDEN = json.loads(Path(__file__).with_name("wire_bytes.json").read_text())
 BOUNDS = ("gt", "ge", "lt", "le", "min_length", "max_length")
--- a/tests/compatibility/wire_messages.py
+++ b/tests/compatibility/wire_messages.py
@@ -4,7 +4,9 @@
 default differs from it, or `least` where only the required fields are given. No id names a class.
 """
 
-from cherrydoor.frames import basics, custody, messages, peers, site
+from cherrydoor.protocol import basics, messages, peers
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import zone_drain as site
 
 FULL_ROW = messages.Row("10.0.0.1:4001", "draining", 1700000000000.5, "zone-1", 3)
 LEAST_ROW = messages.Row("10.0.0.2:4001", "ready")
--- a/tests/lease/test_records.py
+++ b/tests/config/test_records.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.lease import Problems, read, show
-from cherrydoor.lease.figures import lease_of
+from cherrydoor.config import Problems, read, show
+from cherrydoor.config.figures import lease_of
 
 SCHEMA = """
 #Clause: { name: string, target: duration & >0ms, kind: *"redeliverable" | "keyed" }
--- a/tests/custody/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -4,15 +4,15 @@
 
 from fleet import LONGEST, Fleet, until
 
-from cherrydoor.ends import End
-from cherrydoor.frames import custody
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.catalogue import Catalogue
-from cherrydoor.standin.copies import Build
-from cherrydoor.standin.farm import Farm
-from cherrydoor.standin.record import now
-from cherrydoor.standin.roll import Roll
-from cherrydoor.standin.store import Store
+from cherrydoor.connection import End
+from cherrydoor.fakes.catalogue import Catalogue
+from cherrydoor.fakes.copies import Build
+from cherrydoor.fakes.host_pool import Farm
+from cherrydoor.fakes.record import now
+from cherrydoor.fakes.roll import Roll
+from cherrydoor.fakes.store import Store
+from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import messages as m
 
 
 class Rows:
--- a/tests/custody/test_claims.py
+++ b/tests/failover/test_claims.py
@@ -2,9 +2,9 @@
 
 from test_verdicts import line, trust
 
-from cherrydoor.custody.claims import Claims
-from cherrydoor.custody.estate import Line
-from cherrydoor.frames.messages import Answer
+from cherrydoor.failover.claims import Claims
+from cherrydoor.failover.estate import Line
+from cherrydoor.protocol.messages import Answer
 
 
 def test_an_answer_is_claimed_by_its_key_alone_waited_for_and_given_again():
--- a/tests/custody/test_every_order.py
+++ b/tests/failover/test_every_order.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cherrydoor.custody import decide as d
-from cherrydoor.custody.estate import Estate, Line
-from cherrydoor.frames.custody import Holds, Job
-from cherrydoor.frames.peers import Trust
+from cherrydoor.failover import decide as d
+from cherrydoor.failover.estate import Estate, Line
+from cherrydoor.protocol.failover import Holds, Job
+from cherrydoor.protocol.peers import Trust
 
 MOST = 2500  # states looked at for each kind in `make test`: docs/custody.md says what larger ones found
 KINDS = {"draft": d.Kind(), "sign": d.Kind("keyed", "all", 1e6), "file": d.Kind("at-most-once")}
--- a/tests/custody/test_hosts.py
+++ b/tests/failover/test_hosts.py
@@ -2,9 +2,9 @@
 
 from fleet_and_hosts import Rows
 
-from cherrydoor.frames import custody as c
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.estates import Estates
+from cherrydoor.fakes.estates import Estates
+from cherrydoor.protocol import failover as c
+from cherrydoor.protocol import messages as m
 
 
 class End:
--- a/tests/custody/test_taken_over_once.py
+++ b/tests/failover/test_taken_over_once.py
@@ -5,8 +5,8 @@
 from fleet import story, until
 from fleet_and_hosts import Town, come
 
-from cherrydoor.frames import custody
-from cherrydoor.lease.records import Duration
+from cherrydoor.config.records import Duration
+from cherrydoor.protocol import failover as custody
 
 
 def ran(town, event):
--- a/tests/custody/test_verdicts.py
+++ b/tests/failover/test_verdicts.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from cherrydoor.custody import decide as d
-from cherrydoor.custody.estate import Estate, Giver, Line, Witness
-from cherrydoor.frames.custody import Job
-from cherrydoor.frames.peers import Entrust, Out, Trust
+from cherrydoor.failover import decide as d
+from cherrydoor.failover.estate import Estate, Giver, Line, Witness
+from cherrydoor.protocol.failover import Job
+from cherrydoor.protocol.peers import Entrust, Out, Trust
 
 KINDS = {
     "draft": d.Kind(),
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -1,7 +1,7 @@
 """One tiny fake fleet for all stories: hosts a, b, c ... whose answers are fed to a gateway by hand."""
 
-from cherrydoor import interface as io
-from cherrydoor.logic import Gateway
+from cherrydoor.routing import Gateway
+from cherrydoor.routing import messages as io
 
 CLAUSE = io.Clause("redraft", 500.0, 5000.0)
 LEASE = io.Lease(
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -7,12 +7,12 @@
 
 import uvloop
 
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.shell import Shell
-from cherrydoor.lease import read
-from cherrydoor.lease.figures import Figures, schema
-from cherrydoor.logic import Gateway
+from cherrydoor.config import read
+from cherrydoor.config.figures import Figures, schema
+from cherrydoor.connection import End
+from cherrydoor.gateway.service import Shell
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import Gateway
 
 LEASE = """
 name: "g0", number: 0, gateways: 1, list: "127.0.0.1:%d"
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -4,7 +4,7 @@
 
 from stack import MAY, Client, Host, now, story
 
-from cherrydoor.frames import messages as m
+from cherrydoor.protocol import messages as m
 
 
 @story
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -7,7 +7,7 @@
 
 from stack import LEASE, Host, Listing, environment, now, story
 
-from cherrydoor.frames import messages as m
+from cherrydoor.protocol import messages as m
 
 
 class Daemon:
--- a/tests/tenure/test_every_order.py
+++ b/tests/leader_election/test_every_order.py
@@ -7,8 +7,8 @@
 import pytest
 from world import TERMS, World
 
-from cherrydoor.frames.peers import Granted, Seek
-from cherrydoor.tenure.decide import Contender, Ended, Held, Keeper, Promises, Terms
+from cherrydoor.leader_election.decide import Contender, Ended, Held, Keeper, Promises, Terms
+from cherrydoor.protocol.peers import Granted, Seek
 
 MOST = 4500  # worlds looked at in the three searches: the bound that is stated in docs/tenure.md
 STEPS = (0.0, 450.0, 1100.0)
--- a/tests/tenure/test_one_holder.py
+++ b/tests/leader_election/test_one_holder.py
@@ -6,7 +6,7 @@
 
 from fleet import Fleet, story, until
 
-from cherrydoor.tenure.promises import seal, unseal
+from cherrydoor.leader_election.promises import seal, unseal
 
 TASK = "site/floor-1"
 
@@ -119,7 +119,7 @@
 
 
 def test_a_file_of_promises_is_believed_by_its_checksum_and_its_owner_alone(tmp_path):
-    from cherrydoor.tenure.decide import Promise, Promises
+    from cherrydoor.leader_election.decide import Promise, Promises
 
     kept = Promises(7, {"a": Promise(9, "g1", 5.0, 800.0)})
     data = seal("g0", kept)
--- a/tests/tenure/world.py
+++ b/tests/leader_election/world.py
@@ -7,7 +7,7 @@
 import copy
 from itertools import count
 
-from cherrydoor.tenure.decide import Contender, Ended, Held, Keeper, Save, Say, Terms
+from cherrydoor.leader_election.decide import Contender, Ended, Held, Keeper, Save, Say, Terms
 
 TERMS = Terms(term=1000.0, drift=0.01, margin=50.0, longest=1000.0)
 NAMES = ("a", "b", "c")
--- a/tests/peers/fleet.py
+++ b/tests/membership/fleet.py
@@ -7,9 +7,9 @@
 import sys
 import time
 
-from cherrydoor.lease import show
-from cherrydoor.lease.records import Duration
-from cherrydoor.rehearsal.between import Relay
+from cherrydoor.config import show
+from cherrydoor.config.records import Duration
+from cherrydoor.rehearsal.fault_injecting_proxy import Relay
 from cherrydoor.rehearsal.parts import Ports
 
 LONGEST = 20.0  # s that any story may wait for what must come
--- a/tests/peers/test_statements.py
+++ b/tests/membership/test_statements.py
@@ -5,9 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.frames.peers import Beat, Member
-from cherrydoor.peers.decide import FORGET, MOST, Me, Members, merged
-from cherrydoor.peers.links import Close, Dial, Links, Say
+from cherrydoor.membership.decide import FORGET, MOST, Me, Members, merged
+from cherrydoor.membership.links import Close, Dial, Links, Say
+from cherrydoor.protocol.peers import Beat, Member
 
 ROWS = st.builds(
     Member,
--- a/tests/peers/test_who_is_there.py
+++ b/tests/membership/test_who_is_there.py
@@ -82,7 +82,7 @@
 
 @story
 async def test_peers_are_believed_by_their_certificates_and_under_that_name_alone(tmp_path):
-    from cherrydoor.keys.make import Folder
+    from cherrydoor.tls.make import Folder
 
     keys = Folder(tmp_path / "keys")
     keys.authority()
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -6,8 +6,8 @@
 from crossing import ONCE, RawClient, executed, until
 from town import FUNCTION, SETTINGS, reply, story
 
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.books import LAUNCHED_AFTER_CLOSE
+from cherrydoor.gateway.tables import LAUNCHED_AFTER_CLOSE
+from cherrydoor.protocol import messages as m
 
 
 @story
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,11 +6,11 @@
 import pytest
 from town import FUNCTION, SETTINGS
 
-from cherrydoor.frames import messages as m
-from cherrydoor.gateway.books import Client
-from cherrydoor.gateway.desk import Desk
-from cherrydoor.logic import Gateway
+from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.gateway.tables import Client
 from cherrydoor.platform import configuration
+from cherrydoor.protocol import messages as m
+from cherrydoor.routing import Gateway
 
 STATED = copy.deepcopy(SETTINGS) | {"prices": {"handshake": 0.1}, "zones": ["east"]}
 STATED["requestClasses"][0] |= {"dedupScope": "all", "dedupWindow": 4000000}
--- a/tests/frames/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.frames import messages as m
-from cherrydoor.frames.codec import BadFrame, Reader, encode
+from cherrydoor.protocol import messages as m
+from cherrydoor.protocol.codec import BadFrame, Reader, encode
 
 ids, spans, names = st.integers(0, 2**62), st.floats(0, 1e10), st.text(max_size=30)
 some = st.one_of(
--- a/tests/rehearsal/test_audit.py
+++ b/tests/rehearsal/test_audit.py
@@ -3,8 +3,8 @@
 import pytest
 from traffic import Run
 
+from cherrydoor.fakes.record import Record
 from cherrydoor.rehearsal.audit import Unreadable, audit
-from cherrydoor.standin.record import Record
 
 
 @pytest.fixture
--- a/tests/rehearsal/test_bench_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cherrydoor.lease import Problems
+from cherrydoor.config import Problems
 from cherrydoor.rehearsal.bench_day import KINDS, bench_day
 from cherrydoor.rehearsal.traffic import draw
 from cherrydoor.rehearsal.troubles import Steps
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cherrydoor.lease import Problems
+from cherrydoor.config import Problems
 from cherrydoor.rehearsal.conduct import CannotRun, Conductor
 from cherrydoor.rehearsal.day import SHIPPED, read_day
 from cherrydoor.rehearsal.traffic import draw
--- a/tests/rehearsal/traffic.py
+++ b/tests/rehearsal/traffic.py
@@ -2,8 +2,8 @@
 
 import json
 
+from cherrydoor.fakes.record import Record
 from cherrydoor.rehearsal.audit import audit
-from cherrydoor.standin.record import Record
 
 TERMS = {
     "name": "doctored",
--- a/tests/versions/releases.py
+++ b/tests/releases/releases.py
@@ -1,6 +1,6 @@
 """One gateway's versions, with time moved by hand."""
 
-from cherrydoor.versions import decide as d
+from cherrydoor.releases import decide as d
 
 NOW = 1.8e12
 
--- a/tests/versions/test_decide.py
+++ b/tests/releases/test_decide.py
@@ -5,8 +5,8 @@
 from releases import NOW, Gate
 
 from bench.releases import Fleet
-from cherrydoor.versions import decide as d
-from cherrydoor.versions.proof import Count, bounds, worse
+from cherrydoor.releases import decide as d
+from cherrydoor.releases.proof import Count, bounds, worse
 
 
 def test_a_share_grows_by_steps_that_nest_and_all_gateways_agree():
--- a/tests/versions/test_on_sockets.py
+++ b/tests/releases/test_on_sockets.py
@@ -6,11 +6,11 @@
 from stack import Host, now, story
 from test_process import with_folder
 
-from cherrydoor.frames import messages as m
-from cherrydoor.standin.feed import Feed
-from cherrydoor.standin.record import Record
-from cherrydoor.versions import decide as d
-from cherrydoor.versions.feed import seal, unseal
+from cherrydoor.fakes.feed import Feed
+from cherrydoor.fakes.record import Record
+from cherrydoor.protocol import messages as m
+from cherrydoor.releases import decide as d
+from cherrydoor.releases.feed import seal, unseal
 
 
 class Versioned(Host):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cherrydoor import interface as io
-from cherrydoor.logic import Gateway
+from cherrydoor.routing import Gateway
+from cherrydoor.routing import messages as io
 
 CORES = 2
 HOSTS, COLD_HOST = "abcdefghij", "k"
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -2,7 +2,7 @@
 
 from fake import CLAUSE, Fleet, kinds
 
-from cherrydoor import interface as io
+from cherrydoor.routing import messages as io
 
 
 def test_rule_1_one_final_answer_at_once_and_nothing_after_it():
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,8 +2,8 @@
 
 from fake import Fleet
 
-from cherrydoor import interface as io
-from cherrydoor.logic.actor import Tally
+from cherrydoor.routing import messages as io
+from cherrydoor.routing.decay import Tally
 
 
 def test_silent_host_is_probed_its_events_taken_back_and_its_range_handed_on():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -2,7 +2,7 @@
 
 from fake import Fleet, kinds
 
-from cherrydoor import interface as io
+from cherrydoor.routing import messages as io
 
 
 def test_every_gateway_sends_a_function_to_the_same_home():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -2,7 +2,7 @@
 
 from fake import Fleet, kinds
 
-from cherrydoor import interface as io
+from cherrydoor.routing import messages as io
 
 
 def untold(fleet, host, function, took=50.0, held=None, fate=io.HANDLED, later=10.0):
--- a/tests/keys/rings.py
+++ b/tests/tls/rings.py
@@ -4,10 +4,10 @@
 
 from stack import Client, now
 
-from cherrydoor.ends import End
-from cherrydoor.frames import messages as m
-from cherrydoor.keys import decide as d
-from cherrydoor.keys import files
+from cherrydoor.connection import End
+from cherrydoor.protocol import messages as m
+from cherrydoor.tls import decide as d
+from cherrydoor.tls import files
 
 DAY = 86400000.0
 NOW = 20000 * DAY
@@ -47,7 +47,7 @@
 
 def made(folder):
     """A folder of keys for gateway g0 and clients harbour and meadow."""
-    from cherrydoor.keys.make import Folder
+    from cherrydoor.tls.make import Folder
 
     keys = Folder(folder)
     keys.authority()
--- a/tests/keys/test_in_service.py
+++ b/tests/tls/test_in_service.py
@@ -9,10 +9,10 @@
 from stack import Host, Listing, now
 from test_process import Daemon, with_folder
 
-from cherrydoor.frames import messages as m
-from cherrydoor.keys import files
-from cherrydoor.keys.keeper import Keeper, Where
-from cherrydoor.standin.crowd import greeting
+from cherrydoor.fakes.crowd import greeting
+from cherrydoor.protocol import messages as m
+from cherrydoor.tls import files
+from cherrydoor.tls.keeper import Keeper, Where
 
 KNOWN = 'admission: {known: [{name: "harbour", places: 8}, {name: "meadow", places: 8}]}\n'
 
--- a/tests/keys/test_ring.py
+++ b/tests/tls/test_ring.py
@@ -2,7 +2,7 @@
 
 from rings import DAY, Facts, authority, pair
 
-from cherrydoor.keys import decide as d
+from cherrydoor.tls import decide as d
 
 
 def kinds(actions):
--- a/tests/site/play.py
+++ b/tests/zone_drain/play.py
@@ -1,10 +1,10 @@
 """A conductor and gateways that answer as they are told."""
 
-from cherrydoor.frames.site import Followed
-from cherrydoor.site import decide as d
-from cherrydoor.site import waves as w
-from cherrydoor.site.neighbours import Site
-from cherrydoor.site.plan import Lot, plan
+from cherrydoor.protocol.zone_drain import Followed
+from cherrydoor.zone_drain import decide as d
+from cherrydoor.zone_drain import waves as w
+from cherrydoor.zone_drain.neighbours import Site
+from cherrydoor.zone_drain.plan import Lot, plan
 
 LOTS = [
     Lot("gold", 10.0, 5.0, hosts=("h1",)),
--- a/tests/site/test_conductor.py
+++ b/tests/zone_drain/test_conductor.py
@@ -2,10 +2,10 @@
 
 from play import LOTS, Play
 
-from cherrydoor.frames.site import Wave
-from cherrydoor.site import decide as d
-from cherrydoor.site import opening as o
-from cherrydoor.site.plan import Lot
+from cherrydoor.protocol.zone_drain import Wave
+from cherrydoor.zone_drain import decide as d
+from cherrydoor.zone_drain import opening as o
+from cherrydoor.zone_drain.plan import Lot
 
 
 def test_a_wave_goes_out_when_its_copies_stand_and_the_next_when_all_confirm():
--- a/tests/site/test_drained_in_order.py
+++ b/tests/zone_drain/test_drained_in_order.py
@@ -5,7 +5,7 @@
 from fleet import story, until
 from fleet_and_hosts import Town, come
 
-from cherrydoor.frames import messages as m
+from cherrydoor.protocol import messages as m
 
 SITE = "floor-0"
 DOCUMENTS, FUNCTIONS = 48, 24
--- a/tests/site/test_room.py
+++ b/tests/zone_drain/test_room.py
@@ -2,11 +2,11 @@
 
 from play import LOTS, Play, all_away, fallen, fleet
 
-from cherrydoor.frames.site import Wave
-from cherrydoor.site import decide as d
-from cherrydoor.site.leftover import AT_ONCE, Leftover
-from cherrydoor.site.neighbours import Site
-from cherrydoor.site.plan import Lot
+from cherrydoor.protocol.zone_drain import Wave
+from cherrydoor.zone_drain import decide as d
+from cherrydoor.zone_drain.leftover import AT_ONCE, Leftover
+from cherrydoor.zone_drain.neighbours import Site
+from cherrydoor.zone_drain.plan import Lot
 
 
 def test_while_a_neighbour_is_lost_no_wave_goes_out_and_then_the_drain_goes_on():
--- a/tests/site/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.frames.site import Away, LotTold, Wave
-from cherrydoor.gateway.desk import Desk
-from cherrydoor.site import follow
-from cherrydoor.site.conducting import plain
-from cherrydoor.site.neighbours import Site, gathered_sites, room_of
-from cherrydoor.site.plan import REST, Lot, gathered, merged, plan, served
+from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.protocol.zone_drain import Away, LotTold, Wave
+from cherrydoor.zone_drain import follow
+from cherrydoor.zone_drain.conducting import plain
+from cherrydoor.zone_drain.neighbours import Site, gathered_sites, room_of
+from cherrydoor.zone_drain.plan import REST, Lot, gathered, merged, plan, served
 
 LOTS = [
     Lot("gold", 10.0, 5.0, hosts=("h1",)),
