--- a/bench/admission.py
+++ b/bench/admission.py
@@ -19,7 +19,7 @@
 
 from cherrydoor.admission import decide as d
 from cherrydoor.connection import End
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import files
 from cherrydoor.tls.make import Folder
 
@@ -40,7 +40,7 @@
     from cherrydoor.config import read
     from cherrydoor.config.figures import Figures, schema
     from cherrydoor.gateway.service import Shell
-    from cherrydoor.routing import Gateway
+    from cherrydoor.routing import Router
 
     class Owner:
         def greeted(self, end, hello):
@@ -56,14 +56,14 @@
         loop = asyncio.get_running_loop()
         if bare:
             server = await loop.create_server(
-                lambda: End(Owner(), m.FROM_CLIENT, lambda: m.Hello(1, "gateway")),
+                lambda: End(Owner(), protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")),
                 "127.0.0.1",
                 0,
                 backlog=1024,
             )
             port = server.sockets[0].getsockname()[1]
         else:
-            shell = Shell(Figures(read(text, "f", schema("lease.schema"), "#Lease")), Gateway)
+            shell = Shell(Figures(read(text, "f", schema("lease.schema"), "#Lease")), Router)
             await shell.start()
             port = shell.port
         pipe.send(port)
@@ -90,7 +90,7 @@
 
     def greeted(self, end, hello):
         self.let_in = True
-        end.write(m.Withdraw(1))
+        end.write(protocol.CancelRequest(1))
         asyncio.get_running_loop().call_later(0.005, end.close)
 
     def heard(self, end, message):
@@ -111,7 +111,9 @@
             came = Came()
             try:
                 await asyncio.get_running_loop().create_connection(
-                    lambda came=came: End(came, m.TO_CLIENT, lambda: m.Hello(1, "client", "c")),
+                    lambda came=came: End(
+                        came, protocol.TO_CLIENT, lambda: protocol.Hello(1, "client", "c")
+                    ),
                     "127.0.0.1",
                     port,
                     ssl=context,
--- a/bench/custody.py
+++ b/bench/custody.py
@@ -18,7 +18,7 @@
 
 from bench.gateway import Answering, Listed
 from cherrydoor.connection import End
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.parts import Ports
 
 RATE, SECONDS, ROUNDS, HOSTS = 500, 8, 3, 8
@@ -53,7 +53,7 @@
         self.end = end
 
     def heard(self, end, message):
-        if type(message) is m.Answer:
+        if type(message) is protocol.Response:
             self.took.append(now() - self.sent.pop(message.id))
 
     def lost(self, end):
@@ -67,15 +67,23 @@
     for _ in range(HOSTS):
         answering = Answering(5.0)
         server = await loop.create_server(
-            lambda a=answering: End(a, m.TO_HOST, lambda: m.Hello(m.VERSION, "host", "h", now())),
+            lambda a=answering: End(
+                a, protocol.TO_HOST, lambda: protocol.Hello(protocol.VERSION, "host", "h", now())
+            ),
             "127.0.0.1",
             0,
         )
         servers.append(server)
-        rows.append(m.Row(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready", 0.0, "z", 0))
+        rows.append(
+            protocol.Endpoint(
+                f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready", 0.0, "z", 0
+            )
+        )
     listed = Listed(rows)
     server = await loop.create_server(
-        lambda: End(listed, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "l", now())),
+        lambda: End(
+            listed, protocol.TO_LIST, lambda: protocol.Hello(protocol.VERSION, "list", "l", now())
+        ),
         "127.0.0.1",
         0,
     )
@@ -121,7 +129,11 @@
         await loop.run_in_executor(None, process.stdout.readline)
     client, host = Client(), doors[0].rpartition(":")
     await loop.create_connection(
-        lambda: End(client, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", "c", now())),
+        lambda: End(
+            client,
+            protocol.TO_CLIENT,
+            lambda: protocol.Hello(protocol.VERSION, "client", "c", now()),
+        ),
         host[0],
         int(host[2]),
     )
@@ -136,13 +148,13 @@
                 number += 1
                 client.sent[number] = now()
                 client.end.write(
-                    m.Event(
+                    protocol.Request(
                         number,
                         "draft",
                         f"deed-{number % 40}",
                         2500.0,
                         now(),
-                        key=f"{number:032d}",
+                        claim_key=f"{number:032d}",
                         body=body,
                     )
                 )
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -21,9 +21,9 @@
 from cherrydoor.config.figures import Figures, schema
 from cherrydoor.connection import End
 from cherrydoor.gateway.service import Shell
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import Gateway
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import Router
+from cherrydoor.routing import messages as routing
 
 LEASE = """
 name: "g0", number: 0, gateways: 1, list: "127.0.0.1:%d"
@@ -54,30 +54,50 @@
 # ---- the module alone: notes in memory, each event handled 50 ms later
 def module_alone(count, open_at_once=64, changing=False):
     """CPU seconds for `count` events, each with its launch and its outcome, and the module's tables at the end."""
-    gate, at = Gateway(Figures(read(LEASE % 1, "f", schema("lease.schema"), "#Lease")).lease), 1e6
+    gate, at = Router(Figures(read(LEASE % 1, "f", schema("lease.schema"), "#Lease")).lease), 1e6
     gate.start(at)
     gate.take(
         at,
-        io.Listing(io.SAVED, tuple(io.Row(f"h{i}", io.READY, 0.0, "z", 0) for i in range(HOSTS))),
+        routing.EndpointsUpdated(
+            routing.UpdateKind.CACHED,
+            tuple(
+                routing.Endpoint(f"h{i}", routing.HostState.READY, 0.0, "z", 0)
+                for i in range(HOSTS)
+            ),
+        ),
     )
     names, begun, out, sweep = functions(count, changing), cpu(), [], at + 100
 
     def settle(actions):
         for action in actions:
-            if type(action) is io.Launch:
-                out.append((action.event, action.host))
+            if type(action) is routing.StartAttempt:
+                out.append((action.request_id, action.host))
 
     for number, name in enumerate(names):
         at += 1.0
         if at > sweep:
             sweep += 100
-            gate.take(at, io.Wake("sweep"))
-        settle(gate.take(at, io.Arrival(number, "draft", "", name, at + 2500, 4.0, 600.0)))
+            gate.take(at, routing.TimerFired("sweep"))
+        settle(
+            gate.take(at, routing.RequestArrived(number, "draft", "", name, at + 2500, 4.0, 600.0))
+        )
         if len(out) > open_at_once:
             event, host = out.pop(0)
             launches = len(gate.events[event].tries)
             settle(
-                gate.take(at, io.Outcome(event, launches - 1, io.HANDLED, True, host, 50.0, 1, 1))
+                gate.take(
+                    at,
+                    routing.AttemptEnded(
+                        event,
+                        launches - 1,
+                        routing.AttemptOutcome.SUCCEEDED,
+                        True,
+                        host,
+                        50.0,
+                        1,
+                        1,
+                    ),
+                )
             )
     return cpu() - begun, len(gate.history.functions)
 
@@ -97,15 +117,17 @@
 
     def heard(self, end, message):
         kind = type(message)
-        if kind is m.Launch:
+        if kind is protocol.Attempt:
             if self.wait:
-                self.loop.call_later(self.wait, end.write, m.Outcome(message.id, "handled", 1, 1))
+                self.loop.call_later(
+                    self.wait, end.write, protocol.AttemptResult(message.id, "handled", 1, 1)
+                )
             else:
-                end.write(m.Outcome(message.id, "handled", 1, 1))
-        elif kind is m.Probe:
-            end.write(m.Probed(message.id))
-        elif kind is m.Order:
-            end.write(m.Ordered(message.id, "handled", 1))
+                end.write(protocol.AttemptResult(message.id, "handled", 1, 1))
+        elif kind is protocol.HealthCheck:
+            end.write(protocol.HealthCheckResult(message.id))
+        elif kind is protocol.LoadOrder:
+            end.write(protocol.LoadOrderResult(message.id, "handled", 1))
 
 
 class Listed:
@@ -116,8 +138,8 @@
         pass
 
     def heard(self, end, message):
-        if type(message) is m.Follow:
-            end.write(m.Rows(1, "whole", self.rows))
+        if type(message) is protocol.Watch:
+            end.write(protocol.EndpointUpdate(1, "whole", self.rows))
 
     def lost(self, end):
         pass
@@ -155,14 +177,14 @@
         if self.sent < self.count:
             self.at[self.sent] = due
             self.end.write(
-                m.Event(
+                protocol.Request(
                     self.sent,
                     "draft",
                     self.names[self.sent],
                     2500.0,
                     now(),
-                    lanes=4.0,
-                    load=600.0,
+                    copy_concurrency=4.0,
+                    load_ms=600.0,
                     body=b"x" * 200,
                 )
             )
@@ -170,7 +192,7 @@
 
     def heard(self, end, answer):
         self.took.append(now() - self.at.pop(answer.id))
-        self.fates[answer.fate] = self.fates.get(answer.fate, 0) + 1
+        self.fates[answer.outcome] = self.fates.get(answer.outcome, 0) + 1
         self.done += 1
         if self.done == self.count:
             self.over.set_result(None)
@@ -190,13 +212,17 @@
         answering = Answering(waits)
         for _ in range(HOSTS):
             server = await loop.create_server(
-                lambda: End(answering, m.TO_HOST, lambda: m.Hello(1, "host")), "127.0.0.1", 0
+                lambda: End(answering, protocol.TO_HOST, lambda: protocol.Hello(1, "host")),
+                "127.0.0.1",
+                0,
             )
             servers.append(server)
-            rows.append(m.Row(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready"))
+            rows.append(
+                protocol.Endpoint(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "ready")
+            )
         listed = Listed(rows)
         server = await loop.create_server(
-            lambda: End(listed, m.TO_LIST, lambda: m.Hello(1, "list")), "127.0.0.1", 0
+            lambda: End(listed, protocol.TO_LIST, lambda: protocol.Hello(1, "list")), "127.0.0.1", 0
         )
         pipe.send((server.sockets[0].getsockname()[1], [row.host for row in rows]))
         gc.freeze()
@@ -204,7 +230,9 @@
             port, count, window, rate, changing = job
             load = Load(count, window, rate, changing)
             _, end = await loop.create_connection(
-                lambda load=load: End(load, m.TO_CLIENT, lambda: m.Hello(1, "client", "c", now())),
+                lambda load=load: End(
+                    load, protocol.TO_CLIENT, lambda: protocol.Hello(1, "client", "c", now())
+                ),
                 "127.0.0.1",
                 port,
             )
@@ -234,13 +262,15 @@
         loop = asyncio.get_running_loop()
         for host in hosts:
             _, end = await loop.create_connection(
-                lambda: End(self, m.FROM_HOST, lambda: m.Hello(1, "gateway")),
+                lambda: End(self, protocol.FROM_HOST, lambda: protocol.Hello(1, "gateway")),
                 "127.0.0.1",
                 int(host.rpartition(":")[2]),
             )
             self.hosts.append(end)
         server = await loop.create_server(
-            lambda: End(self, m.FROM_CLIENT, lambda: m.Hello(1, "gateway")), "127.0.0.1", 0
+            lambda: End(self, protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")),
+            "127.0.0.1",
+            0,
         )
         return server.sockets[0].getsockname()[1]
 
@@ -251,25 +281,25 @@
         pass
 
     def heard(self, end, message):
-        if type(message) is m.Event:
+        if type(message) is protocol.Request:
             self.next += 1
             self.out[self.next] = end, message.id
             self.hosts[self.next % len(self.hosts)].write(
-                m.Launch(
+                protocol.Attempt(
                     self.next,
                     message.id,
                     "c",
-                    message.clause,
+                    message.request_class,
                     message.function,
-                    message.lasts,
+                    message.timeout_ms,
                     0,
                     "",
                     message.body,
                 )
             )
-        elif type(message) is m.Outcome:
+        elif type(message) is protocol.AttemptResult:
             client, number = self.out.pop(message.id)
-            client.write(m.Answer(number, "handled", 0.0, "", message.body))
+            client.write(protocol.Response(number, "handled", 0.0, "", message.body))
 
 
 def measured(pipe, what, queue):
@@ -281,7 +311,7 @@
             port = await Relay().start(hosts)
         else:
             shell = Shell(
-                Figures(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Gateway
+                Figures(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Router
             )
             await shell.start()
             while not shell.desk.hosts:
@@ -337,20 +367,24 @@
 
 def codec_alone(count=50000):
     """CPU us an event of reading an Event and an Outcome and writing a Launch and an Answer."""
-    from cherrydoor.protocol.codec import Reader, encode
+    from cherrydoor.protocol.codec import FrameReader, encode
 
-    hello, body = encode(m.Hello(1, "client")), b"x" * 200
-    one = encode(m.Event(1, "draft", "deed-1", 2500.0, 5.0, lanes=4.0, load=600.0, body=body))
-    two = encode(m.Outcome(1, "handled", 1, 1))
-    a, b = Reader(m.FROM_CLIENT), Reader(m.FROM_HOST)
+    hello, body = encode(protocol.Hello(1, "client")), b"x" * 200
+    one = encode(
+        protocol.Request(
+            1, "draft", "deed-1", 2500.0, 5.0, copy_concurrency=4.0, load_ms=600.0, body=body
+        )
+    )
+    two = encode(protocol.AttemptResult(1, "handled", 1, 1))
+    a, b = FrameReader(protocol.FROM_CLIENT), FrameReader(protocol.FROM_HOST)
     a.feed(hello)
     b.feed(hello)
     begun = cpu()
     for _ in range(count):
         a.feed(one)
-        encode(m.Launch(1, 1, "c", "draft", "deed-1", 2500.0, 0, "", body))
+        encode(protocol.Attempt(1, 1, "c", "draft", "deed-1", 2500.0, 0, "", body))
         b.feed(two)
-        encode(m.Answer(1, "handled"))
+        encode(protocol.Response(1, "handled"))
     return (cpu() - begun) / count * 1e6
 
 
--- a/bench/mass/account.py
+++ b/bench/mass/account.py
@@ -27,12 +27,12 @@
         why = cause(day, event)
         if why:
             rows[why]["all"] += 1
-            rows[why]["late" if event.fate == "handled" else "not handled"] += 1
+            rows[why]["late" if event.outcome == "handled" else "not handled"] += 1
     totals = Counter(
         {
             "tries": len(events),
             "in time": sum(e.good for e in events),
-            "late": sum(e.fate == "handled" and not e.good for e in events),
+            "late": sum(e.outcome == "handled" and not e.good for e in events),
             "of short clients": sum(e.waits < SHORT * e.target for e in events),
             "of short clients in time": sum(e.waits < SHORT * e.target and e.good for e in events),
         }
--- a/bench/mass/causes.py
+++ b/bench/mass/causes.py
@@ -19,7 +19,7 @@
     at: float
     host: str
     took: float
-    fate: str
+    outcome: str
     copy: (
         int  # 1 a copy stood, 2 it began a load, 3 it waited for one, 4 the load failed, 0 not told
     )
@@ -47,14 +47,14 @@
     body: int
     waits: float  # ms until the client gives up
     target: float
-    fate: str
+    outcome: str
     took: float  # ms to the answer
     routes: list
     launches: list
 
     @property
     def good(self):
-        return self.fate == GOOD and self.took <= self.target
+        return self.outcome == GOOD and self.took <= self.target
 
 
 def read(lines, gateway):
@@ -88,7 +88,7 @@
         self.events, self.by_host, self.by_pair = events, defaultdict(list), defaultdict(list)
         for event in events:
             for one in event.launches:
-                row = one.at, one.took, one.fate, one.copy, event.gateway
+                row = one.at, one.took, one.outcome, one.copy, event.gateway
                 self.by_host[one.host].append(row)
                 self.by_pair[one.host, event.function].append(row)
         for table in (self.by_host, self.by_pair):
@@ -142,20 +142,20 @@
     if not event.launches:
         return untried(day, event)
     first = event.launches[0]
-    if first.fate in SILENT:
+    if first.outcome in SILENT:
         if event.waits < SHORT * event.target and first.took >= 0.9 * event.waits:
             return "client's time too short: launched"
         known = day.known_silent(first.host, first.at, event.gateway)
-        if first.fate == "lost":
+        if first.outcome == "lost":
             return "connection reset under it"
         return {"own": "silent host, known here", "others": "silent host, known to others"}.get(
             known, "silent host, known to nobody"
         )
-    if first.fate == "no-connection":
+    if first.outcome == "no-connection":
         return "connection refused or not up in time"
-    if first.fate == "full":
+    if first.outcome == "full":
         return "host was full"
-    if first.fate == "error":
+    if first.outcome == "error":
         return "answer was an error"
     if first.level < 1.0 and first.copy != 1:
         return "cold host, load"
@@ -167,7 +167,7 @@
         )
     if first.level < 1.0:
         return "cold host"
-    if first.fate == GOOD and first.took > event.target:
+    if first.outcome == GOOD and first.took > event.target:
         return "queued behind own events" if first.out else "queued behind others' events"
     return "second launch too late" if len(event.launches) > 1 else "other"
 
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -13,10 +13,10 @@
 
 from cherrydoor.gateway.dispatcher import Desk
 from cherrydoor.platform import process
-from cherrydoor.routing import Gateway
+from cherrydoor.routing import Router
 
 
-class Traced(Gateway):
+class Traced(Router):
     """The module, whose choices are noted beside it."""
 
     def __init__(self, lease):
@@ -71,13 +71,19 @@
         return taken
 
     def answer(self, taken, answer):
-        self.ends_by[taken.number] = [answer.fate, round(self.now - taken.at, 1)]
+        self.ends_by[taken.number] = [answer.outcome, round(self.now - taken.at, 1)]
         super().answer(taken, answer)
 
     def landed(self, sent, fate, took, name, message):
         self.__dict__.setdefault("outcomes_by", {}).setdefault(sent.taken.number, {})[
             sent.index
-        ] = (name, took, fate, message.copy if message else 0, message.crowd if message else 0)
+        ] = (
+            name,
+            took,
+            fate,
+            message.copy if message else 0,
+            message.concurrency if message else 0,
+        )
         super().landed(sent, fate, took, name, message)
 
     def forget(self, taken):
@@ -93,7 +99,7 @@
         )
         launches = []
         for sent in taken.launches:
-            name, took, fate, copy, crowd = told.get(sent.index, ("", 0.0, sent.fate, 0, 0))
+            name, took, fate, copy, crowd = told.get(sent.index, ("", 0.0, sent.outcome, 0, 0))
             knew = sends[sent.index] if sent.index < len(sends) else [False, 1.0, -1.0, 0]
             launches.append(
                 [round(sent.at - taken.at, 1), name, round(took, 1), fate, copy, crowd, *knew]
@@ -103,11 +109,11 @@
         line = [
             "event",
             round(taken.at, 1),
-            event.clause,
+            event.request_class,
             event.function,
             crc32(event.body),
             round(taken.until - taken.at, 1),
-            gate.deed.clauses[event.clause].target,
+            gate.settings.request_classes[event.request_class].latency_objective_ms,
             fate or "left",
             took,
             routes,
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -43,7 +43,7 @@
             self.is_in, self.begun = d.TRIAL, self.now
         elif isinstance(note, d.Ended):
             self.seen[note.name][0] += 1
-            self.seen[note.name][1] += note.fate == "error"
+            self.seen[note.name][1] += note.outcome == "error"
         if self.is_in == d.TRIAL and self.now - self.begun > 600000:
             (old, old_bad), (new, new_bad) = self.seen["deed"], self.seen["deed@1"]
             self.is_in = (
--- a/cherrydoor/adapter/__main__.py
+++ b/cherrydoor/adapter/__main__.py
@@ -4,8 +4,8 @@
 import sys
 
 from cherrydoor.adapter import wire
-from cherrydoor.routing import Gateway
-from cherrydoor.routing import messages as io
+from cherrydoor.routing import Router
+from cherrydoor.routing import messages as routing
 
 
 class Stand:
@@ -72,7 +72,7 @@
         self.decide(who, out, lambda: self.gateways[who].take(now, note))
 
     def start(self, who, now, lease):
-        self.gateways[who] = Gateway(lease)
+        self.gateways[who] = Router(lease)
         return self.gateways[who].start(now)
 
     def listing(self, values):
@@ -85,7 +85,7 @@
             if text is None:
                 raise wire.BadLine("the input ends within a list")
             rows.append(wire.row(text))
-        return io.Listing(how, tuple(rows))
+        return routing.EndpointsUpdated(how, tuple(rows))
 
     def decide(self, who, out, decision):
         """A failed decision is told on the wire; it is no fault of the line."""
--- a/cherrydoor/adapter/wire.py
+++ b/cherrydoor/adapter/wire.py
@@ -3,22 +3,35 @@
 import json
 from math import floor
 
-from cherrydoor.routing import messages as io
+from cherrydoor.routing import messages as routing
 
 FATES = {
-    "served": io.HANDLED,
-    "server_error": io.ERROR,
-    "turned_away": io.FULL,
-    "no_answer": io.NO_ANSWER,
-    "no_connection": io.NO_CONNECTION,
-    "connection_lost": io.LOST,
-    "called_off": io.RECALLED,
-    "not_sent": io.UNSENT,
-    "not_stored": io.MISSING,
+    "served": routing.AttemptOutcome.SUCCEEDED,
+    "server_error": routing.AttemptOutcome.ERROR,
+    "turned_away": routing.AttemptOutcome.FULL,
+    "no_answer": routing.AttemptOutcome.NO_RESPONSE,
+    "no_connection": routing.AttemptOutcome.CONNECT_FAILED,
+    "connection_lost": routing.AttemptOutcome.CONNECTION_LOST,
+    "called_off": routing.AttemptOutcome.CANCELLED,
+    "not_sent": routing.AttemptOutcome.NOT_SENT,
+    "not_stored": routing.AttemptOutcome.FUNCTION_MISSING,
+}
+KINDS = {
+    "repeatable": routing.RetrySafety.IDEMPOTENT,
+    "by_key": routing.RetrySafety.IDEMPOTENCY_KEY,
+    "once": routing.RetrySafety.AT_MOST_ONCE,
+}
+STATES = {
+    "Ready": routing.HostState.READY,
+    "Terminating": routing.HostState.DRAINING,
+    "Gone": routing.HostState.GONE,
+}
+LISTS = {
+    "INCREMENTAL": routing.UpdateKind.INCREMENTAL,
+    "FULL": routing.UpdateKind.SNAPSHOT,
+    "SAVED": routing.UpdateKind.CACHED,
+    "FAILED": routing.UpdateKind.FAILED,
 }
-KINDS = {"repeatable": io.REDELIVERABLE, "by_key": io.KEYED, "once": io.AT_MOST_ONCE}
-STATES = {"Ready": io.READY, "Terminating": io.DRAINING, "Gone": io.GONE}
-LISTS = {"INCREMENTAL": io.CHANGES, "FULL": io.WHOLE, "SAVED": io.SAVED, "FAILED": io.FAILED}
 
 
 class BadLine(Exception):
@@ -69,7 +82,7 @@
     may, rules = said.get("permissions", {}), said.get("rules", {})
     copies = said.get("familyInfo", {})
     clauses = tuple(
-        io.Clause(
+        routing.RequestClass(
             c["name"],
             c["aim"] / 1000,
             c["deadline"] / 1000,
@@ -81,9 +94,11 @@
         for c in said["requestClasses"]
     )
     parties = tuple(
-        io.Party(p["name"], p["quotaPerS"]) for p in said.get("tenants") or () if "quotaPerS" in p
+        routing.Tenant(p["name"], p["quotaPerS"])
+        for p in said.get("tenants") or ()
+        if "quotaPerS" in p
     )
-    return io.Lease(
+    return routing.Settings(
         said["me"],
         said["instances"],
         seed,
@@ -118,18 +133,20 @@
     if part[0] != "m" or len(part) < 8:
         raise BadLine("a list entry needs 'm' and seven values")
     number(part[3])
-    return io.Row(part[5], word(STATES, part[6]), ms(part[2]), part[1], int(number(part[7])))
+    return routing.Endpoint(
+        part[5], word(STATES, part[6]), ms(part[2]), part[1], int(number(part[7]))
+    )
 
 
 def knock(v):
-    return io.Arrival(int(v[0]), v[1], v[2], v[3], ms(v[4]), number(v[7]), number(v[8]))
+    return routing.RequestArrived(int(v[0]), v[1], v[2], v[3], ms(v[4]), number(v[7]), number(v[8]))
 
 
 def done(v, lease):
     """What this deployment's answers do not tell is None. A failed load is told everywhere."""
     info = 0 if v[6] == "-" else int(v[6])
-    copy = info % 8 if lease.tells_copy or info % 8 == 4 else None
-    return io.Outcome(
+    copy = info % 8 if lease.reports_copy or info % 8 == 4 else None
+    return routing.AttemptEnded(
         int(v[0]),
         int(v[2]),
         word(FATES, v[3]),
@@ -137,7 +154,7 @@
         v[5],
         ms(v[1]),
         copy,
-        info // 8 if lease.tells_crowd else None,
+        info // 8 if lease.reports_concurrency else None,
         *report(v[7]),
     )
 
@@ -158,24 +175,30 @@
 READERS: dict = {
     "knock": (10, knock),
     "done": (8, done),
-    "under_way": (4, lambda v: io.Underway(int(v[0]), int(v[1]), v[2])),
-    "cancelled_by_client": (1, lambda v: io.ClientLeft(int(v[0]))),
-    "bell": (1, lambda v: io.Wake(v[0])),
-    "probe_done": (4, lambda v: io.Probed(v[0], word(FATES, v[1]), ms(v[2]))),
-    "resident": (5, lambda v: io.Loaded(v[2], v[3], word(FATES, v[0]), int(v[4]), ms(v[1]))),
+    "under_way": (4, lambda v: routing.StreamStarted(int(v[0]), int(v[1]), v[2])),
+    "cancelled_by_client": (1, lambda v: routing.RequestCancelled(int(v[0]))),
+    "bell": (1, lambda v: routing.TimerFired(v[0])),
+    "probe_done": (4, lambda v: routing.HealthCheckEnded(v[0], word(FATES, v[1]), ms(v[2]))),
+    "resident": (
+        5,
+        lambda v: routing.LoadOrderEnded(v[2], v[3], word(FATES, v[0]), int(v[4]), ms(v[1])),
+    ),
 }
 
 # What goes out: the line after the instance's name.
 WRITERS = {
-    io.Launch: ("pass_on", lambda a: f"{a.event} {a.host} {us(a.limit) if a.limit else '-'}"),
-    io.Recall: ("revoke", lambda a: f"{a.event} {a.launch}"),
-    io.Defer: ("shed", lambda a: f"{a.event} {us(a.stay_away) or '-'}"),
-    io.DeadLetter: ("fail", lambda a: f"{a.event}"),
-    io.Ring: ("defer", lambda a: f"{us(a.at)} {a.token}"),
-    io.Probe: ("test", lambda a: a.host),
-    io.Order: ("start_copy", lambda a: f"{a.function} {a.host} {a.copies}"),
-    io.Subscribe: ("watch", lambda a: "1"),
-    io.Log: ("say_log", lambda a: a.text),
+    routing.StartAttempt: (
+        "pass_on",
+        lambda a: f"{a.request_id} {a.host} {us(a.timeout_ms) if a.timeout_ms else '-'}",
+    ),
+    routing.CancelAttempt: ("revoke", lambda a: f"{a.request_id} {a.attempt}"),
+    routing.RejectRequest: ("shed", lambda a: f"{a.request_id} {us(a.retry_after_ms) or '-'}"),
+    routing.FailRequest: ("fail", lambda a: f"{a.request_id}"),
+    routing.SetTimer: ("defer", lambda a: f"{us(a.at_ms)} {a.token}"),
+    routing.CheckHealth: ("test", lambda a: a.host),
+    routing.OrderLoad: ("start_copy", lambda a: f"{a.function} {a.host} {a.copies}"),
+    routing.PollEndpoints: ("watch", lambda a: "1"),
+    routing.LogMessage: ("say_log", lambda a: a.text),
 }
 
 
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -10,7 +10,7 @@
 from cherrydoor.admission import decide as d
 from cherrydoor.gateway.sockets import after_input, has_pending_connection
 from cherrydoor.protocol import codec
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 NO_DESCRIPTORS = {errno.EMFILE, errno.ENFILE}
 NO_ROOM = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
@@ -27,7 +27,7 @@
 @lru_cache(maxsize=256)
 def word_of(reason, stay_away):
     """The bytes of a refusal; the wait in whole 10 ms, upwards, so that few are made."""
-    return codec.encode(m.Fault(reason, stay_away))
+    return codec.encode(protocol.GoAway(reason, stay_away))
 
 
 class Arrival:
--- a/cherrydoor/cli/commands.py
+++ b/cherrydoor/cli/commands.py
@@ -34,7 +34,7 @@
 
         make = MAKERS[baseline]
     else:
-        from cherrydoor.routing import Gateway as make
+        from cherrydoor.routing import Router as make
 
     def tell(name, port):
         print(json.dumps({"is": "door", "gateway": name, "port": port}), flush=True)
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -6,7 +6,7 @@
 import uvloop
 
 from cherrydoor.connection import End
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Sender:
@@ -17,7 +17,7 @@
         self.host, _, port = door.rpartition(":")
         self.port, self.lasts, self.answers, self.sent = int(port), lasts, [], {}
         self.tls, self.token = tls, token
-        self.make = lambda number, t: m.Event(
+        self.make = lambda number, t: protocol.Request(
             number,
             clause,
             function,
@@ -26,7 +26,7 @@
             party,
             mark,
             body=body,
-            document=document or f"{t}/{number}",
+            affinity_key=document or f"{t}/{number}",
         )
 
     def run(self, count, rate):
@@ -40,9 +40,13 @@
             _, end = await loop.create_connection(
                 lambda: End(
                     self,
-                    m.TO_CLIENT,
-                    lambda: m.Hello(
-                        m.VERSION, "client", "send", time.monotonic() * 1000, token=self.token
+                    protocol.TO_CLIENT,
+                    lambda: protocol.Hello(
+                        protocol.VERSION,
+                        "client",
+                        "send",
+                        time.monotonic() * 1000,
+                        token=self.token,
                     ),
                 ),
                 self.host,
@@ -86,8 +90,10 @@
         pass
 
     def heard(self, end, message):
-        if type(message) is m.Answer and message.id in self.sent:
-            self.add(message.id, message.fate, message.reason, message.body, message.stay_away)
+        if type(message) is protocol.Response and message.id in self.sent:
+            self.add(
+                message.id, message.outcome, message.reason, message.body, message.retry_after_ms
+            )
             self.changed.set()
 
     def lost(self, end):
--- a/cherrydoor/config/figures.py
+++ b/cherrydoor/config/figures.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from cherrydoor.config.records import Duration, Problem, Problems, Size, read
-from cherrydoor.routing import messages as io
+from cherrydoor.routing import messages as routing
 
 
 def schema(name):
@@ -94,6 +94,19 @@
         self.tells, self.handshake = tells, handshake
 
 
+def request_class_of(clause):
+    """The decision module's record of one entry of `clauses`."""
+    return routing.RequestClass(
+        clause["name"],
+        clause["target"],
+        clause["max_age"],
+        routing.RetrySafety(clause["kind"]),
+        clause["group"],
+        clause["memory"],
+        clause["stream"],
+    )
+
+
 class Figures:
     """One gateway's lease: for the module (lease), the desk (terms) and the sockets (bounds, addresses)."""
 
@@ -120,17 +133,14 @@
             bounds["stay"],
             (said["tells"]["copy"], said["tells"]["crowd"]),
         )
-        self.lease = io.Lease(
+        self.lease = routing.Settings(
             said["number"],
             said["gateways"],
             said["seed"],
             said["zone"],
             1.0,
-            tuple(
-                io.Clause(**{k: v for k, v in clause.items() if k != "benefit"})
-                for clause in said["clauses"]
-            ),
-            tuple(io.Party(**party) for party in said["parties"]),
+            tuple(request_class_of(clause) for clause in said["clauses"]),
+            tuple(routing.Tenant(party["name"], party["per_second"]) for party in said["parties"]),
             said["asks"],
             may["launches"],
             may["twice"],
--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from cherrydoor.protocol import codec
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 MOST_WAITING = (
     32 * 2**20
@@ -31,13 +31,20 @@
 
     transport: Any
 
-    def __init__(self, owner, kinds, hello, most_waiting=MOST_WAITING, largest=m.LARGEST):
+    def __init__(
+        self,
+        owner,
+        kinds,
+        hello,
+        most_waiting=MOST_WAITING,
+        largest=protocol.DEFAULT_MAX_FRAME_BYTES,
+    ):
         self.owner, self.hello, self.most_waiting = owner, hello, most_waiting
         self.reader, self.transport, self.why, self.largest = (
-            codec.Reader(kinds, largest),
+            codec.FrameReader(kinds, largest),
             None,
             "",
-            m.LARGEST,
+            protocol.DEFAULT_MAX_FRAME_BYTES,
         )
 
     def connection_made(self, transport):
@@ -57,11 +64,11 @@
         owner, messages = self.owner, self.reader.feed(data)
         for message in messages:
             kind = type(message)
-            if kind is m.Hello:
+            if kind is protocol.Hello:
                 self.timer.cancel()
-                self.largest = message.largest or m.LARGEST
+                self.largest = message.max_frame_bytes or protocol.DEFAULT_MAX_FRAME_BYTES
                 owner.greeted(self, message)
-            elif kind is m.Fault:
+            elif kind is protocol.GoAway:
                 self.why = self.why or f"peer: {message.reason}"
                 self.transport.close()
                 return 0
@@ -88,7 +95,7 @@
         if self.transport is not None and not self.transport.is_closing():
             if reason:
                 self.why = self.why or reason
-                self.transport.write(codec.encode(m.Fault(reason[:1000], stay_away)))
+                self.transport.write(codec.encode(protocol.GoAway(reason[:1000], stay_away)))
             self.transport.close()
 
     def abort(self, why=""):
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -134,8 +134,8 @@
             Clock(world),
             None
             if disk is None
-            else lambda shell, life=0: (
-                Fellows(shell, life, lambda path, name: Promises(disk, path, name))
+            else lambda shell, incarnation=0: (
+                Fellows(shell, incarnation, lambda path, name: Promises(disk, path, name))
                 if shell.figures.peers["door"]
                 else None
             ),
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -5,6 +5,8 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from cherrydoor.config import read, show
 from cherrydoor.config.figures import Figures, schema
 from cherrydoor.connection import End
@@ -18,12 +20,12 @@
 from cherrydoor.fakes.record import Clocks, Record, now
 from cherrydoor.fakes.roll import Roll
 from cherrydoor.fakes.store import Store
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.baselines import MAKERS
 from cherrydoor.rehearsal.clients import Clients
 from cherrydoor.rehearsal.conduct import CannotRun, Conductor, in_processes
 from cherrydoor.rehearsal.day import builds, lease_values, terms
-from cherrydoor.routing import Gateway
+from cherrydoor.routing import Router
 
 # they are of sockets, descriptors and TLS, or of a relay between fellows
 LEFT_OUT = ("flood", "reconnect", "key-change", "cut-off", "noise")
@@ -98,7 +100,11 @@
         farm = Farm(self.kept("host", "farm"), catalogue, day["seed"])
         farm.scopes = {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}
         await self.world.create_connection(
-            lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")),
+            lambda: End(
+                farm.store,
+                protocol.FROM_STORE,
+                lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
+            ),
             "127.0.0.1",
             store.port,
         )
@@ -150,7 +156,7 @@
         if name == "deaf":
             roll.deaf = values["on"]
         else:
-            roll.set(m.Row(**values))
+            roll.set(msgspec.convert(values, protocol.Endpoint))
 
     async def start_gateways(self, group):
         decides = self.day["gateways"]["decides"]
@@ -164,7 +170,7 @@
             text = show(said)
             figures = Figures(read(text, f"g{number}.lease", schema("lease.schema"), "#Lease"))
             shell = self.shells[number] = Door(
-                self.world, figures, MAKERS.get(decides, Gateway), self.disk
+                self.world, figures, MAKERS.get(decides, Router), self.disk
             )
             await shell.start()
             self.doors[number], self.gateways[number] = door, (Spoken(f"g{number}", None), group)
--- a/cherrydoor/failover/claims.py
+++ b/cherrydoor/failover/claims.py
@@ -24,9 +24,9 @@
     def __init__(self, size=BYTES):
         self.size, self.bytes, self.rows, self.names, self.counts = size, 0, {}, {}, Counter()
 
-    def expect(self, giver, life, line, mark=b""):
+    def expect(self, giver, incarnation, line, mark=b""):
         trust = line.trust
-        key = giver, life, trust.event, trust.client
+        key = giver, incarnation, trust.event, trust.client
         if key in self.rows:
             self.forget(key)
         self.rows[key] = Row(trust.key, mark, line.until)
@@ -34,13 +34,13 @@
             self.names.setdefault(name, {})[key] = True
 
     def named(self, key):
-        giver, life, event, _ = key
+        giver, incarnation, event, _ = key
         mark = self.rows[key].mark
-        return [(giver, life, event), *([(giver, life, mark)] if mark else [])]
+        return [(giver, incarnation, event), *([(giver, incarnation, mark)] if mark else [])]
 
-    def answer(self, giver, life, line, answer):
+    def answer(self, giver, incarnation, line, answer):
         """Those who wait for it, to be told; nobody where it was answered before."""
-        row = self.rows.get((giver, life, line.trust.event, line.trust.client))
+        row = self.rows.get((giver, incarnation, line.trust.event, line.trust.client))
         if row is None or row.answer is not None:
             return []
         row.answer, waiting, row.waiting = answer, row.waiting, []
@@ -55,10 +55,10 @@
             self.forget(oldest)
         return waiting
 
-    def claim(self, giver, life, event, key, who, mark=b""):
+    def claim(self, giver, incarnation, event, key, who, mark=b""):
         """(known, its answer or None while it is awaited). By id, or by mark for a plain repeat; without the event's
         own key nobody hears more than no. An answer can be claimed again: the way back may fail once more."""
-        for one in self.names.get((giver, life, mark or event), ()):
+        for one in self.names.get((giver, incarnation, mark or event), ()):
             row = self.rows[one]
             if key and row.key == key:
                 self.counts["claimed"] += 1
--- a/cherrydoor/failover/decide.py
+++ b/cherrydoor/failover/decide.py
@@ -65,7 +65,7 @@
     """Its answer is known; nothing is run."""
 
     line: Any
-    fate: str
+    outcome: str
     reason: str = ""
     body: bytes = b""
 
@@ -87,9 +87,9 @@
 def verdict(line, kind, found, unheard, now):
     """What becomes of one event. kind: Kind; found: [(host, Job)] that hosts told of it; unheard: hosts that have not
     said, of those in the list and those it is known to have gone to; line.out: where it is known to have gone."""
-    at_work = [(host, job) for host, job in found if not job.fate]
-    ran = [(host, job) for host, job in found if job.fate in ("handled", "error")]
-    handled = next((job for _, job in ran if job.fate == "handled"), None)
+    at_work = [(host, job) for host, job in found if not job.outcome]
+    ran = [(host, job) for host, job in found if job.outcome in ("handled", "error")]
+    handled = next((job for _, job in ran if job.outcome == "handled"), None)
     if handled is not None:
         if handled.kept:
             return Answer(line, "handled", "", handled.body)
--- a/cherrydoor/failover/estate.py
+++ b/cherrydoor/failover/estate.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 
 from cherrydoor.failover.decide import COST
-from cherrydoor.protocol.peers import Entrust, Out
+from cherrydoor.protocol.peers import ReplicatedAttempt, ReplicationUpdate
 
 EVENTS, BYTES = 2000, 8 * 2**20  # entrusted at once by one giver; also kept at once of one giver
 
@@ -27,8 +27,8 @@
     """What this gateway has in hand, as its witnesses are told of it. Tables are bounded by EVENTS and BYTES: beyond
     them what is cheapest to lose is left out first, and counted; each line goes with the event's answer."""
 
-    def __init__(self, life, kinds, events=EVENTS, size=BYTES):
-        self.life, self.kinds, self.events, self.size = life, kinds, events, size
+    def __init__(self, incarnation, kinds, events=EVENTS, size=BYTES):
+        self.incarnation, self.kinds, self.events, self.size = incarnation, kinds, events, size
         self.held = {cost: {} for cost in COST.values()}  # cost -> number -> (Trust, until, [Out])
         self.where, self.bytes, self.counts = {}, 0, Counter()
         self.new, self.out, self.over, self.witnesses = {}, [], [], []
@@ -54,7 +54,7 @@
 
     def launched(self, number, host):
         if number in self.where:
-            out = Out(number, host)
+            out = ReplicatedAttempt(number, host)
             self.held[self.where[number]][number][2].append(out)
             if number not in self.new:
                 self.out.append(out)
@@ -81,8 +81,13 @@
                 return []
             held, where = self.held, self.where
             out = [*self.out, *(o for number in self.new for o in held[where[number]][number][2])]
-            one = Entrust(
-                self.life, 0, False, [self.left(now, number) for number in self.new], out, self.over
+            one = ReplicationUpdate(
+                self.incarnation,
+                0,
+                False,
+                [self.left(now, number) for number in self.new],
+                out,
+                self.over,
             )
             self.new, self.out, self.over, self.oldest_new = {}, [], [], None
             return [(witnesses, one)]
@@ -96,15 +101,20 @@
                 *self.out,
                 *(o for number in self.new for o in self.held[self.where[number]][number][2]),
             ]
-            messages.append((told, Entrust(self.life, 0, False, events, out, self.over)))
+            messages.append(
+                (told, ReplicationUpdate(self.incarnation, 0, False, events, out, self.over))
+            )
         if fresh:
             events = [self.left(now, number) for number in self.where]
             out = [o for number, cost in self.where.items() for o in self.held[cost][number][2]]
             messages += [
-                ([name], Entrust(self.life, witnesses.index(name), True, events, out))
+                (
+                    [name],
+                    ReplicationUpdate(self.incarnation, witnesses.index(name), True, events, out),
+                )
                 for name in fresh
             ]
-        messages += [([name], Entrust(self.life, 0, True)) for name in dropped]
+        messages += [([name], ReplicationUpdate(self.incarnation, 0, True)) for name in dropped]
         if witnesses:
             self.new, self.out, self.over, self.oldest_new = {}, [], [], None
         self.witnesses = list(witnesses)
@@ -138,13 +148,19 @@
 class Estate:
     """What one life of one gateway has entrusted here."""
 
-    def __init__(self, giver, life, rank):
-        self.giver, self.life, self.rank, self.lines, self.bytes = giver, life, rank, {}, 0
+    def __init__(self, giver, incarnation, rank):
+        self.giver, self.incarnation, self.rank, self.lines, self.bytes = (
+            giver,
+            incarnation,
+            rank,
+            {},
+            0,
+        )
         self.cut = None  # since when its giver is not linked here
 
     @property
     def task(self):
-        return f"estate/{self.giver}/{self.life}"
+        return f"estate/{self.giver}/{self.incarnation}"
 
 
 class Witness:
@@ -155,13 +171,15 @@
         self.estates, self.settled, self.counts = {}, {}, Counter()
 
     def entrusted(self, now, giver, said):
-        key = giver, said.life
-        if key in self.settled or any(g == giver and life > said.life for g, life in self.estates):
+        key = giver, said.incarnation
+        if key in self.settled or any(
+            g == giver and incarnation > said.incarnation for g, incarnation in self.estates
+        ):
             self.counts["entrusted by a life that is over"] += 1
             return
         estate = self.estates.get(key)
         if estate is None or said.whole:
-            estate = self.estates[key] = Estate(giver, said.life, said.rank)
+            estate = self.estates[key] = Estate(giver, said.incarnation, said.rank)
         if said.whole:
             estate.rank = said.rank
         for trust in said.events:
@@ -189,7 +207,7 @@
             estate.cut = (
                 None if estate.giver in linked else estate.cut if estate.cut is not None else now
             )
-            here = states.get(estate.giver) == (estate.life, "here")
+            here = states.get(estate.giver) == (estate.incarnation, "here")
             if here and estate.cut is not None and now - estate.cut > stale:
                 self.counts["estates that had become stale"] += 1
                 del self.estates[key]
@@ -197,16 +215,16 @@
         for key, estate in list(self.estates.items()):
             for number in [n for n, line in estate.lines.items() if line.until <= now]:
                 self.drop(estate, number)
-            life, state = states.get(estate.giver, (0, "vanished"))
+            incarnation, state = states.get(estate.giver, (0, "vanished"))
             if (
-                life > estate.life
-                or life == estate.life
+                incarnation > estate.incarnation
+                or incarnation == estate.incarnation
                 and state in ("silent", "vanished", "over")
             ):
                 (seek if estate.lines else leave).append(estate)
                 if not estate.lines:
                     del self.estates[key]
-            elif life == estate.life and state == "left":
+            elif incarnation == estate.incarnation and state == "left":
                 del self.estates[key]
                 leave.append(estate)
             else:
@@ -215,7 +233,7 @@
             del self.settled[key]
         return seek, leave
 
-    def done(self, now, giver, life):
+    def done(self, now, giver, incarnation):
         """It has been settled by whom it fell to."""
-        self.estates.pop((giver, life), None)
-        self.settled[giver, life] = now + 60000.0
+        self.estates.pop((giver, incarnation), None)
+        self.settled[giver, incarnation] = now + 60000.0
--- a/cherrydoor/failover/fellows.py
+++ b/cherrydoor/failover/fellows.py
@@ -17,10 +17,10 @@
 class Fellows:
     """What a gateway's shell knows of all this: life, start(), turned(), reclaim(), standing(), close(), abort()."""
 
-    def __init__(self, shell, life=0, file=None):
+    def __init__(self, shell, incarnation=0, file=None):
         """file: makes what keeps a keeper's promises, of a path and a name; on disk unless said."""
         said = shell.figures.peers
-        self.shell, self.peers = shell, Peers(shell, said, life)
+        self.shell, self.peers = shell, Peers(shell, said, incarnation)
         self.tenures = Tenures(self.peers, shell.figures.tenures, file or File)
         self.custody = Custody(self.peers, self.tenures)
         self.sites = Sites(self.peers, self.tenures)
@@ -29,8 +29,8 @@
         self.last, self.silent = self.peers.now(), said["silent"]
 
     @property
-    def life(self):
-        return self.peers.me.life
+    def incarnation(self):
+        return self.peers.me.incarnation
 
     def goes_on_from(self, before):
         """Another life of the same process: it knows the drains that it went by."""
@@ -46,7 +46,7 @@
             "peers may connect",
             gateway=self.peers.me.name,
             at=self.peers.said["door"],
-            life=self.life,
+            incarnation=self.incarnation,
             keepers=len(self.tenures.keepers),
         )
 
@@ -74,7 +74,7 @@
         return still > self.silent and bool(self.custody.giver.where)
 
     def stay_away(self, number):
-        return stay_away(self.shell.figures.seed + self.life, number)
+        return stay_away(self.shell.figures.seed + self.incarnation, number)
 
     def close(self):
         """Leaves: what is held is handed over, and everybody linked is told."""
@@ -120,14 +120,14 @@
         now = self.peers.now()
         return {
             "gateway": self.peers.me.name,
-            "life": self.life,
+            "life": self.incarnation,
             "witnesses": links.witnesses,
             "frames": self.peers.frames,
             "bytes": self.peers.bytes,
             "members": [
                 {
                     "name": row.name,
-                    "life": row.life,
+                    "life": row.incarnation,
                     "at": row.at,
                     "site": row.site,
                     "state": row.state,
--- a/cherrydoor/failover/heir.py
+++ b/cherrydoor/failover/heir.py
@@ -8,7 +8,7 @@
 from cherrydoor.failover.estate import mark_of
 from cherrydoor.gateway.tables import Client
 from cherrydoor.protocol import failover as c
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.protocol import peers as p
 
 log = structlog.get_logger()
@@ -23,7 +23,7 @@
         self.work, self.line = work, line
 
     def write(self, message):
-        if type(message) is m.Answer:
+        if type(message) is protocol.Response:
             self.work.answer(self.line, message)
 
     def close(self, reason="", stay_away=0.0):
@@ -58,8 +58,8 @@
         return task in self.work
 
     # ---- who is heir to what
-    def of(self, giver, life):
-        found = self.known.get((giver, life))
+    def of(self, giver, incarnation):
+        found = self.known.get((giver, incarnation))
         return found[0].heir if found else None
 
     def marked(self, mark):
@@ -68,7 +68,7 @@
 
     def told(self, sender, heir):
         """A word that goes to everybody, along every link once. A higher number stands above a lower one."""
-        key, now = (heir.gateway, heir.life), self.custody.now()
+        key, now = (heir.gateway, heir.incarnation), self.custody.now()
         before = self.known.get(key)
         if before is not None and (before[0].number, before[0].done) >= (heir.number, heir.done):
             return
@@ -81,7 +81,7 @@
                 self.custody.peers.say(name, heir)
         if heir.done:
             self.custody.witness.done(now, *key)
-            task = f"estate/{heir.gateway}/{heir.life}"
+            task = f"estate/{heir.gateway}/{heir.incarnation}"
             if (
                 task not in self.work
             ):  # guards against each further witness taking over what is settled
@@ -103,18 +103,21 @@
             if trust.mark and custody.kinds[trust.clause].kind != d.REDELIVERABLE:
                 mark = mark_of(trust.party, trust.clause, trust.mark)
                 marks.append(mark)
-            custody.claims.expect(estate.giver, estate.life, line, mark)
+            custody.claims.expect(estate.giver, estate.incarnation, line, mark)
         log.info(
             "an estate is taken over",
             gateway=custody.peers.me.name,
             giver=estate.giver,
-            life=estate.life,
+            incarnation=estate.incarnation,
             number=number,
             events=len(estate.lines),
             hosts=len(hosts),
         )
         self.told(
-            "", p.Heir(estate.giver, estate.life, number, custody.peers.me.name, False, marks)
+            "",
+            p.SuccessorAnnounced(
+                estate.giver, estate.incarnation, number, custody.peers.me.name, False, marks
+            ),
         )
         self.ask(work, takeover.ask())
 
@@ -124,7 +127,7 @@
             self.custody.shell.post(
                 self.custody.shell.desk.question,
                 ask.host,
-                lambda id_: c.Over(id_, estate.giver, estate.life, number),
+                lambda id_: c.EndIncarnation(id_, estate.giver, estate.incarnation, number),
                 d.SAYS,
                 lambda host, fate, holds: self.said(work, host, holds),
             )
@@ -155,7 +158,7 @@
     def carry_out(self, work, one):
         trust, estate = one.line.trust, work.estate
         client = Client(Wire(work, one.line), trust.client)
-        event = m.Event(
+        event = protocol.Request(
             trust.event,
             trust.clause,
             trust.function,
@@ -169,13 +172,15 @@
             trust.document,
             trust.key,
         )
-        origin = estate.giver, estate.life, work.takeover.number
+        origin = estate.giver, estate.incarnation, work.takeover.number
         desk, post = self.custody.shell.desk, self.custody.shell.post
         work.takeover.counts[type(one).__name__.lower()] += 1
         if isinstance(one, d.Answer):
-            work.takeover.counts[f"{one.fate}: {one.reason or 'by a host'}"] += 1
-            fate: Any = one.fate
-            self.answered(work, one.line, m.Answer(trust.event, fate, 0.0, one.reason, one.body))
+            work.takeover.counts[f"{one.outcome}: {one.reason or 'by a host'}"] += 1
+            fate: Any = one.outcome
+            self.answered(
+                work, one.line, protocol.Response(trust.event, fate, 0.0, one.reason, one.body)
+            )
         elif isinstance(one, d.Adopt):
             work.adopted.add(trust.number)
             post(
@@ -185,7 +190,7 @@
                 one.line.until,
                 origin,
                 one.host,
-                lambda id_: c.Adopt(id_, one.job),
+                lambda id_: c.AdoptAttempt(id_, one.job),
             )
         else:
             work.anew.add(trust.number)
@@ -193,7 +198,7 @@
 
     def answered(self, work, line, message):
         estate = work.estate
-        for tell in self.custody.claims.answer(estate.giver, estate.life, line, message):
+        for tell in self.custody.claims.answer(estate.giver, estate.incarnation, line, message):
             tell(message)
 
     def settled(self, work):
@@ -202,7 +207,7 @@
         self.past.append(
             {
                 "giver": estate.giver,
-                "life": estate.life,
+                "life": estate.incarnation,
                 "number": work.takeover.number,
                 "hosts": len(work.takeover.hosts),
                 "said": len(work.takeover.heard),
@@ -215,8 +220,12 @@
         log.info("an estate is settled", gateway=self.custody.peers.me.name, **self.past[-1])
         self.told(
             "",
-            p.Heir(
-                estate.giver, estate.life, work.takeover.number, self.custody.peers.me.name, True
+            p.SuccessorAnnounced(
+                estate.giver,
+                estate.incarnation,
+                work.takeover.number,
+                self.custody.peers.me.name,
+                True,
             ),
         )
         self.custody.tenures.release(estate.task)
@@ -229,7 +238,7 @@
                 "an estate is left to its next heir",
                 gateway=self.custody.peers.me.name,
                 giver=estate.giver,
-                life=estate.life,
+                incarnation=estate.incarnation,
                 number=work.takeover.number,
             )
 
@@ -239,7 +248,7 @@
             *(
                 {
                     "giver": w.estate.giver,
-                    "life": w.estate.life,
+                    "life": w.estate.incarnation,
                     "number": w.takeover.number,
                     "at work": True,
                     **w.takeover.counts,
--- a/cherrydoor/failover/shell.py
+++ b/cherrydoor/failover/shell.py
@@ -11,7 +11,7 @@
 from cherrydoor.failover.estate import Giver, Witness, mark_of
 from cherrydoor.failover.heir import Heirs
 from cherrydoor.protocol import failover as c
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.protocol import peers as p
 
 log = structlog.get_logger()
@@ -29,22 +29,24 @@
         self.loop, self.kinds = (
             peers.loop,
             {
-                one.name: d.Kind(one.kind, one.group, one.memory, one.stream)
-                for one in self.shell.figures.lease.clauses
+                one.name: d.Kind(
+                    one.retry_safety, one.dedup_scope, one.dedup_window_ms, one.streaming
+                )
+                for one in self.shell.figures.lease.request_classes
             },
         )
         self.giver, self.witness, self.claims = (
-            Giver(peers.me.life, self.kinds),
+            Giver(peers.me.incarnation, self.kinds),
             Witness(),
             Claims(),
         )
         self.heirs = Heirs(self)
         self.asked, self.ids, self.timer, self.delays = {}, 0, None, []
         for kind, what in (
-            (p.Entrust, self.entrusted),
-            (p.Heir, self.heirs.told),
-            (p.Claim, self.claimed),
-            (p.Claimed, self.answered),
+            (p.ReplicationUpdate, self.entrusted),
+            (p.SuccessorAnnounced, self.heirs.told),
+            (p.ClaimRequest, self.claimed),
+            (p.ClaimReply, self.answered),
         ):
             peers.follow(kind, what)
         tenures.refusing.append(self.refuses)
@@ -61,31 +63,35 @@
     def refuses(self, task):
         """A reason for a keeper not to grant an estate, "" for none."""
         kind, _, rest = task.partition("/")
-        name, _, life = rest.rpartition("/")
+        name, _, incarnation = rest.rpartition("/")
         row = self.peers.members.members.get(name)
-        here = kind == "estate" and life.isdecimal() and self.peers.links.recent(name, int(life))
+        here = (
+            kind == "estate"
+            and incarnation.isdecimal()
+            and self.peers.links.recent(name, int(incarnation))
+        )
         return d.heard_here(here, row.state if row else "")
 
     # ---- the desk's port
     def taken(self, taken):
         event = taken.event
-        if taken.origin is not None or self.kinds[event.clause].stream:
+        if taken.origin is not None or self.kinds[event.request_class].stream:
             return  # of an estate: other witnesses hold it; a stream is answered already as it begins
         self.giver.taken(
             self.now(),
-            p.Trust(
+            p.ReplicatedRequest(
                 taken.number,
                 event.id,
                 taken.client.name,
-                event.clause,
+                event.request_class,
                 event.function,
                 0.0,
-                event.party,
-                event.mark,
-                event.key,
-                event.document,
-                event.lanes,
-                event.load,
+                event.tenant,
+                event.idempotency_key,
+                event.claim_key,
+                event.affinity_key,
+                event.copy_concurrency,
+                event.load_ms,
                 event.body,
             ),
             taken.until,
@@ -101,17 +107,17 @@
         """A plain repeat of what is in an estate that is being taken over, and may not run beside it: its answer is
         that one's."""
         event = taken.event
-        if not event.mark or self.kinds[event.clause].kind == d.REDELIVERABLE:
+        if not event.idempotency_key or self.kinds[event.request_class].kind == d.REDELIVERABLE:
             return False
-        mark = mark_of(event.party, event.clause, event.mark)
+        mark = mark_of(event.tenant, event.request_class, event.idempotency_key)
         found = self.heirs.marked(mark)
         if found is None:
             return False
         taken.adopted = True
         self.shell.desk.counts["repeats of what an estate holds"] += 1
-        giver, life = found
+        giver, incarnation = found
         self.ask_heir(
-            p.Claim(0, giver, life, 0, event.key, mark),
+            p.ClaimRequest(0, giver, incarnation, 0, event.claim_key, mark),
             lambda said: self.shell.post(self.repeat_answered, taken, said),
         )
         return True
@@ -121,10 +127,10 @@
             known = said is not None and said.known
             self.shell.desk.answer(
                 taken,
-                m.Answer(
+                protocol.Response(
                     taken.event.id,
-                    said.fate if known else "dead-lettered",
-                    said.stay_away if known else 0.0,
+                    said.outcome if known else "dead-lettered",
+                    said.retry_after_ms if known else 0.0,
                     said.reason if known else "it may have run at a gateway that is lost",
                     said.body if known else b"",
                 ),
@@ -134,10 +140,10 @@
         """The answer to an event as this life ends, None where it is an heir's to give."""
         if taken.origin is not None or self.giver.told(taken.number):
             return None
-        return d.own_end(self.kinds[taken.event.clause], taken.launches)
+        return d.own_end(self.kinds[taken.event.request_class], taken.launches)
 
     def goes_on(self, taken, fate):
-        return d.after_adoption(self.kinds[taken.event.clause], fate)
+        return d.after_adoption(self.kinds[taken.event.request_class], fate)
 
     # ---- the turn's end
     def turned(self, late=False):
@@ -167,7 +173,9 @@
             return
         now = self.now()
         self.timer = self.loop.call_later(LOOK, self.look)
-        states = {row.name: (row.life, row.state) for row in self.peers.members.members.values()}
+        states = {
+            row.name: (row.incarnation, row.state) for row in self.peers.members.members.values()
+        }
         seek, leave = self.witness.tick(now, states, self.peers.ends, self.peers.links.silent)
         for estate in seek:
             self.tenures.hold(
@@ -199,20 +207,26 @@
         def tell(said):
             if said is None or not said.known:
                 return end.write(
-                    c.Unknown(
+                    c.ResponseUnknown(
                         message.id,
                         "nothing is known of it here"
                         if said is None or not said.reason
                         else said.reason,
                     )
                 )
-            end.write(m.Answer(message.id, said.fate, said.stay_away, said.reason, said.body))
+            end.write(
+                protocol.Response(
+                    message.id, said.outcome, said.retry_after_ms, said.reason, said.body
+                )
+            )
 
         late = end.client.late(message.sent, self.now())
         # The heir gives its last answer when all of the spared time is left: half of that is for the way here.
         left = message.lasts - late - self.shell.figures.terms.spare / 2
         self.ask_heir(
-            p.Claim(0, message.gateway, message.life, message.event, message.key), tell, left
+            p.ClaimRequest(0, message.gateway, message.incarnation, message.event, message.key),
+            tell,
+            left,
         )
 
     def ask_heir(self, claim, then, left=5000.0):
@@ -226,16 +240,16 @@
         self.pass_claim(claim)
 
     def pass_claim(self, claim):
-        heir = self.heirs.of(claim.gateway, claim.life)
+        heir = self.heirs.of(claim.gateway, claim.incarnation)
         if heir == self.peers.me.name:
             self.loop.call_soon(self.claimed, heir, claim)
         elif heir is not None and not self.peers.say(heir, claim):
             self.peers.ask(heir)
 
-    def again(self, giver, life):
+    def again(self, giver, incarnation):
         """An heir is known, or its link is up: claims that wait are passed on."""
         for claim, _, _ in list(self.asked.values()):
-            if giver is None or (claim.gateway, claim.life) == (giver, life):
+            if giver is None or (claim.gateway, claim.incarnation) == (giver, incarnation):
                 self.pass_claim(claim)
 
     def claimed(self, sender, claim):
@@ -244,18 +258,23 @@
         def tell(answer):
             self.say_claimed(
                 sender,
-                p.Claimed(
-                    claim.id, True, answer.fate, answer.stay_away, answer.reason, answer.body
+                p.ClaimReply(
+                    claim.id,
+                    True,
+                    answer.outcome,
+                    answer.retry_after_ms,
+                    answer.reason,
+                    answer.body,
                 ),
             )
 
         known, answer = self.claims.claim(
-            claim.gateway, claim.life, claim.event, claim.key, tell, claim.mark
+            claim.gateway, claim.incarnation, claim.event, claim.key, tell, claim.mark
         )
         if not known:
             self.say_claimed(
                 sender,
-                p.Claimed(claim.id, False, reason="it was not entrusted, or its key is another"),
+                p.ClaimReply(claim.id, False, reason="it was not entrusted, or its key is another"),
             )
         elif answer is not None:
             tell(answer)
@@ -277,7 +296,7 @@
         kept = [
             {
                 "giver": one.giver,
-                "life": one.life,
+                "life": one.incarnation,
                 "rank": one.rank,
                 "events": len(one.lines),
                 "bytes": one.bytes,
@@ -286,7 +305,7 @@
         ]
         return {
             "gateway": self.peers.me.name,
-            "life": self.peers.me.life,
+            "life": self.peers.me.incarnation,
             "in hand": len(giver.where),
             "bytes": giver.bytes,
             "witnesses": giver.witnesses,
--- a/cherrydoor/fakes/catalogue.py
+++ b/cherrydoor/fakes/catalogue.py
@@ -2,7 +2,7 @@
 
 from zlib import crc32
 
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Catalogue:
@@ -22,7 +22,7 @@
                 self.known.clear()
             name = function.partition("@")[0]
             load = self.within(self.load, name, "load")
-            facts = self.known[function] = m.Fetched(
+            facts = self.known[function] = protocol.FetchResult(
                 0,
                 "handled",
                 0,
--- a/cherrydoor/fakes/command.py
+++ b/cherrydoor/fakes/command.py
@@ -6,6 +6,7 @@
 import signal
 import sys
 
+import msgspec
 import uvloop
 
 from cherrydoor.fakes.catalogue import Catalogue
@@ -14,7 +15,7 @@
 from cherrydoor.fakes.record import Record
 from cherrydoor.fakes.roll import Roll
 from cherrydoor.fakes.store import Store
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 def say(what, **more):
@@ -160,7 +161,11 @@
         from cherrydoor.connection import End
 
         await farm.loop.create_connection(
-            lambda: End(farm.store, m.FROM_STORE, lambda: m.Hello(m.VERSION, "host", "farm")),
+            lambda: End(
+                farm.store,
+                protocol.FROM_STORE,
+                lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
+            ),
             host,
             int(port),
         )
@@ -195,11 +200,11 @@
     record = Record(said.get("record"), "list", "list")
     one = await Roll(record, **said.get("figures", {})).start(port=said.get("port", 0))
     for host in said.get("hosts", ()):
-        one.set(m.Row(host, "ready"))
+        one.set(protocol.Endpoint(host, "ready"))
 
     def obey(name, values):
         if name == "row":
-            one.set(m.Row(**values))
+            one.set(msgspec.convert(values, protocol.Endpoint))
         elif name == "deaf":
             one.deaf = values["on"]
         else:
--- a/cherrydoor/fakes/crowd.py
+++ b/cherrydoor/fakes/crowd.py
@@ -12,7 +12,7 @@
 from cherrydoor.connection import End
 from cherrydoor.fakes.record import Record, now
 from cherrydoor.protocol import codec
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 STANDS, TICK = 3000.0, 0.01
 
@@ -20,7 +20,7 @@
 def greeting(tls):
     """The first bytes of a client."""
     if not tls:
-        return codec.encode(m.Hello(m.VERSION, "client", "crowd", now()))
+        return codec.encode(protocol.Hello(protocol.VERSION, "client", "crowd", now()))
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
     out = ssl.MemoryBIO()
@@ -169,7 +169,9 @@
                 async with asyncio.timeout(wait):
                     await self.loop.create_connection(
                         lambda: End(
-                            comer, m.TO_CLIENT, lambda: m.Hello(m.VERSION, "client", office, now())
+                            comer,
+                            protocol.TO_CLIENT,
+                            lambda: protocol.Hello(protocol.VERSION, "client", office, now()),
                         ),
                         host,
                         int(port),
--- a/cherrydoor/fakes/estates.py
+++ b/cherrydoor/fakes/estates.py
@@ -22,7 +22,7 @@
     """A launch that has ended, as an heir is told of it."""
 
     def __init__(self, job, fate, body):
-        self.at, self.origin, self.number, self.launch, self.fate, self.body = (
+        self.at, self.origin, self.number, self.launch, self.outcome, self.body = (
             now(),
             job.origin,
             job.number,
@@ -47,15 +47,17 @@
         self.passed = {}  # (gateway, life) -> the highest number under which its estate was taken over here, when
 
     def origin(self, end, launch):
-        return (launch.giver, launch.life) if launch.giver else (end.name, end.life)
+        return (launch.owner, launch.incarnation) if launch.owner else (end.name, end.incarnation)
 
     def refused(self, end, launch=None):
         """Whether this comes from a life that is over, or under a number that has been passed."""
-        if 0 < end.life <= self.ended.get(end.name, 0):
+        if 0 < end.incarnation <= self.ended.get(end.name, 0):
             return True
-        if launch is None or not launch.giver:
+        if launch is None or not launch.owner:
             return False
-        return launch.under < self.passed.get((launch.giver, launch.life), (0, 0.0))[0]
+        return (
+            launch.fencing_token < self.passed.get((launch.owner, launch.incarnation), (0, 0.0))[0]
+        )
 
     def remember(self, job, fate, body):
         """Keeps what has ended, for an heir that may come; only of gateways that may have one."""
@@ -71,7 +73,7 @@
 
     def over(self, end, message):
         """That life is over: nothing more of it is taken, and what it had here is told to its heir."""
-        origin = message.gateway, message.life
+        origin = message.gateway, message.incarnation
         passed = self.passed.get(origin, (0, 0.0))[0]
         self.record.add(
             "over",
@@ -80,40 +82,40 @@
             message.id,
             number=message.number,
             text=message.gateway,
-            a=float(message.life),
+            a=float(message.incarnation),
             fate="refused" if passed > message.number else "",
         )
         if passed > message.number:
-            return self.say(end, c.Holds(message.id, passed))
+            return self.say(end, c.AttemptsReport(message.id, passed))
         self.passed = {key: one for key, one in self.passed.items() if one[1] > now() - LONG}
         self.passed[origin] = message.number, now()
-        self.ended[message.gateway] = max(message.life, self.ended.get(message.gateway, 0))
+        self.ended[message.gateway] = max(message.incarnation, self.ended.get(message.gateway, 0))
         jobs = [
-            c.Job(job.number, job.launch.client, job.launch.event, job.launch.number)
+            c.HostAttempt(job.number, job.launch.client, job.launch.request_id, job.launch.attempt)
             for job in self.jobs.values()
             if job.origin == origin
         ]
         jobs += [
-            c.Job(
+            c.HostAttempt(
                 one.number,
                 one.launch.client,
-                one.launch.event,
-                one.launch.number,
-                one.fate,
+                one.launch.request_id,
+                one.launch.attempt,
+                one.outcome,
                 one.body,
             )
             for one in self.past
             if one.origin == origin
         ]
-        self.say(end, c.Holds(message.id, message.number, jobs))
+        self.say(end, c.AttemptsReport(message.id, message.number, jobs))
         for other in [other for other in self.ends if self.refused(other)]:
-            other.close(c.LIFE_OVER)
+            other.close(c.INCARNATION_ENDED)
 
     def count(self, end, message):
         """What is in hand here, of whomever, and how many launches ever came."""
         by = dict.fromkeys(job.origin[0] or job.end.name for job in self.jobs.values())
         by |= dict.fromkeys(one.origin[0] for one in self.past if one.at > now() - 1000.0)
-        self.say(end, c.Counted(message.id, len(self.jobs), self.numbers, list(by)[:8]))
+        self.say(end, c.InFlightCount(message.id, len(self.jobs), self.numbers, list(by)[:8]))
 
     def adopt(self, end, message):
         """The job's outcome goes to the heir; it may have ended meanwhile."""
@@ -121,7 +123,7 @@
             ((key, job) for key, job in self.jobs.items() if job.number == message.job), None
         )
         self.record.add(
-            "adopt", self.id, end.name, message.id, found[1].launch.event if found else 0
+            "adopt", self.id, end.name, message.id, found[1].launch.request_id if found else 0
         )
         if found is not None:
             key, job = found
@@ -133,23 +135,23 @@
         self.tell_past(end, message.id, past)
 
     def tell_past(self, end, id_, past):
-        from cherrydoor.protocol import messages as m
+        from cherrydoor.protocol import messages as protocol
 
         if past is None:
-            return self.say(end, m.Outcome(id_, "error"))
-        self.say(end, m.Outcome(id_, past.fate, 1, body=past.body))
+            return self.say(end, protocol.AttemptResult(id_, "error"))
+        self.say(end, protocol.AttemptResult(id_, past.outcome, 1, body=past.body))
 
     def recalled(self, end, message):
         """A recall by the connection that launched it, or by another one of the same life."""
         job = self.jobs.get((end, message.id))
-        if job is None and end.life:
+        if job is None and end.incarnation:
             job = next(
                 (
                     one
                     for one in self.jobs.values()
                     if one.launch.id == message.id
                     and one.end.name == end.name
-                    and one.end.life == end.life
+                    and one.end.incarnation == end.incarnation
                 ),
                 None,
             )
--- a/cherrydoor/fakes/feed.py
+++ b/cherrydoor/fakes/feed.py
@@ -5,7 +5,7 @@
 
 from cherrydoor.connection import End
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Feed:
@@ -29,7 +29,11 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(self, m.TO_FEED, lambda: m.Hello(m.VERSION, "feed", "feed", now())),
+            lambda: End(
+                self,
+                protocol.TO_FEED,
+                lambda: protocol.Hello(protocol.VERSION, "feed", "feed", now()),
+            ),
             where,
             port,
         )
@@ -47,18 +51,18 @@
         self.followers.pop(end, None)
 
     def heard(self, end, message):
-        if type(message) is m.Follow:
+        if type(message) is protocol.Watch:
             self.followers[end] = now()
             self.tell(end, "whole", list(self.releases.values()))
 
     def tell(self, end, how, releases):
         if end in self.followers:
             self.revision += 1
-            end.write(m.Releases(self.revision, how, releases))
+            end.write(protocol.ReleaseUpdate(self.revision, how, releases))
 
     def release(self, functions, version, state="announced"):
         """These functions' version is announced, withdrawn or complete from now on."""
-        found = [m.Release(function, version, state) for function in functions]
+        found = [protocol.Release(function, version, state) for function in functions]
         for one in found:
             self.releases[one.function] = one
             self.record.add("release", function=one.function, number=one.version, fate=state)
--- a/cherrydoor/fakes/host.py
+++ b/cherrydoor/fakes/host.py
@@ -16,7 +16,7 @@
 from cherrydoor.fakes.loads import Loads
 from cherrydoor.fakes.record import now, wall
 from cherrydoor.protocol import failover as custody
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Host(Loads, Capacity, Estates):
@@ -79,7 +79,7 @@
         self.kick()
 
     def hello(self):
-        return m.Hello(m.VERSION, "host", self.id, now(), self.since)
+        return protocol.Hello(protocol.VERSION, "host", self.id, now(), self.since)
 
     def kill(self, why="crash"):
         """The process dies: connections are reset, all it held is lost, images on disk stay."""
@@ -97,18 +97,20 @@
     def greeted(self, end, hello):
         if self.refuse or not self.up:
             return end.abort()
-        end.name, end.life = hello.name, hello.life
+        end.name, end.incarnation = hello.name, hello.incarnation
         if self.refused(end):
-            return end.close(custody.LIFE_OVER)
+            return end.close(custody.INCARNATION_ENDED)
         self.ends.add(end)
 
     def lost(self, end):
         self.ends.discard(end)
-        if getattr(end, "life", 0):  # its work goes on: the gateway may be lost, and have an heir
+        if getattr(
+            end, "incarnation", 0
+        ):  # its work goes on: the gateway may be lost, and have an heir
             return
         for job in [j for j in self.jobs.values() if j.end is end] if self.up else ():
             self.record.add(
-                "cut", self.id, end.name, job.launch.id, job.launch.event, job.launch.number
+                "cut", self.id, end.name, job.launch.id, job.launch.request_id, job.launch.attempt
             )
             self.let_go(job)
 
@@ -116,35 +118,39 @@
         if not self.up:
             return
         kind = type(message)
-        if kind is m.Launch:
+        if kind is protocol.Attempt:
             self.launched(end, message)
-        elif kind is m.Recall:
+        elif kind is protocol.CancelAttempt:
             job = self.recalled(end, message)
-            self.record.add("recall", self.id, end.name, message.id, job.launch.event if job else 0)
+            self.record.add(
+                "recall", self.id, end.name, message.id, job.launch.request_id if job else 0
+            )
             if job:
                 self.let_go(job)
-        elif kind is m.Probe:
+        elif kind is protocol.HealthCheck:
             self.record.add("probe", self.id, end.name, message.id)
             self.cores.add(
                 now(),
                 self.speed(),
                 0.3,
-                lambda: self.say(end, m.Probed(message.id, "handled", self.told_held())),
+                lambda: self.say(
+                    end, protocol.HealthCheckResult(message.id, "handled", self.told_held())
+                ),
             )
             self.kick()
-        elif kind is m.Order:
+        elif kind is protocol.LoadOrder:
             self.ordered(end, message)
-        elif kind is custody.Over:
+        elif kind is custody.EndIncarnation:
             self.over(end, message)
-        elif kind is custody.Adopt:
+        elif kind is custody.AdoptAttempt:
             self.adopt(end, message)
-        elif kind is custody.Count:
+        elif kind is custody.CountInFlight:
             self.count(end, message)
-        elif kind is m.Drop:
+        elif kind is protocol.Unload:
             copies = self.functions.get(message.function)
             if copies:
                 copies.standing -= max(0, copies.idle())
-            self.say(end, m.Dropped(message.id, copies.standing if copies else 0))
+            self.say(end, protocol.UnloadResult(message.id, copies.standing if copies else 0))
 
     def say(self, end, message):
         if self.quiet or not self.up:
@@ -158,24 +164,26 @@
     def launched(self, end, launch):
         # the work that an event is taken to be, for rule 4: the mean of its function
         if self.refused(end, launch):
-            self.record.add("refused", self.id, end.name, launch.id, launch.event, launch.number)
-            return self.say(end, m.Outcome(launch.id, "full"))
+            self.record.add(
+                "refused", self.id, end.name, launch.id, launch.request_id, launch.attempt
+            )
+            return self.say(end, protocol.AttemptResult(launch.id, "full"))
         mean = self.farm.mean_work(launch.function)
         self.record.add(
             "launch",
             self.id,
             end.name,
             launch.id,
-            launch.event,
-            launch.number,
+            launch.request_id,
+            launch.attempt,
             launch.function,
-            launch.clause,
+            launch.request_class,
             launch.client,
-            launch.mark,
-            a=launch.limit,
+            launch.idempotency_key,
+            a=launch.timeout_ms,
             b=mean,
-            c=float(launch.under),
-            text=str(end.life) if end.life else "",
+            c=float(launch.fencing_token),
+            text=str(end.incarnation) if end.incarnation else "",
         )
         if self.falls(mean):
             return
@@ -243,12 +251,12 @@
                 self.id,
                 job.end.name,
                 launch.id,
-                launch.event,
-                launch.number,
+                launch.request_id,
+                launch.attempt,
                 launch.function,
-                launch.clause,
+                launch.request_class,
                 launch.client,
-                launch.mark,
+                launch.idempotency_key,
             )
         bad = self.farm.bad.get(launch.function, {})
         fails = (
@@ -256,13 +264,13 @@
             or launch.function in self.farm.failing
             or self.chance() < bad.get("fail", 0.0)
         )
-        lose = max(self.lose, self.deaf.get(launch.clause, 0.0))
+        lose = max(self.lose, self.deaf.get(launch.request_class, 0.0))
         if lose and self.chance() < lose:
             self.remember(
                 job, "error" if fails else "handled", b"x" * min(len(launch.body), 4 * 2**20)
             )
             self.record.add(
-                "answer lost", self.id, job.end.name, launch.id, launch.event, launch.number
+                "answer lost", self.id, job.end.name, launch.id, launch.request_id, launch.attempt
             )
         else:
             self.answer(job, "error" if fails else "handled")
@@ -279,8 +287,8 @@
                 self.id,
                 job.end.name,
                 launch.id,
-                launch.event,
-                launch.number,
+                launch.request_id,
+                launch.attempt,
                 launch.function,
                 fate=fate,
                 a=copy,
@@ -288,7 +296,7 @@
             )
         else:
             self.record.add(
-                "answer lost", self.id, job.end.name, launch.id, launch.event, launch.number
+                "answer lost", self.id, job.end.name, launch.id, launch.request_id, launch.attempt
             )
         held = self.told_held() if self.build.tells_held else None
         tally = None
@@ -297,13 +305,16 @@
             told[0] += 1
             told[1] += fate == "error"
             told[2] += bool(
-                fate == "handled" and copy == 1 and launch.usual and now() - job.at > launch.usual
+                fate == "handled"
+                and copy == 1
+                and launch.slow_after_ms
+                and now() - job.at > launch.slow_after_ms
             )
             tally = tuple(told)
         b, tells = self.build, fate == "handled" and self.build.tells_copy or copy == 4
         self.say(
             job.end,
-            m.Outcome(
+            protocol.AttemptResult(
                 launch.id,
                 fate,
                 copy if tells else 0,
--- a/cherrydoor/fakes/host_pool.py
+++ b/cherrydoor/fakes/host_pool.py
@@ -5,7 +5,7 @@
 from cherrydoor.fakes.copies import Build
 from cherrydoor.fakes.host import Host
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Store:
@@ -17,10 +17,10 @@
     def fetch(self, function, then):
         self.ids += 1
         if self.end is None:
-            self.farm.loop.call_later(0.05, then, m.Fetched(0, "error"))
+            self.farm.loop.call_later(0.05, then, protocol.FetchResult(0, "error"))
             return
         self.calls[self.ids] = then
-        self.end.write(m.Fetch(self.ids, function))
+        self.end.write(protocol.FetchFunction(self.ids, function))
 
     def greeted(self, end, hello):
         self.end = end
@@ -33,7 +33,7 @@
     def lost(self, end):
         self.end, calls, self.calls = None, self.calls, {}
         for then in calls.values():
-            then(m.Fetched(0, "error"))
+            then(protocol.FetchResult(0, "error"))
 
 
 class Farm:
@@ -71,7 +71,7 @@
         return self.catalogue(function).work
 
     def group(self, host, launch):
-        scope = self.scopes.get(launch.clause) if launch.mark else None
+        scope = self.scopes.get(launch.request_class) if launch.idempotency_key else None
         return (
             scope
             and {
@@ -88,12 +88,12 @@
         group = self.group(host, launch)
         if group is None:
             return True
-        at = self.marks.get((group, launch.mark))
+        at = self.marks.get((group, launch.idempotency_key))
         return at is None or now() - at > host.build.remember
 
     def effect(self, host, launch):
         """Notes the mark; True if this run has an effect."""
         first, group = self.first(host, launch), self.group(host, launch)
         if first and group is not None:
-            self.marks[group, launch.mark] = now()
+            self.marks[group, launch.idempotency_key] = now()
         return first
--- a/cherrydoor/fakes/loads.py
+++ b/cherrydoor/fakes/loads.py
@@ -4,7 +4,7 @@
 
 from cherrydoor.fakes.copies import Copies
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Loads:
@@ -68,14 +68,14 @@
             return self.fetched(copies, began, image)
         self.farm.store.fetch(
             copies.name,
-            lambda facts, life=self.since: (
-                self.up and life == self.since and self.fetched(copies, began, facts)
+            lambda facts, incarnation=self.since: (
+                self.up and incarnation == self.since and self.fetched(copies, began, facts)
             ),
         )
 
     def fetched(self, copies, began, facts):
         unfit = self.chance() < self.farm.bad.get(copies.name, {}).get("load_fail", 0.0)
-        if facts.fate != "handled" or self.chance() < self.build.load_fail or unfit:
+        if facts.outcome != "handled" or self.chance() < self.build.load_fail or unfit:
             return self.load_over(copies, began, False)
         copies.facts = facts
         if self.build.disk:
@@ -83,14 +83,14 @@
             if sum(i.memory for i in self.images.values()) > self.build.disk:
                 self.images.pop(next(iter(self.images)))
         core = facts.start * facts.core
-        life = self.since
+        incarnation = self.since
 
         def started():
             self.cores.add(now(), self.speed(), core, lambda: self.load_over(copies, began, True))
             self.kick()
 
         self.loop.call_later(
-            (facts.start - core) / 1000, lambda: self.up and life == self.since and started()
+            (facts.start - core) / 1000, lambda: self.up and incarnation == self.since and started()
         )
 
     def load_over(self, copies, began, good):
@@ -123,7 +123,7 @@
         )
         copies = self.functions.get(order.function) or Copies(order.function)
         if not order.copies:
-            return self.say(end, m.Ordered(order.id, "handled", copies.standing))
+            return self.say(end, protocol.LoadOrderResult(order.id, "handled", copies.standing))
         self.functions[order.function], copies.used = copies, now()
         while (
             not self.draining
@@ -143,7 +143,10 @@
         if copies.standing >= order.copies or not good or not copies.loading:
             copies.asked.remove(asked)
             stand = copies.standing >= order.copies
-            self.say(end, m.Ordered(order.id, "handled" if stand else "full", copies.standing))
+            self.say(
+                end,
+                protocol.LoadOrderResult(order.id, "handled" if stand else "full", copies.standing),
+            )
 
     def void(self, name):
         """The function is released anew: idle copies go now, those at work when they are done."""
--- a/cherrydoor/fakes/roll.py
+++ b/cherrydoor/fakes/roll.py
@@ -5,7 +5,7 @@
 
 from cherrydoor.connection import End, Some
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Roll:
@@ -21,7 +21,11 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(self, m.TO_LIST, lambda: m.Hello(m.VERSION, "list", "list", now())),
+            lambda: End(
+                self,
+                protocol.TO_LIST,
+                lambda: protocol.Hello(protocol.VERSION, "list", "list", now()),
+            ),
             where,
             port,
         )
@@ -41,10 +45,10 @@
 
     def heard(self, end, message):
         name = end.reader.hello.name
-        if type(message) is m.Follow:
+        if type(message) is protocol.Watch:
             self.followers[end] = now()
             self.tell(end, "whole", list(self.rows.values()))
-        elif type(message) is m.Ask:
+        elif type(message) is protocol.Poll:
             then = now() - self.stale
             kept = [rows for t, rows in self.past if t <= then]
             self.tell(end, "whole", kept[-1] if kept and self.stale else list(self.rows.values()))
@@ -58,10 +62,15 @@
         name = end.reader.hello.name
         for row in rows:
             self.record.add(
-                "row", peer=name, id=self.revision, function=row.host, fate=row.state, a=row.since
+                "row",
+                peer=name,
+                id=self.revision,
+                function=row.host,
+                fate=row.state,
+                a=row.started_at_ms,
             )
         self.record.add("told", peer=name, id=self.revision, fate=how, number=len(rows))
-        end.write(m.Rows(self.revision, how, rows))
+        end.write(protocol.EndpointUpdate(self.revision, how, rows))
 
     def set(self, row):
         """A change of the truth; gone rows leave it. Each follower hears of it in its own time."""
@@ -69,7 +78,7 @@
             self.rows.pop(row.host, None)
         else:
             self.rows[row.host] = row
-        self.record.add("truth", function=row.host, fate=row.state, a=row.since)
+        self.record.add("truth", function=row.host, fate=row.state, a=row.started_at_ms)
         self.past = [p for p in self.past if p[0] > now() - self.stale - 60000] + [
             (now(), list(self.rows.values()))
         ]
--- a/cherrydoor/fakes/store.py
+++ b/cherrydoor/fakes/store.py
@@ -7,7 +7,7 @@
 from cherrydoor.connection import End
 from cherrydoor.fakes.cores import Cores
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Store:
@@ -20,7 +20,11 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(self, m.TO_STORE, lambda: m.Hello(m.VERSION, "store", "store", now())),
+            lambda: End(
+                self,
+                protocol.TO_STORE,
+                lambda: protocol.Hello(protocol.VERSION, "store", "store", now()),
+            ),
             where,
             port,
         )
@@ -48,7 +52,7 @@
             self.record.add(
                 "fetch refused", peer=end.reader.hello.name, id=fetch.id, function=fetch.function
             )
-            return end.write(m.Fetched(fetch.id, "full"))
+            return end.write(protocol.FetchResult(fetch.id, "full"))
         self.in_hand += 1
         self.cores.add(
             now(),
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -10,7 +10,7 @@
 from cherrydoor.gateway.dispatcher import Client
 from cherrydoor.gateway.sockets import peer_closed
 from cherrydoor.protocol import failover as custody
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import decide as k
 from cherrydoor.tls.keeper import NotProved
 
@@ -86,22 +86,22 @@
     def heard(self, end, message):
         shell = self.shell
         if end not in self.ends:
-            if end.stay is not None and type(message) is m.Event:
+            if end.stay is not None and type(message) is protocol.Request:
                 shell.unread(end.client, message, end.stay)
             return
-        if type(message) is m.Event:
+        if type(message) is protocol.Request:
             shell.post(shell.desk.came, end.client, message)
             caller = end.arrival.caller
             group = caller.group
             group.read += 1
             if group.allowed is not None and group.read >= group.allowed and not group.paused:
                 shell.hall.post(d.Poured(caller))
-        elif type(message) is m.Withdraw:
+        elif type(message) is protocol.CancelRequest:
             shell.post(shell.desk.withdrawn, end.client, message.id)
         elif shell.fellows:
             shell.fellows.reclaim(end, message)
         else:
-            end.write(custody.Unknown(message.id, "this gateway is alone"))
+            end.write(custody.ResponseUnknown(message.id, "this gateway is alone"))
 
     def let_go(self, end, why, stay):
         """Ends a connection of a life that is over: what is still read on it was never taken, and is deferred."""
@@ -120,7 +120,7 @@
         if since is None:
             since = loop.time()
             if not at_once:
-                end.write(m.Leaving(why))
+                end.write(protocol.Draining(why))
         quiet = (
             self.shell.clock.now()
             - max(end.arrival.caller.used, 1000 * since + self.shell.clock.ahead)
--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -15,8 +15,8 @@
 from cherrydoor.gateway.tables import Client as Client
 from cherrydoor.gateway.takeover import Inheritance
 from cherrydoor.gateway.timers import MOST_BEHIND, Alarms
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 
 class Desk(Alarms, Links, HostList, Loading, Inheritance):
@@ -40,15 +40,15 @@
         self.behind = 0.0
         self.left = []  # events whose client has left; the module has not been told yet
         self.carry = {
-            io.Launch: self.launch,
-            io.Recall: self.recall,
-            io.Defer: self.defer,
-            io.DeadLetter: self.dead_letter,
-            io.Ring: self.ring,
-            io.Probe: self.probe,
-            io.Order: self.order,
-            io.Subscribe: self.subscribe,
-            io.Log: self.log,
+            routing.StartAttempt: self.launch,
+            routing.CancelAttempt: self.recall,
+            routing.RejectRequest: self.defer,
+            routing.FailRequest: self.dead_letter,
+            routing.SetTimer: self.ring,
+            routing.CheckHealth: self.probe,
+            routing.OrderLoad: self.order,
+            routing.PollEndpoints: self.subscribe,
+            routing.LogMessage: self.log,
         }
         self.custody = (
             None  # told of what is in hand, where it outlives this gateway (custody/shell.py)
@@ -60,16 +60,16 @@
     # ---- the door
     def came_in(self, client, hello):
         client.name = hello.name
-        client.late(hello.clock, self.now)
+        client.late(hello.clock_ms, self.now)
         self.clients[client] = True
         if self.draining is not None:
-            client.wire.write(m.Leaving(self.draining))
+            client.wire.write(protocol.Draining(self.draining))
 
     def came(self, client, event):
         """An event is taken here, or refused untaken: known by its id already, past its time, or over a bound."""
-        ends = self.now + event.lasts - client.late(event.sent, self.now)
+        ends = self.now + event.timeout_ms - client.late(event.sent_at_ms, self.now)
         until = (
-            ends - self.terms.spare - min(2 * self.behind, MOST_BEHIND * event.lasts)
+            ends - self.terms.spare - min(2 * self.behind, MOST_BEHIND * event.timeout_ms)
         )  # read late, and told late
         if event.id in client.open:
             self.counts["event ids doubled"] += 1
@@ -79,7 +79,7 @@
             self.refuse(
                 client, event, "less time is left than an answer's way back takes", self.terms.stay
             )
-        elif event.clause not in self.gate.deed.clauses:
+        elif event.request_class not in self.gate.settings.request_classes:
             self.refuse(client, event, "no such event type", 0.0, "dead-lettered")
         elif (
             self.versions is not None and "@" in event.function
@@ -112,18 +112,18 @@
         taken.adopted, taken.launches = False, []
         if self.versions is not None:
             taken.function = self.versions.choose(
-                event.function, event.document or event.mark or taken.client.name
+                event.function, event.affinity_key or event.idempotency_key or taken.client.name
             )
         away = self.site.away(event, taken.function) if self.site is not None else ""
         self.notes.append(
-            io.Arrival(
+            routing.RequestArrived(
                 taken.number,
-                event.clause,
-                event.party,
+                event.request_class,
+                event.tenant,
                 taken.function,
                 taken.until,
-                event.lanes,
-                event.load,
+                event.copy_concurrency,
+                event.load_ms,
                 away,
             )
         )
@@ -132,7 +132,7 @@
 
     def refuse(self, client, event, reason, stay, fate="deferred"):
         self.counts[f"untaken: {reason}"] += 1
-        client.wire.write(m.Answer(event.id, fate, stay, reason))
+        client.wire.write(protocol.Response(event.id, fate, stay, reason))
 
     def withdrawn(self, client, number):
         taken = client.open.get(number)
@@ -152,13 +152,15 @@
             sent.link is not None and sent.at - taken.client.seen > LATE for sent in taken.launches
         )
         for sent in taken.launches if taken.streams else ():
-            self.cut(sent, io.RECALLED)  # a stream has no time of its own at which it would be cut
+            self.cut(
+                sent, routing.AttemptOutcome.CANCELLED
+            )  # a stream has no time of its own at which it would be cut
         taken.out += (
             1  # kept until the module has been told: what it decides before has an end, too
         )
         self.left.append(taken)
         self.end(taken)
-        self.notes.append(io.ClientLeft(taken.number))
+        self.notes.append(routing.RequestCancelled(taken.number))
 
     def told_left(self):
         """The module knows of all clients that have left."""
@@ -168,9 +170,9 @@
             self.forget(taken)
 
     def answer(self, taken, answer):
-        self.counts[answer.fate] += 1
+        self.counts[answer.outcome] += 1
         if self.site is not None:
-            self.site.answered(taken, answer.fate, self.now)
+            self.site.answered(taken, answer.outcome, self.now)
         taken.client.wire.write(answer)
         self.end(taken)
 
@@ -192,9 +194,9 @@
         if taken.streams and not taken.over:
             return
         for sent in taken.launches:
-            if sent.fate is None:
+            if sent.outcome is None:
                 self.counts["launches out when the client's time was up"] += 1
-                self.cut(sent, io.NO_ANSWER)
+                self.cut(sent, routing.AttemptOutcome.NO_RESPONSE)
         self.tell()
         if (
             not taken.over
@@ -202,41 +204,43 @@
             self.counts[
                 "answered for the module" if not taken.adopted else "time up at what was adopted"
             ] += 1
-            self.answer(taken, m.Answer(taken.event.id, "dead-lettered", 0.0, "the time is up"))
-            self.notes.append(io.ClientLeft(taken.number))
+            self.answer(
+                taken, protocol.Response(taken.event.id, "dead-lettered", 0.0, "the time is up")
+            )
+            self.notes.append(routing.RequestCancelled(taken.number))
 
     # ---- what the module decided
     def launch(self, action):
-        taken, host = self.taken.get(action.event), self.hosts.get(action.host)
+        taken, host = self.taken.get(action.request_id), self.hosts.get(action.host)
         if taken is None:
             self.counts["launches of what is over"] += 1
             return
         index, event = len(taken.launches), taken.event
-        limit = min(taken.until - self.now, action.limit or taken.until - self.now)
+        limit = min(taken.until - self.now, action.timeout_ms or taken.until - self.now)
         self.numbers += 1
-        sent = Sent(io.Outcome, self.numbers, self.now, None, taken, index)
+        sent = Sent(routing.AttemptEnded, self.numbers, self.now, None, taken, index)
         taken.launches.append(sent)
         taken.out += 1
         if host is None or taken.streams or limit <= 0:
-            self.done(sent, io.UNSENT)
+            self.done(sent, routing.AttemptOutcome.NOT_SENT)
             return
         sent.called, usual = taken.function, 0.0
         if self.versions is not None:
-            if any(other.fate == io.ERROR for other in taken.launches):
+            if any(other.outcome == routing.AttemptOutcome.ERROR for other in taken.launches):
                 sent.called = self.versions.again(taken.function)
             usual = self.versions.usual(event.function)
         if not self.send(
             host,
             sent,
-            m.Launch(
+            protocol.Attempt(
                 sent.id,
                 event.id,
                 taken.client.name,
-                event.clause,
+                event.request_class,
                 sent.called,
                 limit,
                 index,
-                event.mark,
+                event.idempotency_key,
                 usual,
                 event.body,
                 *(taken.origin or ()),
@@ -248,47 +252,48 @@
         if self.site is not None:
             self.site.launched(taken.function, host.row.zone)
         self.counts["launches"] += 1
-        if action.limit and self.now + limit < taken.until:
-            self.alarm(self.now + limit, self.cut, sent, io.NO_ANSWER)
+        if action.timeout_ms and self.now + limit < taken.until:
+            self.alarm(self.now + limit, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
 
     def recall(self, action):
-        taken = self.taken.get(action.event)
-        if taken is None or not 0 <= action.launch < len(taken.launches) or taken.streams:
+        taken = self.taken.get(action.request_id)
+        if taken is None or not 0 <= action.attempt < len(taken.launches) or taken.streams:
             self.counts["recalls of what is over"] += 1
             return
         self.counts["launches recalled"] += 1
-        self.cut(taken.launches[action.launch], io.RECALLED)
+        self.cut(taken.launches[action.attempt], routing.AttemptOutcome.CANCELLED)
 
     def defer(self, action):
-        self.final(action.event, "deferred", action.stay_away)
+        self.final(action.request_id, "deferred", action.retry_after_ms)
 
     def dead_letter(self, action):
-        self.final(action.event, "dead-lettered", 0.0)
+        self.final(action.request_id, "dead-lettered", 0.0)
 
     def final(self, number, fate, stay):
         taken = self.taken.get(number)
         if taken is None or taken.over:
             self.counts["answers to what is over"] += 1
             return
-        fates = ", ".join(sent.fate for sent in taken.launches if sent.fate)
+        fates = ", ".join(sent.outcome for sent in taken.launches if sent.outcome)
         self.answer(
-            taken, m.Answer(taken.event.id, fate, stay, fates or "no host would be in time")
+            taken,
+            protocol.Response(taken.event.id, fate, stay, fates or "no host would be in time"),
         )
 
     def ring(self, action):
-        self.alarm(action.at, self.notes.append, io.Wake(action.token))
+        self.alarm(action.at_ms, self.notes.append, routing.TimerFired(action.token))
 
     def probe(self, action):
-        self.ask(action.host, io.Probed, "", self.terms.probe, m.Probe)
+        self.ask(action.host, routing.HealthCheckEnded, "", self.terms.probe, protocol.HealthCheck)
 
     def order(self, action):
         self.counts["orders"] += 1
         self.ask(
             action.host,
-            io.Loaded,
+            routing.LoadOrderEnded,
             action.function,
             self.terms.order,
-            m.Order,
+            protocol.LoadOrder,
             action.function,
             action.copies,
         )
@@ -306,7 +311,7 @@
             if not taken.over:
                 self.answer(
                     taken,
-                    m.Answer(
+                    protocol.Response(
                         taken.event.id,
                         "dead-lettered" if taken.launches else "deferred",
                         0.0,
@@ -319,4 +324,4 @@
         if self.draining is None:
             self.draining = reason
             for client in self.clients:
-                client.wire.write(m.Leaving(reason))
+                client.wire.write(protocol.Draining(reason))
--- a/cherrydoor/gateway/endpoint_watch.py
+++ b/cherrydoor/gateway/endpoint_watch.py
@@ -7,8 +7,8 @@
 
 from cherrydoor.connection import End
 from cherrydoor.gateway.event_loop import address
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 log = structlog.get_logger()
 
@@ -31,7 +31,7 @@
         if not self.saved or not self.saved.exists():
             return None
         try:
-            return msgspec.json.decode(self.saved.read_bytes(), type=list[m.Row])
+            return msgspec.json.decode(self.saved.read_bytes(), type=list[protocol.Endpoint])
         except (msgspec.DecodeError, OSError) as error:
             log.warning("the saved list cannot be read", file=str(self.saved), error=str(error))
             return None
@@ -58,14 +58,15 @@
                 self.gone = loop.create_future()
                 async with asyncio.timeout(5.0):
                     _, self.end = await loop.create_connection(
-                        lambda: ListEnd(self, m.FROM_LIST, self.shell.hello), *address(self.where)
+                        lambda: ListEnd(self, protocol.FROM_LIST, self.shell.hello),
+                        *address(self.where),
                     )
                 pause = 0.1
                 if self.said:
                     log.info("the list is reached", address=self.where)
                 self.said = False
                 if not self.asks and self.end:
-                    self.end.write(m.Follow())
+                    self.end.write(protocol.Watch())
                 await self.gone
                 self.end = None
             except (TimeoutError, OSError) as error:
@@ -86,7 +87,7 @@
 
     def subscribe(self):
         if self.end is not None:
-            self.end.write(m.Follow())
+            self.end.write(protocol.Watch())
         else:
             self.shell.post(self.shell.desk.list_failed)
 
@@ -98,7 +99,11 @@
         self.shell.post(self.listed, end, message)
 
     def listed(self, end, message):
-        how = io.CHANGES if message.how == "changes" else io.WHOLE
+        how = (
+            routing.UpdateKind.INCREMENTAL
+            if message.kind == "changes"
+            else routing.UpdateKind.SNAPSHOT
+        )
         if (
             message.revision < end.revision
         ):  # guards against a list that is served by several, one behind
@@ -110,8 +115,8 @@
             )
             return
         end.revision = message.revision
-        self.shell.desk.listed(how, message.rows)
-        end.write(m.Heard(message.revision))
+        self.shell.desk.listed(how, message.endpoints)
+        end.write(protocol.UpdateAcknowledged(message.revision))
         if not self.dirty:
             self.dirty = True
             asyncio.get_running_loop().call_later(0.5, self.save)
--- a/cherrydoor/gateway/endpoints.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from cherrydoor.gateway.tables import OPEN, SHUT, Host
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 
 class HostList:
@@ -18,27 +18,29 @@
 
     def listed(self, how, rows):
         """Rows of the list's wire. A whole list leaves out what is gone."""
-        if how != io.CHANGES:
+        if how != routing.UpdateKind.INCREMENTAL:
             named = {row.host for row in rows}
             for host in self.hosts.values():
                 if host.id not in named:
-                    host.row = m.Row(host.id, "gone", host.row.since, host.row.zone, host.row.cell)
+                    host.row = protocol.Endpoint(
+                        host.id, "gone", host.row.started_at_ms, host.row.zone, host.row.cell
+                    )
         told = []
         for row in rows:
             host = self.hosts.get(row.host)
             if host is None and row.state == "gone":
                 continue
             host = self.hosts[row.host] = host or Host(row)
-            host.row, host.since = row, max(host.since, row.since)
+            host.row, host.since = row, max(host.since, row.started_at_ms)
             told.append(self.told(host))
-        self.notes.append(io.Listing(how, tuple(told)))
+        self.notes.append(routing.EndpointsUpdated(how, tuple(told)))
 
     def list_failed(self):
-        self.notes.append(io.Listing(io.FAILED, ()))
+        self.notes.append(routing.EndpointsUpdated(routing.UpdateKind.FAILED, ()))
 
     def told(self, host):
         row = host.row
-        return io.Row(row.host, row.state, host.since, row.zone, row.cell)
+        return routing.Endpoint(row.host, row.state, host.since, row.zone, row.cell)
 
     def rows(self):
         """The list as last held, for the next start."""
--- a/cherrydoor/gateway/host_connections.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 from cherrydoor.gateway.tables import DIALING, OPEN, SHUT, Link, Sent
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.releases import decide as v
-from cherrydoor.routing import messages as io
+from cherrydoor.routing import messages as routing
 
 MISSED = 32  # events of which a link remembers that they were missing there
 HANDSHAKES = (
@@ -42,13 +42,15 @@
         sent = Sent(kind, self.numbers, self.now, None, function=function)
         host = self.hosts.get(name)
         if host is not None and self.send(host, sent, message(sent.id, *values)):
-            self.alarm(self.now + wait, self.cut, sent, io.NO_ANSWER)
+            self.alarm(self.now + wait, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
         elif host is None:
             self.counts["questions to hosts never listed"] += 1
             unknown = (
-                io.Probed(name, io.NO_CONNECTION, 0.0)
-                if kind is io.Probed
-                else io.Loaded(function, name, io.NO_CONNECTION, 0, 0.0)
+                routing.HealthCheckEnded(name, routing.AttemptOutcome.CONNECT_FAILED, 0.0)
+                if kind is routing.HealthCheckEnded
+                else routing.LoadOrderEnded(
+                    function, name, routing.AttemptOutcome.CONNECT_FAILED, 0, 0.0
+                )
             )
             self.notes.append(unknown)
 
@@ -57,7 +59,7 @@
         """Why this may not go out to the host now, "" where it may. Every launch, probe and order to load passes here
         when it is sent and again when it was waiting for a connection: nothing new goes to a host that is known to
         drain (rule 3), and no launch for an event that is over or whose client has gone (rule 1)."""
-        if type(message) not in (m.Launch, m.Order, m.Probe):
+        if type(message) not in (protocol.Attempt, protocol.LoadOrder, protocol.HealthCheck):
             return ""
         if host.row.state != "ready":
             return "the host drains"
@@ -79,7 +81,7 @@
         that answer would pass for the new launch's. False where nothing may go out."""
         if why := self.barred(host, sent, message):
             self.counts[f"held back: {why}"] += 1
-            self.done(sent, io.UNSENT, at=host.id)
+            self.done(sent, routing.AttemptOutcome.NOT_SENT, at=host.id)
             return False
         host.carried += 1
         links = [ln for ln in host.links if not ln.mute]
@@ -105,14 +107,14 @@
             sent = link.out.get(message.id)
             if why := sent and self.barred(link.host, sent, message):
                 self.counts[f"held back: {why}"] += 1
-                self.done(sent, io.UNSENT)
+                self.done(sent, routing.AttemptOutcome.NOT_SENT)
             else:
                 wire.write(message)
 
     def unsent(self, link, number):
         """A launch, probe or order that was never written."""
         if number in link.out:
-            self.done(link.out[number], io.UNSENT)
+            self.done(link.out[number], routing.AttemptOutcome.NOT_SENT)
 
     def connect_timed_out(self, link):
         if link.state == DIALING:
@@ -123,23 +125,29 @@
         """Refused, never up, or lost: what was never sent is told apart from what was."""
         if link.state == SHUT:
             return
-        fate = io.NO_CONNECTION if link.state == DIALING else io.LOST
+        fate = (
+            routing.AttemptOutcome.CONNECT_FAILED
+            if link.state == DIALING
+            else routing.AttemptOutcome.CONNECTION_LOST
+        )
         link.state, link.waiting = SHUT, []
         link.host.links.remove(link)
         self.counts[f"links: {fate}"] += bool(link.out)
         out = list(link.out.values())
-        if fate == io.LOST and self.custody is not None and out:
-            self.give_up(link.host, [sent.id for sent in out if sent.kind is io.Outcome])
+        if fate == routing.AttemptOutcome.CONNECTION_LOST and self.custody is not None and out:
+            self.give_up(link.host, [sent.id for sent in out if sent.kind is routing.AttemptEnded])
         for sent in out:
             self.done(sent, fate)
 
     def greeted(self, link, hello):
         """A host's own word on when it started is newer than the list's, never older."""
         host = link.host
-        if hello.since > host.since + 1 and host.row.state == "ready":
-            host.since = hello.since
+        if hello.started_at_ms > host.since + 1 and host.row.state == "ready":
+            host.since = hello.started_at_ms
             self.counts["restarts learned from hosts"] += 1
-            self.notes.append(io.Listing(io.CHANGES, (self.told(host),)))
+            self.notes.append(
+                routing.EndpointsUpdated(routing.UpdateKind.INCREMENTAL, (self.told(host),))
+            )
 
     def heard(self, link, message):
         """Whatever a host answers; only what is out on this very link counts."""
@@ -148,19 +156,19 @@
         sent = link.out.get(message.id)
         kind = sent and sent.kind
         if sent is not None and sent.then is not None:
-            return self.done(sent, io.HANDLED, message)
-        if kind is io.Outcome and type(message) is m.Outcome:
-            self.done(sent, message.fate, message)
-        elif kind is io.Outcome and type(message) is m.Underway:
+            return self.done(sent, routing.AttemptOutcome.SUCCEEDED, message)
+        if kind is routing.AttemptEnded and type(message) is protocol.AttemptResult:
+            self.done(sent, message.outcome, message)
+        elif kind is routing.AttemptEnded and type(message) is protocol.AttemptStreaming:
             self.underway(sent)
         elif (
-            kind is io.Probed
-            and type(message) is m.Probed
-            or kind is io.Loaded
-            and type(message) is m.Ordered
+            kind is routing.HealthCheckEnded
+            and type(message) is protocol.HealthCheckResult
+            or kind is routing.LoadOrderEnded
+            and type(message) is protocol.LoadOrderResult
         ):
-            self.done(sent, message.fate, message)
-        elif type(message) is not m.Dropped:
+            self.done(sent, message.outcome, message)
+        elif type(message) is not protocol.UnloadResult:
             self.counts["answers to what is over or was never asked there"] += 1
 
     def underway(self, sent):
@@ -168,22 +176,26 @@
         if (
             not taken.over
             and not taken.streams
-            and self.gate.deed.clauses[taken.event.clause].stream
+            and self.gate.settings.request_classes[taken.event.request_class].streaming
         ):
             taken.streams = True
-            taken.client.wire.write(m.Started(taken.event.id))
-            self.notes.append(io.Underway(taken.number, sent.index, sent.link.host.id))
+            taken.client.wire.write(protocol.StreamStarted(taken.event.id))
+            self.notes.append(routing.StreamStarted(taken.number, sent.index, sent.link.host.id))
 
     def cut(self, sent, fate):
         """The gateway waits no longer: the host is told, unless it never had it."""
-        if sent.fate is not None:
+        if sent.outcome is not None:
             return
-        link, launch = sent.link, sent.kind is io.Outcome
+        link, launch = sent.link, sent.kind is routing.AttemptEnded
         if link.state == DIALING:
             link.waiting = [w for w in link.waiting if w.id != sent.id]
-            fate = io.UNSENT if fate == io.RECALLED else io.NO_CONNECTION
+            fate = (
+                routing.AttemptOutcome.NOT_SENT
+                if fate == routing.AttemptOutcome.CANCELLED
+                else routing.AttemptOutcome.CONNECT_FAILED
+            )
         elif launch:
-            link.write(m.Recall(sent.id))
+            link.write(protocol.CancelAttempt(sent.id))
         self.done(sent, fate)
         if link.state == OPEN and self.now - max(sent.at, link.heard) >= self.terms.silence:
             link.mute = True
@@ -204,38 +216,42 @@
     def done(self, sent, fate, message=None, at=""):
         """The one place where a launch, probe or order ends; an end that comes twice is ignored. `at` names the host
         of one that never had a link."""
-        if sent.fate is not None:
+        if sent.outcome is not None:
             return
-        sent.fate, took = fate, self.now - sent.at
+        sent.outcome, took = fate, self.now - sent.at
         if sent.link:
             sent.link.out.pop(sent.id, None)
-            if fate == io.MISSING:
+            if fate == routing.AttemptOutcome.FUNCTION_MISSING:
                 sent.link.missed = dict.fromkeys([*sent.link.missed, sent.taken.number][-MISSED:])
         name = sent.link.host.id if sent.link else at
         if sent.then is not None:
             sent.then(name, fate, message)
-        elif sent.kind is io.Probed:
-            self.notes.append(io.Probed(name, fate, took))
-        elif sent.kind is io.Loaded:
+        elif sent.kind is routing.HealthCheckEnded:
+            self.notes.append(routing.HealthCheckEnded(name, fate, took))
+        elif sent.kind is routing.LoadOrderEnded:
             self.notes.append(
-                io.Loaded(sent.function, name, fate, message.copies if message else 0, took)
+                routing.LoadOrderEnded(
+                    sent.function, name, fate, message.copies if message else 0, took
+                )
             )
             self.ended(v.Loaded(sent.function, fate, took))
             if self.site is not None:
-                self.site.loaded(sent.function, name, fate == io.HANDLED)
+                self.site.loaded(sent.function, name, fate == routing.AttemptOutcome.SUCCEEDED)
         else:
             self.landed(sent, fate, took, name, message)
 
     def landed(self, sent, fate, took, name, message):
         taken, adopted = sent.taken, sent.taken.adopted
         taken.out -= 1
-        broken = taken.streams and fate != io.HANDLED
-        if not taken.over and fate == io.HANDLED:
-            self.answer(taken, m.Answer(taken.event.id, "handled", 0.0, "", message.body))
+        broken = taken.streams and fate != routing.AttemptOutcome.SUCCEEDED
+        if not taken.over and fate == routing.AttemptOutcome.SUCCEEDED:
+            self.answer(taken, protocol.Response(taken.event.id, "handled", 0.0, "", message.body))
         elif not taken.over and taken.adopted:
             self.came_to_nothing(taken, fate)
         elif not taken.over and broken:
-            self.answer(taken, m.Answer(taken.event.id, "dead-lettered", 0.0, "the stream broke"))
+            self.answer(
+                taken, protocol.Response(taken.event.id, "dead-lettered", 0.0, "the stream broke")
+            )
         copy = message.copy if message else 0
         told = self.told_by(message) if message else (None,) * 5
         if self.versions is not None and sent.link:
@@ -247,8 +263,8 @@
                     took,
                     copy in (2, 3),
                     copy == 4,
-                    message.tally if message else None,
-                    taken.event.party,
+                    message.version_counts if message else None,
+                    taken.event.tenant,
                 )
             )
             if (
@@ -257,7 +273,7 @@
                 told = (None, None, *told[2:])
         if not adopted:  # the module knows nothing of it
             self.notes.append(
-                io.Outcome(taken.number, sent.index, fate, taken.over, name, took, *told)
+                routing.AttemptEnded(taken.number, sent.index, fate, taken.over, name, took, *told)
             )
         self.forget(taken)
 
@@ -266,8 +282,8 @@
         copy, crowd = self.terms.tells
         return (
             outcome.copy if copy or outcome.copy == 4 else None,
-            outcome.crowd if crowd else None,
-            outcome.held,
-            outcome.queue,
-            outcome.tied,
+            outcome.concurrency if crowd else None,
+            outcome.in_flight,
+            outcome.queued,
+            outcome.unevictable_memory,
         )
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from cherrydoor.gateway.tables import OPEN
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 
 class Loading:
@@ -18,11 +18,13 @@
     def foreseen(self, name, away=""):
         """Also outside a site whose sessions have moved: a release loads ahead where they are, too."""
         for site in [away] if away or self.site is None else ["", *self.site.moving()]:
-            self.notes.append(io.Foreseen(name, site))
+            self.notes.append(routing.FunctionExpected(name, site))
 
     def stands(self, name, host):
         """Others tell that a copy of the function stands there: as good as an order's answer."""
-        self.notes.append(io.Loaded(name, host, io.HANDLED, 1, 0.0))
+        self.notes.append(
+            routing.LoadOrderEnded(name, host, routing.AttemptOutcome.SUCCEEDED, 1, 0.0)
+        )
 
     def unload(self, name, hosts):
         """Idle copies of a version may go; nobody waits for an answer."""
@@ -31,4 +33,4 @@
             link = next((ln for ln in host.links if ln.state == OPEN), None) if host else None
             if link is not None:
                 self.numbers += 1
-                link.write(m.Drop(self.numbers, name))
+                link.write(protocol.Unload(self.numbers, name))
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -14,9 +14,9 @@
 from cherrydoor.gateway.event_loop import Clock, Turn, address
 from cherrydoor.gateway.tables import SHUT
 from cherrydoor.gateway.upstream import Floor
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.releases.feed import Releases
-from cherrydoor.routing import messages as io
+from cherrydoor.routing import messages as routing
 from cherrydoor.tls.decide import Usage
 from cherrydoor.tls.keeper import Keeper, Where
 
@@ -33,7 +33,7 @@
         super().__init__(clock or Clock())
         self.figures, self.bounds = figures, figures.bounds
         self.door, self.floor = Door(self), Floor(self)
-        self.roll = Roll(self, figures.list_at, figures.saved, figures.lease.asks)
+        self.roll = Roll(self, figures.list_at, figures.saved, figures.lease.polls_endpoints)
         self.make_gate, self.broken = gate, 0
         self.uses, self.own_uses = uses or Uses(figures.memory), uses is None
         manners = manners_of(figures)
@@ -46,7 +46,7 @@
         usage = Usage(figures.keys["standing"], figures.keys["warn"], figures.seed)
         self.keeper = Keeper(Where(**said, usage=usage), self.door.put_out)
         self.done = self.loop.create_future()
-        self.join, self.fellows = join or (lambda shell, life=0: None), None
+        self.join, self.fellows = join or (lambda shell, incarnation=0: None), None
         self.releases = Releases(self, figures.releases) if figures.releases["feed"] else None
         self.desk = self.new_desk()
 
@@ -62,15 +62,15 @@
         )
 
     def hello(self):
-        return m.Hello(
-            m.VERSION,
+        return protocol.Hello(
+            protocol.VERSION,
             "gateway",
             self.figures.name,
             self.clock.now(),
             0.0,
             self.bounds.frame,
             self.figures.terms.most_open,
-            life=self.fellows.life if self.fellows else 0,
+            incarnation=self.fellows.incarnation if self.fellows else 0,
         )
 
     async def start(self):
@@ -78,7 +78,7 @@
         await self.meet(self.join(self))
         saved = self.roll.read_saved()
         if saved is not None:
-            self.post(self.desk.listed, io.SAVED, saved)
+            self.post(self.desk.listed, routing.UpdateKind.CACHED, saved)
         self.roll.start()
         if self.releases:
             await self.releases.start()
@@ -134,13 +134,15 @@
                 if link.wire is not None:
                     link.wire.abort()
         self.desk = self.new_desk()
-        self.post(self.desk.listed, io.SAVED, rows)
+        self.post(self.desk.listed, routing.UpdateKind.CACHED, rows)
         if fellows:
             fellows.abort()
             self.fellows = None
             doubled = fellows.peers.members.doubled
             anew = (
-                None if doubled else self.join(self, max(fellows.life + 1, int(self.clock.now())))
+                None
+                if doubled
+                else self.join(self, max(fellows.incarnation + 1, int(self.clock.now())))
             )
             if anew:
                 anew.goes_on_from(fellows)
@@ -158,7 +160,7 @@
         log.error(
             "this life is over; beginning another",
             gateway=self.figures.name,
-            life=fellows.life,
+            incarnation=fellows.incarnation,
             why=why,
             events=len(self.desk.taken),
         )
@@ -167,7 +169,9 @@
             said = None if taken.over else fellows.custody.ends(taken)
             if said is not None:
                 taken.client.wire.write(
-                    m.Answer(taken.event.id, said[0], stays.get(taken.client.wire, 0.0), said[1])
+                    protocol.Response(
+                        taken.event.id, said[0], stays.get(taken.client.wire, 0.0), said[1]
+                    )
                 )
         for what, args in self.desk.inputs:
             if what == self.desk.came:
@@ -177,8 +181,8 @@
 
     def unread(self, client, event, stay):
         """What a life that is over had not read or not taken: deferred, unless its time is over as well."""
-        if event.lasts > client.late(event.sent, self.clock.now()):
-            client.wire.write(m.Answer(event.id, "deferred", stay, LIFE_OVER))
+        if event.timeout_ms > client.late(event.sent_at_ms, self.clock.now()):
+            client.wire.write(protocol.Response(event.id, "deferred", stay, LIFE_OVER))
 
     def drain(self, reason):
         if self.desk.draining is None:
--- a/cherrydoor/gateway/tables.py
+++ b/cherrydoor/gateway/tables.py
@@ -69,11 +69,22 @@
 class Sent:
     """A launch, a probe or an order that a host owes an end; `kind` is the note's type that will tell it."""
 
-    __slots__ = ("kind", "id", "at", "link", "taken", "index", "function", "fate", "called", "then")
+    __slots__ = (
+        "kind",
+        "id",
+        "at",
+        "link",
+        "taken",
+        "index",
+        "function",
+        "outcome",
+        "called",
+        "then",
+    )
 
     def __init__(self, kind, number, at, link, taken=None, index=0, function="", then=None):
         self.kind, self.id, self.at, self.link, self.taken = kind, number, at, link, taken
-        self.index, self.function, self.fate, self.called = index, function, None, function
+        self.index, self.function, self.outcome, self.called = index, function, None, function
         self.then = then  # of a question beside the module: told (host, fate, message) once
 
 
@@ -104,5 +115,5 @@
     """A host once listed. `since` is the later of what the list said and what the host's own hello said."""
 
     def __init__(self, row):
-        self.id, self.row, self.links, self.since = row.host, row, [], row.since
+        self.id, self.row, self.links, self.since = row.host, row, [], row.started_at_ms
         self.carried = 0  # launches, probes and orders sent there
--- a/cherrydoor/gateway/takeover.py
+++ b/cherrydoor/gateway/takeover.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from cherrydoor.gateway.tables import SHUT, Link, Sent
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 
 class Inheritance:
@@ -30,11 +30,11 @@
         """Asks a host, a draining one too, what is neither launch nor order; then(host, fate, message) comes once."""
         host = self.hosts.get(name)
         if host is None or host.row.state == "gone":
-            return then(name, io.NO_CONNECTION, None)
+            return then(name, routing.AttemptOutcome.CONNECT_FAILED, None)
         self.numbers += 1
         sent = Sent(None, self.numbers, self.now, None, then=then)
         self.send(host, sent, make(sent.id))
-        self.alarm(self.now + wait, self.cut, sent, io.NO_ANSWER)
+        self.alarm(self.now + wait, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
 
     def inherit(self, client, event, until, origin):
         """Launched anew, as any event, with the time it has left."""
@@ -50,7 +50,7 @@
         taken.origin, taken.adopted = origin, True
         self.counts["launches adopted"] += 1
         self.numbers += 1
-        sent = Sent(io.Outcome, self.numbers, self.now, None, taken)
+        sent = Sent(routing.AttemptEnded, self.numbers, self.now, None, taken)
         taken.launches.append(sent)
         taken.out += 1
         self.send(host, sent, make(sent.id))
@@ -61,7 +61,8 @@
             self.arrived(taken)
         else:
             self.answer(
-                taken, m.Answer(taken.event.id, "dead-lettered", 0.0, f"adopted, then {fate}")
+                taken,
+                protocol.Response(taken.event.id, "dead-lettered", 0.0, f"adopted, then {fate}"),
             )
 
     def give_up(self, host, numbers):
@@ -76,4 +77,4 @@
             self.alarm(self.now + self.terms.connect, self.connect_timed_out, link)
             self.dial(link)
         for number in numbers:
-            link.write(m.Recall(number))
+            link.write(protocol.CancelAttempt(number))
--- a/cherrydoor/gateway/upstream.py
+++ b/cherrydoor/gateway/upstream.py
@@ -8,7 +8,7 @@
 from cherrydoor.gateway.event_loop import dial
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import failover as custody
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 log = structlog.get_logger()
 
@@ -20,7 +20,7 @@
         super().__init__(
             shell.floor, custody.FROM_HOST, shell.hello, shell.bounds.host_bytes, shell.bounds.frame
         )
-        self.link, self.life = link, shell.fellows.life if shell.fellows else 0
+        self.link, self.incarnation = link, shell.fellows.incarnation if shell.fellows else 0
 
     def connection_made(self, transport):
         super().connection_made(transport)
@@ -29,7 +29,7 @@
     def write(self, message):
         try:
             super().write(message)
-        except codec.BadFrame as error:  # the host says that it takes no frame of this size
+        except codec.FrameTooLarge as error:  # the host says that it takes no frame of this size
             self.owner.too_large(self, message, error)
 
 
@@ -59,13 +59,13 @@
 
     def too_large(self, end, message, error):
         log.warning("a host takes no frame of this size", host=end.link.host.id, error=str(error))
-        self.shell.post(self.shell.desk.heard, end.link, m.Outcome(message.id, "full"))
+        self.shell.post(self.shell.desk.heard, end.link, protocol.AttemptResult(message.id, "full"))
 
     def lost(self, end):
         if (
-            custody.LIFE_OVER in end.why
+            custody.INCARNATION_ENDED in end.why
             and self.shell.fellows
-            and self.shell.fellows.life == end.life
+            and self.shell.fellows.incarnation == end.incarnation
         ):
             return self.shell.life_over("a host refuses it")
         self.shell.post(self.shell.desk.unlinked, end.link)
--- a/cherrydoor/leader_election/decide.py
+++ b/cherrydoor/leader_election/decide.py
@@ -19,7 +19,7 @@
 
 from msgspec import Struct
 
-from cherrydoor.protocol.peers import Granted, Refused, Seek, Yield
+from cherrydoor.protocol.peers import LeaseGranted, LeaseRefused, LeaseRelease, LeaseRequest
 
 FIRST, LONGEST = 50.0, 2000.0  # ms of the first back-off, and of the longest
 AGAIN = 250.0  # ms after which one that is held by another is asked for again
@@ -52,7 +52,7 @@
 
 class Say(Struct, frozen=True):
     to: str
-    what: Seek | Yield | Granted | Refused
+    what: LeaseRequest | LeaseRelease | LeaseGranted | LeaseRefused
 
 
 class Held(Struct, frozen=True):
@@ -107,7 +107,7 @@
             return []
         return (
             self.yielded(now, sender, note)
-            if type(note) is Yield
+            if type(note) is LeaseRelease
             else self.sought(now, sender, note)
         )
 
@@ -125,14 +125,17 @@
             self.counts["refused"] += 1
             wait = max(0.0, promise.until - now) if promise.holder else 0.0
             return [
-                Say(sender, Refused(note.task, note.number, promise.number, wait, why, note.round))
+                Say(
+                    sender,
+                    LeaseRefused(note.task, note.number, promise.number, wait, why, note.round),
+                )
             ]
         self.kept.tasks[note.task] = Promise(
             note.number, sender, self.terms.promised(now, note.term), note.term
         )
         self.counts["granted"] += not goes_on
         self.bound(now)
-        granted = Say(sender, Granted(note.task, note.number, note.round))
+        granted = Say(sender, LeaseGranted(note.task, note.number, note.round))
         # What goes on is on disk already: after a loss of the process its term runs anew in any case.
         return [granted] if goes_on else [Save(self.kept), granted]
 
@@ -212,21 +215,25 @@
         self.asked, self.round, self.grants, self.refusals = now, self.round + 1, set(), set()
         self.at = now + ROUND if self.state == "asking" else min(self.until, now + ROUND)
         return [
-            Say(keeper, Seek(self.task, self.number, self.terms.term, self.round))
+            Say(keeper, LeaseRequest(self.task, self.number, self.terms.term, self.round))
             for keeper in self.keepers
         ]
 
     def take(self, now, sender, note):
         if note.task != self.task or sender not in self.keepers:
             return []
-        if type(note) is Refused:
+        if type(note) is LeaseRefused:
             self.highest = max(self.highest, note.highest)
         if note.number != self.number or self.state == "waiting":
             # a grant that comes too late is given back, or the task would lie idle for a term
-            return [Say(sender, Yield(self.task, note.number))] if type(note) is Granted else []
+            return (
+                [Say(sender, LeaseRelease(self.task, note.number))]
+                if type(note) is LeaseGranted
+                else []
+            )
         if note.round != self.round:
             return []
-        if type(note) is Granted:
+        if type(note) is LeaseGranted:
             return self.granted(now, sender)
         self.refusals.add(sender)
         if self.state == "asking" and len(self.refusals) > len(self.keepers) - self.most:
@@ -247,7 +254,7 @@
 
     def again(self, now, why, wait=0.0):
         """A round is lost: what was granted is given back at once, and the next one is later by chance."""
-        back = [Say(keeper, Yield(self.task, self.number)) for keeper in self.keepers]
+        back = [Say(keeper, LeaseRelease(self.task, self.number)) for keeper in self.keepers]
         self.state, self.highest = "waiting", max(self.highest, self.number)
         if wait:  # somebody holds it: it may be handed over sooner than its time runs out
             self.tries, self.at = 0, now + min(wait, AGAIN) + self.spread(FIRST)
@@ -266,7 +273,7 @@
         self.highest = max(self.highest, highest)
         if self.state != "holding" or highest <= self.number:
             return []
-        back = [Say(keeper, Yield(self.task, self.number)) for keeper in self.keepers]
+        back = [Say(keeper, LeaseRelease(self.task, self.number)) for keeper in self.keepers]
         return [*self.end(now, "a higher number has been seen"), *back]
 
     def leave(self, now):
@@ -275,4 +282,7 @@
             return []
         ended = [Ended(self.task, self.number, "handed over")] if self.state == "holding" else []
         self.state, self.at = "waiting", float("inf")
-        return [*ended, *(Say(keeper, Yield(self.task, self.number)) for keeper in self.keepers)]
+        return [
+            *ended,
+            *(Say(keeper, LeaseRelease(self.task, self.number)) for keeper in self.keepers),
+        ]
--- a/cherrydoor/leader_election/shell.py
+++ b/cherrydoor/leader_election/shell.py
@@ -4,7 +4,7 @@
 
 from cherrydoor.leader_election.decide import Contender, Ended, Held, Keeper, Save, Terms
 from cherrydoor.leader_election.promises import File
-from cherrydoor.protocol.peers import Granted, Refused, Seek, Yield
+from cherrydoor.protocol.peers import LeaseGranted, LeaseRefused, LeaseRelease, LeaseRequest
 
 log = structlog.get_logger()
 LOOK = 0.02  # s between two looks at contenders, while there are any
@@ -26,10 +26,10 @@
             Keeper(self.terms, self.now(), self.file.read(), self.refuses) if self.file else None
         )
         for kind, what in (
-            (Seek, self.to_keeper),
-            (Yield, self.to_keeper),
-            (Granted, self.to_contender),
-            (Refused, self.to_contender),
+            (LeaseRequest, self.to_keeper),
+            (LeaseRelease, self.to_keeper),
+            (LeaseGranted, self.to_contender),
+            (LeaseRefused, self.to_contender),
         ):
             peers.follow(kind, what)
 
@@ -41,7 +41,9 @@
         if to != self.me:
             return self.peers.say(to, what)
         self.loop.call_soon(
-            self.to_keeper if type(what) in (Seek, Yield) else self.to_contender, self.me, what
+            self.to_keeper if type(what) in (LeaseRequest, LeaseRelease) else self.to_contender,
+            self.me,
+            what,
         )
 
     def to_keeper(self, sender, note):
@@ -61,8 +63,8 @@
     def to_contender(self, sender, note):
         if note.task in self.wanted:
             self.carry_out(self.wanted[note.task][0].take(self.now(), sender, note))
-        elif type(note) is Granted:  # asked for by us, and no longer wanted
-            self.say(sender, Yield(note.task, note.number))
+        elif type(note) is LeaseGranted:  # asked for by us, and no longer wanted
+            self.say(sender, LeaseRelease(note.task, note.number))
 
     # ---- what is wanted
     def hold(self, task, began, ended, delay=0.0):
@@ -155,7 +157,7 @@
         kept = self.keeper.kept if self.keeper else None
         return {
             "gateway": self.me,
-            "life": self.peers.me.life,
+            "life": self.peers.me.incarnation,
             "keepers": self.keepers,
             "held": held,
             "asked for": sorted(task for task in self.wanted if task not in self.holding),
--- a/cherrydoor/membership/decide.py
+++ b/cherrydoor/membership/decide.py
@@ -49,12 +49,18 @@
 class Me:
     """This gateway as it tells of itself."""
 
-    def __init__(self, name, life, at, site="", keeper=False):
-        self.name, self.life, self.at, self.site, self.keeper = name, life, at, site, keeper
+    def __init__(self, name, incarnation, at, site="", keeper=False):
+        self.name, self.incarnation, self.at, self.site, self.keeper = (
+            name,
+            incarnation,
+            at,
+            site,
+            keeper,
+        )
         self.word = 0
 
     def row(self, state: Any = HERE):
-        return Row(self.name, self.life, self.at, self.site, self.keeper, state, self.word)
+        return Row(self.name, self.incarnation, self.at, self.site, self.keeper, state, self.word)
 
 
 class Members:
@@ -86,16 +92,16 @@
         """What others say of this gateway: a later life is another process of this name; this life's end is final;
         any suspicion is answered."""
         me = self.me
-        if row.life >= me.life and row.at != me.at and row.state == HERE:
+        if row.incarnation >= me.incarnation and row.at != me.at and row.state == HERE:
             self.doubled = True
             self.counts["two processes under this name"] += 1
-        if row.life == me.life and row.state in FINAL:
+        if row.incarnation == me.incarnation and row.state in FINAL:
             return self.take(row)
-        elif row.life == me.life and row.rank() > me.row().rank():
+        elif row.incarnation == me.incarnation and row.rank() > me.row().rank():
             me.word = row.word + 1
             self.counts["suspicions answered"] += 1
             return self.take(me.row())
-        elif row.life > me.life:
+        elif row.incarnation > me.incarnation:
             return self.take(row)
         return False
 
@@ -111,25 +117,30 @@
         self.members[row.name], self.since[row.name], self.told[row.name] = stands, self.now, stands
         return True
 
-    def state(self, now, name, life, state: Any):
+    def state(self, now, name, incarnation, state: Any):
         """Said by this gateway itself, by what its own links show."""
         self.now = now
         row = self.members.get(name)
-        if row is None or row.life != life or row.state in FINAL or name == self.me.name:
+        if (
+            row is None
+            or row.incarnation != incarnation
+            or row.state in FINAL
+            or name == self.me.name
+        ):
             return False
         return self.take(structs.replace(row, state=state))
 
-    def over(self, now, name, life):
+    def over(self, now, name, incarnation):
         """A life is over for good: its estate has been taken, or another life of the name has been seen."""
         self.now = now
-        row = self.members.get(name) or Row(name, life)
-        return row.life == life and self.take(structs.replace(row, state=OVER))
+        row = self.members.get(name) or Row(name, incarnation)
+        return row.incarnation == incarnation and self.take(structs.replace(row, state=OVER))
 
     @property
     def ended(self):
         """Whether this life is held to be over, by whomever, or another one has begun."""
         mine = self.members[self.me.name]
-        return mine.life > self.me.life or mine.state in FINAL
+        return mine.incarnation > self.me.incarnation or mine.state in FINAL
 
     def leave(self):
         self.take(self.me.row(LEFT))
--- a/cherrydoor/membership/links.py
+++ b/cherrydoor/membership/links.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from cherrydoor.membership.decide import FINAL, HERE, SILENT, VANISHED
-from cherrydoor.protocol.peers import Beat, Members
+from cherrydoor.protocol.peers import Heartbeat, MembershipUpdate
 
 AGAIN, LONGEST = 100.0, 2000.0  # ms before a dial is tried again, doubled up to the longest
 CROWD = (
@@ -39,7 +39,7 @@
     """What is known of the link to one name. It goes when it is down, unwanted, and nothing is being tried."""
 
     def __init__(self, now):
-        self.up, self.dialled, self.dialling, self.life = False, False, False, 0
+        self.up, self.dialled, self.dialling, self.incarnation = False, False, False, 0
         self.heard = self.said = self.used = now
         self.again, self.tries = now, 0
 
@@ -77,7 +77,7 @@
                 actions += self.suspect(name, line, SILENT)
             elif line.up and now - line.said >= self.pause(name):
                 line.said = now
-                actions.append(Say(name, Beat()))
+                actions.append(Say(name, Heartbeat()))
             if line.up and line.dialled and name not in wanted and now - line.used > IDLE:
                 line.up = False
                 actions.append(Close(name, "no longer needed"))
@@ -105,7 +105,7 @@
         ups = [(name, line) for name, line in self.lines.items() if line.up]
         for _, line in ups:
             line.said = self.now
-        return [Say(name, Members(rows)) for name, _ in ups]
+        return [Say(name, MembershipUpdate(rows)) for name, _ in ups]
 
     def dial(self, name):
         row, line = self.members.members.get(name), self.line(name)
@@ -121,21 +121,21 @@
         line.dialling = True
         return [Dial(name, row.at)]
 
-    def up(self, now, name, life, dialled):
+    def up(self, now, name, incarnation, dialled):
         """A link has said hello; (whether it stays, actions). A second one of the pair goes."""
         self.now, line = now, self.line(name)
         ours = self.members.me.name < name
-        if line.up and line.life == life and line.dialled == ours and dialled != ours:
+        if line.up and line.incarnation == incarnation and line.dialled == ours and dialled != ours:
             return False, []
-        line.up, line.dialled, line.dialling, line.life, line.tries = (
+        line.up, line.dialled, line.dialling, line.incarnation, line.tries = (
             True,
             dialled,
             False,
-            life,
+            incarnation,
             line.tries + 1,
         )
         line.heard = line.said = line.used = now
-        return True, [Say(name, Members(self.members.whole()))]
+        return True, [Say(name, MembershipUpdate(self.members.whole()))]
 
     def heard(self, now, name):
         self.now = now
@@ -177,7 +177,7 @@
         line.up = False
         line.again = max(line.again, self.now + AGAIN * (0.5 + self.chance()))
         if row is not None and row.state in (HERE, SILENT):
-            self.members.state(self.now, name, row.life, state)
+            self.members.state(self.now, name, row.incarnation, state)
         return [*([Close(name, state)] if was else []), *self.tell()]
 
     def ask(self, now, name):
@@ -193,12 +193,12 @@
         line = self.lines.get(name)
         return line is not None and line.up
 
-    def recent(self, name, life):
+    def recent(self, name, incarnation):
         """Whether a word of this very life has been heard on a link that is up, within `silent`."""
         line = self.lines.get(name)
         return (
             line is not None
             and line.up
-            and line.life == life
+            and line.incarnation == incarnation
             and self.now - line.heard <= self.silent
         )
--- a/cherrydoor/membership/shell.py
+++ b/cherrydoor/membership/shell.py
@@ -8,9 +8,9 @@
 from cherrydoor.membership.decide import Me, Members
 from cherrydoor.membership.links import Close, Dial, Links
 from cherrydoor.protocol import codec
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.protocol import peers as p
-from cherrydoor.protocol.zone_drain import SITE
+from cherrydoor.protocol.zone_drain import ZONE_DRAIN_MESSAGES
 from cherrydoor.tls.keeper import NotProved
 
 log = structlog.get_logger()
@@ -30,7 +30,7 @@
 
     def __init__(self, peers, name=""):
         """name: whom we dialled, "" where we were."""
-        super().__init__(peers, (*p.PEER, *SITE), peers.hello, WAITING)
+        super().__init__(peers, (*p.PEER_MESSAGES, *ZONE_DRAIN_MESSAGES), peers.hello, WAITING)
         self.peers, self.dialled, self.name, self.stands = peers, name, name, False
 
     def write_bytes(self, data):
@@ -43,14 +43,14 @@
     """The links of one gateway. Others follow what passes by `follow(kind, what)`, and each change of who is there by
     `changed`, a list of callables."""
 
-    def __init__(self, shell, said, life=None):
+    def __init__(self, shell, said, incarnation=None):
         """shell: the gateway's; said: the lease's record of peers."""
         self.shell, self.said, self.loop = shell, said, shell.loop
         name = shell.figures.name
         keepers = {one["name"]: one["at"] for one in said["keepers"]}
         self.me = Me(
             name,
-            life or int(shell.clock.now()),
+            incarnation or int(shell.clock.now()),
             said["at"] or said["door"],
             shell.figures.lease.zone,
             name in keepers,
@@ -72,7 +72,9 @@
         return self.shell.clock.now()
 
     def hello(self):
-        return m.Hello(m.VERSION, "peer", self.me.name, self.now(), life=self.me.life)
+        return protocol.Hello(
+            protocol.VERSION, "peer", self.me.name, self.now(), incarnation=self.me.incarnation
+        )
 
     async def start(self):
         host, port = address(self.said["door"])
@@ -179,7 +181,7 @@
             end.abort(NO_HELLO)
 
     def greeted(self, end, hello):
-        if hello.role != "peer" or not hello.life:
+        if hello.role != "peer" or not hello.incarnation:
             return end.close(f"a peer is expected here, not a {hello.role}")
         if end.dialled and hello.name != end.dialled:
             return end.close(f"{end.dialled} is expected here, not {hello.name}")
@@ -191,10 +193,10 @@
             )
             return end.close("its certificate is not of that name")
         if hello.name == self.me.name:
-            self.members.doubled = hello.life == self.me.life or self.members.doubled
+            self.members.doubled = hello.incarnation == self.me.incarnation or self.members.doubled
             return end.close("this is the gateway of that name")
         end.name = hello.name
-        stays, actions = self.links.up(self.now(), hello.name, hello.life, bool(end.dialled))
+        stays, actions = self.links.up(self.now(), hello.name, hello.incarnation, bool(end.dialled))
         if not stays:
             return end.close("linked already")
         other = self.ends.get(hello.name)
@@ -217,7 +219,7 @@
         if not end.stands or self.closed:
             return
         self.links.heard(self.now(), end.name)
-        if type(message) is p.Members:
+        if type(message) is p.MembershipUpdate:
             self.carry_out(self.links.members_heard(self.now(), message.rows))
         elif type(message) in self.handlers:
             self.handlers[type(message)](end.name, message)
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -7,7 +7,7 @@
 from cherrydoor.codecs import invoke
 from cherrydoor.gateway.dispatcher import Client
 from cherrydoor.gateway.sockets import has_unread_input, peer_closed
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 HANDLED, BAD, KNOWN, LOST, DEFERRED = 200, 400, 409, 502, 503
 MOST_WAITING = 256 * 1024  # bytes that may wait for a client that does not read
@@ -47,13 +47,13 @@
 
     def write(self, message):
         """An answer of the desk's; where the gateway is leaving, the connection closes with its next answer."""
-        if type(message) is not m.Answer:
+        if type(message) is not protocol.Response:
             return
         self.door.answered(self)
-        if message.fate == "handled":
+        if message.outcome == "handled":
             self.reply(HANDLED, message.body)
-        elif message.fate == "deferred":
-            self.reply(DEFERRED, message.reason, message.stay_away)
+        elif message.outcome == "deferred":
+            self.reply(DEFERRED, message.reason, message.retry_after_ms)
         else:
             self.reply(LOST, message.reason)
 
@@ -163,7 +163,7 @@
                 self.shell.post(
                     self.shell.desk.came_in,
                     end.client,
-                    m.Hello(m.VERSION, "client", "", self.shell.clock.now()),
+                    protocol.Hello(protocol.VERSION, "client", "", self.shell.clock.now()),
                 )
         return end.seated_once and not end.closing
 
@@ -173,7 +173,7 @@
             ready = self.shell.ready and not self.leaving
             return end.reply(HANDLED if ready else DEFERRED, "" if ready else "not ready")
         wrong = ""
-        if note.kind not in self.shell.desk.gate.deed.clauses:
+        if note.kind not in self.shell.desk.gate.settings.request_classes:
             wrong = "X-Class: no such event type"
         elif station.customers and note.customer not in station.customers:
             wrong = "X-Customer: no such customer"
@@ -189,7 +189,7 @@
         figures = note.figures
         # A client sends as soon as the kernel has accepted it: what it waited for us until then is of its time.
         lasts, end.arrival.waited = max(1.0, note.patience - end.arrival.waited), 0.0
-        event = m.Event(
+        event = protocol.Request(
             int(note.id, 16),
             note.kind,
             note.function,
@@ -208,7 +208,7 @@
         """The desk takes no notice of an event whose time is over; here each is owed an answer."""
         self.shell.desk.came(end.client, event)
         if end.waits == event.id and event.id not in end.client.open:
-            end.write(m.Answer(event.id, "deferred", 0.0, "the time is up"))
+            end.write(protocol.Response(event.id, "deferred", 0.0, "the time is up"))
 
     def answered(self, end):
         end.waits = None
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -86,7 +86,7 @@
         except (TypeError, ValueError, AttributeError, wire.BadLine) as error:
             raise Wrong(f"settings: {error}") from None
         handshake = said["prices"].get("handshake", 0.0)
-        self.longest = max(clause.max_age for clause in self.lease.clauses)
+        self.longest = max(clause.deadline_ms for clause in self.lease.request_classes)
         self.patience = FARTHEST * self.longest
         places, porch, _ = seats(sockets, RESERVE, 1)
         self.descriptors = sockets
@@ -95,7 +95,7 @@
             said["familyInfo"],
             handshake,
             1,
-            (self.lease.tells_copy, self.lease.tells_crowd),
+            (self.lease.reports_copy, self.lease.reports_concurrency),
         )
         self.fit(sum(row.state != sse.GONE for row in self.known_rows()))
         self.manners = Manners(
--- a/cherrydoor/platform/discovery_watch.py
+++ b/cherrydoor/platform/discovery_watch.py
@@ -5,8 +5,8 @@
 
 from cherrydoor.codecs import sse
 from cherrydoor.gateway.event_loop import address, open_connection
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 SILENCE = 1.8  # s without a line, where a comment is due each second
 CONNECT = 0.5  # s that a connection may take
@@ -133,13 +133,13 @@
         if told.rows is None:
             return
         rows = [
-            m.Row(row.id, row.state, row.started, row.zone, row.cell)
+            protocol.Endpoint(row.id, row.state, row.started, row.zone, row.cell)
             for row in told.rows
             if not (anew and row.state == sse.READY and self.drains(row.id))
         ]
         self.shell.post(
             self.shell.floor.listed,
-            io.WHOLE if told.whole else io.CHANGES,
+            routing.UpdateKind.SNAPSHOT if told.whole else routing.UpdateKind.INCREMENTAL,
             rows,
             {row.id: row.address for row in told.rows if row.state != sse.GONE},
         )
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -22,7 +22,7 @@
 from cherrydoor.platform.client_listener import Door
 from cherrydoor.platform.discovery_watch import Follower
 from cherrydoor.platform.upstream import Floor
-from cherrydoor.routing import Gateway
+from cherrydoor.routing import Router
 
 BAD_CONFIGURATION, PORT_TAKEN, BROKEN = 64, 69, 70
 COMING = 0.7  # s after SIGTERM for which clients still come
@@ -87,7 +87,7 @@
 
     def new_desk(self):
         return Desk(
-            Gateway(self.station.lease), self.station.terms, self.floor.dial, self.clock.now()
+            Router(self.station.lease), self.station.terms, self.floor.dial, self.clock.now()
         )
 
     def say(self, event, **said):
@@ -301,7 +301,7 @@
         print(f"cherrydoor platform: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
 
-    async def life():
+    async def incarnation():
         return await Platform(station, path, trace, lambda: bool(early)).run()
 
-    return uvloop.run(life())
+    return uvloop.run(incarnation())
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -6,8 +6,8 @@
 from cherrydoor.codecs import resp
 from cherrydoor.gateway.event_loop import dial
 from cherrydoor.gateway.sockets import after_input, peer_closed
-from cherrydoor.protocol import messages as m
-from cherrydoor.routing import messages as io
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.routing import messages as routing
 
 MOST_WAITING = 4 << 20  # bytes that may wait for a host that does not read
 UNFINISHED = (
@@ -15,11 +15,11 @@
 )
 # where a host stands still in the midst of an answer: its launch is held to be lost
 FATES: dict[str, Any] = {
-    resp.DONE: io.HANDLED,
-    resp.MISSING: io.MISSING,
-    resp.FULL: io.FULL,
-    resp.BROKE: io.ERROR,
-    resp.PAST: io.UNSENT,
+    resp.DONE: routing.AttemptOutcome.SUCCEEDED,
+    resp.MISSING: routing.AttemptOutcome.FUNCTION_MISSING,
+    resp.FULL: routing.AttemptOutcome.FULL,
+    resp.BROKE: routing.AttemptOutcome.ERROR,
+    resp.PAST: routing.AttemptOutcome.NOT_SENT,
 }
 
 
@@ -46,27 +46,32 @@
         """An idle connection that the host has just closed is found out before anything is written to it: what is
         written may have run."""
         if self.transport.is_closing() or not self.tags and peer_closed(self.transport):
-            if type(message) is not m.Recall:
+            if type(message) is not protocol.CancelAttempt:
                 self.floor.shell.post(self.floor.shell.desk.unsent, self.link, message.id)
             return
         kind = type(message)
-        if kind is m.Launch:
-            tag = f"{message.event:016x}"
+        if kind is protocol.Attempt:
+            tag = f"{message.request_id:016x}"
             self.tags[tag] = message.id
             data = resp.execute(
-                tag, message.clause, message.function, message.limit, message.body, message.mark
+                tag,
+                message.request_class,
+                message.function,
+                message.timeout_ms,
+                message.body,
+                message.idempotency_key,
             )
-        elif kind is m.Recall:
+        elif kind is protocol.CancelAttempt:
             tag = next((tag for tag, number in self.tags.items() if number == message.id), "")
             if not tag:
                 return
             del self.tags[tag]
             data = resp.drop(tag)
-        elif kind is m.Probe:
+        elif kind is protocol.HealthCheck:
             data = resp.health(f"p{message.id}")
-        elif kind is m.Order:
+        elif kind is protocol.LoadOrder:
             data = resp.ensure(f"o{message.id}", message.function, message.copies)
-        elif kind is m.Drop:
+        elif kind is protocol.Unload:
             data = resp.release(message.function)
         else:
             raise TypeError(f"no command for {message!r}")
@@ -110,7 +115,7 @@
             shell.post(
                 shell.desk.heard,
                 self.link,
-                m.Outcome(
+                protocol.AttemptResult(
                     self.tags.pop(tag),
                     FATES[word],
                     answer.note,
@@ -125,15 +130,21 @@
         elif tag[:1] in "po" and tag[1:].isdigit() and len(tag) < 16:
             number = int(tag[1:])
             if tag[0] == "p" and word in (resp.FIT, resp.UNFIT):
-                fate: Any = io.HANDLED if word == resp.FIT else io.ERROR
+                fate: Any = (
+                    routing.AttemptOutcome.SUCCEEDED
+                    if word == resp.FIT
+                    else routing.AttemptOutcome.ERROR
+                )
                 shell.post(
                     shell.desk.heard,
                     self.link,
-                    m.Probed(number, fate, answer.meter.get("inflight")),
+                    protocol.HealthCheckResult(number, fate, answer.meter.get("inflight")),
                 )
             elif tag[0] == "o" and word in FATES:
                 shell.post(
-                    shell.desk.heard, self.link, m.Ordered(number, FATES[word], answer.copies or 0)
+                    shell.desk.heard,
+                    self.link,
+                    protocol.LoadOrderResult(number, FATES[word], answer.copies or 0),
                 )
 
     def close(self, reason=""):
--- a/cherrydoor/protocol/codec.py
+++ b/cherrydoor/protocol/codec.py
@@ -15,7 +15,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class BadFrame(ValueError):
+class FrameTooLarge(ValueError):
     """A message that cannot go out."""
 
 
@@ -24,22 +24,22 @@
     return msgspec.msgpack.Decoder(reduce(or_, kinds))
 
 
-def encode(message, largest=messages.LARGEST):
+def encode(message, largest=messages.DEFAULT_MAX_FRAME_BYTES):
     """One frame as bytes; BadFrame where its body is longer than `largest`.
 
-    >>> encode(messages.Ask())
+    >>> encode(messages.Poll())
     b'\\x00\\x00\\x00\\x08\\x81\\xa2is\\xa3ask'
     """
     frame = bytearray(PREFIX)
     _encoder.encode_into(message, frame, PREFIX)
     size = len(frame) - PREFIX
     if size > largest:
-        raise BadFrame(f"a frame of {size} bytes, where {largest} is the most")
+        raise FrameTooLarge(f"a frame of {size} bytes, where {largest} is the most")
     frame[:PREFIX] = size.to_bytes(PREFIX, "big")
     return bytes(frame)
 
 
-class Reader:
+class FrameReader:
     """Bytes in, messages out, for one direction of one connection.
 
     kinds: the message types that this end takes; largest: the longest body, in bytes. A hello must come first and
@@ -47,7 +47,7 @@
     `halts` it gives the hello alone, and the rest at the next feed: what it may be depends on who says hello.
     """
 
-    def __init__(self, kinds, largest=messages.LARGEST, halts=False):
+    def __init__(self, kinds, largest=messages.DEFAULT_MAX_FRAME_BYTES, halts=False):
         self.halts = halts
         self.decode = _decoder(kinds).decode
         self.largest, self.held, self.need = largest, bytearray(), PREFIX
--- a/cherrydoor/protocol/failover.py
+++ b/cherrydoor/protocol/failover.py
@@ -5,31 +5,31 @@
 
 from typing import Annotated, Literal
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from cherrydoor.protocol import messages
 from cherrydoor.protocol.basics import Count as Whole
 from cherrydoor.protocol.basics import Id, Message, Name
 
-LIFE_OVER = (
+INCARNATION_ENDED = (
     "that life is over"  # a host's word, in a fault, to a gateway whose estate has been taken over
 )
 
 
 # ---- client and gateway
-class Reclaim(Message, tag="reclaim"):
+class ClaimResponse(Message, tag="reclaim"):
     """The answer of an event whose connection ended without one, asked for at another gateway."""
 
     id: Id  # of this connection
     gateway: Name  # which had taken it, by the name in its hello ...
-    life: Id
+    incarnation: Id = field(name="life")
     event: Id  # ... and under this id
     key: Name  # the event's own
     lasts: Annotated[float, Meta(gt=0.0, le=1e10)]  # ms from `sent` on, until the client gives up
     sent: float
 
 
-class Unknown(Message, tag="unknown"):
+class ResponseUnknown(Message, tag="unknown"):
     """Nothing is known here of what was claimed, or not by that key; it may have run or not."""
 
     id: Id
@@ -37,16 +37,16 @@
 
 
 # ---- gateway and host
-class Over(Message, tag="over"):
+class EndIncarnation(Message, tag="over"):
     """That life is over: tell what of its estate you hold or have ended, and refuse what still comes from it."""
 
     id: Id
     gateway: Name
-    life: Id
+    incarnation: Id = field(name="life")
     number: Id
 
 
-class Job(Struct, omit_defaults=True, gc=False):
+class HostAttempt(Struct, omit_defaults=True, gc=False):
     """A launch of the estate at a host. `fate` is "" while it is at work; `kept` is false where its answer's body is no
     longer held."""
 
@@ -54,33 +54,33 @@
     client: Name
     event: Id
     number: Whole = 0
-    fate: Literal["", "handled", "error", "full", "missing"] = ""
+    outcome: Literal["", "handled", "error", "full", "missing"] = field(default="", name="fate")
     body: bytes = b""
     kept: bool = True
 
 
-class Holds(Message, tag="holds"):
+class AttemptsReport(Message, tag="holds"):
     """The answer to `over`. highest: the number that the host goes by; above the one asked under, it is a refusal."""
 
     id: Id
     highest: Id
-    jobs: list[Job] = []
+    jobs: list[HostAttempt] = []
 
 
-class Adopt(Message, tag="adopt"):
+class AdoptAttempt(Message, tag="adopt"):
     """The outcome of that job goes to the sender, as of a launch under this id."""
 
     id: Id
     job: Id
 
 
-class Count(Message, tag="count"):
+class CountInFlight(Message, tag="count"):
     """How much is in hand here, of whomever?"""
 
     id: Id
 
 
-class Counted(Message, tag="counted"):
+class InFlightCount(Message, tag="counted"):
     """The answer to `count`: launches in hand, those that ever came, and the gateways whose the former are or were
     within the last second."""
 
@@ -91,7 +91,7 @@
 
 
 # What each end takes from each other end, beside what it always took.
-FROM_CLIENT = (*messages.FROM_CLIENT, Reclaim)
-TO_CLIENT = (*messages.TO_CLIENT, Unknown)
-TO_HOST = (*messages.TO_HOST, Over, Adopt, Count)
-FROM_HOST = (*messages.FROM_HOST, Holds, Counted)
+FROM_CLIENT = (*messages.FROM_CLIENT, ClaimResponse)
+TO_CLIENT = (*messages.TO_CLIENT, ResponseUnknown)
+TO_HOST = (*messages.TO_HOST, EndIncarnation, AdoptAttempt, CountInFlight)
+FROM_HOST = (*messages.FROM_HOST, AttemptsReport, InFlightCount)
--- a/cherrydoor/protocol/messages.py
+++ b/cherrydoor/protocol/messages.py
@@ -1,243 +1,342 @@
-"""Every message of the wire, as typed records. docs/wire.md has the same in words.
+"""Messages between clients, gateways, hosts, the function store, the endpoint list and the feed.
 
-Times are ms with fractions. `clock` and `sent` are readings of the sender's own clock, of use only in differences;
-`since` is ms since 1970. Ids are whole numbers that belong to the connection they are sent on.
+Times are ms with fractions. ``clock_ms`` and ``sent_at_ms`` are readings of the sender's own clock,
+of use only in differences; ``started_at_ms`` is ms since 1970. Ids are whole numbers that belong to
+the connection they are sent on. ``docs/wire.md`` describes the same messages.
 """
 
 from typing import Annotated, Literal
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from cherrydoor.protocol.basics import (
-    ALWAYS,
+    COMMON_MESSAGES,
+    AttemptOutcome,
     Count,
-    Fate,
-    Fault,
-    Final,
+    Draining,
+    DurationMs,
+    FinalOutcome,
+    GoAway,
     Hello,
-    How,
+    HostState,
     Id,
-    Leaving,
     Message,
     Name,
-    Span,
-    State,
     Text,
-    Time,
+    TimestampMs,
+    UpdateKind,
 )
-from cherrydoor.protocol.basics import LARGEST as LARGEST
+from cherrydoor.protocol.basics import DEFAULT_MAX_FRAME_BYTES as DEFAULT_MAX_FRAME_BYTES
+from cherrydoor.protocol.basics import FAILED as FAILED
+from cherrydoor.protocol.basics import REJECTED as REJECTED
+from cherrydoor.protocol.basics import SUCCEEDED as SUCCEEDED
 from cherrydoor.protocol.basics import VERSION as VERSION
 
 
 # ---- client to gateway and back
-class Event(Message, tag="event"):
+class Request(Message, tag="event"):
+    """A client asks for a function to be run.
+
+    Attributes:
+        id: Number of the request on this connection.
+        request_class: Name of its class in the gateway's configuration.
+        function: Function to run.
+        timeout_ms: From ``sent_at_ms`` on, until the client stops waiting.
+        sent_at_ms: The client's clock as it sent this.
+        tenant: Name of the tenant it is accounted to.
+        idempotency_key: By which hosts recognise a repeat.
+        copy_concurrency: Requests that one copy of the function runs at a time.
+        load_ms: Usual time of a load; 0 where not known.
+        body: Input of the function.
+        affinity_key: Requests with the same key get the same version of a function.
+        claim_key: By which its response can be claimed at another gateway; a secret of the client.
+    """
+
     id: Id
-    clause: Name
+    request_class: Name = field(name="clause")
     function: Name
-    lasts: Annotated[float, Meta(gt=0.0, le=1e10)]  # from `sent` on, until the client gives up
-    sent: Time
-    party: Name = ""
-    mark: Name = ""  # by which a repeat of a keyed event is known
-    lanes: Annotated[float, Meta(ge=0.0, le=1e6)] = 1.0
-    load: Span = 0.0  # usual time of a load, 0 where not known
+    timeout_ms: Annotated[float, Meta(gt=0.0, le=1e10)] = field(name="lasts")
+    sent_at_ms: TimestampMs = field(name="sent")
+    tenant: Name = field(default="", name="party")
+    idempotency_key: Name = field(default="", name="mark")
+    copy_concurrency: Annotated[float, Meta(ge=0.0, le=1e6)] = field(default=1.0, name="lanes")
+    load_ms: DurationMs = field(default=0.0, name="load")
     body: bytes = b""
-    document: Name = ""  # by which versions are dealt out
-    key: Name = ""  # by which its answer can be claimed elsewhere; nobody else may guess it
+    affinity_key: Name = field(default="", name="document")
+    claim_key: Name = field(default="", name="key")
+
 
+class CancelRequest(Message, tag="withdraw"):
+    """The client no longer wants a response."""
 
-class Withdraw(Message, tag="withdraw"):
     id: Id
 
 
-class Answer(Message, tag="answer"):
+class Response(Message, tag="answer"):
+    """The one final answer to a request.
+
+    Attributes:
+        id: Number of the request on this connection.
+        outcome: Succeeded, rejected without effect, or failed.
+        retry_after_ms: With a rejection: retry no sooner.
+        reason: Why it was rejected or failed.
+        body: Output of the function.
+    """
+
     id: Id
-    fate: Final
-    stay_away: Span = 0.0  # with deferred: try again no sooner
+    outcome: FinalOutcome = field(name="fate")
+    retry_after_ms: DurationMs = field(default=0.0, name="stay_away")
     reason: Text = ""
     body: bytes = b""
 
 
-class Started(Message, tag="started"):
-    """The answer has begun to stream: the client's time-out ceases to apply."""
+class StreamStarted(Message, tag="started"):
+    """The response has begun to stream: the client's timeout no longer applies."""
 
     id: Id
 
 
 # ---- gateway to host and back
-class Launch(Message, tag="launch"):
+class Attempt(Message, tag="launch"):
+    """One attempt to run a request at a host.
+
+    Attributes:
+        id: Number of the attempt on this connection.
+        request_id: The client's id of the request.
+        client: Name of the client.
+        request_class: Name of the request's class.
+        function: Function to run, with its version.
+        timeout_ms: The gateway waits no longer than this.
+        attempt: Which attempt of the request this is, from 0.
+        idempotency_key: By which a repeat is recognised.
+        slow_after_ms: A run that takes longer counts as slow; 0 where not known.
+        body: Input of the function.
+        owner: The gateway that accepted the request, where another has taken it over ...
+        incarnation: ... in which of its starts ...
+        fencing_token: ... and under which lease's fencing token.
+    """
+
     id: Id
-    event: Id  # the client's id of it
+    request_id: Id = field(name="event")
     client: Name
-    clause: Name
+    request_class: Name = field(name="clause")
     function: Name
-    limit: Span  # the gateway waits no longer than this
-    number: Count = 0  # which launch of the event this is, from 0
-    mark: Name = ""
-    usual: Span = 0.0  # an event that takes longer is slow, 0 where not known
+    timeout_ms: DurationMs = field(name="limit")
+    attempt: Count = field(default=0, name="number")
+    idempotency_key: Name = field(default="", name="mark")
+    slow_after_ms: DurationMs = field(default=0.0, name="usual")
     body: bytes = b""
-    giver: Name = ""  # the gateway that took the event, where another has taken it over ...
-    life: Id = 0  # ... in which of its starts ...
-    under: Id = 0  # ... and the number of the tenure under which
+    owner: Name = field(default="", name="giver")
+    incarnation: Id = field(default=0, name="life")
+    fencing_token: Id = field(default=0, name="under")
+
 
+class CancelAttempt(Message, tag="recall"):
+    """The gateway no longer waits for an attempt."""
 
-class Recall(Message, tag="recall"):
     id: Id
 
 
-class Outcome(Message, tag="outcome"):
+class AttemptResult(Message, tag="outcome"):
+    """How an attempt ended, and what the host tells of itself with it.
+
+    Attributes:
+        id: Number of the attempt on this connection.
+        outcome: How it ended.
+        copy: 1 a copy was loaded, 2 it began a load, 3 it waited for one, 4 the load failed.
+        concurrency: Requests of the same function that the host held.
+        in_flight: Requests it held in all, by its last load report; None where it gives none.
+        body: Output of the function.
+        version_counts: Runs, errors and slow runs of this version since the host started.
+        queued: Requests that waited, by the same report.
+        unevictable_memory: Share of its memory that cannot be freed.
+    """
+
     id: Id
-    fate: Fate
-    copy: Annotated[int, Meta(ge=0, le=4)] = (
-        0  # 1 a copy stood, 2 began a load, 3 awaited one, 4 the load failed
-    )
-    crowd: Count = 0  # events of the same function that the host held
-    held: Span | None = None  # events it held in all, by its last report
+    outcome: AttemptOutcome = field(name="fate")
+    copy: Annotated[int, Meta(ge=0, le=4)] = 0
+    concurrency: Count = field(default=0, name="crowd")
+    in_flight: DurationMs | None = field(default=None, name="held")
     body: bytes = b""
-    tally: tuple[Count, Count, Count] | None = (
-        None  # events, errors, slow of this version since the host started
-    )
-    queue: Span | None = None  # those of them that waited, by the same report
-    tied: Annotated[float, Meta(ge=0.0, le=10.0)] | None = (
-        None  # share of memory that cannot be freed
+    version_counts: tuple[Count, Count, Count] | None = field(default=None, name="tally")
+    queued: DurationMs | None = field(default=None, name="queue")
+    unevictable_memory: Annotated[float, Meta(ge=0.0, le=10.0)] | None = field(
+        default=None, name="tied"
     )
 
 
-class Underway(Message, tag="underway"):
+class AttemptStreaming(Message, tag="underway"):
+    """The host has begun to stream the response to an attempt."""
+
     id: Id
 
 
-class Probe(Message, tag="probe"):
+class HealthCheck(Message, tag="probe"):
+    """Asks a host whether it works."""
+
     id: Id
 
 
-class Probed(Message, tag="probed"):
+class HealthCheckResult(Message, tag="probed"):
+    """The host's answer to a health check, with its requests in flight."""
+
     id: Id
-    fate: Fate = "handled"
-    held: Span | None = None
+    outcome: AttemptOutcome = field(default="handled", name="fate")
+    in_flight: DurationMs | None = field(default=None, name="held")
 
 
-class Order(Message, tag="order"):
-    """Hold at least so many copies; 0 only asks how many stand."""
+class LoadOrder(Message, tag="order"):
+    """Orders the host to hold so many copies at least; 0 only asks how many it holds."""
 
     id: Id
     function: Name
     copies: Annotated[int, Meta(ge=0, le=16)]
 
 
-class Ordered(Message, tag="ordered"):
+class LoadOrderResult(Message, tag="ordered"):
+    """How a load order ended; ``copies`` are loaded now."""
+
     id: Id
-    fate: Fate
+    outcome: AttemptOutcome = field(name="fate")
     copies: Count = 0
 
 
-class Drop(Message, tag="drop"):
-    """Let go of the function's idle copies."""
+class Unload(Message, tag="drop"):
+    """Lets the host free the function's idle copies."""
 
     id: Id
     function: Name
 
 
-class Dropped(Message, tag="dropped"):
+class UnloadResult(Message, tag="dropped"):
+    """How many copies of the function are still loaded."""
+
     id: Id
-    copies: Count = 0  # still standing
+    copies: Count = 0
+
 
+# ---- host to function store and back
+class FetchFunction(Message, tag="fetch"):
+    """Asks the store for a function."""
 
-# ---- host to store and back
-class Fetch(Message, tag="fetch"):
     id: Id
     function: Name
 
 
-class Fetched(Message, tag="fetched"):
+class FetchResult(Message, tag="fetched"):
+    """A function as the store has it.
+
+    Attributes:
+        id: Number of the fetch on this connection.
+        outcome: How the fetch ended.
+        release: Number of the release.
+        memory: Memory of one copy, in MB.
+        lanes: Requests that one copy runs at a time.
+        work: Mean processor time of a request, in ms.
+        start: Time of a start once the image is there, in ms.
+        core: Part of the start that takes a core.
+    """
+
     id: Id
-    fate: Fate
+    outcome: AttemptOutcome = field(name="fate")
     release: Count = 0
-    memory: Span = 0.0  # MB of a copy
+    memory: DurationMs = 0.0
     lanes: Count = 1
-    work: Span = 0.0  # mean ms of a core for an event
-    start: Span = 0.0  # ms of a start once the image is there
-    core: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.0  # part of the start that takes a core
+    work: DurationMs = 0.0
+    start: DurationMs = 0.0
+    core: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.0
+
 
+# ---- gateway and endpoint list, gateway and release feed
+class Endpoint(Struct, omit_defaults=True, gc=False):
+    """One host of the endpoint list; ``host`` is its address and port, and its id."""
 
-# ---- gateway and list
-class Row(Struct, omit_defaults=True, gc=False):
-    host: Name  # address:port, also its id
-    state: State
-    since: Time = 0.0
+    host: Name
+    state: HostState
+    started_at_ms: TimestampMs = field(default=0.0, name="since")
     zone: Name = ""
     cell: int = 0
 
 
-class Follow(Message, tag="follow"):
-    """Rows and their changes from now on."""
+class Watch(Message, tag="follow"):
+    """Asks for everything, and for changes from then on."""
 
 
-class Ask(Message, tag="ask"):
-    """The whole list, once."""
+class Poll(Message, tag="ask"):
+    """Asks for the whole list, once."""
 
 
-class Rows(Message, tag="rows"):
+class EndpointUpdate(Message, tag="rows"):
+    """The endpoint list, or what has changed in it."""
+
     revision: Count
-    how: How
-    rows: list[Row] = []
+    kind: UpdateKind = field(name="how")
+    endpoints: list[Endpoint] = field(default_factory=list, name="rows")
 
 
 class Release(Struct, omit_defaults=True, gc=False):
-    """A version of a function, and what has become of it where it is released."""
+    """A version of a function, and the state of its release."""
 
     function: Name
     version: Count
     state: Literal["announced", "withdrawn", "complete"] = "announced"
 
 
-class Releases(Message, tag="releases"):
-    """From the release feed; whole: all that it has, else what has changed."""
+class ReleaseUpdate(Message, tag="releases"):
+    """All releases of the feed, or what has changed in them."""
 
     revision: Count
-    how: How
+    kind: UpdateKind = field(name="how")
     releases: list[Release] = []
 
 
-class Heard(Message, tag="heard"):
+class UpdateAcknowledged(Message, tag="heard"):
     """The gateway has read that revision."""
 
     revision: Count
 
 
-ALL = (
+ALL_MESSAGES = (
     Hello,
-    Fault,
-    Leaving,
-    Event,
-    Withdraw,
-    Answer,
-    Started,
-    Launch,
-    Recall,
-    Outcome,
-    Underway,
-    Probe,
-    Probed,
-    Order,
-    Ordered,
-    Drop,
-    Dropped,
-    Fetch,
-    Fetched,
-    Follow,
-    Ask,
-    Rows,
-    Releases,
-    Heard,
+    GoAway,
+    Draining,
+    Request,
+    CancelRequest,
+    Response,
+    StreamStarted,
+    Attempt,
+    CancelAttempt,
+    AttemptResult,
+    AttemptStreaming,
+    HealthCheck,
+    HealthCheckResult,
+    LoadOrder,
+    LoadOrderResult,
+    Unload,
+    UnloadResult,
+    FetchFunction,
+    FetchResult,
+    Watch,
+    Poll,
+    EndpointUpdate,
+    ReleaseUpdate,
+    UpdateAcknowledged,
+)
+# What each end accepts from each other end; any other kind is unknown there.
+FROM_CLIENT = (*COMMON_MESSAGES, Request, CancelRequest)
+TO_CLIENT = (*COMMON_MESSAGES, Draining, Response, StreamStarted)
+TO_HOST = (*COMMON_MESSAGES, Attempt, CancelAttempt, HealthCheck, LoadOrder, Unload)
+FROM_HOST = (
+    *COMMON_MESSAGES,
+    AttemptResult,
+    AttemptStreaming,
+    HealthCheckResult,
+    LoadOrderResult,
+    UnloadResult,
 )
-# What each end takes from each other end; any other kind is unknown there.
-FROM_CLIENT = (*ALWAYS, Event, Withdraw)
-TO_CLIENT = (*ALWAYS, Leaving, Answer, Started)
-TO_HOST = (*ALWAYS, Launch, Recall, Probe, Order, Drop)
-FROM_HOST = (*ALWAYS, Outcome, Underway, Probed, Ordered, Dropped)
-TO_STORE = (*ALWAYS, Fetch)
-FROM_STORE = (*ALWAYS, Fetched)
-TO_LIST = (*ALWAYS, Follow, Ask, Heard)
-FROM_LIST = (*ALWAYS, Rows)
-TO_FEED = (*ALWAYS, Follow, Heard)
-FROM_FEED = (*ALWAYS, Releases)
+TO_STORE = (*COMMON_MESSAGES, FetchFunction)
+FROM_STORE = (*COMMON_MESSAGES, FetchResult)
+TO_LIST = (*COMMON_MESSAGES, Watch, Poll, UpdateAcknowledged)
+FROM_LIST = (*COMMON_MESSAGES, EndpointUpdate)
+TO_FEED = (*COMMON_MESSAGES, Watch, UpdateAcknowledged)
+FROM_FEED = (*COMMON_MESSAGES, ReleaseUpdate)
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -3,7 +3,7 @@
 The rules, the taking of events, health and answers are as in the module; only where an event goes differs.
 """
 
-from cherrydoor.routing import Gateway
+from cherrydoor.routing import Router
 from cherrydoor.routing.zone_table import Zone
 
 
@@ -28,16 +28,16 @@
 
 def random_choice(lease):
     """Any ready host."""
-    gate = Gateway(lease)
+    gate = Router(lease)
     gate.zone = RandomZone(gate)
     return gate
 
 
 def least_out(lease):
     """The ready host with the fewest own events out, ties by id."""
-    gate = Gateway(lease)
+    gate = Router(lease)
     gate.zone = LeastOutZone(gate)
     return gate
 
 
-MAKERS = {"module": Gateway, "random": random_choice, "least-out": least_out}
+MAKERS = {"module": Router, "random": random_choice, "least-out": least_out}
--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -12,7 +12,7 @@
 from cherrydoor.fakes.command import commands, say
 from cherrydoor.fakes.record import Record, now
 from cherrydoor.protocol import failover as custody
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.connection import Connection
 from cherrydoor.rehearsal.traffic import draw, function_name
 
@@ -136,7 +136,7 @@
         conn.open[one.id] = one
         self.record.add("sent", t=t, text="extra" if a.extra[i] else "", **row)
         conn.end.write(
-            m.Event(
+            protocol.Request(
                 one.id,
                 event["name"],
                 row["function"],
@@ -147,11 +147,11 @@
                 self.lanes(a.function[i]),
                 self.load(a.function[i]),
                 self.bodies[a.clause[i]],
-                key=f"{self.chance('key', one.id):.17f}",
-                document=self.document(a.function[i], i),
+                claim_key=f"{self.chance('key', one.id):.17f}",
+                affinity_key=self.document(a.function[i], i),
             )
         )
-        one.taker = conn.name, conn.life
+        one.taker = conn.name, conn.incarnation
         self.later(one.until, self.gave_up, one)
         if a.leaves[i] and one.index == 0:
             self.later(t + float(a.leaves[i]), self.withdraw, one)
@@ -181,8 +181,8 @@
             peer=self.names[conn.number],
             id=answer.id,
             event=one.id if one else answer.id,
-            fate=answer.fate,
-            a=answer.stay_away,
+            fate=answer.outcome,
+            a=answer.retry_after_ms,
             number=int(one is not None),
             text=answer.reason,
             clause="claimed" if one is not None and one.asks != one.id else "",
@@ -191,8 +191,8 @@
             return
         self.close(one)
         self.streams.discard(one.id)
-        if answer.fate != "handled":
-            self.again(one, answer.fate, answer.stay_away)
+        if answer.outcome != "handled":
+            self.again(one, answer.outcome, answer.retry_after_ms)
 
     def started(self, conn, message):
         self.record.add("started", peer=self.names[conn.number], id=message.id, event=message.id)
@@ -204,7 +204,7 @@
         conn = one.conn
         self.record.add("gave up", peer=self.close(one), id=one.id, event=one.id)
         if conn.end and one.asks == one.id:
-            conn.end.write(m.Withdraw(one.id))
+            conn.end.write(protocol.CancelRequest(one.id))
         self.again(one, "gave up", 0.0)
 
     def withdraw(self, one):
@@ -212,7 +212,7 @@
             conn = one.conn
             self.record.add("withdrew", peer=self.close(one), id=one.id, event=one.id)
             if conn.end and one.asks == one.id:
-                conn.end.write(m.Withdraw(one.id))
+                conn.end.write(protocol.CancelRequest(one.id))
 
     def cut(self, conn, one):
         self.record.add("cut", peer=self.close(one), id=one.id, event=one.id)
@@ -236,7 +236,7 @@
             "claims", peer=self.names[conn.number], id=one.asks, event=one.id, text=one.taker[0]
         )
         conn.end.write(
-            custody.Reclaim(
+            custody.ClaimResponse(
                 one.asks,
                 one.taker[0],
                 one.taker[1],
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -6,7 +6,7 @@
 from cherrydoor.fakes.crowd import context_of
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import failover as custody
-from cherrydoor.protocol import messages as m
+from cherrydoor.protocol import messages as protocol
 
 
 class Connection:
@@ -22,7 +22,7 @@
             office,
         )
         self.host, _, port = address.rpartition(":")
-        self.port, self.leaving, self.name, self.life = int(port), False, "", 0
+        self.port, self.leaving, self.name, self.incarnation = int(port), False, "", 0
         self.more = {"ssl": context_of(comes["keys"])}
         if comes["address"]:
             self.more["local_addr"] = (comes["address"], 0)
@@ -52,23 +52,28 @@
         )
 
     def hello(self):
-        return m.Hello(m.VERSION, "client", f"c{self.number}", now())
+        return protocol.Hello(protocol.VERSION, "client", f"c{self.number}", now())
 
     def greeted(self, end, hello):
-        self.end, self.leaving, self.name, self.life = end, False, hello.name, hello.life
+        self.end, self.leaving, self.name, self.incarnation = (
+            end,
+            False,
+            hello.name,
+            hello.incarnation,
+        )
         self.clients.record.add(
             "connected", peer=hello.name, party=self.office, a=now() - self.begun
         )
 
     def heard(self, end, message):
         kind = type(message)
-        if kind is m.Answer:
+        if kind is protocol.Response:
             self.clients.answered(self, message)
-        elif kind is custody.Unknown:
+        elif kind is custody.ResponseUnknown:
             self.clients.unknown(self, message)
-        elif kind is m.Leaving:
+        elif kind is protocol.Draining:
             self.leaving = True
-        elif kind is m.Started:
+        elif kind is protocol.StreamStarted:
             self.clients.started(self, message)
 
     def lost(self, end):
--- a/cherrydoor/rehearsal/estates.py
+++ b/cherrydoor/rehearsal/estates.py
@@ -24,7 +24,10 @@
             if row["fate"]:
                 continue
             before = told[row["who"], row["text"]]
-            if any(life == row["a"] and number > row["number"] for _, life, number in before):
+            if any(
+                incarnation == row["a"] and number > row["number"]
+                for _, incarnation, number in before
+            ):
                 self.broke(
                     2, row["t"], f"{row['who']} took a lower number for {row['text']}", row["peer"]
                 )
@@ -32,9 +35,9 @@
         for number, launches in self.launches.items():
             answer = next((r for r in self.ends.get(number, ()) if r["what"] == "answer"), None)
             for row in launches:
-                life = float(row["text"] or 0)
+                incarnation = float(row["text"] or 0)
                 if any(
-                    t < row["t"] and 0 < life <= over
+                    t < row["t"] and 0 < incarnation <= over
                     for t, over, _ in told.get((row["who"], row["peer"]), ())
                 ):
                     self.broke(2, row["t"], "a launch of a life that is over", row["peer"], number)
--- a/cherrydoor/releases/decide.py
+++ b/cherrydoor/releases/decide.py
@@ -116,7 +116,7 @@
 
     name: str
     host: str
-    fate: str
+    outcome: str
     took: float = 0.0
     cold: bool = False
     failed: bool = False
@@ -129,7 +129,7 @@
     """An order to load has ended."""
 
     name: str
-    fate: str
+    outcome: str
     took: float
 
 
@@ -186,8 +186,8 @@
         self.own_errors, self.own_slow, self.parties = Count(), Count(), {}
 
     def add(self, note, usual):
-        error, lost = note.fate == "error" and not note.failed, note.fate == "lost"
-        if note.fate not in ("handled", "error", "lost"):
+        error, lost = note.outcome == "error" and not note.failed, note.outcome == "lost"
+        if note.outcome not in ("handled", "error", "lost"):
             return
         self.lost.add(lost)
         if lost:
@@ -511,10 +511,10 @@
         begun = self.under_way.pop(note.name, None)
         if begun is None:
             return
-        self.pacer.took(self.now - begun[0], note.fate == "handled")
+        self.pacer.took(self.now - begun[0], note.outcome == "handled")
         release = begun[1]
         if release.state == LOADING:
-            if note.fate == "handled":
+            if note.outcome == "handled":
                 self.begin(release)
             else:
                 release.fails += 1
@@ -542,14 +542,19 @@
         release = line and line.release
         on_trial = release is not None and number == release.version
         usual = self.usual(function)
-        if not on_trial and note.fate == "handled" and not note.cold and self.calls.get(function):
+        if (
+            not on_trial
+            and note.outcome == "handled"
+            and not note.cold
+            and self.calls.get(function)
+        ):
             one = self.quantiles.get(function)
             if one is None:
                 one = self.quantiles[function] = Quantile()
             one.add(note.took)
         if not on_trial:
             self.background.add(
-                Ended(note.name, note.host, note.fate, note.took, note.cold, note.failed), usual
+                Ended(note.name, note.host, note.outcome, note.took, note.cold, note.failed), usual
             )
         if release is None or release.state not in (LOADING, TRIAL):
             return
@@ -562,7 +567,7 @@
             release.fails += 1
             if release.fails >= LOAD_FAILS and release.state == TRIAL:
                 return self.found_bad(release, "it does not load")
-        elif note.fate == "handled":
+        elif note.outcome == "handled":
             release.fails = 0
         release.new.add(note, usual)
         seen = release.new.of("errors").all + release.new.lost.all
