--- a/bench/admission.py
+++ b/bench/admission.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from cherrydoor.admission import decide as d
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import files
 from cherrydoor.tls.make import Folder
@@ -38,8 +38,8 @@
 def gateway(pipe, text, bare):
     """A gateway, or with `bare` a server of asyncio that takes hellos and nothing else."""
     from cherrydoor.config import read
-    from cherrydoor.config.figures import Figures, schema
-    from cherrydoor.gateway.service import Shell
+    from cherrydoor.config.figures import GatewayConfig, schema
+    from cherrydoor.gateway.service import GatewayService
     from cherrydoor.routing import Router
 
     class Owner:
@@ -56,16 +56,20 @@
         loop = asyncio.get_running_loop()
         if bare:
             server = await loop.create_server(
-                lambda: End(Owner(), protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")),
+                lambda: FramedConnection(
+                    Owner(), protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")
+                ),
                 "127.0.0.1",
                 0,
                 backlog=1024,
             )
             port = server.sockets[0].getsockname()[1]
         else:
-            shell = Shell(Figures(read(text, "f", schema("lease.schema"), "#Lease")), Router)
-            await shell.start()
-            port = shell.port
+            service = GatewayService(
+                GatewayConfig(read(text, "f", schema("lease.schema"), "#Lease")), Router
+            )
+            await service.start()
+            port = service.port
         pipe.send(port)
         over = loop.create_future()
 
@@ -111,7 +115,7 @@
             came = Came()
             try:
                 await asyncio.get_running_loop().create_connection(
-                    lambda came=came: End(
+                    lambda came=came: FramedConnection(
                         came, protocol.TO_CLIENT, lambda: protocol.Hello(1, "client", "c")
                     ),
                     "127.0.0.1",
--- a/bench/custody.py
+++ b/bench/custody.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from bench.gateway import Answering, Listed
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.parts import Ports
 
@@ -67,7 +67,7 @@
     for _ in range(HOSTS):
         answering = Answering(5.0)
         server = await loop.create_server(
-            lambda a=answering: End(
+            lambda a=answering: FramedConnection(
                 a, protocol.TO_HOST, lambda: protocol.Hello(protocol.VERSION, "host", "h", now())
             ),
             "127.0.0.1",
@@ -81,7 +81,7 @@
         )
     listed = Listed(rows)
     server = await loop.create_server(
-        lambda: End(
+        lambda: FramedConnection(
             listed, protocol.TO_LIST, lambda: protocol.Hello(protocol.VERSION, "list", "l", now())
         ),
         "127.0.0.1",
@@ -129,7 +129,7 @@
         await loop.run_in_executor(None, process.stdout.readline)
     client, host = Client(), doors[0].rpartition(":")
     await loop.create_connection(
-        lambda: End(
+        lambda: FramedConnection(
             client,
             protocol.TO_CLIENT,
             lambda: protocol.Hello(protocol.VERSION, "client", "c", now()),
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -18,9 +18,9 @@
 import uvloop
 
 from cherrydoor.config import read
-from cherrydoor.config.figures import Figures, schema
-from cherrydoor.connection import End
-from cherrydoor.gateway.service import Shell
+from cherrydoor.config.figures import GatewayConfig, schema
+from cherrydoor.connection import FramedConnection
+from cherrydoor.gateway.service import GatewayService
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import Router
 from cherrydoor.routing import messages as routing
@@ -54,7 +54,10 @@
 # ---- the module alone: notes in memory, each event handled 50 ms later
 def module_alone(count, open_at_once=64, changing=False):
     """CPU seconds for `count` events, each with its launch and its outcome, and the module's tables at the end."""
-    gate, at = Router(Figures(read(LEASE % 1, "f", schema("lease.schema"), "#Lease")).lease), 1e6
+    gate, at = (
+        Router(GatewayConfig(read(LEASE % 1, "f", schema("lease.schema"), "#Lease")).lease),
+        1e6,
+    )
     gate.start(at)
     gate.take(
         at,
@@ -212,7 +215,9 @@
         answering = Answering(waits)
         for _ in range(HOSTS):
             server = await loop.create_server(
-                lambda: End(answering, protocol.TO_HOST, lambda: protocol.Hello(1, "host")),
+                lambda: FramedConnection(
+                    answering, protocol.TO_HOST, lambda: protocol.Hello(1, "host")
+                ),
                 "127.0.0.1",
                 0,
             )
@@ -222,7 +227,9 @@
             )
         listed = Listed(rows)
         server = await loop.create_server(
-            lambda: End(listed, protocol.TO_LIST, lambda: protocol.Hello(1, "list")), "127.0.0.1", 0
+            lambda: FramedConnection(listed, protocol.TO_LIST, lambda: protocol.Hello(1, "list")),
+            "127.0.0.1",
+            0,
         )
         pipe.send((server.sockets[0].getsockname()[1], [row.host for row in rows]))
         gc.freeze()
@@ -230,7 +237,7 @@
             port, count, window, rate, changing = job
             load = Load(count, window, rate, changing)
             _, end = await loop.create_connection(
-                lambda load=load: End(
+                lambda load=load: FramedConnection(
                     load, protocol.TO_CLIENT, lambda: protocol.Hello(1, "client", "c", now())
                 ),
                 "127.0.0.1",
@@ -262,13 +269,17 @@
         loop = asyncio.get_running_loop()
         for host in hosts:
             _, end = await loop.create_connection(
-                lambda: End(self, protocol.FROM_HOST, lambda: protocol.Hello(1, "gateway")),
+                lambda: FramedConnection(
+                    self, protocol.FROM_HOST, lambda: protocol.Hello(1, "gateway")
+                ),
                 "127.0.0.1",
                 int(host.rpartition(":")[2]),
             )
             self.hosts.append(end)
         server = await loop.create_server(
-            lambda: End(self, protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")),
+            lambda: FramedConnection(
+                self, protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")
+            ),
             "127.0.0.1",
             0,
         )
@@ -310,13 +321,13 @@
         if what == "relay":
             port = await Relay().start(hosts)
         else:
-            shell = Shell(
-                Figures(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Router
+            service = GatewayService(
+                GatewayConfig(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Router
             )
-            await shell.start()
-            while not shell.desk.hosts:
+            await service.start()
+            while not service.dispatcher.hosts:
                 await asyncio.sleep(0.01)
-            port = shell.port
+            port = service.port
         gc.collect()
         gc.freeze()
         pipe.send(port)
--- a/bench/links.py
+++ b/bench/links.py
@@ -40,11 +40,11 @@
 
     def sums(self):
         found = {}
-        for number, shell in self.shells.items():
+        for number, service in self.shells.items():
             found[number] = (
-                shell.fellows.peers.frames,
-                shell.fellows.peers.bytes,
-                len(shell.fellows.peers.ends),
+                service.peer_services.peers.frames,
+                service.peer_services.peers.bytes,
+                len(service.peer_services.peers.ends),
             )
         return found
 
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -11,7 +11,7 @@
 import sys
 from zlib import crc32
 
-from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.platform import process
 from cherrydoor.routing import Router
 
@@ -62,17 +62,17 @@
             )
 
 
-class TracedDesk(Desk):
+class TracedDesk(Dispatcher):
     """The desk, which writes the line as an event is forgotten."""
 
     def hold(self, client, event, until):
-        taken = super().hold(client, event, until)
-        self.__dict__.setdefault("ends_by", {})[taken.number] = ["", 0.0]
-        return taken
+        pending = super().hold(client, event, until)
+        self.__dict__.setdefault("ends_by", {})[pending.number] = ["", 0.0]
+        return pending
 
-    def answer(self, taken, answer):
-        self.ends_by[taken.number] = [answer.outcome, round(self.now - taken.at, 1)]
-        super().answer(taken, answer)
+    def answer(self, pending, answer):
+        self.ends_by[pending.number] = [answer.outcome, round(self.now - pending.accepted_at_ms, 1)]
+        super().answer(pending, answer)
 
     def landed(self, sent, fate, took, name, message):
         self.__dict__.setdefault("outcomes_by", {}).setdefault(sent.taken.number, {})[
@@ -86,33 +86,43 @@
         )
         super().landed(sent, fate, took, name, message)
 
-    def forget(self, taken):
-        if taken.over and not taken.out and taken.number in self.taken:
-            self.write(taken)
-        super().forget(taken)
+    def forget(self, pending):
+        if pending.finished and not pending.out and pending.number in self.taken:
+            self.write(pending)
+        super().forget(pending)
 
-    def write(self, taken):
-        gate, number, event = self.gate, taken.number, taken.event
+    def write(self, pending):
+        gate, number, event = self.gate, pending.number, pending.request
         told, sends = (
             self.__dict__.get("outcomes_by", {}).pop(number, {}),
             gate.sends.pop(number, []),
         )
         launches = []
-        for sent in taken.launches:
+        for sent in pending.attempts:
             name, took, fate, copy, crowd = told.get(sent.index, ("", 0.0, sent.outcome, 0, 0))
             knew = sends[sent.index] if sent.index < len(sends) else [False, 1.0, -1.0, 0]
             launches.append(
-                [round(sent.at - taken.at, 1), name, round(took, 1), fate, copy, crowd, *knew]
+                [
+                    round(sent.at - pending.accepted_at_ms, 1),
+                    name,
+                    round(took, 1),
+                    fate,
+                    copy,
+                    crowd,
+                    *knew,
+                ]
             )
-        routes = [[round(r[0] - taken.at, 1), *r[1:]] for r in gate.routes.pop(number, [])]
+        routes = [
+            [round(r[0] - pending.accepted_at_ms, 1), *r[1:]] for r in gate.routes.pop(number, [])
+        ]
         fate, took = self.ends_by.pop(number)
         line = [
             "event",
-            round(taken.at, 1),
+            round(pending.accepted_at_ms, 1),
             event.request_class,
             event.function,
             crc32(event.body),
-            round(taken.until - taken.at, 1),
+            round(pending.deadline_ms - pending.accepted_at_ms, 1),
             gate.settings.request_classes[event.request_class].latency_objective_ms,
             fate or "left",
             took,
@@ -123,7 +133,7 @@
 
 
 def main():
-    process.Gateway, process.Desk = Traced, TracedDesk
+    process.Gateway, process.Dispatcher = Traced, TracedDesk
     return process.main()
 
 
--- a/cherrydoor/admission/decide.py
+++ b/cherrydoor/admission/decide.py
@@ -677,7 +677,7 @@
         self.porch = Porch(manners, self.places.porch_most, now)
         self.streets, self.stair, self.flow = Streets(manners, now), Stair(now), Flow()
         self.all_strangers = Bucket(now)
-        self.inbox, self.actions, self.counts, self.swept = deque(), [], {}, now
+        self.inbox, self.actions, self.counters, self.swept = deque(), [], {}, now
         self.rest, self.rested = 50.0, now
         self.hear = {
             Knock: self.knock,
@@ -704,7 +704,7 @@
         self.actions.append(action)
 
     def count(self, what):
-        self.counts[what] = self.counts.get(what, 0) + 1
+        self.counters[what] = self.counters.get(what, 0) + 1
 
     # ---- a connection's way in
     def knock(self, note):
@@ -931,7 +931,7 @@
                 if len(table) == before:
                     break
 
-    def figures(self):
+    def config(self):
         """What an operator watches, as (name, figure)."""
         yield from (
             ("step of the stair", self.stair.step),
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -33,8 +33,14 @@
 class Arrival:
     """A connection on its way in: first a bare socket, then an end on a transport."""
 
-    def __init__(self, hall, listener, sock, address, now):
-        self.hall, self.listener, self.sock, self.end, self.task = hall, listener, sock, None, None
+    def __init__(self, listeners, listener, sock, address, now):
+        self.listeners, self.listener, self.sock, self.end, self.task = (
+            listeners,
+            listener,
+            sock,
+            None,
+            None,
+        )
         self.waited = (
             now - listener.since if listener.since is not None else 0.0
         )  # ms to be accepted, at most
@@ -57,7 +63,7 @@
             )
         except (OSError, ssl.SSLError, TimeoutError) as error:
             sock.close()
-            self.hall.handshake_failed(self, error)
+            self.listeners.handshake_failed(self, error)
         except asyncio.CancelledError:
             sock.close()
             raise
@@ -93,9 +99,9 @@
     """One listening socket. make(arrival) gives the protocol; context() the TLS to use now, or None is in its place;
     word(reason, stay_away) the bytes of a refusal."""
 
-    def __init__(self, hall, where, make, context=None, backlog=BACKLOG, word=word_of):
-        self.hall, self.make, self.context, self.resting, self.word_of = (
-            hall,
+    def __init__(self, listeners, where, make, context=None, backlog=BACKLOG, word=word_of):
+        self.listeners, self.make, self.context, self.resting, self.word_of = (
+            listeners,
             make,
             context,
             None,
@@ -116,7 +122,7 @@
         self.port = self.sock.getsockname()[1]
         self.loop = asyncio.get_running_loop()
         self.loop.add_reader(self.sock, self.ready)
-        hall.listeners.append(self)
+        listeners.listeners.append(self)
 
     def ready(self, most=AT_ONCE):
         for _ in range(most):
@@ -128,23 +134,23 @@
         if not has_pending_connection(self.sock):
             self.since = None
         elif self.since is None:
-            self.since = self.hall.clock.now()
+            self.since = self.listeners.clock.now()
 
     def accept(self):
         """Takes in one connection; whether another may wait."""
-        hall = self.hall
+        listeners = self.listeners
         try:
             sock, peer = self.sock.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
             if error.errno in NO_ROOM:
-                hall.post(d.Exhausted(False))
+                listeners.post(d.Exhausted(False))
                 return False
             return True  # it was gone before it was accepted
         sock.setblocking(False)
-        arrival = Arrival(hall, self, sock, peer[0].partition("%")[0], hall.clock.now())
-        hall.post(d.Knock(arrival.caller, self.context is not None))
+        arrival = Arrival(listeners, self, sock, peer[0].partition("%")[0], listeners.clock.now())
+        listeners.post(d.Knock(arrival.caller, self.context is not None))
         return True
 
     def rest(self, span):
@@ -155,7 +161,7 @@
     def wake(self):
         self.resting = None
         if self.sock is not None:
-            self.hall.uses.take_back()
+            self.listeners.uses.take_back()
             self.loop.add_reader(self.sock, self.ready)
 
     def close(self):
--- a/cherrydoor/admission/manners.py
+++ b/cherrydoor/admission/manners.py
@@ -3,9 +3,9 @@
 from cherrydoor.admission.decide import Known, Manners
 
 
-def manners_of(figures):
+def manners_of(config):
     """What the doors of the gateway with these figures go by."""
-    door, bounds = figures.admission, figures.bounds
+    door, bounds = config.admission, config.bounds
     known = tuple(
         Known(one["name"], one["places"], one["most"] or 2 * one["places"], tuple(one["addresses"]))
         for one in door["known"]
@@ -25,5 +25,5 @@
         door["stranger_bytes"],
         door["strangers_bytes"],
         door["known_bytes"],
-        figures.seed,
+        config.seed,
     )
--- a/cherrydoor/admission/reading.py
+++ b/cherrydoor/admission/reading.py
@@ -27,20 +27,20 @@
     def buffer_updated(self, count):
         caller = self.arrival.caller
         self.data_received(bytes(memoryview(self.chunk)[:count]))
-        caller.used = self.arrival.hall.clock.now()
+        caller.used = self.arrival.listeners.clock.now()
 
     def holds(self, size, finished):
         """Keeps count of what is unfinished; the guard is told where the group holds too much."""
         caller = self.arrival.caller
         if size and (finished or not caller.partial):
-            caller.partial = self.arrival.hall.clock.now()
+            caller.partial = self.arrival.listeners.clock.now()
         elif not size:
             caller.partial = 0.0
         group = caller.group
         if group is not None:
             more, caller.held = size - caller.held, size
             if more and group.holds(more) and more > 0:
-                self.arrival.hall.post(d.Swollen(caller))
+                self.arrival.listeners.post(d.Swollen(caller))
 
     def pause(self):
         if not self.resting and not self.transport.is_closing():
--- a/cherrydoor/cli/commands.py
+++ b/cherrydoor/cli/commands.py
@@ -64,10 +64,10 @@
 def check(file, as_json):
     """Tell everything that is wrong with FILE; 0 if nothing is, 64 otherwise."""
     from cherrydoor.config import Problems
-    from cherrydoor.config.figures import lease_of
+    from cherrydoor.config.figures import read_config
 
     try:
-        lease_of(file)
+        read_config(file)
     except Problems as error:
         problems(error, as_json)
     print("[]" if as_json else f"{file}: good")
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -5,7 +5,7 @@
 
 import uvloop
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 
 
@@ -38,7 +38,7 @@
         self.changed = asyncio.Event()
         try:
             _, end = await loop.create_connection(
-                lambda: End(
+                lambda: FramedConnection(
                     self,
                     protocol.TO_CLIENT,
                     lambda: protocol.Hello(
--- a/cherrydoor/codecs/invoke.py
+++ b/cherrydoor/codecs/invoke.py
@@ -63,7 +63,7 @@
     customer: str
     function: str
     patience: float
-    figures: dict = field(default_factory=dict)
+    config: dict = field(default_factory=dict)
     body: bytes = b""
     idempotency_key: str = ""
 
--- a/cherrydoor/config/figures.py
+++ b/cherrydoor/config/figures.py
@@ -51,7 +51,7 @@
         self.frame, self.drain = said["frame"], said["drain"]
 
 
-class Terms:
+class DispatcherLimits:
     """What bounds a desk, each with what is done at the bound. Times in ms.
 
     spare: taken off each client's time, for the way back;  most_open: events held, more are deferred untaken;
@@ -107,7 +107,7 @@
     )
 
 
-class Figures:
+class GatewayConfig:
     """One gateway's lease: for the module (lease), the desk (terms) and the sockets (bounds, addresses)."""
 
     def __init__(self, said):
@@ -121,7 +121,7 @@
         self.releases, self.peers, self.tenures = said["releases"], said["peers"], said["tenures"]
         self.keys, self.seed = said["keys"], said["seed"]
         self.bounds = Bounds(bounds)
-        self.terms = Terms(
+        self.limits = DispatcherLimits(
             bounds["spare"],
             bounds["open_events"],
             bounds["launches_on_a_link"],
@@ -345,10 +345,10 @@
     )
 
 
-def lease_of(path):
+def read_config(path):
     """The figures of a lease file; Problems names everything that is wrong with it."""
     places: dict = {}
     said = read_file(path, places=places)
     if found := problems_of(said, str(path), places):
         raise Problems(found)
-    return Figures(said)
+    return GatewayConfig(said)
--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -15,7 +15,7 @@
 HELLO_WAIT = 5.0  # s that a peer may take to say who it is
 
 
-class Some(dict):
+class OrderedSet(dict):
     """A set that is gone through in the order of arrival, so that no order of addresses shows."""
 
     def add(self, one):
@@ -25,7 +25,7 @@
         self.pop(one, None)
 
 
-class End(asyncio.BaseProtocol):
+class FramedConnection(asyncio.BaseProtocol):
     """kinds: what is taken; hello: a callable that makes ours; the owner has greeted(end, hello), heard(end, message)
     and lost(end). `why` says why it ended, '' where the peer closed."""
 
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -8,7 +8,7 @@
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.listener import word_of
 from cherrydoor.failover.fellows import Fellows
-from cherrydoor.gateway.service import Shell
+from cherrydoor.gateway.service import GatewayService
 from cherrydoor.leader_election import decide
 
 
@@ -41,9 +41,9 @@
 class Arrival:
     """A connection on its way in, on a pipe in place of a socket."""
 
-    def __init__(self, shell, make, pipe):
-        self.hall, self.make, self.pipe, self.end = shell.hall, make, pipe, None
-        self.caller = d.Caller(pipe.other.address, shell.hall.clock.now(), self)
+    def __init__(self, service, make, pipe):
+        self.listeners, self.make, self.pipe, self.end = service.listeners, make, pipe, None
+        self.caller = d.Caller(pipe.other.address, service.listeners.clock.now(), self)
 
     def let_in(self):
         self.pipe.world.call_soon(
@@ -114,10 +114,10 @@
             self.world.call_soon(what, *args)
 
 
-class Door(Shell):
+class EmulatedGateway(GatewayService):
     """A gateway of the daemon's own text; dead or standing still where the day says so."""
 
-    def __init__(self, world, figures, gate, disk=None):
+    def __init__(self, world, config, gate, disk=None):
         """disk: what keepers have synced, by path; None leaves the gateway alone."""
         self.world, self.dead, self.stands, self.late, self.listener = (
             world,
@@ -127,16 +127,16 @@
             None,
         )
         super().__init__(
-            figures,
+            config,
             gate,
             Uses(),
             None,
             Clock(world),
             None
             if disk is None
-            else lambda shell, incarnation=0: (
-                Fellows(shell, incarnation, lambda path, name: Promises(disk, path, name))
-                if shell.figures.peers["door"]
+            else lambda service, incarnation=0: (
+                Fellows(service, incarnation, lambda path, name: Promises(disk, path, name))
+                if service.config.peers["door"]
                 else None
             ),
         )
@@ -147,7 +147,7 @@
 
         def accept(pipe):
             pipe.frozen = self.stands
-            self.hall.post(d.Knock(Arrival(self, make, pipe).caller))
+            self.listeners.post(d.Knock(Arrival(self, make, pipe).caller))
 
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
@@ -156,13 +156,13 @@
         if not self.dead:
             super().post(what, *args)
 
-    def turn(self):
+    def tick(self):
         if self.dead:
             return
         if self.stands:
             self.late = True
             return
-        super().turn()
+        super().tick()
 
     def set_timer(self):
         if not self.dead:
@@ -170,37 +170,43 @@
 
     def wires(self):
         """All its transports."""
-        found = [end.transport for end in self.door.ends]
+        found = [end.transport for end in self.client_listener.ends]
         found += [
             caller.wire.end.transport
-            for caller in list(self.hall.guard.porch.unshown)
+            for caller in list(self.listeners.guard.porch.unshown)
             if caller.wire.end
         ]
         found += [
             link.wire.transport
-            for host in self.desk.hosts.values()
+            for host in self.dispatcher.hosts.values()
             for link in host.links
             if link.wire
         ]
         found += [
-            end.transport for end in (self.roll.end, self.releases and self.releases.end) if end
+            end.transport
+            for end in (self.endpoint_watch.end, self.releases and self.releases.end)
+            if end
         ]
-        found += [end.transport for end in self.fellows.peers.ends.values()] if self.fellows else []
+        found += (
+            [end.transport for end in self.peer_services.peers.ends.values()]
+            if self.peer_services
+            else []
+        )
         return [wire for wire in found if wire is not None]
 
     def kill(self):
         self.dead = True
         self.listener.close()
-        self.hall.timer.cancel()
-        self.roll.task.cancel()
+        self.listeners.timer.cancel()
+        self.endpoint_watch.task.cancel()
         for task in self.releases.tasks if self.releases else ():
             task.cancel()
         if self.timer:
             self.timer.cancel()
         for wire in self.wires():
             wire.abort()
-        if self.fellows:
-            self.fellows.abort()
+        if self.peer_services:
+            self.peer_services.abort()
 
     def stand(self, still):
         self.stands = still
@@ -212,4 +218,4 @@
             self.loop.go_on()
         if not still and self.late:
             self.late = False
-            self.world.call_soon(self.turn)
+            self.world.call_soon(self.tick)
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from cherrydoor.config import read, show
-from cherrydoor.config.figures import Figures, schema
-from cherrydoor.connection import End
-from cherrydoor.emulator.client_listener import Door
+from cherrydoor.config.figures import GatewayConfig, schema
+from cherrydoor.connection import FramedConnection
+from cherrydoor.emulator.client_listener import EmulatedGateway
 from cherrydoor.emulator.world import World
 from cherrydoor.fakes.catalogue import Catalogue
 from cherrydoor.fakes.command import HostCommands
@@ -100,7 +100,7 @@
         farm = Farm(self.kept("host", "farm"), catalogue, day["seed"])
         farm.scopes = {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}
         await self.world.create_connection(
-            lambda: End(
+            lambda: FramedConnection(
                 farm.store,
                 protocol.FROM_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
@@ -168,19 +168,19 @@
             for part in ("releases", "peers"):
                 said.get(part, {}).pop("control", None)
             text = show(said)
-            figures = Figures(read(text, f"g{number}.lease", schema("lease.schema"), "#Lease"))
-            shell = self.shells[number] = Door(
-                self.world, figures, MAKERS.get(decides, Router), self.disk
+            config = GatewayConfig(read(text, f"g{number}.lease", schema("lease.schema"), "#Lease"))
+            service = self.shells[number] = EmulatedGateway(
+                self.world, config, MAKERS.get(decides, Router), self.disk
             )
-            await shell.start()
+            await service.start()
             self.doors[number], self.gateways[number] = door, (Spoken(f"g{number}", None), group)
             self.record.add("gateway up", f"g{number}")
 
     async def ask(self, said):
         """As an operator's socket answers, by the first gateway that runs."""
-        for _, shell in sorted(self.shells.items()):
-            if not shell.dead and not shell.stands and shell.fellows:
-                return shell.fellows.obey(said)
+        for _, service in sorted(self.shells.items()):
+            if not service.dead and not service.stands and service.peer_services:
+                return service.peer_services.obey(said)
         return None
 
     async def do_kill_gateway(self, gateway):
@@ -210,10 +210,10 @@
         await asyncio.wait_for(self.over, 600.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
-        for shell in self.shells.values():
-            shell.drain("the gateway is leaving")
+        for service in self.shells.values():
+            service.drain("the gateway is leaving")
         codes = await asyncio.gather(
-            *(shell.done for shell in self.shells.values() if not shell.dead)
+            *(service.done for service in self.shells.values() if not service.dead)
         )
         if any(codes):
             raise CannotRun(f"gateways ended with {sorted(set(codes))}")
--- a/cherrydoor/failover/claims.py
+++ b/cherrydoor/failover/claims.py
@@ -22,7 +22,7 @@
     (giver, life, event), as clients give themselves ids, and by (giver, life, mark)."""
 
     def __init__(self, size=BYTES):
-        self.size, self.bytes, self.rows, self.names, self.counts = size, 0, {}, {}, Counter()
+        self.size, self.bytes, self.rows, self.names, self.counters = size, 0, {}, {}, Counter()
 
     def expect(self, giver, incarnation, line, mark=b""):
         trust = line.trust
@@ -51,7 +51,7 @@
             )
             if oldest is None:
                 break
-            self.counts["answers left out"] += 1
+            self.counters["answers left out"] += 1
             self.forget(oldest)
         return waiting
 
@@ -61,11 +61,11 @@
         for one in self.names.get((giver, incarnation, mark or event), ()):
             row = self.rows[one]
             if key and row.key == key:
-                self.counts["claimed"] += 1
+                self.counters["claimed"] += 1
                 if row.answer is None:
                     row.waiting.append(who)
                 return True, row.answer
-        self.counts["claims of what is not known"] += 1
+        self.counters["claims of what is not known"] += 1
         return False, None
 
     def forget(self, key):
--- a/cherrydoor/failover/decide.py
+++ b/cherrydoor/failover/decide.py
@@ -141,7 +141,7 @@
         )
         self.waiting, self.asked, self.heard = list(hosts), {}, {}
         self.hosts, self.found, self.outdone = list(hosts), {}, 0
-        self.decided, self.later, self.in_hand, self.counts = False, [], 0, Counter()
+        self.decided, self.later, self.in_hand, self.counters = False, [], 0, Counter()
         for line in estate.lines.values():
             self.waiting += [h for h in line.out if h not in self.waiting]
 
@@ -188,7 +188,7 @@
             else:
                 found.append(one)
         self.later.sort(key=lambda line: line.until - now)
-        self.counts["events"] = len(self.estate.lines)
+        self.counters["events"] = len(self.estate.lines)
         return found
 
     def next(self, now):
@@ -197,7 +197,7 @@
         while self.later and self.in_hand < IN_HAND:
             line = self.later.pop(0)
             if line.until - now < LEAST:
-                self.counts["out of time"] += 1
+                self.counters["out of time"] += 1
                 found.append(Answer(line, "deferred", "no time was left when its turn came"))
                 continue
             self.in_hand += 1
--- a/cherrydoor/failover/estate.py
+++ b/cherrydoor/failover/estate.py
@@ -30,7 +30,7 @@
     def __init__(self, incarnation, kinds, events=EVENTS, size=BYTES):
         self.incarnation, self.kinds, self.events, self.size = incarnation, kinds, events, size
         self.held = {cost: {} for cost in COST.values()}  # cost -> number -> (Trust, until, [Out])
-        self.where, self.bytes, self.counts = {}, 0, Counter()
+        self.where, self.bytes, self.counters = {}, 0, Counter()
         self.new, self.out, self.over, self.witnesses = {}, [], [], []
         self.oldest_new = None  # since when something is in hand of which no witness has heard
 
@@ -40,15 +40,15 @@
         while len(self.where) >= self.events or self.bytes + size > self.size:
             cheaper = next((c for c in sorted(self.held) if self.held[c] and c < cost), None)
             if cheaper is None:
-                self.counts[f"left out: {self.kinds[trust.clause].kind}"] += 1
+                self.counters[f"left out: {self.kinds[trust.clause].kind}"] += 1
                 return
             number = next(iter(self.held[cheaper]))
-            self.counts[f"left out: {self.kinds[self.held[cheaper][number][0].clause].kind}"] += 1
+            self.counters[f"left out: {self.kinds[self.held[cheaper][number][0].clause].kind}"] += 1
             self.answered(number)
         self.held[cost][trust.number], self.where[trust.number] = (trust, until, []), cost
         self.bytes += size
         self.new[trust.number] = True
-        self.counts["entrusted"] += 1
+        self.counters["entrusted"] += 1
         if self.oldest_new is None:
             self.oldest_new = now
 
@@ -168,14 +168,14 @@
     latest when its time is over."""
 
     def __init__(self):
-        self.estates, self.settled, self.counts = {}, {}, Counter()
+        self.estates, self.settled, self.counters = {}, {}, Counter()
 
     def entrusted(self, now, giver, said):
         key = giver, said.incarnation
         if key in self.settled or any(
             g == giver and incarnation > said.incarnation for g, incarnation in self.estates
         ):
-            self.counts["entrusted by a life that is over"] += 1
+            self.counters["entrusted by a life that is over"] += 1
             return
         estate = self.estates.get(key)
         if estate is None or said.whole:
@@ -184,7 +184,7 @@
             estate.rank = said.rank
         for trust in said.events:
             if len(estate.lines) >= EVENTS or estate.bytes + len(trust.body) > BYTES:
-                self.counts["beyond the bound of a giver"] += 1
+                self.counters["beyond the bound of a giver"] += 1
                 continue
             estate.lines[trust.number] = Line(trust, now + trust.lasts, now)
             estate.bytes += len(trust.body)
@@ -209,7 +209,7 @@
             )
             here = states.get(estate.giver) == (estate.incarnation, "here")
             if here and estate.cut is not None and now - estate.cut > stale:
-                self.counts["estates that had become stale"] += 1
+                self.counters["estates that had become stale"] += 1
                 del self.estates[key]
                 leave.append(estate)
         for key, estate in list(self.estates.items()):
--- a/cherrydoor/failover/fellows.py
+++ b/cherrydoor/failover/fellows.py
@@ -4,7 +4,7 @@
 
 from cherrydoor.failover.decide import stay_away
 from cherrydoor.failover.shell import Custody
-from cherrydoor.gateway.control import Control
+from cherrydoor.gateway.control import ControlSocket
 from cherrydoor.leader_election.promises import File
 from cherrydoor.leader_election.shell import Tenures
 from cherrydoor.membership.shell import Peers
@@ -17,14 +17,14 @@
 class Fellows:
     """What a gateway's shell knows of all this: life, start(), turned(), reclaim(), standing(), close(), abort()."""
 
-    def __init__(self, shell, incarnation=0, file=None):
+    def __init__(self, service, incarnation=0, file=None):
         """file: makes what keeps a keeper's promises, of a path and a name; on disk unless said."""
-        said = shell.figures.peers
-        self.shell, self.peers = shell, Peers(shell, said, incarnation)
-        self.tenures = Tenures(self.peers, shell.figures.tenures, file or File)
-        self.custody = Custody(self.peers, self.tenures)
-        self.sites = Sites(self.peers, self.tenures)
-        self.control = Control(said["control"], self.obey) if said["control"] else None
+        said = service.config.peers
+        self.service, self.peers = service, Peers(service, said, incarnation)
+        self.tenures = Tenures(self.peers, service.config.tenures, file or File)
+        self.failover = Custody(self.peers, self.tenures)
+        self.zone_drains = Sites(self.peers, self.tenures)
+        self.control = ControlSocket(said["control"], self.obey) if said["control"] else None
         self.peers.changed.append(self.seen)
         self.last, self.silent = self.peers.now(), said["silent"]
 
@@ -34,12 +34,12 @@
 
     def goes_on_from(self, before):
         """Another life of the same process: it knows the drains that it went by."""
-        self.sites.follower = before.sites.follower
+        self.zone_drains.follower = before.zone_drains.follower
 
     async def start(self):
         await self.peers.start()
-        self.custody.start()
-        self.sites.start()
+        self.failover.start()
+        self.zone_drains.start()
         if self.control:
             await self.control.start()
         log.info(
@@ -50,46 +50,46 @@
             keepers=len(self.tenures.keepers),
         )
 
-    def turned(self):
-        self.custody.turned()
+    def after_tick(self):
+        self.failover.after_tick()
 
     def reclaim(self, end, message):
-        self.custody.reclaim(end, message)
+        self.failover.reclaim(end, message)
 
     def seen(self):
         """After each look at the links: whether others hold this life to be over."""
-        if self.shell.fellows is not self:
+        if self.service.peer_services is not self:
             return
         if self.stood_still():
-            return self.shell.life_over(STILL)
-        self.custody.again(None, 0)
+            return self.service.life_over(STILL)
+        self.failover.again(None, 0)
         if self.peers.members.ended:
-            self.shell.life_over("others hold this life to be over")
+            self.service.life_over("others hold this life to be over")
 
     def stood_still(self):
         """Whether this process has just woken from a standstill in which others may have taken over what it had in
         hand. Asked before anything is done: what it would send until it hears so would be refused."""
         still = self.peers.now() - self.last
         self.last = self.peers.now()
-        return still > self.silent and bool(self.custody.giver.where)
+        return still > self.silent and bool(self.failover.giver.where)
 
     def stay_away(self, number):
-        return stay_away(self.shell.figures.seed + self.incarnation, number)
+        return stay_away(self.service.config.seed + self.incarnation, number)
 
     def close(self):
         """Leaves: what is held is handed over, and everybody linked is told."""
-        self.sites.close()
+        self.zone_drains.close()
         self.tenures.close()
-        self.custody.close()
+        self.failover.close()
         self.peers.close()
         if self.control:
             self.control.close()
 
     def abort(self):
         """Ends without a word; the next life begins with its own."""
-        self.sites.close()
+        self.zone_drains.close()
         self.tenures.abort()
-        self.custody.close()
+        self.failover.close()
         self.peers.abort()
         if self.control:
             self.control.close()
@@ -100,9 +100,9 @@
         if what == "peers":
             return self.table()
         if what == "site":
-            return self.sites.order(said)
+            return self.zone_drains.order(said)
         if what == "custody":
-            return self.custody.table()
+            return self.failover.table()
         if what in ("yield", "hold"):
             task = str(said["task"])
             if what == "hold":
--- a/cherrydoor/failover/heir.py
+++ b/cherrydoor/failover/heir.py
@@ -6,7 +6,7 @@
 
 from cherrydoor.failover import decide as d
 from cherrydoor.failover.estate import mark_of
-from cherrydoor.gateway.tables import Client
+from cherrydoor.gateway.tables import ClientConnection
 from cherrydoor.protocol import failover as c
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.protocol import peers as p
@@ -47,12 +47,12 @@
 
 class Heirs:
     def __init__(self, custody):
-        self.custody, self.work, self.known, self.marks, self.past = custody, {}, {}, {}, []
+        self.failover, self.work, self.known, self.marks, self.past = custody, {}, {}, {}, []
 
     def linked(self, name):
         """Whoever was away hears who is heir to what."""
         for heir, _ in self.known.values():
-            self.custody.peers.say(name, heir)
+            self.failover.peers.say(name, heir)
 
     def at_work(self, task):
         return task in self.work
@@ -68,33 +68,33 @@
 
     def told(self, sender, heir):
         """A word that goes to everybody, along every link once. A higher number stands above a lower one."""
-        key, now = (heir.gateway, heir.incarnation), self.custody.now()
+        key, now = (heir.gateway, heir.incarnation), self.failover.now()
         before = self.known.get(key)
         if before is not None and (before[0].number, before[0].done) >= (heir.number, heir.done):
             return
         self.known[key] = (heir, now + REMEMBERED)
         for mark in heir.marks:
             self.marks[mark] = (key, now + REMEMBERED)
-        self.custody.peers.members.over(now, *key)
-        for name in list(self.custody.peers.ends):
+        self.failover.peers.members.over(now, *key)
+        for name in list(self.failover.peers.ends):
             if name != sender:
-                self.custody.peers.say(name, heir)
+                self.failover.peers.say(name, heir)
         if heir.done:
-            self.custody.witness.done(now, *key)
+            self.failover.witness.done(now, *key)
             task = f"estate/{heir.gateway}/{heir.incarnation}"
             if (
                 task not in self.work
             ):  # guards against each further witness taking over what is settled
-                self.custody.tenures.release(task)
-        self.custody.again(*key)
+                self.failover.tenures.release(task)
+        self.failover.again(*key)
 
     # ---- a takeover
     def began(self, estate, number):
-        custody, desk = self.custody, self.custody.shell.desk
+        custody, dispatcher = self.failover, self.failover.service.dispatcher
         if estate.task in self.work:
             return
         now = custody.now()
-        hosts = [one.id for one in desk.hosts.values() if one.row.state != "gone"]
+        hosts = [one.id for one in dispatcher.hosts.values() if one.row.state != "gone"]
         takeover = d.Takeover(estate, number, hosts, custody.kinds, now, d.SAYS)
         work = self.work[estate.task] = Work(self, estate, takeover)
         marks = []
@@ -124,8 +124,8 @@
     def ask(self, work, asks):
         estate, number = work.estate, work.takeover.number
         for ask in asks:
-            self.custody.shell.post(
-                self.custody.shell.desk.question,
+            self.failover.service.post(
+                self.failover.service.dispatcher.query_host,
                 ask.host,
                 lambda id_: c.EndIncarnation(id_, estate.giver, estate.incarnation, number),
                 d.SAYS,
@@ -133,14 +133,14 @@
             )
 
     def said(self, work, host, holds):
-        self.ask(work, work.takeover.said(self.custody.now(), host, holds))
+        self.ask(work, work.takeover.said(self.failover.now(), host, holds))
         if work.takeover.outdone:
-            self.custody.tenures.outdone(work.estate.task, work.takeover.outdone)
+            self.failover.tenures.outdone(work.estate.task, work.takeover.outdone)
 
     def look(self, now):
         """Verdicts where hosts have said; launches anew as there is room; the end where all is done."""
         for task, work in list(self.work.items()):
-            if self.custody.tenures.number(task) != work.takeover.number:
+            if self.failover.tenures.number(task) != work.takeover.number:
                 continue
             if work.takeover.ready(now):
                 work.first = now
@@ -157,12 +157,12 @@
 
     def carry_out(self, work, one):
         trust, estate = one.line.trust, work.estate
-        client = Client(Wire(work, one.line), trust.client)
+        client = ClientConnection(Wire(work, one.line), trust.client)
         event = protocol.Request(
             trust.event,
             trust.clause,
             trust.function,
-            max(1.0, one.line.until - self.custody.now()),
+            max(1.0, one.line.until - self.failover.now()),
             0.0,
             trust.party,
             trust.mark,
@@ -173,10 +173,10 @@
             trust.key,
         )
         origin = estate.giver, estate.incarnation, work.takeover.number
-        desk, post = self.custody.shell.desk, self.custody.shell.post
-        work.takeover.counts[type(one).__name__.lower()] += 1
+        dispatcher, post = self.failover.service.dispatcher, self.failover.service.post
+        work.takeover.counters[type(one).__name__.lower()] += 1
         if isinstance(one, d.Answer):
-            work.takeover.counts[f"{one.outcome}: {one.reason or 'by a host'}"] += 1
+            work.takeover.counters[f"{one.outcome}: {one.reason or 'by a host'}"] += 1
             fate: Any = one.outcome
             self.answered(
                 work, one.line, protocol.Response(trust.event, fate, 0.0, one.reason, one.body)
@@ -184,7 +184,7 @@
         elif isinstance(one, d.Adopt):
             work.adopted.add(trust.number)
             post(
-                desk.adopt,
+                dispatcher.adopt_attempt,
                 client,
                 event,
                 one.line.until,
@@ -194,15 +194,15 @@
             )
         else:
             work.anew.add(trust.number)
-            post(desk.inherit, client, event, one.line.until, origin)
+            post(dispatcher.take_over_request, client, event, one.line.until, origin)
 
     def answered(self, work, line, message):
         estate = work.estate
-        for tell in self.custody.claims.answer(estate.giver, estate.incarnation, line, message):
+        for tell in self.failover.claims.answer(estate.giver, estate.incarnation, line, message):
             tell(message)
 
     def settled(self, work):
-        estate, now = work.estate, self.custody.now()
+        estate, now = work.estate, self.failover.now()
         del self.work[estate.task]
         self.past.append(
             {
@@ -213,22 +213,22 @@
                 "said": len(work.takeover.heard),
                 "first verdict ms": round(work.first - work.began, 1),
                 "ms": round(now - work.began, 1),
-                **work.takeover.counts,
+                **work.takeover.counters,
             }
         )
         del self.past[:-KEPT]
-        log.info("an estate is settled", gateway=self.custody.peers.me.name, **self.past[-1])
+        log.info("an estate is settled", gateway=self.failover.peers.me.name, **self.past[-1])
         self.told(
             "",
             p.SuccessorAnnounced(
                 estate.giver,
                 estate.incarnation,
                 work.takeover.number,
-                self.custody.peers.me.name,
+                self.failover.peers.me.name,
                 True,
             ),
         )
-        self.custody.tenures.release(estate.task)
+        self.failover.tenures.release(estate.task)
 
     def ended(self, estate):
         """The tenure is lost: nothing more is done under its number."""
@@ -236,7 +236,7 @@
         if work is not None:
             log.warning(
                 "an estate is left to its next heir",
-                gateway=self.custody.peers.me.name,
+                gateway=self.failover.peers.me.name,
                 giver=estate.giver,
                 incarnation=estate.incarnation,
                 number=work.takeover.number,
@@ -251,7 +251,7 @@
                     "life": w.estate.incarnation,
                     "number": w.takeover.number,
                     "at work": True,
-                    **w.takeover.counts,
+                    **w.takeover.counters,
                 }
                 for w in self.work.values()
             ),
--- a/cherrydoor/failover/shell.py
+++ b/cherrydoor/failover/shell.py
@@ -25,14 +25,14 @@
     """The desk's port: taken, launched, over, finds, goes_on. turned() is called after each of its turns."""
 
     def __init__(self, peers, tenures):
-        self.peers, self.tenures, self.shell, self.now = peers, tenures, peers.shell, peers.now
+        self.peers, self.tenures, self.service, self.now = peers, tenures, peers.service, peers.now
         self.loop, self.kinds = (
             peers.loop,
             {
                 one.name: d.Kind(
                     one.retry_safety, one.dedup_scope, one.dedup_window_ms, one.streaming
                 )
-                for one in self.shell.figures.lease.request_classes
+                for one in self.service.config.lease.request_classes
             },
         )
         self.giver, self.witness, self.claims = (
@@ -73,16 +73,16 @@
         return d.heard_here(here, row.state if row else "")
 
     # ---- the desk's port
-    def taken(self, taken):
-        event = taken.event
-        if taken.origin is not None or self.kinds[event.request_class].stream:
+    def request_accepted(self, pending):
+        event = pending.request
+        if pending.origin is not None or self.kinds[event.request_class].stream:
             return  # of an estate: other witnesses hold it; a stream is answered already as it begins
         self.giver.taken(
             self.now(),
             p.ReplicatedRequest(
-                taken.number,
+                pending.number,
                 event.id,
-                taken.client.name,
+                pending.client.name,
                 event.request_class,
                 event.function,
                 0.0,
@@ -94,41 +94,41 @@
                 event.load_ms,
                 event.body,
             ),
-            taken.until,
+            pending.deadline_ms,
         )
 
-    def launched(self, taken, host):
-        self.giver.launched(taken.number, host)
+    def attempt_started(self, pending, host):
+        self.giver.launched(pending.number, host)
 
-    def over(self, taken):
-        self.giver.answered(taken.number)
+    def request_finished(self, pending):
+        self.giver.answered(pending.number)
 
-    def finds(self, taken):
+    def find_duplicate(self, pending):
         """A plain repeat of what is in an estate that is being taken over, and may not run beside it: its answer is
         that one's."""
-        event = taken.event
+        event = pending.request
         if not event.idempotency_key or self.kinds[event.request_class].kind == d.REDELIVERABLE:
             return False
         mark = mark_of(event.tenant, event.request_class, event.idempotency_key)
         found = self.heirs.marked(mark)
         if found is None:
             return False
-        taken.adopted = True
-        self.shell.desk.counts["repeats of what an estate holds"] += 1
+        pending.adopted = True
+        self.service.dispatcher.counters["repeats of what an estate holds"] += 1
         giver, incarnation = found
         self.ask_heir(
             p.ClaimRequest(0, giver, incarnation, 0, event.claim_key, mark),
-            lambda said: self.shell.post(self.repeat_answered, taken, said),
+            lambda said: self.service.post(self.repeat_answered, pending, said),
         )
         return True
 
-    def repeat_answered(self, taken, said):
-        if not taken.over:
+    def repeat_answered(self, pending, said):
+        if not pending.finished:
             known = said is not None and said.known
-            self.shell.desk.answer(
-                taken,
+            self.service.dispatcher.respond(
+                pending,
                 protocol.Response(
-                    taken.event.id,
+                    pending.request.id,
                     said.outcome if known else "dead-lettered",
                     said.retry_after_ms if known else 0.0,
                     said.reason if known else "it may have run at a gateway that is lost",
@@ -136,17 +136,17 @@
                 ),
             )
 
-    def ends(self, taken):
+    def answer_at_end(self, pending):
         """The answer to an event as this life ends, None where it is an heir's to give."""
-        if taken.origin is not None or self.giver.told(taken.number):
+        if pending.origin is not None or self.giver.told(pending.number):
             return None
-        return d.own_end(self.kinds[taken.event.request_class], taken.launches)
+        return d.own_end(self.kinds[pending.request.request_class], pending.attempts)
 
-    def goes_on(self, taken, fate):
-        return d.after_adoption(self.kinds[taken.event.request_class], fate)
+    def may_retry_adopted(self, pending, fate):
+        return d.after_adoption(self.kinds[pending.request.request_class], fate)
 
     # ---- the turn's end
-    def turned(self, late=False):
+    def after_tick(self, late=False):
         """late: at a look, which also sees other witnesses."""
         giver = self.giver
         if not giver.pending() and not (late and giver.witnesses != self.linked()):
@@ -194,7 +194,7 @@
                 name not in self.peers.ends
             ):  # who is linked and no longer a witness is told so by the next round
                 self.giver.unheard(name)
-        self.turned(True)
+        self.after_tick(True)
         for number, (_, until, then) in list(self.asked.items()):
             if until <= now:
                 del self.asked[number]
@@ -222,7 +222,7 @@
 
         late = end.client.late(message.sent, self.now())
         # The heir gives its last answer when all of the spared time is left: half of that is for the way here.
-        left = message.lasts - late - self.shell.figures.terms.spare / 2
+        left = message.lasts - late - self.service.config.limits.spare / 2
         self.ask_heir(
             p.ClaimRequest(0, message.gateway, message.incarnation, message.event, message.key),
             tell,
@@ -309,17 +309,17 @@
             "in hand": len(giver.where),
             "bytes": giver.bytes,
             "witnesses": giver.witnesses,
-            "counts": dict(giver.counts),
+            "counts": dict(giver.counters),
             "untold ms": round(now - giver.oldest_new, 2) if giver.oldest_new is not None else 0.0,
             "told after ms": round(sorted(self.delays)[int(len(self.delays) * 0.99)], 2)
             if self.delays
             else 0.0,
             "kept for others": kept,
-            "kept counts": dict(self.witness.counts),
+            "kept counts": dict(self.witness.counters),
             "takeovers": self.heirs.table(),
             "claims": {
                 "rows": len(self.claims.rows),
                 "waiting": len(self.asked),
-                **self.claims.counts,
+                **self.claims.counters,
             },
         }
--- a/cherrydoor/fakes/command.py
+++ b/cherrydoor/fakes/command.py
@@ -158,10 +158,10 @@
     farm.scopes = said.get("scopes", {})
     if said.get("store"):
         host, _, port = said["store"].rpartition(":")
-        from cherrydoor.connection import End
+        from cherrydoor.connection import FramedConnection
 
         await farm.loop.create_connection(
-            lambda: End(
+            lambda: FramedConnection(
                 farm.store,
                 protocol.FROM_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
--- a/cherrydoor/fakes/crowd.py
+++ b/cherrydoor/fakes/crowd.py
@@ -9,7 +9,7 @@
 import ssl
 from collections import deque
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.record import Record, now
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import messages as protocol
@@ -168,7 +168,7 @@
             try:
                 async with asyncio.timeout(wait):
                     await self.loop.create_connection(
-                        lambda: End(
+                        lambda: FramedConnection(
                             comer,
                             protocol.TO_CLIENT,
                             lambda: protocol.Hello(protocol.VERSION, "client", office, now()),
--- a/cherrydoor/fakes/feed.py
+++ b/cherrydoor/fakes/feed.py
@@ -3,7 +3,7 @@
 import asyncio
 from zlib import crc32
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import messages as protocol
 
@@ -29,7 +29,7 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 protocol.TO_FEED,
                 lambda: protocol.Hello(protocol.VERSION, "feed", "feed", now()),
--- a/cherrydoor/fakes/host.py
+++ b/cherrydoor/fakes/host.py
@@ -8,7 +8,7 @@
 from math import log
 from zlib import crc32
 
-from cherrydoor.connection import End, Some
+from cherrydoor.connection import FramedConnection, OrderedSet
 from cherrydoor.fakes.capacity import Capacity
 from cherrydoor.fakes.copies import Copies, Job
 from cherrydoor.fakes.cores import Cores
@@ -26,7 +26,7 @@
         """bind: where it listens, if that is not its name: something stands between."""
         self.bind = bind
         self.farm, self.id, self.build, self.seed, self.drawn = farm, name, build, seed, 0
-        self.record, self.loop, self.server, self.ends = farm.record, farm.loop, None, Some()
+        self.record, self.loop, self.server, self.ends = farm.record, farm.loop, None, OrderedSet()
         self.up, self.draining, self.images = False, False, {}
         self.quiet = self.refuse = False
         self.slow, self.lose, self.pause, self.paused_until = 1.0, 0.0, None, 0.0
@@ -41,7 +41,7 @@
     async def start(self, port=0, cold=True):
         host, _, given = (self.bind or self.id).rpartition(":")
         self.server = await self.loop.create_server(
-            lambda: End(self, custody.TO_HOST, self.hello),
+            lambda: FramedConnection(self, custody.TO_HOST, self.hello),
             host or "127.0.0.1",
             port or int(given or 0),
             backlog=1024,
--- a/cherrydoor/fakes/roll.py
+++ b/cherrydoor/fakes/roll.py
@@ -3,7 +3,7 @@
 import asyncio
 from zlib import crc32
 
-from cherrydoor.connection import End, Some
+from cherrydoor.connection import FramedConnection, OrderedSet
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import messages as protocol
 
@@ -17,11 +17,11 @@
     def __init__(self, record, notice=(50.0, 200.0), stale=0.0, seed=1):
         self.record, self.notice, self.stale, self.seed, self.drawn = record, notice, stale, seed, 0
         self.loop, self.rows, self.revision, self.past = asyncio.get_running_loop(), {}, 0, []
-        self.followers, self.ends, self.deaf = {}, Some(), False
+        self.followers, self.ends, self.deaf = {}, OrderedSet(), False
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 protocol.TO_LIST,
                 lambda: protocol.Hello(protocol.VERSION, "list", "list", now()),
--- a/cherrydoor/fakes/store.py
+++ b/cherrydoor/fakes/store.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.cores import Cores
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import messages as protocol
@@ -20,7 +20,7 @@
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 protocol.TO_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "store", "store", now()),
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -6,8 +6,8 @@
 
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.reading import CHUNK, Read
-from cherrydoor.connection import End, Some
-from cherrydoor.gateway.dispatcher import Client
+from cherrydoor.connection import FramedConnection, OrderedSet
+from cherrydoor.gateway.dispatcher import ClientConnection
 from cherrydoor.gateway.sockets import peer_closed
 from cherrydoor.protocol import failover as custody
 from cherrydoor.protocol import messages as protocol
@@ -25,15 +25,19 @@
 QUIET = 250.0  # ms without a word from a client before its connection is closed on it
 
 
-class ClientEnd(Read, End):
+class ClientProtocol(Read, FramedConnection):
     """A client at the door: at first only a short hello is read from it."""
 
-    def __init__(self, shell, arrival):
+    def __init__(self, service, arrival):
         super().__init__(
-            shell.door, custody.FROM_CLIENT, shell.hello, shell.bounds.client_bytes, HELLO
+            service.client_listener,
+            custody.FROM_CLIENT,
+            service.hello,
+            service.bounds.client_bytes,
+            HELLO,
         )
         self.reader.halts, self.arrival, self.chunk = True, arrival, bytearray(CHUNK)
-        self.client, self.stay = Client(self, has_closed=self.has_closed), None
+        self.client, self.stay = ClientConnection(self, has_closed=self.has_closed), None
         arrival.caller.open = self.client.open
 
     def connection_made(self, transport):
@@ -56,57 +60,57 @@
         self.holds(len(self.reader.held), heard)
 
     def seated(self, largest):
-        self.reader.largest = min(largest, self.owner.shell.bounds.frame)
+        self.reader.largest = min(largest, self.owner.service.bounds.frame)
         self.owner.seated(self)
 
 
-class Door:
-    def __init__(self, shell):
-        self.shell, self.ends = shell, Some()
+class ClientListener:
+    def __init__(self, service):
+        self.service, self.ends = service, OrderedSet()
 
     def greeted(self, end, hello):
-        shell = self.shell
+        service = self.service
         if hello.role != "client":
             return end.close(f"a client is expected here, not a {hello.role}")
         try:
-            office, proof = shell.keeper.identify(end.transport, hello.token)
+            office, proof = service.tls.identify(end.transport, hello.token)
         except NotProved as error:
-            shell.hall.guard.count(
+            service.listeners.guard.count(
                 "not proved"
             )  # not the word itself: it may hold what a client wrote
             return end.close(str(error), 1000.0)
         end.proof = proof
-        shell.hall.post(d.Shown(end.arrival.caller, office))
+        service.listeners.post(d.Shown(end.arrival.caller, office))
 
     def seated(self, end):
         self.ends.add(end)
-        self.shell.keeper.post(k.Joined(end, **end.proof))
-        self.shell.post(self.shell.desk.came_in, end.client, end.reader.hello)
+        self.service.tls.post(k.Joined(end, **end.proof))
+        self.service.post(self.service.dispatcher.client_connected, end.client, end.reader.hello)
 
     def heard(self, end, message):
-        shell = self.shell
+        service = self.service
         if end not in self.ends:
             if end.stay is not None and type(message) is protocol.Request:
-                shell.unread(end.client, message, end.stay)
+                service.unread(end.client, message, end.stay)
             return
         if type(message) is protocol.Request:
-            shell.post(shell.desk.came, end.client, message)
+            service.post(service.dispatcher.request_received, end.client, message)
             caller = end.arrival.caller
             group = caller.group
             group.read += 1
             if group.allowed is not None and group.read >= group.allowed and not group.paused:
-                shell.hall.post(d.Poured(caller))
+                service.listeners.post(d.Poured(caller))
         elif type(message) is protocol.CancelRequest:
-            shell.post(shell.desk.withdrawn, end.client, message.id)
-        elif shell.fellows:
-            shell.fellows.reclaim(end, message)
+            service.post(service.dispatcher.request_withdrawn, end.client, message.id)
+        elif service.peer_services:
+            service.peer_services.reclaim(end, message)
         else:
             end.write(custody.ResponseUnknown(message.id, "this gateway is alone"))
 
     def let_go(self, end, why, stay):
         """Ends a connection of a life that is over: what is still read on it was never taken, and is deferred."""
         self.ends.discard(end)
-        self.shell.keeper.post(k.Left(end))
+        self.service.tls.post(k.Left(end))
         end.stay = stay
         asyncio.get_running_loop().call_later(UNREAD, end.close, why, stay)
 
@@ -122,21 +126,21 @@
             if not at_once:
                 end.write(protocol.Draining(why))
         quiet = (
-            self.shell.clock.now()
-            - max(end.arrival.caller.used, 1000 * since + self.shell.clock.ahead)
+            self.service.clock.now()
+            - max(end.arrival.caller.used, 1000 * since + self.service.clock.ahead)
             > QUIET
         )
         if at_once or not end.client.open and quiet or loop.time() - since > LONGEST_EASE:
-            self.shell.desk.counts["connections put out"] += 1
+            self.service.dispatcher.counters["connections put out"] += 1
             end.close(why)
         else:
             loop.call_later(EASE, self.put_out, end, why, False, since)
 
     def lost(self, end):
-        self.shell.hall.post(d.Gone(end.arrival.caller))
+        self.service.listeners.post(d.Gone(end.arrival.caller))
         if end in self.ends:
             self.ends.discard(end)
-            self.shell.keeper.post(k.Left(end))
-            self.shell.post(self.shell.desk.went, end.client)
+            self.service.tls.post(k.Left(end))
+            self.service.post(self.service.dispatcher.client_disconnected, end.client)
         if end.why and not end.why.startswith("[Errno"):
             log.info("a client's connection was closed", client=end.client.name, why=end.why)
--- a/cherrydoor/gateway/control.py
+++ b/cherrydoor/gateway/control.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 
-class Control:
+class ControlSocket:
     """obey(said) gives the answer to one object; faults go back as {"error": ...}. The file is its owner's alone."""
 
     def __init__(self, path, obey):
--- a/cherrydoor/gateway/endpoint_watch.py
+++ b/cherrydoor/gateway/endpoint_watch.py
@@ -5,7 +5,7 @@
 import msgspec
 import structlog
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.gateway.event_loop import address
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
@@ -13,17 +13,17 @@
 log = structlog.get_logger()
 
 
-class ListEnd(End):
+class EndpointListProtocol(FramedConnection):
     """A connection to the list; revisions count up on it."""
 
     revision = 0
 
 
-class Roll:
+class EndpointWatch:
     """Follows the list: by push, or by asking when the module says so. Keeps the last one on disk."""
 
-    def __init__(self, shell, where, saved, asks):
-        self.shell, self.where, self.saved, self.asks = shell, where, saved, asks
+    def __init__(self, service, where, saved, asks):
+        self.service, self.where, self.saved, self.asks = service, where, saved, asks
         self.end, self.task, self.said, self.dirty = None, None, False, False
 
     def read_saved(self):
@@ -42,7 +42,7 @@
             return
         try:
             new = self.saved.with_suffix(".new")
-            new.write_bytes(msgspec.json.encode(self.shell.desk.rows()))
+            new.write_bytes(msgspec.json.encode(self.service.dispatcher.endpoints()))
             new.replace(self.saved)
         except OSError as error:
             log.warning("the list cannot be saved", file=str(self.saved), error=str(error))
@@ -58,7 +58,7 @@
                 self.gone = loop.create_future()
                 async with asyncio.timeout(5.0):
                     _, self.end = await loop.create_connection(
-                        lambda: ListEnd(self, protocol.FROM_LIST, self.shell.hello),
+                        lambda: EndpointListProtocol(self, protocol.FROM_LIST, self.service.hello),
                         *address(self.where),
                     )
                 pause = 0.1
@@ -75,7 +75,7 @@
                         "the list cannot be reached, going on with the last one",
                         address=self.where,
                         error=str(error) or "time-out",
-                        hosts=len(self.shell.desk.hosts),
+                        hosts=len(self.service.dispatcher.hosts),
                     )
                 self.said = True
             await asyncio.sleep(pause)
@@ -89,14 +89,14 @@
         if self.end is not None:
             self.end.write(protocol.Watch())
         else:
-            self.shell.post(self.shell.desk.list_failed)
+            self.service.post(self.service.dispatcher.endpoint_poll_failed)
 
     def greeted(self, end, hello):
         if hello.role != "list":
             end.close(f"a list is expected here, not a {hello.role}")
 
     def heard(self, end, message):
-        self.shell.post(self.listed, end, message)
+        self.service.post(self.listed, end, message)
 
     def listed(self, end, message):
         how = (
@@ -107,7 +107,7 @@
         if (
             message.revision < end.revision
         ):  # guards against a list that is served by several, one behind
-            self.shell.desk.counts["late lists"] += 1
+            self.service.dispatcher.counters["late lists"] += 1
             log.warning(
                 "a list older than the one before is ignored",
                 revision=message.revision,
@@ -115,7 +115,7 @@
             )
             return
         end.revision = message.revision
-        self.shell.desk.listed(how, message.endpoints)
+        self.service.dispatcher.endpoints_updated(how, message.endpoints)
         end.write(protocol.UpdateAcknowledged(message.revision))
         if not self.dirty:
             self.dirty = True
@@ -124,7 +124,7 @@
     def lost(self, end):
         if self.end is end:
             self.end = None
-            self.shell.post(self.shell.desk.list_failed)
+            self.service.post(self.service.dispatcher.endpoint_poll_failed)
             log.warning("the connection to the list is lost", address=self.where, why=end.why)
         if not self.gone.done():
             self.gone.set_result(None)
--- a/cherrydoor/gateway/endpoints.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -2,21 +2,21 @@
 
 from typing import Any
 
-from cherrydoor.gateway.tables import OPEN, SHUT, Host
+from cherrydoor.gateway.tables import CLOSED, OPEN, HostRecord
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
 
-class HostList:
+class Endpoints:
     """The tables are the desk's."""
 
     now: float
-    terms: Any
-    notes: Any
+    limits: Any
+    router_messages: Any
     hosts: dict
-    alarm: Any
+    set_timer: Any
 
-    def listed(self, how, rows):
+    def endpoints_updated(self, how, rows):
         """Rows of the list's wire. A whole list leaves out what is gone."""
         if how != routing.UpdateKind.INCREMENTAL:
             named = {row.host for row in rows}
@@ -30,34 +30,34 @@
             host = self.hosts.get(row.host)
             if host is None and row.state == "gone":
                 continue
-            host = self.hosts[row.host] = host or Host(row)
+            host = self.hosts[row.host] = host or HostRecord(row)
             host.row, host.since = row, max(host.since, row.started_at_ms)
             told.append(self.told(host))
-        self.notes.append(routing.EndpointsUpdated(how, tuple(told)))
+        self.router_messages.append(routing.EndpointsUpdated(how, tuple(told)))
 
-    def list_failed(self):
-        self.notes.append(routing.EndpointsUpdated(routing.UpdateKind.FAILED, ()))
+    def endpoint_poll_failed(self):
+        self.router_messages.append(routing.EndpointsUpdated(routing.UpdateKind.FAILED, ()))
 
     def told(self, host):
         row = host.row
         return routing.Endpoint(row.host, row.state, host.since, row.zone, row.cell)
 
-    def rows(self):
+    def endpoints(self):
         """The list as last held, for the next start."""
         return [h.row for h in self.hosts.values() if h.row.state != "gone"]
 
     def tidy(self):
         """Closes idle links and forgets hosts that are gone and unlinked."""
-        self.alarm(self.now + self.terms.idle / 10, self.tidy)
+        self.set_timer(self.now + self.limits.idle / 10, self.tidy)
         for host in list(self.hosts.values()):
             gone = host.row.state == "gone"
             for link in list(host.links):
                 if (
                     link.state == OPEN
                     and not link.out
-                    and (gone or self.now - link.used > self.terms.idle)
+                    and (gone or self.now - link.used > self.limits.idle)
                 ):
-                    link.state = SHUT
+                    link.state = CLOSED
                     host.links.remove(link)
                     link.wire.close("")
             if gone and not host.links:
--- a/cherrydoor/gateway/event_loop.py
+++ b/cherrydoor/gateway/event_loop.py
@@ -25,61 +25,63 @@
         return time.monotonic() * 1000 + self.ahead
 
 
-class Turn:
+class TickingService:
     """All callbacks of one pass of the loop share a turn of the desk. A subclass has a desk."""
 
-    desk: Any
+    dispatcher: Any
 
     def __init__(self, clock):
         self.clock, self.loop = clock, asyncio.get_running_loop()
         self.timer, self.timer_at, self.asked = None, 0.0, False
 
     def post(self, what, *args):
-        if self.desk.post(what, *args):
-            self.ask()
+        if self.dispatcher.post(what, *args):
+            self.schedule_tick()
 
-    def ask(self):
+    def schedule_tick(self):
         """A turn, once all input that is ready has been read: a client's close that came with its event, or while the
         process stood still, is known before anything is launched for it."""
         if not self.asked:
             self.asked = True
-            after_input(self.loop, self.turn)
+            after_input(self.loop, self.tick)
 
-    def turn(self):
+    def tick(self):
         self.asked = False
         try:
-            self.desk.turn(self.clock.now())
+            self.dispatcher.tick(self.clock.now())
         except Exception:
-            self.start_anew()
+            self.restart()
         self.set_timer()
-        self.turned()
+        self.after_tick()
 
-    def turned(self):
+    def after_tick(self):
         """After each turn."""
 
-    def start_anew(self):
+    def restart(self):
         raise NotImplementedError
 
     def set_timer(self):
-        at = self.desk.next_alarm()
+        at = self.dispatcher.next_timer_ms()
         if self.timer is not None:
             if self.timer_at == at:
                 return
             self.timer.cancel()
         self.timer_at = at
         # whole ms, upwards: a shorter wait would be rounded to none, and the loop would turn until the time came
-        self.timer = self.loop.call_later(max(0, ceil(at - self.clock.now())) / 1000, self.rung)
+        self.timer = self.loop.call_later(
+            max(0, ceil(at - self.clock.now())) / 1000, self.timer_fired
+        )
 
-    def rung(self):
+    def timer_fired(self):
         self.timer = None
-        self.ask()
+        self.schedule_tick()
 
-    def halt(self):
+    def stop_timer(self):
         if self.timer:
             self.timer.cancel()
 
 
-async def open_connection(hall, make, host, port, seal=None):
+async def open_connection(listeners, make, host, port, seal=None):
     """Connects. A lack of descriptors is told to the doors, and the connection waits for what they let go."""
     while True:
         try:
@@ -87,15 +89,15 @@
         except OSError as error:
             if error.errno not in NO_DESCRIPTORS:
                 raise
-            hall.needs_descriptor()
+            listeners.needs_descriptor()
             await asyncio.sleep(0.002)  # the closing takes effect in the loop's next pass
 
 
-async def dial(shell, link, where, make, seal=None):
+async def dial(service, link, where, make, seal=None):
     """Connects to a host within the time for it; the desk is told where that fails."""
     try:
-        async with asyncio.timeout(shell.desk.terms.connect / 1000):
+        async with asyncio.timeout(service.dispatcher.limits.connect / 1000):
             host, port = address(where)
-            await open_connection(shell.hall, make, host, port, seal)
+            await open_connection(service.listeners, make, host, port, seal)
     except (TimeoutError, OSError, ValueError):
-        shell.post(shell.desk.unlinked, link)
+        service.post(service.dispatcher.connection_lost, link)
--- a/cherrydoor/gateway/host_connections.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from cherrydoor.gateway.tables import DIALING, OPEN, SHUT, Link, Sent
+from cherrydoor.gateway.tables import CLOSED, DIALING, OPEN, HostCall, HostConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.releases import decide as v
 from cherrydoor.routing import messages as routing
@@ -13,24 +13,24 @@
 )
 
 
-class Links:
+class HostConnections:
     """What the desk does with hosts; the tables are the desk's."""
 
-    gate: Any
-    terms: Any
-    notes: Any
-    counts: Any
+    router: Any
+    limits: Any
+    router_messages: Any
+    counters: Any
     hosts: dict
     now: float
     numbers: int
-    versions: Any
-    custody: Any
-    site: Any
-    answer: Any  # from here on what the desk and its other parts do
+    releases: Any
+    failover: Any
+    zone_drain: Any
+    respond: Any  # from here on what the desk and its other parts do
     forget: Any
     dial: Any
     ended: Any
-    alarm: Any
+    set_timer: Any
     leave: Any
     told: Any
     give_up: Any
@@ -39,12 +39,12 @@
     def ask(self, name, kind, function, wait, message, *values):
         """A probe or an order: exactly one note comes back."""
         self.numbers += 1
-        sent = Sent(kind, self.numbers, self.now, None, function=function)
+        sent = HostCall(kind, self.numbers, self.now, None, function=function)
         host = self.hosts.get(name)
         if host is not None and self.send(host, sent, message(sent.id, *values)):
-            self.alarm(self.now + wait, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
+            self.set_timer(self.now + wait, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
         elif host is None:
-            self.counts["questions to hosts never listed"] += 1
+            self.counters["questions to hosts never listed"] += 1
             unknown = (
                 routing.HealthCheckEnded(name, routing.AttemptOutcome.CONNECT_FAILED, 0.0)
                 if kind is routing.HealthCheckEnded
@@ -52,7 +52,7 @@
                     function, name, routing.AttemptOutcome.CONNECT_FAILED, 0, 0.0
                 )
             )
-            self.notes.append(unknown)
+            self.router_messages.append(unknown)
 
     # ---- the floor
     def barred(self, host, sent, message):
@@ -63,15 +63,15 @@
             return ""
         if host.row.state != "ready":
             return "the host drains"
-        taken = sent.taken
-        if taken is None:
+        pending = sent.taken
+        if pending is None:
             return ""
-        if not taken.over and not taken.client.connected(self.now):
-            self.counts["closes found at a launch"] += 1
-            self.leave(taken)
-        if taken.over:
+        if not pending.finished and not pending.client.connected(self.now):
+            self.counters["closes found at a launch"] += 1
+            self.leave(pending)
+        if pending.finished:
             return "the event is over"
-        return "" if self.now < taken.until else "the time is up"
+        return "" if self.now < pending.deadline_ms else "the time is up"
 
     def send(self, host, sent, message):
         """On the first link with room; a further one is opened up to the bound and as far as what the host has carried
@@ -80,25 +80,25 @@
         An event that was missing at the host goes out again on another link, where there is one: a second copy of
         that answer would pass for the new launch's. False where nothing may go out."""
         if why := self.barred(host, sent, message):
-            self.counts[f"held back: {why}"] += 1
+            self.counters[f"held back: {why}"] += 1
             self.done(sent, routing.AttemptOutcome.NOT_SENT, at=host.id)
             return False
         host.carried += 1
         links = [ln for ln in host.links if not ln.mute]
         clean = [ln for ln in links if sent.taken is None or sent.taken.number not in ln.missed]
-        link = next((ln for ln in clean if len(ln.out) < self.terms.per_link), None)
-        borne = HANDSHAKES * host.carried >= self.terms.handshake * len(links)
-        if link is None and borne and len(host.links) < self.terms.links:
-            link = Link(host, self.now)
+        link = next((ln for ln in clean if len(ln.out) < self.limits.per_link), None)
+        borne = HANDSHAKES * host.carried >= self.limits.handshake * len(links)
+        if link is None and borne and len(host.links) < self.limits.links:
+            link = HostConnection(host, self.now)
             host.links.append(link)
-            self.alarm(self.now + self.terms.connect, self.connect_timed_out, link)
+            self.set_timer(self.now + self.limits.connect, self.connect_timed_out, link)
             self.dial(link)
         link = link or min(clean or links or host.links, key=lambda ln: len(ln.out))
         sent.link, link.out[sent.id], link.used = link, sent, self.now
         link.write(message)
         return True
 
-    def linked(self, link, wire):
+    def connection_opened(self, link, wire):
         if link.state != DIALING:  # it timed out in the meantime
             return wire.close("")
         link.state, link.wire, link.heard = OPEN, wire, self.now
@@ -106,50 +106,50 @@
         for message in waiting:
             sent = link.out.get(message.id)
             if why := sent and self.barred(link.host, sent, message):
-                self.counts[f"held back: {why}"] += 1
+                self.counters[f"held back: {why}"] += 1
                 self.done(sent, routing.AttemptOutcome.NOT_SENT)
             else:
                 wire.write(message)
 
-    def unsent(self, link, number):
+    def message_not_sent(self, link, number):
         """A launch, probe or order that was never written."""
         if number in link.out:
             self.done(link.out[number], routing.AttemptOutcome.NOT_SENT)
 
     def connect_timed_out(self, link):
         if link.state == DIALING:
-            self.counts["connections not up in time"] += 1
-            self.unlinked(link)
+            self.counters["connections not up in time"] += 1
+            self.connection_lost(link)
 
-    def unlinked(self, link):
+    def connection_lost(self, link):
         """Refused, never up, or lost: what was never sent is told apart from what was."""
-        if link.state == SHUT:
+        if link.state == CLOSED:
             return
         fate = (
             routing.AttemptOutcome.CONNECT_FAILED
             if link.state == DIALING
             else routing.AttemptOutcome.CONNECTION_LOST
         )
-        link.state, link.waiting = SHUT, []
+        link.state, link.waiting = CLOSED, []
         link.host.links.remove(link)
-        self.counts[f"links: {fate}"] += bool(link.out)
+        self.counters[f"links: {fate}"] += bool(link.out)
         out = list(link.out.values())
-        if fate == routing.AttemptOutcome.CONNECTION_LOST and self.custody is not None and out:
+        if fate == routing.AttemptOutcome.CONNECTION_LOST and self.failover is not None and out:
             self.give_up(link.host, [sent.id for sent in out if sent.kind is routing.AttemptEnded])
         for sent in out:
             self.done(sent, fate)
 
-    def greeted(self, link, hello):
+    def host_greeted(self, link, hello):
         """A host's own word on when it started is newer than the list's, never older."""
         host = link.host
         if hello.started_at_ms > host.since + 1 and host.row.state == "ready":
             host.since = hello.started_at_ms
-            self.counts["restarts learned from hosts"] += 1
-            self.notes.append(
+            self.counters["restarts learned from hosts"] += 1
+            self.router_messages.append(
                 routing.EndpointsUpdated(routing.UpdateKind.INCREMENTAL, (self.told(host),))
             )
 
-    def heard(self, link, message):
+    def host_replied(self, link, message):
         """Whatever a host answers; only what is out on this very link counts."""
         link.used = link.heard = self.now
         link.mute = False
@@ -169,18 +169,20 @@
         ):
             self.done(sent, message.outcome, message)
         elif type(message) is not protocol.UnloadResult:
-            self.counts["answers to what is over or was never asked there"] += 1
+            self.counters["answers to what is over or was never asked there"] += 1
 
     def underway(self, sent):
-        taken = sent.taken
+        pending = sent.taken
         if (
-            not taken.over
-            and not taken.streams
-            and self.gate.settings.request_classes[taken.event.request_class].streaming
+            not pending.finished
+            and not pending.streaming
+            and self.router.settings.request_classes[pending.request.request_class].streaming
         ):
-            taken.streams = True
-            taken.client.wire.write(protocol.StreamStarted(taken.event.id))
-            self.notes.append(routing.StreamStarted(taken.number, sent.index, sent.link.host.id))
+            pending.streaming = True
+            pending.client.wire.write(protocol.StreamStarted(pending.request.id))
+            self.router_messages.append(
+                routing.StreamStarted(pending.number, sent.index, sent.link.host.id)
+            )
 
     def cut(self, sent, fate):
         """The gateway waits no longer: the host is told, unless it never had it."""
@@ -197,7 +199,7 @@
         elif launch:
             link.write(protocol.CancelAttempt(sent.id))
         self.done(sent, fate)
-        if link.state == OPEN and self.now - max(sent.at, link.heard) >= self.terms.silence:
+        if link.state == OPEN and self.now - max(sent.at, link.heard) >= self.limits.silence:
             link.mute = True
             self.silent(link.host, sent.at)
 
@@ -208,8 +210,8 @@
         for link in [
             ln for ln in host.links if ln.state == OPEN and not ln.out and ln.heard <= since
         ]:
-            self.counts["links closed over their silence"] += 1
-            link.state = SHUT
+            self.counters["links closed over their silence"] += 1
+            link.state = CLOSED
             host.links.remove(link)
             link.wire.close("")
 
@@ -227,34 +229,39 @@
         if sent.then is not None:
             sent.then(name, fate, message)
         elif sent.kind is routing.HealthCheckEnded:
-            self.notes.append(routing.HealthCheckEnded(name, fate, took))
+            self.router_messages.append(routing.HealthCheckEnded(name, fate, took))
         elif sent.kind is routing.LoadOrderEnded:
-            self.notes.append(
+            self.router_messages.append(
                 routing.LoadOrderEnded(
                     sent.function, name, fate, message.copies if message else 0, took
                 )
             )
             self.ended(v.Loaded(sent.function, fate, took))
-            if self.site is not None:
-                self.site.loaded(sent.function, name, fate == routing.AttemptOutcome.SUCCEEDED)
+            if self.zone_drain is not None:
+                self.zone_drain.load_ended(
+                    sent.function, name, fate == routing.AttemptOutcome.SUCCEEDED
+                )
         else:
             self.landed(sent, fate, took, name, message)
 
     def landed(self, sent, fate, took, name, message):
-        taken, adopted = sent.taken, sent.taken.adopted
-        taken.out -= 1
-        broken = taken.streams and fate != routing.AttemptOutcome.SUCCEEDED
-        if not taken.over and fate == routing.AttemptOutcome.SUCCEEDED:
-            self.answer(taken, protocol.Response(taken.event.id, "handled", 0.0, "", message.body))
-        elif not taken.over and taken.adopted:
-            self.came_to_nothing(taken, fate)
-        elif not taken.over and broken:
-            self.answer(
-                taken, protocol.Response(taken.event.id, "dead-lettered", 0.0, "the stream broke")
+        pending, adopted = sent.taken, sent.taken.adopted
+        pending.out -= 1
+        broken = pending.streaming and fate != routing.AttemptOutcome.SUCCEEDED
+        if not pending.finished and fate == routing.AttemptOutcome.SUCCEEDED:
+            self.respond(
+                pending, protocol.Response(pending.request.id, "handled", 0.0, "", message.body)
+            )
+        elif not pending.finished and pending.adopted:
+            self.came_to_nothing(pending, fate)
+        elif not pending.finished and broken:
+            self.respond(
+                pending,
+                protocol.Response(pending.request.id, "dead-lettered", 0.0, "the stream broke"),
             )
         copy = message.copy if message else 0
         told = self.told_by(message) if message else (None,) * 5
-        if self.versions is not None and sent.link:
+        if self.releases is not None and sent.link:
             self.ended(
                 v.Ended(
                     sent.called,
@@ -264,22 +271,24 @@
                     copy in (2, 3),
                     copy == 4,
                     message.version_counts if message else None,
-                    taken.event.tenant,
+                    pending.request.tenant,
                 )
             )
             if (
-                sent.called != taken.function
+                sent.called != pending.function
             ):  # what it says of copies is of another version than the module's
                 told = (None, None, *told[2:])
         if not adopted:  # the module knows nothing of it
-            self.notes.append(
-                routing.AttemptEnded(taken.number, sent.index, fate, taken.over, name, took, *told)
+            self.router_messages.append(
+                routing.AttemptEnded(
+                    pending.number, sent.index, fate, pending.finished, name, took, *told
+                )
             )
-        self.forget(taken)
+        self.forget(pending)
 
     def told_by(self, outcome):
         """What this deployment's answers do not tell is None; that a load failed is told everywhere."""
-        copy, crowd = self.terms.tells
+        copy, crowd = self.limits.tells
         return (
             outcome.copy if copy or outcome.copy == 4 else None,
             outcome.concurrency if crowd else None,
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -7,22 +7,24 @@
 from cherrydoor.routing import messages as routing
 
 
-class Loading:
+class LoadOrders:
     """The tables are the desk's."""
 
     numbers: int
-    notes: Any
+    router_messages: Any
     hosts: dict
-    site: Any
+    zone_drain: Any
 
-    def foreseen(self, name, away=""):
+    def function_expected(self, name, away=""):
         """Also outside a site whose sessions have moved: a release loads ahead where they are, too."""
-        for site in [away] if away or self.site is None else ["", *self.site.moving()]:
-            self.notes.append(routing.FunctionExpected(name, site))
+        for site in (
+            [away] if away or self.zone_drain is None else ["", *self.zone_drain.draining_zones()]
+        ):
+            self.router_messages.append(routing.FunctionExpected(name, site))
 
-    def stands(self, name, host):
+    def copy_reported(self, name, host):
         """Others tell that a copy of the function stands there: as good as an order's answer."""
-        self.notes.append(
+        self.router_messages.append(
             routing.LoadOrderEnded(name, host, routing.AttemptOutcome.SUCCEEDED, 1, 0.0)
         )
 
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -8,7 +8,7 @@
 LONGEST = 8192  # bytes of a request that are read
 
 
-class Asked(Read):
+class MetricsRequest(Read):
     """One scrape: GET /metrics, and the connection closes."""
 
     def __init__(self, arrival, text):
@@ -28,7 +28,7 @@
             return self.answer(error.error_status_hint, b"this is no request\n")
         if isinstance(event, h11.Request):
             self.asked = event
-            self.arrival.hall.post(d.Shown(self.arrival.caller, ""))
+            self.arrival.listeners.post(d.Shown(self.arrival.caller, ""))
 
     def seated(self, largest):
         if self.asked.method == b"GET" and self.asked.target.split(b"?")[0] in (b"/", b"/metrics"):
@@ -62,4 +62,4 @@
         return False
 
     def connection_lost(self, error):
-        self.arrival.hall.post(d.Gone(self.arrival.caller))
+        self.arrival.listeners.post(d.Gone(self.arrival.caller))
--- a/cherrydoor/gateway/tables.py
+++ b/cherrydoor/gateway/tables.py
@@ -1,11 +1,11 @@
 """What the desk keeps a line of: clients, events taken, what hosts owe an end, links and hosts."""
 
-DIALING, OPEN, SHUT = "dialing", "open", "shut"
+DIALING, OPEN, CLOSED = "dialing", "open", "shut"
 # Counted, and must stay 0: attempts begun more than LATE ms after their client, which left, was last seen connected.
-LAUNCHED_AFTER_CLOSE, LATE = "launches after the client had left", 100.0
+ATTEMPTS_AFTER_CLOSE, CLOSE_GRACE_MS = "launches after the client had left", 100.0
 
 
-class Client:
+class ClientConnection:
     """One connection at the door. `ahead` is the least (our clock less its clock) seen: the way without delay; `seen`
     is when it was last known to be connected. has_closed() tells whether the other end has closed, though nothing of
     that has been read yet."""
@@ -35,19 +35,19 @@
         return gap - self.ahead
 
 
-class Taken:
+class PendingRequest:
     """An event from its arrival to its final answer and the last of its launches."""
 
     __slots__ = (
         "number",
-        "event",
+        "request",
         "client",
-        "until",
-        "launches",
+        "deadline_ms",
+        "attempts",
         "out",
-        "over",
-        "streams",
-        "at",
+        "finished",
+        "streaming",
+        "accepted_at_ms",
         "told",
         "function",
         "origin",
@@ -55,8 +55,14 @@
     )
 
     def __init__(self, number, event, client, until, at):
-        self.number, self.event, self.client, self.until, self.at = number, event, client, until, at
-        self.launches, self.out, self.over, self.streams, self.told = [], 0, False, False, ""
+        self.number, self.request, self.client, self.deadline_ms, self.accepted_at_ms = (
+            number,
+            event,
+            client,
+            until,
+            at,
+        )
+        self.attempts, self.out, self.finished, self.streaming, self.told = [], 0, False, False, ""
         self.function = event.function  # the version that the module knows it by
         self.origin = (
             None  # (gateway, life, number) of whom it was taken over from, under which tenure
@@ -66,7 +72,7 @@
         )
 
 
-class Sent:
+class HostCall:
     """A launch, a probe or an order that a host owes an end; `kind` is the note's type that will tell it."""
 
     __slots__ = (
@@ -82,13 +88,13 @@
         "then",
     )
 
-    def __init__(self, kind, number, at, link, taken=None, index=0, function="", then=None):
-        self.kind, self.id, self.at, self.link, self.taken = kind, number, at, link, taken
+    def __init__(self, kind, number, at, link, pending=None, index=0, function="", then=None):
+        self.kind, self.id, self.at, self.link, self.taken = kind, number, at, link, pending
         self.index, self.function, self.outcome, self.called = index, function, None, function
         self.then = then  # of a question beside the module: told (host, fate, message) once
 
 
-class Link:
+class HostConnection:
     """One connection to a host. What is written while it dials waits in `waiting` and was never sent if that fails."""
 
     def __init__(self, host, now):
@@ -111,7 +117,7 @@
             self.waiting.append(message)
 
 
-class Host:
+class HostRecord:
     """A host once listed. `since` is the later of what the list said and what the host's own hello said."""
 
     def __init__(self, row):
--- a/cherrydoor/gateway/upstream.py
+++ b/cherrydoor/gateway/upstream.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.gateway.event_loop import dial
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import failover as custody
@@ -13,18 +13,25 @@
 log = structlog.get_logger()
 
 
-class HostEnd(End):
+class HostProtocol(FramedConnection):
     """A connection to a host."""
 
-    def __init__(self, shell, link):
+    def __init__(self, service, link):
         super().__init__(
-            shell.floor, custody.FROM_HOST, shell.hello, shell.bounds.host_bytes, shell.bounds.frame
+            service.upstream,
+            custody.FROM_HOST,
+            service.hello,
+            service.bounds.host_bytes,
+            service.bounds.frame,
+        )
+        self.link, self.incarnation = (
+            link,
+            service.peer_services.incarnation if service.peer_services else 0,
         )
-        self.link, self.incarnation = link, shell.fellows.incarnation if shell.fellows else 0
 
     def connection_made(self, transport):
         super().connection_made(transport)
-        self.owner.shell.post(self.owner.shell.desk.linked, self.link, self)
+        self.owner.service.post(self.owner.service.dispatcher.connection_opened, self.link, self)
 
     def write(self, message):
         try:
@@ -33,39 +40,43 @@
             self.owner.too_large(self, message, error)
 
 
-class Floor:
-    def __init__(self, shell):
-        self.shell = shell
+class Upstream:
+    def __init__(self, service):
+        self.service = service
 
     def dial(self, link):
         asyncio.get_running_loop().create_task(self.connect(link))
 
     async def connect(self, link):
         await dial(
-            self.shell,
+            self.service,
             link,
             link.host.id,
-            lambda: HostEnd(self.shell, link),
-            self.shell.keeper.client,
+            lambda: HostProtocol(self.service, link),
+            self.service.tls.client,
         )
 
     def greeted(self, end, hello):
         if hello.role != "host":
             return end.close(f"a host is expected here, not a {hello.role}")
-        self.shell.post(self.shell.desk.greeted, end.link, hello)
+        self.service.post(self.service.dispatcher.host_greeted, end.link, hello)
 
     def heard(self, end, message):
-        self.shell.post(self.shell.desk.heard, end.link, message)
+        self.service.post(self.service.dispatcher.host_replied, end.link, message)
 
     def too_large(self, end, message, error):
         log.warning("a host takes no frame of this size", host=end.link.host.id, error=str(error))
-        self.shell.post(self.shell.desk.heard, end.link, protocol.AttemptResult(message.id, "full"))
+        self.service.post(
+            self.service.dispatcher.host_replied,
+            end.link,
+            protocol.AttemptResult(message.id, "full"),
+        )
 
     def lost(self, end):
         if (
             custody.INCARNATION_ENDED in end.why
-            and self.shell.fellows
-            and self.shell.fellows.incarnation == end.incarnation
+            and self.service.peer_services
+            and self.service.peer_services.incarnation == end.incarnation
         ):
-            return self.shell.life_over("a host refuses it")
-        self.shell.post(self.shell.desk.unlinked, end.link)
+            return self.service.life_over("a host refuses it")
+        self.service.post(self.service.dispatcher.connection_lost, end.link)
--- a/cherrydoor/leader_election/decide.py
+++ b/cherrydoor/leader_election/decide.py
@@ -92,7 +92,7 @@
     """refuses(task): a reason not to grant this task now, '' for none; a port, for what this keeper knows better."""
 
     def __init__(self, terms, now, promises=None, refuses=lambda task: ""):
-        self.terms, self.refuses, self.counts = terms, refuses, Counter()
+        self.terms, self.refuses, self.counters = terms, refuses, Counter()
         self.silent_until = now if promises else now + terms.promised(0.0, terms.longest)
         self.kept = promises or Promises()
         for (
@@ -103,7 +103,7 @@
     def take(self, now, sender, note):
         """Actions for one note of a contender; a Save, if any, stands before the answer that depends on it."""
         if now < self.silent_until:
-            self.counts["not answered in the silence after a loss"] += 1
+            self.counters["not answered in the silence after a loss"] += 1
             return []
         return (
             self.yielded(now, sender, note)
@@ -122,7 +122,7 @@
             or not goes_on
             and (not free or note.number <= promise.number)
         ):
-            self.counts["refused"] += 1
+            self.counters["refused"] += 1
             wait = max(0.0, promise.until - now) if promise.holder else 0.0
             return [
                 Say(
@@ -133,7 +133,7 @@
         self.kept.tasks[note.task] = Promise(
             note.number, sender, self.terms.promised(now, note.term), note.term
         )
-        self.counts["granted"] += not goes_on
+        self.counters["granted"] += not goes_on
         self.bound(now)
         granted = Say(sender, LeaseGranted(note.task, note.number, note.round))
         # What goes on is on disk already: after a loss of the process its term runs anew in any case.
--- a/cherrydoor/leader_election/shell.py
+++ b/cherrydoor/leader_election/shell.py
@@ -74,7 +74,7 @@
                 self.me,
                 self.keepers,
                 self.terms,
-                self.peers.shell.figures.seed,
+                self.peers.service.config.seed,
                 self.now(),
                 lambda: len(self.holding),
                 delay,
@@ -174,6 +174,6 @@
                     }
                     for task, one in sorted(kept.tasks.items())
                 ],
-                **self.keeper.counts,
+                **self.keeper.counters,
             },
         }
--- a/cherrydoor/membership/decide.py
+++ b/cherrydoor/membership/decide.py
@@ -69,7 +69,7 @@
 
     def __init__(self, me, now):
         self.me, self.now = me, now
-        self.members, self.since, self.told, self.counts = (
+        self.members, self.since, self.told, self.counters = (
             {me.name: me.row()},
             {me.name: now},
             {},
@@ -94,12 +94,12 @@
         me = self.me
         if row.incarnation >= me.incarnation and row.at != me.at and row.state == HERE:
             self.doubled = True
-            self.counts["two processes under this name"] += 1
+            self.counters["two processes under this name"] += 1
         if row.incarnation == me.incarnation and row.state in FINAL:
             return self.take(row)
         elif row.incarnation == me.incarnation and row.rank() > me.row().rank():
             me.word = row.word + 1
-            self.counts["suspicions answered"] += 1
+            self.counters["suspicions answered"] += 1
             return self.take(me.row())
         elif row.incarnation > me.incarnation:
             return self.take(row)
@@ -108,11 +108,11 @@
     def take(self, row):
         before = self.members.get(row.name)
         if before is None and len(self.members) >= MOST:
-            self.counts["names beyond the bound"] += 1
+            self.counters["names beyond the bound"] += 1
             return False
         stands = merged(before, row)
         if stands is before:
-            self.counts["statements that were old"] += stands != row
+            self.counters["statements that were old"] += stands != row
             return False
         self.members[row.name], self.since[row.name], self.told[row.name] = stands, self.now, stands
         return True
--- a/cherrydoor/membership/shell.py
+++ b/cherrydoor/membership/shell.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.membership.decide import Me, Members
 from cherrydoor.membership.links import Close, Dial, Links
 from cherrydoor.protocol import codec
@@ -25,7 +25,7 @@
     return host.strip("[]"), int(port)
 
 
-class PeerEnd(End):
+class PeerEnd(FramedConnection):
     """One end of a link between gateways."""
 
     def __init__(self, peers, name=""):
@@ -43,16 +43,16 @@
     """The links of one gateway. Others follow what passes by `follow(kind, what)`, and each change of who is there by
     `changed`, a list of callables."""
 
-    def __init__(self, shell, said, incarnation=None):
+    def __init__(self, service, said, incarnation=None):
         """shell: the gateway's; said: the lease's record of peers."""
-        self.shell, self.said, self.loop = shell, said, shell.loop
-        name = shell.figures.name
+        self.service, self.said, self.loop = service, said, service.loop
+        name = service.config.name
         keepers = {one["name"]: one["at"] for one in said["keepers"]}
         self.me = Me(
             name,
-            incarnation or int(shell.clock.now()),
+            incarnation or int(service.clock.now()),
             said["at"] or said["door"],
-            shell.figures.lease.zone,
+            service.config.lease.zone,
             name in keepers,
         )
         now = self.now()
@@ -61,7 +61,7 @@
             now, [p.Member(one, 0, at, keeper=True) for one, at in keepers.items() if one != name]
         )
         self.links = Links(
-            self.members, now, said["beat"], said["silent"], said["next"], shell.figures.seed
+            self.members, now, said["beat"], said["silent"], said["next"], service.config.seed
         )
         self.linked: list = []  # callables: told of a name that has just been linked
         self.ends, self.handlers, self.changed, self.server, self.tasks = {}, {}, [], None, set()
@@ -69,7 +69,7 @@
         self.frames = self.bytes = 0  # sent to peers
 
     def now(self):
-        return self.shell.clock.now()
+        return self.service.clock.now()
 
     def hello(self):
         return protocol.Hello(
@@ -79,7 +79,7 @@
     async def start(self):
         host, port = address(self.said["door"])
         self.server = await self.loop.create_server(
-            lambda: PeerEnd(self), host, port, ssl=self.shell.keeper.server
+            lambda: PeerEnd(self), host, port, ssl=self.service.tls.server
         )
         self.look()
 
@@ -166,7 +166,7 @@
                 _, end = await self.loop.create_connection(
                     lambda: PeerEnd(self, action.name),
                     *address(action.at),
-                    ssl=self.shell.keeper.peer,
+                    ssl=self.service.tls.peer,
                 )
             self.loop.call_later(CONNECT, self.no_hello, end)
             return
@@ -185,7 +185,7 @@
             return end.close(f"a peer is expected here, not a {hello.role}")
         if end.dialled and hello.name != end.dialled:
             return end.close(f"{end.dialled} is expected here, not {hello.name}")
-        if self.shell.keeper.sealed and not self.proved(end, hello):
+        if self.service.tls.sealed and not self.proved(end, hello):
             log.warning(
                 "not linked: its certificate is not of that name",
                 gateway=self.me.name,
@@ -211,7 +211,7 @@
     def proved(self, end, hello):
         """Whether the peer's certificate, of authorities that are believed here, bears the name that it says."""
         try:
-            return self.shell.keeper.identify(end.transport, "")[0] == hello.name
+            return self.service.tls.identify(end.transport, "")[0] == hello.name
         except NotProved:
             return False
 
--- a/cherrydoor/peer_services.py
+++ b/cherrydoor/peer_services.py
@@ -4,11 +4,11 @@
 """
 
 
-def join(shell, incarnation=0):
+def join(service, incarnation=0):
     """The gateway's fellows, not yet started; None where it is alone. life: a number above that of an earlier start of
     the same process."""
-    if not shell.figures.peers["door"]:
+    if not service.config.peers["door"]:
         return None
     from cherrydoor.failover.fellows import Fellows
 
-    return Fellows(shell, incarnation)
+    return Fellows(service, incarnation)
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -5,7 +5,7 @@
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.reading import CHUNK, Read
 from cherrydoor.codecs import invoke
-from cherrydoor.gateway.dispatcher import Client
+from cherrydoor.gateway.dispatcher import ClientConnection
 from cherrydoor.gateway.sockets import has_unread_input, peer_closed
 from cherrydoor.protocol import messages as protocol
 
@@ -14,13 +14,13 @@
 LINGER = 0.25  # s for which a connection that is closed over unread input is read to its end
 
 
-class ClientEnd(Read, asyncio.BaseProtocol):
+class ClientProtocol(Read, asyncio.BaseProtocol):
     """A client connection, and the desk's `wire` to it."""
 
     def __init__(self, door, arrival):
-        self.door, self.arrival, self.chunk = door, arrival, door.chunk
+        self.client_listener, self.arrival, self.chunk = door, arrival, door.chunk
         self.talk, self.transport, self.closing = invoke.Conversation(), None, False
-        self.client = Client(self, has_closed=self.has_closed)
+        self.client = ClientConnection(self, has_closed=self.has_closed)
         self.waits, self.seated_once = None, False  # the id that an answer is owed for
         arrival.caller.open = self.client.open
 
@@ -37,10 +37,10 @@
             self.transport.write(self.talk.reply)
             self.talk.reply = b""
         if type(note) is invoke.Bad:
-            self.door.shell.desk.counts[f"bad calls: {note.status}"] += 1
+            self.client_listener.service.dispatcher.counters[f"bad calls: {note.status}"] += 1
             self.reply(note.status, note.reason, close=True)
-        elif note is not None and self.door.seat(self):
-            self.door.heard(self, note)
+        elif note is not None and self.client_listener.seat(self):
+            self.client_listener.heard(self, note)
 
     def seated(self, largest):
         self.seated_once = True
@@ -49,7 +49,7 @@
         """An answer of the desk's; where the gateway is leaving, the connection closes with its next answer."""
         if type(message) is not protocol.Response:
             return
-        self.door.answered(self)
+        self.client_listener.answered(self)
         if message.outcome == "handled":
             self.reply(HANDLED, message.body)
         elif message.outcome == "deferred":
@@ -63,16 +63,19 @@
             return
         body = body.encode() if isinstance(body, str) else body
         data, over = self.talk.answer(
-            status, body, -int(-stay_away // 1) if stay_away else None, close or self.door.leaving
+            status,
+            body,
+            -int(-stay_away // 1) if stay_away else None,
+            close or self.client_listener.leaving,
         )
         self.transport.write(data)
-        self.arrival.caller.used = self.door.shell.clock.now()
+        self.arrival.caller.used = self.client_listener.service.clock.now()
         if over:
             return self.shut()
         if self.transport.get_write_buffer_size() > MOST_WAITING:
             return self.abort()
         if self.talk.held:
-            self.door.shell.loop.call_soon(self.go_on)
+            self.client_listener.service.loop.call_soon(self.go_on)
 
     def go_on(self):
         """What was pipelined behind the answered event."""
@@ -94,7 +97,7 @@
             self.transport.close()
         elif self.transport.can_write_eof():
             self.transport.write_eof()
-            self.door.shell.loop.call_later(LINGER, self.transport.close)
+            self.client_listener.service.loop.call_later(LINGER, self.transport.close)
 
     def close(self, reason="", stay_away=0.0):
         """Turned away by the doors: an answer where one can be given."""
@@ -109,12 +112,12 @@
 
     def eof_received(self):
         """The client waits no longer: told at once, as the connection's end itself is told a pass later."""
-        self.door.went(self)
+        self.client_listener.went(self)
         return False
 
     def connection_lost(self, error):
         self.closing = True
-        self.door.lost(self)
+        self.client_listener.lost(self)
 
     def released(self):
         """Nothing points back here any more: what has ended is freed at once, and does not wait for a collection."""
@@ -122,7 +125,7 @@
         self.client.wire = self.arrival = None  # type: ignore[assignment]
 
 
-class Known:
+class RecentRequestIds:
     """Ids of events taken within the last two spans, so that no id is taken twice while an answer, a launch or a host
     may still know it. Two sets take turns, and each is emptied when its span is over."""
 
@@ -140,40 +143,40 @@
         return True
 
 
-class Door:
+class ClientListener:
     """All client connections of a gateway. `ends` are open, `leaving` says that each closes with its next answer."""
 
-    def __init__(self, shell):
-        self.shell, self.ends, self.leaving = shell, {}, False
+    def __init__(self, service):
+        self.service, self.ends, self.leaving = service, {}, False
         self.chunk = bytearray(
             CHUNK
         )  # one for all: what is read is copied out before the next is read
-        self.known = Known(2 * shell.station.longest)
+        self.known = RecentRequestIds(2 * service.configuration.longest)
 
     def make(self, arrival):
-        end = ClientEnd(self, arrival)
+        end = ClientProtocol(self, arrival)
         self.ends[end] = True
         return end
 
     def seat(self, end):
         """A client has said something whole: it has a place from now on, or is turned away."""
         if not end.seated_once:
-            self.shell.hall.post(d.Shown(end.arrival.caller, ""))
+            self.service.listeners.post(d.Shown(end.arrival.caller, ""))
             if end.seated_once:
-                self.shell.post(
-                    self.shell.desk.came_in,
+                self.service.post(
+                    self.service.dispatcher.client_connected,
                     end.client,
-                    protocol.Hello(protocol.VERSION, "client", "", self.shell.clock.now()),
+                    protocol.Hello(protocol.VERSION, "client", "", self.service.clock.now()),
                 )
         return end.seated_once and not end.closing
 
     def heard(self, end, note):
-        station, counts = self.shell.station, self.shell.desk.counts
+        station, counts = self.service.configuration, self.service.dispatcher.counters
         if type(note) is invoke.Ping:
-            ready = self.shell.ready and not self.leaving
+            ready = self.service.ready and not self.leaving
             return end.reply(HANDLED if ready else DEFERRED, "" if ready else "not ready")
         wrong = ""
-        if note.kind not in self.shell.desk.gate.settings.request_classes:
+        if note.kind not in self.service.dispatcher.router.settings.request_classes:
             wrong = "X-Class: no such event type"
         elif station.customers and note.customer not in station.customers:
             wrong = "X-Customer: no such customer"
@@ -182,11 +185,11 @@
         if wrong:
             counts[f"bad calls: {wrong}"] += 1
             return end.reply(BAD, wrong, close=True)
-        now = self.shell.clock.now()
+        now = self.service.clock.now()
         if not self.known.add(note.id, now):
             counts["bad calls: a known id"] += 1
             return end.reply(KNOWN, "X-Call-Id: known already", close=True)
-        figures = note.figures
+        config = note.config
         # A client sends as soon as the kernel has accepted it: what it waited for us until then is of its time.
         lasts, end.arrival.waited = max(1.0, note.patience - end.arrival.waited), 0.0
         event = protocol.Request(
@@ -197,16 +200,16 @@
             now,
             note.customer,
             note.idempotency_key,
-            figures.get("lanes", 0.0),
-            figures.get("load_ms", 0.0),
+            config.get("lanes", 0.0),
+            config.get("load_ms", 0.0),
             note.body,
         )
         end.waits = event.id
-        self.shell.post(self.came, end, event)
+        self.service.post(self.came, end, event)
 
     def came(self, end, event):
         """The desk takes no notice of an event whose time is over; here each is owed an answer."""
-        self.shell.desk.came(end.client, event)
+        self.service.dispatcher.request_received(end.client, event)
         if end.waits == event.id and event.id not in end.client.open:
             end.write(protocol.Response(event.id, "deferred", 0.0, "the time is up"))
 
@@ -215,13 +218,13 @@
 
     def went(self, end):
         if end.seated_once:
-            self.shell.post(self.shell.desk.went, end.client)
+            self.service.post(self.service.dispatcher.client_disconnected, end.client)
 
     def lost(self, end):
         self.ends.pop(end, None)
-        self.shell.hall.post(d.Gone(end.arrival.caller))
+        self.service.listeners.post(d.Gone(end.arrival.caller))
         self.went(end)
-        self.shell.post(end.released)
+        self.service.post(end.released)
 
     def leave(self):
         """Idle connections close; those with an open event do so with its answer."""
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -6,7 +6,7 @@
 from cherrydoor.admission.decide import Manners, seats
 from cherrydoor.codecs import sse
 from cherrydoor.gateway.event_loop import address
-from cherrydoor.platform.settings import Wrong, checked, need, number
+from cherrydoor.platform.settings import ConfigurationError, checked, need, number
 
 RESERVE = (
     12  # descriptors of the process itself: listener, bulletin, loop, what it reads of its use
@@ -29,7 +29,7 @@
     return text
 
 
-class Terms:
+class DispatcherLimits:
     """What bounds the desk, by the names that gateway/desk.py goes by. One launch a connection while there are
     connections left, and where a handshake has a price, while what the host has carried bears it: what spoils one then
     ends no other launch."""
@@ -49,7 +49,7 @@
         self.handshake = handshake
 
 
-class Station:
+class Configuration:
     """One gateway's configuration: for the module (lease), the desk (terms), the doors (manners) and the bulletin."""
 
     def __init__(self, said, listen, descriptors):
@@ -82,15 +82,15 @@
             self.lease = wire.lease_of(seed, said)
             self.customers = frozenset(one["name"] for one in said["tenants"])
         except KeyError as error:
-            raise Wrong(f"settings: {error} is missing") from None
+            raise ConfigurationError(f"settings: {error} is missing") from None
         except (TypeError, ValueError, AttributeError, wire.BadLine) as error:
-            raise Wrong(f"settings: {error}") from None
+            raise ConfigurationError(f"settings: {error}") from None
         handshake = said["prices"].get("handshake", 0.0)
         self.longest = max(clause.deadline_ms for clause in self.lease.request_classes)
         self.patience = FARTHEST * self.longest
         places, porch, _ = seats(sockets, RESERVE, 1)
         self.descriptors = sockets
-        self.terms = Terms(
+        self.limits = DispatcherLimits(
             said["permissions"],
             said["familyInfo"],
             handshake,
@@ -116,7 +116,7 @@
 
     def fit(self, hosts):
         """So many hosts share the descriptors that are theirs from now on."""
-        self.terms.links = seats(self.descriptors, RESERVE, hosts)[2]
+        self.limits.links = seats(self.descriptors, RESERVE, hosts)[2]
 
     def changes(self, said):
         """(the last number, what the known items tell)."""
@@ -128,7 +128,7 @@
         try:
             return no, [sse.told(item) for item in items]
         except sse.Unreadable as error:
-            raise Wrong(f"known.items: {error}") from None
+            raise ConfigurationError(f"known.items: {error}") from None
 
     def known_rows(self):
         rows = {}
@@ -143,7 +143,7 @@
         with open(path, "rb") as file:
             said = json.loads(file.read())
     except OSError as error:
-        raise Wrong(f"PROXY_CONFIG: {path}: {error.strerror}") from None
+        raise ConfigurationError(f"PROXY_CONFIG: {path}: {error.strerror}") from None
     except ValueError as error:
-        raise Wrong(f"{path}: no JSON: {error}") from None
-    return Station(said, listen, descriptors)
+        raise ConfigurationError(f"{path}: no JSON: {error}") from None
+    return Configuration(said, listen, descriptors)
--- a/cherrydoor/platform/discovery_watch.py
+++ b/cherrydoor/platform/discovery_watch.py
@@ -13,7 +13,7 @@
 PAUSES = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before the next try, by how many failed in a row
 
 
-class Reading(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One connection to the bulletin."""
 
     def __init__(self, follower, where):
@@ -50,12 +50,18 @@
         self.end(str(error) if error else "it broke off")
 
 
-class Follower:
+class DiscoveryWatch:
     """`last` is the number of the last event told, `missing` the number before which one is missing. move(where) goes
     on elsewhere."""
 
-    def __init__(self, shell, where, last):
-        self.shell, self.where, self.last, self.task, self.missing = shell, where, last, None, None
+    def __init__(self, service, where, last):
+        self.service, self.where, self.last, self.task, self.missing = (
+            service,
+            where,
+            last,
+            None,
+            None,
+        )
         self.reading: Any = None
 
     def start(self):
@@ -75,18 +81,18 @@
             failed = (
                 0 if self.last > began or self.where != where or why == "silence" else failed + 1
             )
-            self.shell.desk.counts["bulletin connections ended"] += 1
-            self.shell.say(
+            self.service.dispatcher.counters["bulletin connections ended"] += 1
+            self.service.say(
                 "the bulletin's connection has ended", where=where, why=why, last=self.last
             )
             await asyncio.sleep(PAUSES[min(failed, len(PAUSES) - 1)])
 
     async def read(self, loop, where):
         """Reads one connection to its end; says why it ended."""
-        reading = self.reading = Reading(self, where)
+        reading = self.reading = WatchConnection(self, where)
         try:
             async with asyncio.timeout(CONNECT):
-                await open_connection(self.shell.hall, lambda: reading, *address(where))
+                await open_connection(self.service.listeners, lambda: reading, *address(where))
         except (TimeoutError, OSError) as error:
             reading.end("")
             return f"not reached: {error or 'time-out'}"
@@ -110,7 +116,7 @@
         """Each number counts once, whichever connection brings it. Where one is missing the bulletin is asked anew
         from the last one told, once: a drain may be in it. A whole list under a lower number, first on a connection,
         is of a bulletin that numbers anew; it undoes no drain."""
-        counts = self.shell.desk.counts
+        counts = self.service.dispatcher.counters
         anew = reading is not None and reading.heard == 1 and told.whole and told.no < self.last
         if told.no <= self.last and not anew:
             counts["bulletin events doubled"] += 1
@@ -127,7 +133,7 @@
             return
         self.last = told.no
         self.tell(told, anew)
-        self.shell.line("the bulletin tells", heard=told.no, **({"anew": True} if anew else {}))
+        self.service.line("the bulletin tells", heard=told.no, **({"anew": True} if anew else {}))
 
     def tell(self, told, anew=False):
         if told.rows is None:
@@ -137,13 +143,13 @@
             for row in told.rows
             if not (anew and row.state == sse.READY and self.drains(row.id))
         ]
-        self.shell.post(
-            self.shell.floor.listed,
+        self.service.post(
+            self.service.upstream.listed,
             routing.UpdateKind.SNAPSHOT if told.whole else routing.UpdateKind.INCREMENTAL,
             rows,
             {row.id: row.address for row in told.rows if row.state != sse.GONE},
         )
 
     def drains(self, name):
-        host = self.shell.desk.hosts.get(name)
+        host = self.service.dispatcher.hosts.get(name)
         return host is not None and host.row.state != sse.READY
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -16,12 +16,12 @@
 from cherrydoor.admission.listener import Hall, Listener
 from cherrydoor.admission.usage import Uses
 from cherrydoor.codecs import invoke
-from cherrydoor.gateway.dispatcher import Desk
-from cherrydoor.gateway.event_loop import Turn, address
+from cherrydoor.gateway.dispatcher import Dispatcher
+from cherrydoor.gateway.event_loop import TickingService, address
 from cherrydoor.platform import configuration
-from cherrydoor.platform.client_listener import Door
-from cherrydoor.platform.discovery_watch import Follower
-from cherrydoor.platform.upstream import Floor
+from cherrydoor.platform.client_listener import ClientListener
+from cherrydoor.platform.discovery_watch import DiscoveryWatch
+from cherrydoor.platform.upstream import Upstream
 from cherrydoor.routing import Router
 
 BAD_CONFIGURATION, PORT_TAKEN, BROKEN = 64, 69, 70
@@ -46,7 +46,7 @@
         return time.time() * 1000
 
 
-class Use(Uses):
+class PlatformUsage(Uses):
     """What is in use, by the platform's limits: memory beyond what the start took, and no part of a core, since all
     clients come by one front and none is to be read less than another."""
 
@@ -60,34 +60,37 @@
         return d.Measured(said.descriptors, max(0.0, part), 0.0)
 
 
-class Platform(Turn):
+class PlatformService(TickingService):
     """The sockets of one gateway on the platform."""
 
     def __init__(self, station, path, trace=0.0, reload_wanted=lambda: False):
         """reload_wanted() tells whether SIGHUP came before this process could act on it."""
         super().__init__(Clock())
         self.reload_wanted, self.rereading = reload_wanted, None
-        self.station, self.path, self.trace, self.ready, self.code = (
+        self.configuration, self.path, self.trace, self.ready, self.code = (
             station,
             path,
             trace,
             False,
             None,
         )
-        self.said, self.began, self.listener, self.desk = {}, self.clock.now(), None, None
-        self.uses = Use(station.memory, station.descriptors)
-        self.hall = Hall(station.manners, self.clock, self.uses, self.say)
-        self.door, self.floor = Door(self), Floor(self)
+        self.said, self.began, self.listener, self.dispatcher = {}, self.clock.now(), None, None
+        self.uses = PlatformUsage(station.memory, station.descriptors)
+        self.listeners = Hall(station.manners, self.clock, self.uses, self.say)
+        self.client_listener, self.upstream = ClientListener(self), Upstream(self)
         self.done = self.loop.create_future()
-        self.desk = self.new_desk()
+        self.dispatcher = self.new_desk()
         last, items = station.known
-        self.bulletin = Follower(self, station.bulletin, last)
+        self.bulletin = DiscoveryWatch(self, station.bulletin, last)
         for told in items:
             self.bulletin.tell(told)
 
     def new_desk(self):
-        return Desk(
-            Router(self.station.lease), self.station.terms, self.floor.dial, self.clock.now()
+        return Dispatcher(
+            Router(self.configuration.lease),
+            self.configuration.limits,
+            self.upstream.dial,
+            self.clock.now(),
         )
 
     def say(self, event, **said):
@@ -110,11 +113,14 @@
     async def run(self):
         try:
             self.listener = Listener(
-                self.hall, address(self.station.listen), self.door.make, word=invoke.refusal
+                self.listeners,
+                address(self.configuration.listen),
+                self.client_listener.make,
+                word=invoke.refusal,
             )
         except OSError as error:
             print(
-                f"{self.station.listen}: the door cannot be opened: {error.strerror}",
+                f"{self.configuration.listen}: the door cannot be opened: {error.strerror}",
                 file=sys.stderr,
             )
             return PORT_TAKEN
@@ -124,7 +130,7 @@
         self.bulletin.start()
         if self.reload_wanted():
             self.read_anew()
-        self.turn()
+        self.tick()
         gc.collect()
         gc.freeze()
         gc.set_threshold(
@@ -134,29 +140,29 @@
         self.ready = True
         self.say(
             "ready",
-            gateway=self.station.name,
-            listen=self.station.listen,
-            hosts=len(self.desk.hosts),
+            gateway=self.configuration.name,
+            listen=self.configuration.listen,
+            hosts=len(self.dispatcher.hosts),
             held_mb=round(self.uses.base / 2**20, 1),
-            links=self.station.terms.links,
-            places=self.station.manners.places,
-            cores=self.station.cores,
-            memory_mb=self.station.memory >> 20,
-            sockets=self.station.descriptors,
+            links=self.configuration.limits.links,
+            places=self.configuration.manners.places,
+            cores=self.configuration.cores,
+            memory_mb=self.configuration.memory >> 20,
+            sockets=self.configuration.descriptors,
         )
         self.loop.call_later(FACTS, self.facts)
         if self.trace:
-            self.floor.traffic = {}
+            self.upstream.traffic = {}
             self.loop.call_later(self.trace / 1000, self.believed)
         code = await self.done
         self.facts()
         self.bulletin.stop()
-        self.hall.close()
-        for end in list(self.door.ends):
+        self.listeners.close()
+        for end in list(self.client_listener.ends):
             end.shut()
-        for end in list(self.floor.ends):
+        for end in list(self.upstream.ends):
             end.close()
-        self.halt()
+        self.stop_timer()
         await asyncio.sleep(0.02)
         return code
 
@@ -169,8 +175,10 @@
             self.rereading = None
         self.uses.let_go()  # the file can be opened, also where clients have all descriptors
         try:
-            new = configuration.read(self.path, self.station.listen, self.station.descriptors)
-        except configuration.Wrong as error:
+            new = configuration.read(
+                self.path, self.configuration.listen, self.configuration.descriptors
+            )
+        except configuration.ConfigurationError as error:
             if tries < len(REREAD):
                 self.rereading = self.loop.call_later(REREAD[tries], self.read_anew, tries + 1)
             return self.say("the new configuration is wrong, the old one is kept", why=str(error))
@@ -186,27 +194,27 @@
         if self.code is not None:
             return
         self.code = 0
-        self.say("leaving", events=len(self.desk.taken))
+        self.say("leaving", events=len(self.dispatcher.requests))
         self.loop.call_later(COMING, self.close_door)
-        last = max(LEAST_LAST, self.station.longest / 1000)
+        last = max(LEAST_LAST, self.configuration.longest / 1000)
         self.loop.call_later(COMING + last - 0.2, self.give_up)
 
     def close_door(self):
-        self.hall.close()
-        self.post(self.desk.drain, "the gateway is leaving")
-        self.door.leave()
+        self.listeners.close()
+        self.post(self.dispatcher.drain, "the gateway is leaving")
+        self.client_listener.leave()
         self.loop.call_later(0.1, self.look)
 
     def look(self):
         """Ends when nobody waits for an answer any more."""
-        if not self.door.ends:
+        if not self.client_listener.ends:
             return self.end(0)
-        self.door.leave()
+        self.client_listener.leave()
         self.loop.call_later(0.05, self.look)
 
     def give_up(self):
         """The process is killed soon: whoever still waits is answered now."""
-        self.desk.answer_all("the gateway ends")
+        self.dispatcher.respond_to_all("the gateway ends")
         self.end(3)
 
     def end(self, code):
@@ -214,18 +222,18 @@
             self.done.set_result(code)
 
     # ---- the turn
-    def start_anew(self):
+    def restart(self):
         """A fault in the decisions ends this desk's life: whatever it holds is dead-lettered, its links are cut, and
         another begins with the same hosts."""
         print(traceback.format_exc(), file=sys.stderr, flush=True)
-        old, rows = self.desk, self.desk.rows()
-        old.answer_all("the gateway starts anew")
-        for end in list(self.floor.ends):
+        old, rows = self.dispatcher, self.dispatcher.endpoints()
+        old.respond_to_all("the gateway starts anew")
+        for end in list(self.upstream.ends):
             end.abort()
-        self.desk = self.new_desk()
-        self.desk.counts.update(old.counts)
-        self.desk.counts["started anew"] += 1
-        self.post(self.desk.listed, "saved", rows)
+        self.dispatcher = self.new_desk()
+        self.dispatcher.counters.update(old.counters)
+        self.dispatcher.counters["started anew"] += 1
+        self.post(self.dispatcher.endpoints_updated, "saved", rows)
 
     # ---- what an operator sees
     def facts(self):
@@ -237,23 +245,23 @@
             cpu_s=round(use.ru_utime + use.ru_stime, 2),
             held_mb=round(self.uses.measure_held() / 2**20, 1),
             descriptors=self.uses.used(),
-            clients=len(self.door.ends),
-            links=len(self.floor.ends),
-            events=len(self.desk.taken),
-            hosts=len(self.desk.hosts),
-            counts=dict(self.desk.counts),
-            doors=self.hall.guard.counts,
+            clients=len(self.client_listener.ends),
+            links=len(self.upstream.ends),
+            events=len(self.dispatcher.requests),
+            hosts=len(self.dispatcher.hosts),
+            counts=dict(self.dispatcher.counters),
+            doors=self.listeners.guard.counters,
         )
 
     def believed(self):
         """The trace: for each host what the module holds to be so, beside what has crossed the sockets since."""
         self.loop.call_later(self.trace / 1000, self.believed)
-        gate, now = self.desk.gate, self.clock.now()
-        traffic, self.floor.traffic = self.floor.traffic, {}
+        router, now = self.dispatcher.router, self.clock.now()
+        traffic, self.upstream.traffic = self.upstream.traffic, {}
         rows = []
-        for name, host in sorted(gate.hosts.items()):
-            desk = self.desk.hosts.get(name)
-            open_ = sum(len(link.out) for link in desk.links) if desk else 0
+        for name, host in sorted(router.hosts.items()):
+            dispatcher = self.dispatcher.hosts.get(name)
+            open_ = sum(len(link.out) for link in dispatcher.links) if dispatcher else 0
             rows.append(
                 {
                     "host": name,
@@ -267,18 +275,18 @@
                     "mean": round(host.mean(), 1),
                     "level": round(host.level(now), 2),
                     "full": round(host.full.read(now), 2),
-                    "copies": sum(host in f.copies for f in gate.history.functions.values()),
-                    "links": len(desk.links) if desk else 0,
+                    "copies": sum(host in f.copies for f in router.history.functions.values()),
+                    "links": len(dispatcher.links) if dispatcher else 0,
                     "open": open_,
                     "crossed": traffic.get(name, {}),
                 }
             )
         self.line(
             "believed",
-            mean=round(gate.mean(), 1),
-            blind=gate.blind,
-            brisk=round(gate.brisk, 1),
-            load=round(gate.load),
+            mean=round(router.mean(), 1),
+            blind=router.blind,
+            brisk=round(router.brisk, 1),
+            load=round(router.load),
             hosts=rows,
         )
 
@@ -290,18 +298,20 @@
     path, listen = os.environ.get("PROXY_CONFIG"), os.environ.get("PROXY_LISTEN")
     try:
         if not path:
-            raise configuration.Wrong("PROXY_CONFIG: a file's path expected in the environment")
+            raise configuration.ConfigurationError(
+                "PROXY_CONFIG: a file's path expected in the environment"
+            )
         station = configuration.read(path, listen, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         said = os.environ.get("PROXY_NAME")
         if said and said != station.name:
-            raise configuration.Wrong(
+            raise configuration.ConfigurationError(
                 f"PROXY_NAME: {said!r} is not the configuration's name {station.name!r}"
             )
-    except configuration.Wrong as error:
+    except configuration.ConfigurationError as error:
         print(f"cherrydoor platform: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
 
     async def incarnation():
-        return await Platform(station, path, trace, lambda: bool(early)).run()
+        return await PlatformService(station, path, trace, lambda: bool(early)).run()
 
     return uvloop.run(incarnation())
--- a/cherrydoor/platform/settings.py
+++ b/cherrydoor/platform/settings.py
@@ -27,13 +27,13 @@
 }
 
 
-class Wrong(Exception):
+class ConfigurationError(Exception):
     """What is wrong with the configuration, with the key's place."""
 
 
 def need(good, place, expected, found):
     if not good:
-        raise Wrong(f"{place}: {expected} expected, not {str(found)[:80]!r}")
+        raise ConfigurationError(f"{place}: {expected} expected, not {str(found)[:80]!r}")
 
 
 def number(said, name, place, least):
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -23,12 +23,12 @@
 }
 
 
-class HostEnd(asyncio.Protocol):
+class HostProtocol(asyncio.Protocol):
     """One connection to a host. `tags` holds what an answer is owed for, by the word on the wire; each entry goes
     with its answer or when it is dropped, so there are as many as the link has open."""
 
     def __init__(self, floor, link):
-        self.floor, self.link, self.reader, self.tags, self.timer = (
+        self.upstream, self.link, self.reader, self.tags, self.timer = (
             floor,
             link,
             resp.Reader(),
@@ -39,15 +39,19 @@
 
     def connection_made(self, transport):
         self.transport = transport
-        self.floor.ends[self] = True
-        self.floor.shell.post(self.floor.shell.desk.linked, self.link, self)
+        self.upstream.ends[self] = True
+        self.upstream.service.post(
+            self.upstream.service.dispatcher.connection_opened, self.link, self
+        )
 
     def write(self, message):
         """An idle connection that the host has just closed is found out before anything is written to it: what is
         written may have run."""
         if self.transport.is_closing() or not self.tags and peer_closed(self.transport):
             if type(message) is not protocol.CancelAttempt:
-                self.floor.shell.post(self.floor.shell.desk.unsent, self.link, message.id)
+                self.upstream.service.post(
+                    self.upstream.service.dispatcher.message_not_sent, self.link, message.id
+                )
             return
         kind = type(message)
         if kind is protocol.Attempt:
@@ -75,16 +79,16 @@
             data = resp.release(message.function)
         else:
             raise TypeError(f"no command for {message!r}")
-        self.floor.crossed(self.link.host.id, kind.__name__)
+        self.upstream.crossed(self.link.host.id, kind.__name__)
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > MOST_WAITING:
-            self.floor.spoilt(self, "the host reads too slowly")
+            self.upstream.spoilt(self, "the host reads too slowly")
 
     def data_received(self, data):
         for answer in self.reader.feed(data):
             self.heard(answer)
         if self.reader.spoilt:
-            self.floor.spoilt(self, self.reader.spoilt)
+            self.upstream.spoilt(self, self.reader.spoilt)
         elif self.reader.held and self.timer is None:
             self.wait_for_rest()
         elif not self.reader.held and self.timer is not None:
@@ -92,7 +96,7 @@
             self.timer = None
 
     def wait_for_rest(self):
-        loop = self.floor.shell.loop
+        loop = self.upstream.service.loop
         self.timer = loop.call_later(
             UNFINISHED, after_input, loop, self.unfinished, len(self.reader.held)
         )
@@ -101,19 +105,19 @@
         """Nothing more has come of an answer for a while; where some has, it has the same time again."""
         self.timer = None
         if self.reader.held and len(self.reader.held) == size:
-            self.floor.spoilt(self, "an answer stops short")
+            self.upstream.spoilt(self, "an answer stops short")
         elif self.reader.held:
             self.wait_for_rest()
 
     def heard(self, answer):
         """What is under an id that is not open here is passed over."""
-        shell, tag, word = self.floor.shell, answer.id, answer.word
-        self.floor.crossed(self.link.host.id, word)
+        service, tag, word = self.upstream.service, answer.id, answer.word
+        self.upstream.crossed(self.link.host.id, word)
         if tag in self.tags:
             if word not in FATES:
-                return self.floor.spoilt(self, "a probe's word to a launch")
-            shell.post(
-                shell.desk.heard,
+                return self.upstream.spoilt(self, "a probe's word to a launch")
+            service.post(
+                service.dispatcher.host_replied,
                 self.link,
                 protocol.AttemptResult(
                     self.tags.pop(tag),
@@ -135,14 +139,14 @@
                     if word == resp.FIT
                     else routing.AttemptOutcome.ERROR
                 )
-                shell.post(
-                    shell.desk.heard,
+                service.post(
+                    service.dispatcher.host_replied,
                     self.link,
                     protocol.HealthCheckResult(number, fate, answer.meter.get("inflight")),
                 )
             elif tag[0] == "o" and word in FATES:
-                shell.post(
-                    shell.desk.heard,
+                service.post(
+                    service.dispatcher.host_replied,
                     self.link,
                     protocol.LoadOrderResult(number, FATES[word], answer.copies or 0),
                 )
@@ -158,40 +162,44 @@
     def connection_lost(self, error):
         if self.timer is not None:
             self.timer.cancel()
-        self.floor.ends.pop(self, None)
-        self.floor.shell.post(self.floor.shell.desk.unlinked, self.link)
+        self.upstream.ends.pop(self, None)
+        self.upstream.service.post(self.upstream.service.dispatcher.connection_lost, self.link)
 
 
-class Floor:
+class Upstream:
     """`places` has the address of each host that the desk knows; it is cut back with the desk's hosts."""
 
-    def __init__(self, shell):
-        self.shell, self.places, self.ends, self.traffic = shell, {}, {}, None
+    def __init__(self, service):
+        self.service, self.places, self.ends, self.traffic = service, {}, {}, None
 
     def dial(self, link):
         asyncio.get_running_loop().create_task(self.connect(link))
 
     async def connect(self, link):
-        await dial(self.shell, link, self.places.get(link.host.id, ""), lambda: HostEnd(self, link))
+        await dial(
+            self.service, link, self.places.get(link.host.id, ""), lambda: HostProtocol(self, link)
+        )
 
     def spoilt(self, end, why):
         """The connection is of no more use: what is open on it may have run."""
-        counts = self.shell.desk.counts
+        counts = self.service.dispatcher.counters
         counts["links spoilt"] += 1
         self.crossed(end.link.host.id, "spoilt")
-        self.shell.say("a host's connection is spoilt", host=end.link.host.id, why=why)
+        self.service.say("a host's connection is spoilt", host=end.link.host.id, why=why)
         end.abort()
-        self.shell.post(self.shell.desk.unlinked, end.link)
+        self.service.post(self.service.dispatcher.connection_lost, end.link)
 
     def listed(self, how, rows, places):
         self.places.update(places)
-        self.shell.desk.listed(how, rows)
-        self.shell.station.fit(
-            sum(host.row.state != "gone" for host in self.shell.desk.hosts.values())
+        self.service.dispatcher.endpoints_updated(how, rows)
+        self.service.configuration.fit(
+            sum(host.row.state != "gone" for host in self.service.dispatcher.hosts.values())
         )
-        if len(self.places) > 2 * len(self.shell.desk.hosts) + 16:
+        if len(self.places) > 2 * len(self.service.dispatcher.hosts) + 16:
             self.places = {
-                name: at for name, at in self.places.items() if name in self.shell.desk.hosts
+                name: at
+                for name, at in self.places.items()
+                if name in self.service.dispatcher.hosts
             }
 
     def crossed(self, host, what):
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -7,37 +7,39 @@
 from cherrydoor.routing.zone_table import Zone
 
 
-def may_get(gate, evt):
+def may_get(router, evt):
     been = [t.host for t in evt.tries]
     fit = [
-        h for h in gate.hosts.values() if h.ready(gate.now) and h not in been and gate.may(evt, h)
+        h
+        for h in router.hosts.values()
+        if h.ready(router.now) and h not in been and router.may(evt, h)
     ]
     return sorted(fit, key=lambda h: h.id)
 
 
 class RandomZone(Zone):
     def choose(self, evt):
-        hosts = may_get(self.gate, evt)
-        return (hosts[int(self.gate.chance() * len(hosts))] if hosts else None), None
+        hosts = may_get(self.router, evt)
+        return (hosts[int(self.router.chance() * len(hosts))] if hosts else None), None
 
 
 class LeastOutZone(Zone):
     def choose(self, evt):
-        return min(may_get(self.gate, evt), key=lambda h: (len(h.out), h.id), default=None), None
+        return min(may_get(self.router, evt), key=lambda h: (len(h.out), h.id), default=None), None
 
 
 def random_choice(lease):
     """Any ready host."""
-    gate = Router(lease)
-    gate.zone = RandomZone(gate)
-    return gate
+    router = Router(lease)
+    router.zone = RandomZone(router)
+    return router
 
 
 def least_out(lease):
     """The ready host with the fewest own events out, ties by id."""
-    gate = Router(lease)
-    gate.zone = LeastOutZone(gate)
-    return gate
+    router = Router(lease)
+    router.zone = LeastOutZone(router)
+    return router
 
 
 MAKERS = {"module": Router, "random": random_choice, "least-out": least_out}
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.crowd import context_of
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import failover as custody
@@ -32,7 +32,7 @@
             try:
                 self.gone, self.begun = asyncio.get_running_loop().create_future(), now()
                 await asyncio.get_running_loop().create_connection(
-                    lambda: End(self, custody.TO_CLIENT, self.hello),
+                    lambda: FramedConnection(self, custody.TO_CLIENT, self.hello),
                     self.host,
                     self.port,
                     **self.more,
--- a/cherrydoor/releases/decide.py
+++ b/cherrydoor/releases/decide.py
@@ -724,7 +724,7 @@
         for line in self.lines.values():
             if (release := line.release) is None:
                 continue
-            figures = {
+            config = {
                 what: [
                     release.new.of(what).bad,
                     release.new.of(what).all,
@@ -743,7 +743,7 @@
                     "held": release.held,
                     "why": release.why,
                     "calls": round(self.calls.get(line.function, 0.0), 1),
-                    **figures,
+                    **config,
                 }
             )
         return sorted(rows, key=lambda row: (-row["calls"], row["function"]))
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -7,8 +7,8 @@
 import msgspec
 import structlog
 
-from cherrydoor.connection import End
-from cherrydoor.gateway.control import Control
+from cherrydoor.connection import FramedConnection
+from cherrydoor.gateway.control import ControlSocket
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.releases import decide as d
 
@@ -41,11 +41,11 @@
 class Releases:
     """One gateway's versions on its loop."""
 
-    def __init__(self, shell, said):
-        self.shell, self.where = shell, said["feed"]
+    def __init__(self, service, said):
+        self.service, self.where = service, said["feed"]
         self.saved = Path(said["saved"]) if said["saved"] else None
-        self.control = Control(said["control"], self.obey) if said["control"] else None
-        self.wall = shell.clock.now  # ms since 1970, never back
+        self.control = ControlSocket(said["control"], self.obey) if said["control"] else None
+        self.wall = service.clock.now  # ms since 1970, never back
         self.versions = d.Versions(self.wall())
         self.end, self.tasks, self.told = None, [], 0
         self.take_back()
@@ -69,14 +69,14 @@
     def post(self, note):
         for action in self.versions.take(self.wall(), note):
             if type(action) is d.LoadAhead:
-                self.shell.post(self.shell.desk.foreseen, action.name)
+                self.service.post(self.service.dispatcher.function_expected, action.name)
             elif type(action) is d.Unload:
-                self.shell.post(self.shell.desk.unload, action.name, action.hosts)
+                self.service.post(self.service.dispatcher.unload, action.name, action.hosts)
             else:
-                self.shell.desk.counts[f"releases: {action.state.split(',')[0]}"] += 1
+                self.service.dispatcher.counters[f"releases: {action.state.split(',')[0]}"] += 1
                 log.info(
                     "release",
-                    gateway=self.shell.figures.name,
+                    gateway=self.service.config.name,
                     function=action.function,
                     version=action.version,
                     state=action.state,
@@ -138,7 +138,9 @@
                 self.gone = loop.create_future()
                 async with asyncio.timeout(5.0):
                     _, end = await loop.create_connection(
-                        lambda: End(self, protocol.FROM_FEED, self.shell.hello), host, int(port)
+                        lambda: FramedConnection(self, protocol.FROM_FEED, self.service.hello),
+                        host,
+                        int(port),
                     )
                 end.write(protocol.Watch())
                 pause, said = 0.1, False
@@ -185,6 +187,6 @@
         self.save()
         rows = self.versions.table()
         return {
-            "gateway": self.shell.figures.name,
+            "gateway": self.service.config.name,
             "releases": [row for row in rows if said.get("function") in (None, row["function"])],
         }
--- a/cherrydoor/routing/history_table.py
+++ b/cherrydoor/routing/history_table.py
@@ -59,10 +59,10 @@
 class History(Actor):
     """The History Table: own traffic alone. Each window halves it and drops what is no longer called."""
 
-    def __init__(self, gate):
-        super().__init__(gate.loop)
-        self.gate, self.functions, self.bar, self.calls = gate, {}, 0.0, 0
-        self.halved, self.span = gate.now, WINDOW
+    def __init__(self, router):
+        super().__init__(router.loop)
+        self.router, self.functions, self.bar, self.calls = router, {}, 0.0, 0
+        self.halved, self.span = router.now, WINDOW
 
     def window(self, now):
         halve = self.calls >= ENOUGH or now - self.halved >= 8 * WINDOW
@@ -71,7 +71,7 @@
         for func in self.functions.values():
             func.count /= 2 if halve else 1
             func.copies = {h: t for h, t in func.copies.items() if h.holds(func, now)}
-            func.opening = {h: t for h, t in func.opening.items() if now - t < 4 * self.gate.load}
+            func.opening = {h: t for h, t in func.opening.items() if now - t < 4 * self.router.load}
             func.refused = {h: t for h, t in func.refused.items() if t > now}
         self.functions = {n: f for n, f in self.functions.items() if f.count >= 0.5 or f.open}
         most = sorted((f.count for f in self.functions.values()), reverse=True)[:FEW]
@@ -79,19 +79,21 @@
 
     def hot(self, func):
         """Most-called here, and with work at once, by answers or by own calls beyond what may be chance."""
-        sure = (func.count - 2 * func.count**0.5) / (2 * self.span) * self.gate.settings.gateways
-        return func.count >= self.bar and max(func.work.value, sure * self.gate.brisk) >= BUSY
+        sure = (func.count - 2 * func.count**0.5) / (2 * self.span) * self.router.settings.gateways
+        return func.count >= self.bar and max(func.work.value, sure * self.router.brisk) >= BUSY
 
     def own(self, func):
         """The work at once of a function, were all gateways called as this one is."""
-        return func.count / (1.5 * self.span) * 2 * self.gate.brisk * self.gate.settings.gateways
+        return (
+            func.count / (1.5 * self.span) * 2 * self.router.brisk * self.router.settings.gateways
+        )
 
     def called(self, func):
         func.count, self.calls = func.count + 1, self.calls + 1
 
     def tells(self, func, host, note, stood):
         """A load where a copy was known to stand: released anew or swept out; no other is believed in."""
-        now, fate = self.gate.now, note.outcome
+        now, fate = self.router.now, note.outcome
         if fate not in (
             messages.AttemptOutcome.NO_RESPONSE,
             messages.AttemptOutcome.CANCELLED,
@@ -107,7 +109,7 @@
             own = func.work.value if stood is None else self.own(func)  # an order tells of no calls
             func.told(host, note.concurrency, own, now)
         elif fate == messages.AttemptOutcome.FULL:
-            func.refused[host], host.tight = now + self.gate.load, now
+            func.refused[host], host.tight = now + self.router.load, now
         elif fate in (
             messages.AttemptOutcome.FUNCTION_MISSING,
             messages.AttemptOutcome.CONNECT_FAILED,
--- a/cherrydoor/routing/host.py
+++ b/cherrydoor/routing/host.py
@@ -21,9 +21,9 @@
 class Host(Actor):
     """One worker as this gateway sees it: its own launches' fates first, the list second."""
 
-    def __init__(self, gate, row):
-        super().__init__(gate.loop)
-        self.gate, self.id, self.zone, self.cell = gate, row.host, row.zone, row.cell
+    def __init__(self, router, row):
+        super().__init__(router.loop)
+        self.router, self.id, self.zone, self.cell = router, row.host, row.zone, row.cell
         self.state, self.out = None, {}  # launches out, oldest first; each leaves with its outcome
         self.reset(row.started_at_ms)
 
@@ -43,9 +43,10 @@
             -1e18,
         )  # as answers tell; when short of memory
         self.tried = (
-            self.gate.now - self.gate.chance() * self.gate.settings.gateways * self.gate.mean()
+            self.router.now
+            - self.router.chance() * self.router.settings.gateways * self.router.mean()
         )
-        self.credit, self.credited = self.gate.chance(), self.gate.now  # of rule 4, while cold
+        self.credit, self.credited = self.router.chance(), self.router.now  # of rule 4, while cold
 
     def listed(self, state, since):
         if since != self.since and state == messages.HostState.READY:
@@ -54,16 +55,16 @@
 
     def level(self, now):
         """The share of its full capacity that a host has at least."""
-        age = max(0.0, now - self.since) / (self.gate.settings.cold or 1.0) if self.since else 1.0
-        return min(1.0, self.gate.settings.cold_from + (1 - self.gate.settings.cold_from) * age)
+        age = max(0.0, now - self.since) / (self.router.settings.cold or 1.0) if self.since else 1.0
+        return min(1.0, self.router.settings.cold_from + (1 - self.router.settings.cold_from) * age)
 
     def room(self, now):
         """Rule 4: this gateway's part of what a warm host bears, times level and multiple, is earned with
         time; a launch costs one. It begins below one, by chance, so that all parts add up to the whole."""
-        level, settings = self.level(now), self.gate.settings
+        level, settings = self.level(now), self.router.settings
         if level >= 1.0 or not settings.fall:
             return True
-        rate = settings.budget * level * self.gate.borne()
+        rate = settings.budget * level * self.router.borne()
         earned = self.credit + rate * (now - self.credited)
         self.credit, self.credited = min(earned, max(1.0, rate * settings.fall / 2)), now
         return self.credit >= 1.0
@@ -76,7 +77,7 @@
             and part <= LEAST * self.level(now)
             and self.room(now)
         )
-        return fit and (self.gate.blind or not bad) and not self.deaf(clause, now)
+        return fit and (self.router.blind or not bad) and not self.deaf(clause, now)
 
     def deaf(self, clause, now):
         """To one event type alone; once its time is over one event at a time tries it."""
@@ -87,31 +88,31 @@
 
     def holds(self, func, now):
         seen = func.copies.get(self, self.since)
-        return seen > self.since and now - seen < self.gate.settings.linger
+        return seen > self.since and now - seen < self.router.settings.linger
 
     def roomy(self):
-        return self.gate.now - self.tight > self.gate.settings.linger
+        return self.router.now - self.tight > self.router.settings.linger
 
     def load(self):
         """Own events out here and, as far as they were told and have not aged away, those of others."""
-        return len(self.out) + round(self.others.read(self.gate.now), 1)
+        return len(self.out) + round(self.others.read(self.router.now), 1)
 
     def wait(self, func):
         """The time that an event sent now is predicted to take, by its own answers and its own events out."""
-        now, full = self.gate.now, self.full.read(self.gate.now)
+        now, full = self.router.now, self.full.read(self.router.now)
         since = [
             t.sent if t.evt.func is func else max(t.sent, self.heard)
             for t in self.out
             if t.stood and not t.silent
         ]
-        pace = max(self.mean(), now - min(since, default=now), full * self.gate.settings.target)
+        pace = max(self.mean(), now - min(since, default=now), full * self.router.settings.target)
         own = pace * (len(self.out) + 1 + OTHERS) / (self.crowd + OTHERS)
         return max(
-            own, self.gate.each * (self.load() + 1) if now - self.others.at < WINDOW else 0.0
+            own, self.router.each * (self.load() + 1) if now - self.others.at < WINDOW else 0.0
         )
 
     def mean(self):
-        return self.pace.read(self.gate.now, self.gate.mean())
+        return self.pace.read(self.router.now, self.router.mean())
 
     def sent(self, launch, now):
         self.out[launch] = self.tried = now
@@ -120,10 +121,14 @@
 
     def busy(self):
         """T1 and T2, as shares of T2. A full answer counts as T2 and ages."""
-        t2 = max(3.0, PATIENCE * self.gate.settings.target / self.gate.brisk)
-        usual = self.gate.waited / FADED  # the mean answer time, as faded sums have it
-        told = self.load() * self.gate.each / max(PATIENCE * self.gate.settings.target, 1.5 * usual)
-        out = max(len(self.out) / t2, told) + self.full.read(self.gate.now)
+        t2 = max(3.0, PATIENCE * self.router.settings.target / self.router.brisk)
+        usual = self.router.waited / FADED  # the mean answer time, as faded sums have it
+        told = (
+            self.load()
+            * self.router.each
+            / max(PATIENCE * self.router.settings.target, 1.5 * usual)
+        )
+        out = max(len(self.out) / t2, told) + self.full.read(self.router.now)
         self.sheds = out >= (0.6 if self.sheds else 1.0)
         return self.sheds
 
@@ -160,7 +165,7 @@
         if (
             left or note.outcome == messages.AttemptOutcome.SUCCEEDED and launch.warm
         ):  # what left unanswered tells, too
-            self.pace.mean(now, note.duration_ms, 0.1, self.gate.mean())
+            self.pace.mean(now, note.duration_ms, 0.1, self.router.mean())
         if note.outcome == messages.AttemptOutcome.SUCCEEDED:
             self.strikes, self.shut = 0, 0.0
         elif note.outcome == messages.AttemptOutcome.FULL and launch.stood:
@@ -184,12 +189,12 @@
             return
         self.strikes, self.struck = self.strikes + weight, now
         if self.strikes > 1:
-            self.shut = now + 250 * 2 ** min(self.strikes, 4) * (1 + self.gate.chance())
+            self.shut = now + 250 * 2 ** min(self.strikes, 4) * (1 + self.router.chance())
 
     def patience(self, launch):
         """Silence that tells of the host. Guards against clients that wait for less, whose launches are cut
         while the host works; harms where all do: a dead host is then found by refused connections alone."""
-        return max(250.0, 4 * self.mean()) + (0 if launch.stood else 3 * self.gate.load)
+        return max(250.0, 4 * self.mean()) + (0 if launch.stood else 3 * self.router.load)
 
     def sweep(self, now):
         """Silence shows a host that stalls or is cut off: it is probed, else its events are taken back.
@@ -198,33 +203,33 @@
             ear = self.ears.setdefault(launch.evt.clause.name, Ear())
             if not launch.evt.streams and self.unheard(launch, ear, now):
                 self.strike_ear(launch, ear, now)
-                self.gate.post("take_back", launch)
+                self.router.post("take_back", launch)
         silent = any(
             now - max(sent, self.heard) > self.patience(launch)
             for launch, sent in self.out.items()
             if not launch.evt.streams
         )
         ask = not self.probing and (silent or self.strikes > 1 and self.shut <= now)
-        if ask and self.gate.settings.probes:
+        if ask and self.router.settings.probes:
             self.probing = True
-            self.gate.actions.append(messages.CheckHealth(self.id))
+            self.router.actions.append(messages.CheckHealth(self.id))
         elif ask and silent:
             self.probed(messages.AttemptOutcome.NO_RESPONSE, now)
 
     def unheard(self, launch, ear, now):
         """Out for long, nothing of its type was answered since, and events sent after it were."""
         waits = max(250.0, 4 * self.mean()) * (1 if ear.strikes else 2)
-        waits += 0 if launch.stood else 1.5 * self.gate.load
+        waits += 0 if launch.stood else 1.5 * self.router.load
         return self.passed > launch.sent and now - max(launch.sent, ear.heard) > waits
 
     def strike_ear(self, launch, ear, now):
         launch.silent = True
         if launch.sent > ear.struck:
             ear.struck, ear.strikes = now, ear.strikes + 1
-            lost, all_ = self.gate.losses[launch.evt.clause.name]
+            lost, all_ = self.router.losses[launch.evt.clause.name]
             lost.add(now, 1.0)
             sure = (1 + 20 * lost.read(now) / (20 + all_.read(now))) * 4 ** (ear.strikes - 1)
-            ear.shut = now + DEAF * min(10, sure) * (0.75 + self.gate.chance() / 2)
+            ear.shut = now + DEAF * min(10, sure) * (0.75 + self.router.chance() / 2)
 
     def probed(self, fate, now):
         self.probing = False
@@ -233,4 +238,4 @@
         elif fate != messages.AttemptOutcome.FULL:
             self.strike(2, now, now)
             for launch in self.out:
-                self.gate.post("take_back", launch)
+                self.router.post("take_back", launch)
--- a/cherrydoor/routing/zone_table.py
+++ b/cherrydoor/routing/zone_table.py
@@ -18,13 +18,13 @@
 class Zone(Actor):
     """The Zone Table: equal ranges over the sorted ids. A newcomer takes a vacancy; a long one cuts anew."""
 
-    def __init__(self, gate):
-        super().__init__(gate.loop)
-        self.gate, self.slots, self.even, self.calm = gate, [], 0.0, 0.0
+    def __init__(self, router):
+        super().__init__(router.loop)
+        self.router, self.slots, self.even, self.calm = router, [], 0.0, 0.0
 
     def relist(self, now):
         listed = sorted(
-            (h for h in self.gate.hosts.values() if h.state != messages.HostState.GONE),
+            (h for h in self.router.hosts.values() if h.state != messages.HostState.GONE),
             key=lambda h: h.id,
         )
         new = [h for h in listed if h not in self.slots and h.state == messages.HostState.READY]
@@ -39,7 +39,7 @@
     def heir(self, pos, fits, clause=None):
         """The owner of this place in the id space, or the next ready one in order. What a cold owner cannot
         bear is spread over all others by the place's lower bits: its neighbour would bear two ranges."""
-        now, (part, first) = self.gate.now, modf(pos * len(self.slots))
+        now, (part, first) = self.router.now, modf(pos * len(self.slots))
         for _ in range(SPREAD if self.slots else 0):
             if part <= LEAST * self.slots[int(first)].level(now):
                 break
@@ -58,26 +58,26 @@
         """Where all gateways' calls are held to keep a copy, though this one saw none there. Guards against
         orders and waits of each gateway for copies that long stand; harms where hosts are short of memory, or
         a copy was swept out by others' calls: events then wait for a load there. Never at a cold host."""
-        gate, n = self.gate, len(self.slots)
-        calls = func.work.value * gate.settings.linger / gate.mean() / (1 + func.groups)
-        if calls <= KEPT or gate.settings.gateways < 2 or not n:
+        router, n = self.router, len(self.slots)
+        calls = func.work.value * router.settings.linger / router.mean() / (1 + func.groups)
+        if calls <= KEPT or router.settings.gateways < 2 or not n:
             return []
         more = (
-            func.work.value >= BUSY and gate.settings.gateways > 2 * func.groups
+            func.work.value >= BUSY and router.settings.gateways > 2 * func.groups
         )  # or there are no seconds
         places = [func.home, *(func.seconds() if more else ())]
-        return [h for h in (self.slots[int(p * n)] for p in places) if h.level(gate.now) >= 1.0]
+        return [h for h in (self.slots[int(p * n)] for p in places) if h.level(router.now) >= 1.0]
 
     def outside(self, name, zone):
         """Ids of hosts of other zones where a copy of the function is held to stand."""
-        func = self.gate.history.functions.get(name)
+        func = self.router.history.functions.get(name)
         known = dict.fromkeys([*func.copies, *self.kept(func)]) if func else ()
-        return [h.id for h in known if h.zone != zone and h.holds(func, self.gate.now)]
+        return [h.id for h in known if h.zone != zone and h.holds(func, self.router.now)]
 
     def sites(self):
         """What is held of each zone: (zone, events a second that go there, mean answer time, hosts that stand)."""
-        found, now, gate = {}, self.gate.now, self.gate
-        rate = 1000 * gate.handled.read(now) / (1.44 * gate.handled.half)
+        found, now, router = {}, self.router.now, self.router
+        rate = 1000 * router.handled.read(now) / (1.44 * router.handled.half)
         for host in self.slots:
             found.setdefault(host.zone, []).extend(
                 [host] * (host.state == messages.HostState.READY and host.shut <= now)
@@ -94,17 +94,17 @@
 
     def choose(self, evt):
         """The design's path, then its exceptions: the host, and one to order a copy at, if any."""
-        func, now, gate = evt.func, self.gate.now, self.gate
+        func, now, router = evt.func, self.router.now, self.router
         been = [t.host for t in evt.tries if t.outcome != messages.AttemptOutcome.FUNCTION_MISSING]
 
         def fits(host):
-            return host not in been and func.refused.get(host, 0) <= now and gate.may(evt, host)
+            return host not in been and func.refused.get(host, 0) <= now and router.may(evt, host)
 
         home = self.heir(func.home, fits, evt.clause)
         if not home:
             return None, None
         second = self.heir(func.second(), lambda h: h is not home and fits(h), evt.clause) or home
-        hot = gate.history.hot(func) and (second.roomy() or second.holds(func, now))
+        hot = router.history.hot(func) and (second.roomy() or second.holds(func, now))
         pick = second if hot and (home.busy() or second.load() < home.load()) else home
         late = (
             SURE * evt.clause.latency_objective_ms
@@ -119,7 +119,7 @@
             pick = min([pick, *stand], key=rank)
         spare, opens = (
             min(stand, key=rank, default=None),
-            gate.settings.orders or pick in func.opening,
+            router.settings.orders or pick in func.opening,
         )
         if spare and not spare.busy() and pick not in known and opens:
             return (
@@ -135,5 +135,5 @@
                 )
                 or pick
             )
-            self.calm = now + gate.load
+            self.calm = now + router.load
         return pick, None
--- a/cherrydoor/tls/show.py
+++ b/cherrydoor/tls/show.py
@@ -32,9 +32,9 @@
     """A row for each key: kind, name, state, good, file. Problems where the lease is wrong."""
     now, rows = now or time.time() * 1000, []
     if lease:
-        from cherrydoor.config.figures import lease_of
+        from cherrydoor.config.figures import read_config
 
-        said = lease_of(lease).keys
+        said = read_config(lease).keys
         pairs = [(said["certificate"], said["key"])] if said["certificate"] else []
     else:
         path = Path(folder)
--- a/cherrydoor/zone_drain/calls.py
+++ b/cherrydoor/zone_drain/calls.py
@@ -11,28 +11,28 @@
 
 class Calls:
     def __init__(self, now):
-        self.counts, self.at, self.begun = {}, now, now
+        self.counters, self.at, self.begun = {}, now, now
 
     def launched(self, function, site):
-        found = self.counts.get(function)
+        found = self.counters.get(function)
         if found is None:
-            if len(self.counts) >= MOST:
+            if len(self.counters) >= MOST:
                 return
-            found = self.counts[function] = {}
+            found = self.counters[function] = {}
         found[site] = found.get(site, 0.0) + 1.0
 
     def fade(self, now):
         """To be called now and then; nothing is read in between."""
         part = 0.5 ** ((now - self.at) / HALVES)
         self.at = now
-        for function in list(self.counts):
+        for function in list(self.counters):
             left = {
-                site: n * part for site, n in self.counts[function].items() if n * part >= LEAST
+                site: n * part for site, n in self.counters[function].items() if n * part >= LEAST
             }
             if left:
-                self.counts[function] = left
+                self.counters[function] = left
             else:
-                del self.counts[function]
+                del self.counters[function]
 
     def rates(self, now, site):
         """[(function, events a second at the site)], the busiest first.
@@ -45,6 +45,6 @@
         self.fade(now)
         seconds = HALVES / 1000 / 0.693 * (1 - 0.5 ** ((now - self.begun) / HALVES))
         found = [
-            (name, n[site] / max(seconds, 0.1)) for name, n in self.counts.items() if site in n
+            (name, n[site] / max(seconds, 0.1)) for name, n in self.counters.items() if site in n
         ]
         return sorted(found, key=lambda one: (-one[1], one[0]))
--- a/cherrydoor/zone_drain/conducting.py
+++ b/cherrydoor/zone_drain/conducting.py
@@ -22,7 +22,7 @@
     me: str
     now: Any
     loop: Any
-    shell: Any
+    service: Any
     peers: Any
     tenures: Any
     follower: Any
@@ -131,11 +131,11 @@
 
     def hosts(self, site):
         """Of the list as it stands here, draining ones too; None where there is none yet, as after a start."""
-        if not self.shell.desk.hosts:
+        if not self.service.dispatcher.hosts:
             return None
         return [
             host.id
-            for host in self.shell.desk.hosts.values()
+            for host in self.service.dispatcher.hosts.values()
             if host.row.zone == site and host.row.state != "gone"
         ]
 
@@ -155,10 +155,10 @@
                 return
             if isinstance(action, Open):
                 for name in self.versions_of(action.function):
-                    self.shell.post(self.shell.desk.foreseen, name, site)
+                    self.service.post(self.service.dispatcher.function_expected, name, site)
             elif isinstance(action, d.Ask):
-                self.shell.post(
-                    self.shell.desk.question,
+                self.service.post(
+                    self.service.dispatcher.query_host,
                     action.host,
                     c.CountInFlight,
                     d.SAYS,
@@ -172,7 +172,9 @@
     def versions_of(self, function):
         """As this gateway calls the function by now."""
         known = [
-            name for name in self.shell.desk.gate.history.functions if self.named(name) == function
+            name
+            for name in self.service.dispatcher.router.history.functions
+            if self.named(name) == function
         ]
         return known or [function]
 
@@ -194,7 +196,7 @@
         self.heard.pop(site, None)
         self.tenures.release(f"site/{site}")
 
-    def loaded(self, name, host, good):
+    def load_ended(self, name, host, good):
         """An order of this gateway has ended."""
         for site, conductor in list(self.conductors.items()):
             if good and self.named(name) in conductor.openings.opening:
--- a/cherrydoor/zone_drain/follow.py
+++ b/cherrydoor/zone_drain/follow.py
@@ -49,13 +49,13 @@
     """Drains as this gateway knows them, by site; one that is over goes with the next start."""
 
     def __init__(self):
-        self.drains, self.since, self.counts = {}, {}, Counter()
+        self.drains, self.since, self.counters = {}, {}, Counter()
 
     def hear(self, now, wave):
         """True where it is newer than what is held."""
         held = self.drains.get(wave.site)
         if held is not None and (held.number, held.wave) >= (wave.number, wave.wave):
-            self.counts["waves that were old"] += (held.number, held.wave) > (
+            self.counters["waves that were old"] += (held.number, held.wave) > (
                 wave.number,
                 wave.wave,
             )
--- a/cherrydoor/zone_drain/shell.py
+++ b/cherrydoor/zone_drain/shell.py
@@ -20,17 +20,17 @@
     """The desk's port: defers, away, answered. Words of operators come through order()."""
 
     def __init__(self, peers, tenures):
-        self.peers, self.tenures, self.shell, self.now = peers, tenures, peers.shell, peers.now
+        self.peers, self.tenures, self.service, self.now = peers, tenures, peers.service, peers.now
         self.loop, self.me, self.follower = peers.loop, peers.me.name, d.Follower()
-        lease = self.shell.figures.lease
+        lease = self.service.config.lease
         self.kinds = {c.name: c for c in lease.request_classes}
-        self.benefits = self.shell.figures.benefits
+        self.benefits = self.service.config.benefits
         self.conductors, self.wanted, self.heard, self.seen, self.timer = {}, {}, {}, {}, None
         self.steps = {}  # site -> (share of a wave, --even) as an operator said; until it is conducted
         self.taken = self.good = 0
         self.calls = Calls(self.now())
         self.reported = {}  # site -> (when, wave) of the last report; as many as there are drains
-        self.named = plain(self.shell.releases)
+        self.named = plain(self.service.releases)
         peers.linked.append(self.linked)
         for kind, what in (
             (f.DrainWave, self.told),
@@ -64,26 +64,27 @@
             d.session(event.affinity_key, event.tenant, event.function),
         )
 
-    def defers(self, event):
+    def rejection_reason(self, event):
         return self.tells(event).defer if self.follower.drains else ""
 
-    def away(self, event, function):
+    def drained_zone(self, event, function):
         """function: as it is called, a version of the event's."""
         if function in self.seen or len(self.seen) < KNOWN:
             self.seen.setdefault(function, {})[event.request_class] = True
         return self.tells(event).away if self.follower.drains else ""
 
-    def moving(self):
+    def draining_zones(self):
         return self.follower.moving()
 
-    def launched(self, function, site):
+    def attempt_started(self, function, site):
         self.calls.launched(function, site)
 
-    def answered(self, taken, fate, now):
+    def request_finished(self, pending, fate, now):
         self.taken += 1
         self.good += (
             fate == "handled"
-            and now - taken.at <= self.kinds[taken.event.request_class].latency_objective_ms
+            and now - pending.accepted_at_ms
+            <= self.kinds[pending.request.request_class].latency_objective_ms
         )
 
     # ---- waves
@@ -94,10 +95,10 @@
             if held is not None and sender and (held.number, held.wave) > (wave.number, wave.wave):
                 self.peers.say(sender, held)  # whoever is behind hears of it from whom it told
             return
-        desk = self.shell.desk
+        dispatcher = self.service.dispatcher
         for one in wave.copies:
-            if one.function in desk.gate.history.functions:
-                self.shell.post(desk.stands, one.function, one.host)
+            if one.function in dispatcher.router.history.functions:
+                self.service.post(dispatcher.copy_reported, one.function, one.host)
         for name in list(self.peers.ends):
             if name != sender:
                 self.peers.say(name, wave)
@@ -120,24 +121,27 @@
         for wave in self.follower.drains.values():
             self.peers.say(name, wave)
 
-    def report(self, site, number, wave, taken=0, good=0):
+    def report(self, site, number, wave, pending=0, good=0):
         """How this gateway fares, and what it knows of the site. taken, good: events since the last report."""
-        desk = self.shell.desk
+        dispatcher = self.service.dispatcher
         in_hand = sum(
             len(link.out)
-            for host in desk.hosts.values()
+            for host in dispatcher.hosts.values()
             if host.row.zone == site
             for link in host.links
         )
         rates = self.calls.rates(self.now(), site)
-        self.seen = {name: types for name, types in self.seen.items() if name in self.calls.counts}
+        self.seen = {
+            name: types for name, types in self.seen.items() if name in self.calls.counters
+        }
         rest = sum(rate for _, rate in rates[NAMED:])
         told = [
-            self.lot(name, rate, desk.gate.zone.outside(name, site)) for name, rate in rates[:NAMED]
+            self.lot(name, rate, dispatcher.router.zone.outside(name, site))
+            for name, rate in rates[:NAMED]
         ]
         if rest:
             told.append(f.FunctionLoad(REST, rest))
-        zones = [f.ZoneLoad(*one) for one in desk.gate.zone.sites()]
+        zones = [f.ZoneLoad(*one) for one in dispatcher.router.zone.sites()]
         return f.ParticipantReport(
             self.me,
             self.peers.me.incarnation,
@@ -145,7 +149,7 @@
             number,
             wave,
             in_hand,
-            taken,
+            pending,
             good,
             told,
             zones,
@@ -218,15 +222,17 @@
             due = 1e18  # once
         if mine != last or now - at >= due - 1.0:
             self.reported[site] = now, mine
-            taken, good, self.taken, self.good = self.taken, self.good, 0, 0
-            self.send(wave.conductor, self.report(site, *mine, taken, good))
+            pending, good, self.taken, self.good = self.taken, self.good, 0, 0
+            self.send(wave.conductor, self.report(site, *mine, pending, good))
 
     # ---- operators
     def order(self, said):
         """A command: drain, plan (a dry run), show, hold, resume, undo."""
         do, site = said["what"], str(said["site"])
         sites = {
-            host.row.zone for host in self.shell.desk.hosts.values() if host.row.state != "gone"
+            host.row.zone
+            for host in self.service.dispatcher.hosts.values()
+            if host.row.state != "gone"
         }
         if site not in sites:
             return {
--- a/cherrydoor/zone_drain/watch.py
+++ b/cherrydoor/zone_drain/watch.py
@@ -61,5 +61,5 @@
         """(the share within target of all that was answered since then, None where that is too little to tell; of how
         many events)."""
         good = sum(g for t, g, _ in self.good if t >= since)
-        taken = sum(n for t, _, n in self.good if t >= since)
-        return (good / taken if taken >= LEAST else None), max(1, taken)
+        pending = sum(n for t, _, n in self.good if t >= since)
+        return (good / pending if pending >= LEAST else None), max(1, pending)
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -12,7 +12,7 @@
 from test_process import Daemon, Ended, given, with_folder
 
 from cherrydoor.admission import decide as d
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import messages as protocol
 
@@ -124,7 +124,7 @@
     client.shut = asyncio.get_running_loop().create_future()
     try:
         _, client.end = await asyncio.get_running_loop().create_connection(
-            lambda: End(
+            lambda: FramedConnection(
                 client,
                 protocol.TO_CLIENT,
                 lambda: protocol.Hello(protocol.VERSION, "client", "harbour", now()),
@@ -217,7 +217,7 @@
         (b"", hello),
         (hello, codec.encode(protocol.Request(1, "draft", "f", 400.0, now(), body=b"b" * 99))),
     ):
-        reader, writer = await asyncio.open_connection("127.0.0.1", stack.shell.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", stack.service.port)
         writer.write(first)
 
         async def drip(writer=writer, rest=rest):
@@ -231,7 +231,7 @@
         task.cancel()
         writer.close()
     assert (await client.answer(client.send())).outcome == "handled"
-    assert not stack.shell.hall.guard.porch.unshown
+    assert not stack.service.listeners.guard.porch.unshown
 
 
 @story
@@ -239,12 +239,12 @@
     from stack import Client
 
     quiet = await stack.start(Host("handled"), Host("handled"))
-    pourer = await Client().connect(stack.shell.port)
+    pourer = await Client().connect(stack.service.port)
     stack.opened.append(pourer)
-    flow = stack.shell.hall.guard.flow
-    stack.shell.hall.uses.measure = lambda: d.Measured(0.0, 0.0, 1.0)  # the core is short
+    flow = stack.service.listeners.guard.flow
+    stack.service.listeners.uses.measure = lambda: d.Measured(0.0, 0.0, 1.0)  # the core is short
     sent = []
-    while not stack.shell.hall.guard.counts.get("read less"):
+    while not stack.service.listeners.guard.counters.get("read less"):
         sent += [pourer.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
         await asyncio.sleep(0.002)
     assert flow.level is not None
@@ -270,13 +270,13 @@
     await stack.start(Host("handled"), bounds=known_part, plain=False)
     crowd = 400  # with five hundred beside them all find room in the kernel's queue
     flood, seats = (
-        Flood(stack.shell.port, crowd=crowd),
-        stack.shell.hall.guard.places.offices["harbour"].seated,
+        Flood(stack.service.port, crowd=crowd),
+        stack.service.listeners.guard.places.offices["harbour"].seated,
     )
     await flood.beyond(2 * crowd)
     for _ in range(2):
         assert flood.waiting() > crowd // 2, "the known ones come behind a crowd"
-        clients = await asyncio.gather(*(known(stack, stack.shell.port) for _ in range(500)))
+        clients = await asyncio.gather(*(known(stack, stack.service.port) for _ in range(500)))
         assert len(seats) == 500 and not any(client.lost_ends for client in clients)
         sent = [
             (client, client.send(f"deed {i % 20}", lasts=4900.0))
@@ -290,7 +290,7 @@
             client.end.abort()
     flood.stop()
     option, at = DROPS
-    door = stack.shell.hall.listeners[0].sock
+    door = stack.service.listeners.listeners[0].sock
     dropped = struct.unpack_from("I", door.getsockopt(socket.SOL_SOCKET, option, 64), 4 * at)[0]
     assert dropped == 0, "what the kernel drops, no gateway can let in: the flood is to leave room"
 
@@ -304,13 +304,13 @@
     await stack.start(Host("handled"), bounds=two, plain=False)
     greedy = [
         client
-        for client in await asyncio.gather(*(known(stack, stack.shell.port) for _ in range(200)))
+        for client in await asyncio.gather(*(known(stack, stack.service.port) for _ in range(200)))
         if client is not None
     ]
-    seats = stack.shell.hall.guard.places.offices
+    seats = stack.service.listeners.guard.places.offices
     assert len(seats["harbour"].seated) == 40, "its own places and the common ones"
     meadow = await asyncio.gather(
-        *(known(stack, stack.shell.port, "127.201.0.1") for _ in range(20))
+        *(known(stack, stack.service.port, "127.201.0.1") for _ in range(20))
     )
     for client in greedy[:3]:
         for i in range(100):
--- a/tests/behaviour/canonical.py
+++ b/tests/behaviour/canonical.py
@@ -41,7 +41,7 @@
         self.constants = constants
         self.tokens = {}
         self.hash = hashlib.sha256()
-        self.counts = dict.fromkeys((kind.number for kind in kinds.values()), 0)
+        self.counters = dict.fromkeys((kind.number for kind in kinds.values()), 0)
 
     def add(self, *values):
         self.hash.update(repr(tuple(self.form(value) for value in values)).encode())
@@ -66,7 +66,7 @@
 
     def form_of_message(self, message, values):
         kind = self.kinds[type(message)]
-        self.counts[kind.number] += 1
+        self.counters[kind.number] += 1
         formed = [kind.number]
         for position, value in enumerate(values):
             if position in kind.free_text:
--- a/tests/behaviour/dispatcher_world.py
+++ b/tests/behaviour/dispatcher_world.py
@@ -69,10 +69,10 @@
         *first, classes, switches = story.settings
         lease = n.settings(*first, classes=classes, **switches)
         self.classes = [values_of(each) for each in classes]
-        self.desk = n.make_dispatcher(
+        self.dispatcher = n.make_dispatcher(
             lease, self.dialed, self.now, self.list_asked, **n.dispatcher_bounds(*story.bounds)
         )
-        self.call = n.dispatcher_inputs(self.desk)
+        self.call = n.dispatcher_inputs(self.dispatcher)
 
     def play(self):
         for number in range(self.story.hosts):
--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -8,10 +8,10 @@
 
 from canonical import Kind
 
-from cherrydoor.config.figures import Terms
+from cherrydoor.config.figures import DispatcherLimits
 from cherrydoor.emulator.play import emulate
-from cherrydoor.gateway.dispatcher import Desk
-from cherrydoor.gateway.tables import Client
+from cherrydoor.gateway.dispatcher import Dispatcher
+from cherrydoor.gateway.tables import ClientConnection
 from cherrydoor.protocol import messages as wire
 from cherrydoor.rehearsal.day import read_day
 from cherrydoor.routing import Router
@@ -212,7 +212,7 @@
 
 # ---- the dispatcher: how it is made and called; `call` names are those of its inputs
 def make_dispatcher(lease, dial, now, hear, **bounds):
-    return Desk(make_module(lease), Terms(**bounds), dial, now, hear)
+    return Dispatcher(make_module(lease), DispatcherLimits(**bounds), dial, now, hear)
 
 
 def dispatcher_bounds(spare, most_open, per_link, links, connect, idle, probe, order, silence):
@@ -229,35 +229,35 @@
     )
 
 
-def dispatcher_inputs(desk):
+def dispatcher_inputs(dispatcher):
     return SimpleNamespace(
-        turn=desk.turn,
-        next_timer=desk.next_alarm,
-        post=desk.post,
-        client_came=desk.came_in,
-        request=desk.came,
-        withdrawn=desk.withdrawn,
-        client_went=desk.went,
-        listed=desk.listed,
-        list_failed=desk.list_failed,
-        connected=desk.linked,
-        disconnected=desk.unlinked,
-        greeted=desk.greeted,
-        heard=desk.heard,
-        foreseen=desk.foreseen,
-        copy_stands=desk.stands,
-        unload=desk.unload,
-        drain=desk.drain,
-        answer_all=desk.answer_all,
+        turn=dispatcher.tick,
+        next_timer=dispatcher.next_timer_ms,
+        post=dispatcher.post,
+        client_came=dispatcher.client_connected,
+        request=dispatcher.request_received,
+        withdrawn=dispatcher.request_withdrawn,
+        client_went=dispatcher.client_disconnected,
+        listed=dispatcher.endpoints_updated,
+        list_failed=dispatcher.endpoint_poll_failed,
+        connected=dispatcher.connection_opened,
+        disconnected=dispatcher.connection_lost,
+        greeted=dispatcher.host_greeted,
+        heard=dispatcher.host_replied,
+        foreseen=dispatcher.function_expected,
+        copy_stands=dispatcher.copy_reported,
+        unload=dispatcher.unload,
+        drain=dispatcher.drain,
+        answer_all=dispatcher.respond_to_all,
     )
 
 
-def dispatcher_counts(desk):
-    return desk.counts
+def dispatcher_counts(dispatcher):
+    return dispatcher.counters
 
 
-def open_requests(desk):
-    return len(desk.taken)
+def open_requests(dispatcher):
+    return len(dispatcher.requests)
 
 
 def host_of(link):
@@ -265,7 +265,7 @@
 
 
 def make_client(writer, has_closed):
-    return Client(writer, "", has_closed)
+    return ClientConnection(writer, "", has_closed)
 
 
 # ---- messages on the wire
--- a/tests/behaviour/test_decision_digests.py
+++ b/tests/behaviour/test_decision_digests.py
@@ -134,7 +134,8 @@
 
 def test_module_histories_cover_every_action_and_outcome(played):
     counts = {
-        kind: sum(world.canonical.counts[kind] for world in played.values()) for kind in range(1, 9)
+        kind: sum(world.canonical.counters[kind] for world in played.values())
+        for kind in range(1, 9)
     }
     least = {
         n.LAUNCH: 10000,
@@ -255,13 +256,13 @@
 
 def counts_by_size(world):
     """The values alone, as what is counted may get another name; zeros are left out."""
-    return sorted(value for value in n.dispatcher_counts(world.desk).values() if value)
+    return sorted(value for value in n.dispatcher_counts(world.dispatcher).values() if value)
 
 
 @pytest.mark.parametrize("name", DISPATCHER_STORIES)
 def test_dispatcher_writes_dials_and_closes_as_before(dispatched, name):
     assert dispatched[name].inputs > 2000
-    assert n.open_requests(dispatched[name].desk) == 0
+    assert n.open_requests(dispatched[name].dispatcher) == 0
     assert dispatched[name].canonical.digest() == DISPATCHER_DIGESTS[name]
 
 
@@ -272,7 +273,7 @@
 
 def test_dispatcher_histories_cover_every_message(dispatched):
     counts = {
-        kind.number: sum(world.canonical.counts[kind.number] for world in dispatched.values())
+        kind.number: sum(world.canonical.counters[kind.number] for world in dispatched.values())
         for kind in n.WIRE_KINDS.values()
     }
     assert all(counts[kind] >= 5 for kind in counts), counts
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -178,8 +178,8 @@
         for phase in phases:
             for _ in range(phase.steps):
                 self.step(phase)
-        figures = [value for _, value in self.guard.figures()]
-        self.transcript.add(self.now, figures, list(self.guard.counts.values()))
+        config = [value for _, value in self.guard.config()]
+        self.transcript.add(self.now, config, list(self.guard.counters.values()))
         return self.transcript
 
     def post(self, note):
@@ -565,9 +565,9 @@
             proof.no_worse(new, old, alpha, margin),
         )
         verdicts.add(found)
-        figures = [round(one, 9) for one in new.bounds(alpha)]
-        figures.append(round(proof.carry(new, old, margin), 9))
-        transcript.add(alpha, figures, found)
+        config = [round(one, 9) for one in new.bounds(alpha)]
+        config.append(round(proof.carry(new, old, margin), 9))
+        transcript.add(alpha, config, found)
     assert verdicts == {(True, False), (False, True), (False, False)}
     assert transcript.digest() == EVIDENCE_DIGEST
 
@@ -789,7 +789,7 @@
                 now, view.living(), view.next(3), view.keepers(), view.ended, view.doubled
             )
     for view in views:
-        transcript.add(now, view.whole(), list(view.counts.values()))
+        transcript.add(now, view.whole(), list(view.counters.values()))
     return transcript
 
 
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -23,7 +23,7 @@
 
 from cherrydoor.config import figures as configuration
 from cherrydoor.fakes import record
-from cherrydoor.gateway.endpoint_watch import Roll
+from cherrydoor.gateway.endpoint_watch import EndpointWatch
 from cherrydoor.leader_election import decide as election
 from cherrydoor.leader_election import promises as vote_file
 from cherrydoor.protocol import messages
@@ -125,8 +125,8 @@
 
 
 def host_list(path, rows=()):
-    service = SimpleNamespace(desk=SimpleNamespace(rows=lambda: list(rows)))
-    return Roll(service, "127.0.0.1:1", path, False)
+    service = SimpleNamespace(dispatcher=SimpleNamespace(endpoints=lambda: list(rows)))
+    return EndpointWatch(service, "127.0.0.1:1", path, False)
 
 
 def restored_versions(data):
@@ -351,10 +351,10 @@
 
 @pytest.mark.parametrize("name", ["gateway.lease", "shown.lease"])
 def test_stored_configuration_is_read(name):
-    found = configuration.lease_of(STORED / name)
+    found = configuration.read_config(STORED / name)
     assert found.lease == expected_settings()
     limits = [40.0, 20000, 50, 4, 250.0, 15000.0, 250.0, 10000.0, 300.0, (True, False), inf, 0.0]
-    assert sorted(map(repr, vars(found.terms).values())) == sorted(map(repr, limits))
+    assert sorted(map(repr, vars(found.limits).values())) == sorted(map(repr, limits))
     sizes = [4096, 32 * 2**20, 64 * 2**20, 65536, 15000.0]
     assert list(vars(found.bounds).values()) == sizes
 
