--- a/tests/config/test_records.py
+++ b/tests/config/test_records.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from cherrydoor.config import Problems, read, show
-from cherrydoor.config.figures import lease_of
+from cherrydoor.config.figures import read_config
 
 SCHEMA = """
 #Clause: { name: string, target: duration & >0ms, kind: *"redeliverable" | "keyed" }
@@ -137,16 +137,16 @@
     }
     path = tmp_path / "g.lease"
     path.write_text(good + plain)
-    assert lease_of(path).terms.tells == (True, True)  # a file of the old shape stays as it was
+    assert read_config(path).limits.tells == (True, True)  # a file of the old shape stays as it was
     path.write_text(good + plain + "tells: {copy: false, crowd: false}\n")
-    assert lease_of(path).lease.reports_copy is False and lease_of(path).terms.tells == (
+    assert read_config(path).lease.reports_copy is False and read_config(path).limits.tells == (
         False,
         False,
     )
     for key, text in mixes.items():
         path.write_text(good + text)
         try:
-            lease_of(path)
+            read_config(path)
         except Problems as error:
             assert [p.path for p in error.problems] == [key]
         else:
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -4,7 +4,7 @@
 
 from fleet import LONGEST, Fleet, until
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.catalogue import Catalogue
 from cherrydoor.fakes.copies import Build
 from cherrydoor.fakes.host_pool import Farm
@@ -47,7 +47,7 @@
     async def connect(self, gate):
         host, _, port = gate.door.rpartition(":")
         _, end = await asyncio.get_running_loop().create_connection(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 custody.TO_CLIENT,
                 lambda: protocol.Hello(protocol.VERSION, "client", "caller", now()),
@@ -120,9 +120,12 @@
     async def __aenter__(self):
         catalogue = Catalogue(load=(20, 40), work=(self.work, self.work), memory=(100, 100))
         store = await Store(self.rows, catalogue).start()
-        self.farm, self.roll = Farm(self.rows, catalogue), await Roll(self.rows, (1.0, 2.0)).start()
+        self.farm, self.endpoint_watch = (
+            Farm(self.rows, catalogue),
+            await Roll(self.rows, (1.0, 2.0)).start(),
+        )
         await asyncio.get_running_loop().create_connection(
-            lambda: End(
+            lambda: FramedConnection(
                 self.farm.store,
                 protocol.FROM_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
@@ -137,12 +140,12 @@
             host = await self.farm.add(name, Build(eager=False), bind=real)
             host.draw = lambda mean: mean
             self.hosts.append(host)
-            self.roll.set(
+            self.endpoint_watch.set(
                 protocol.Endpoint(
                     host.id, "ready", 0.0, f"floor-{(len(self.hosts) - 1) % self.sites}"
                 )
             )
-        self.list_at = f"127.0.0.1:{self.roll.port}"
+        self.list_at = f"127.0.0.1:{self.endpoint_watch.port}"
         await super().__aenter__()
         await self.together()
         self.caller = Caller()
--- a/tests/failover/test_claims.py
+++ b/tests/failover/test_claims.py
@@ -33,7 +33,7 @@
         claims.answer("g1", 5, one, Response(100 + number, "handled", body=b"x" * 60))
     assert (
         claims.claim("g1", 5, 102, "k", print) == (False, None)
-        and claims.counts["answers left out"] == 1
+        and claims.counters["answers left out"] == 1
     )
     assert claims.claim("g1", 5, 103, "k", print)[1].body == b"x" * 60
 
--- a/tests/failover/test_verdicts.py
+++ b/tests/failover/test_verdicts.py
@@ -130,7 +130,7 @@
         one.ended()
     late = one.next(2500.0)
     assert len(late) == 50 and all(a.outcome == "deferred" for a in late)
-    assert one.counts["out of time"] == 50 and one.settled
+    assert one.counters["out of time"] == 50 and one.settled
 
 
 # ---- entrusting
@@ -187,7 +187,7 @@
     for number, clause in enumerate(("draft", "sign", "file", "file", "draft", "sign")):
         giver.taken(0.0, trust(number, clause), 2000.0)
     assert sorted(giver.where) == [1, 2, 3]
-    assert giver.counts["left out: redeliverable"] == 2 and giver.counts["left out: keyed"] == 1
+    assert giver.counters["left out: redeliverable"] == 2 and giver.counters["left out: keyed"] == 1
     small = Giver(5, KINDS, size=100)
     small.taken(0.0, trust(1, "file", b"x" * 90), 2000.0)
     small.taken(0.0, trust(2, "draft", b"x" * 90), 2000.0)
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -25,8 +25,8 @@
 
 class Fleet:
     def __init__(self, hosts="abcd", **said):
-        self.gate, self.now, self.events = Router(LEASE._replace(**said)), 100000.0, 0
-        self.gate.start(self.now)
+        self.router, self.now, self.events = Router(LEASE._replace(**said)), 100000.0, 0
+        self.router.start(self.now)
         self.rows = {
             h: routing.Endpoint(h, routing.HostState.READY, 0.0, "z1" if h in "ab" else "z2", 0)
             for h in hosts
@@ -39,7 +39,7 @@
 
     def take(self, note, later=0.0):
         self.now += later
-        actions = self.gate.take(self.now, note)
+        actions = self.router.take(self.now, note)
         for a in actions:
             if isinstance(a, routing.StartAttempt):
                 self.sent.setdefault(a.request_id, []).append(a.host)
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -8,9 +8,9 @@
 import uvloop
 
 from cherrydoor.config import read
-from cherrydoor.config.figures import Figures, schema
-from cherrydoor.connection import End
-from cherrydoor.gateway.service import Shell
+from cherrydoor.config.figures import GatewayConfig, schema
+from cherrydoor.connection import FramedConnection
+from cherrydoor.gateway.service import GatewayService
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import Router
 
@@ -110,7 +110,7 @@
     async def start(self, port=0):
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 protocol.TO_HOST,
                 lambda: protocol.Hello(
@@ -152,7 +152,7 @@
         loop = asyncio.get_running_loop()
         self.rows, self.revision = {}, 0
         self.server = await loop.create_server(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 protocol.TO_LIST,
                 lambda: protocol.Hello(protocol.VERSION, "list", "list", now()),
@@ -193,7 +193,7 @@
 
     async def connect(self, port):
         _, self.end = await asyncio.get_running_loop().create_connection(
-            lambda: End(
+            lambda: FramedConnection(
                 self,
                 protocol.TO_CLIENT,
                 lambda: protocol.Hello(protocol.VERSION, "client", "c", now()),
@@ -243,7 +243,7 @@
 
 class Stack:
     def __init__(self):
-        self.opened, self.shell = [], None
+        self.opened, self.service = [], None
 
     async def start(self, *hosts, saved=None, plain=True, **parts):
         """A gateway that knows these hosts, with one client on it unless it is not plain TCP that is spoken there.
@@ -256,13 +256,15 @@
         text = LEASE % self.list.port + "\n".join({**REST, **parts}.values())
         if saved:
             text += f'\nsaved: "{saved}"'
-        self.shell = Shell(Figures(read(text, "f", schema("lease.schema"), "#Lease")), Router)
-        await self.shell.start()
+        self.service = GatewayService(
+            GatewayConfig(read(text, "f", schema("lease.schema"), "#Lease")), Router
+        )
+        await self.service.start()
         await self.list.got(protocol.UpdateAcknowledged)
         return await self.client() if plain else None
 
     async def client(self):
-        client = await Client().connect(self.shell.port)
+        client = await Client().connect(self.service.port)
         self.opened.append(client)
         return client
 
@@ -283,12 +285,12 @@
         await asyncio.wait_for(wait(), LONG)
 
     @property
-    def counts(self):
-        return self.shell.desk.counts
+    def counters(self):
+        return self.service.dispatcher.counters
 
     async def stop(self):
-        if self.shell:
-            await self.shell.stop()
+        if self.service:
+            await self.service.stop()
         for one in self.opened:
             if getattr(one, "server", None):
                 one.server.close()
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -18,7 +18,7 @@
     answer = await client.answer(number)
     assert answer.outcome == "deferred" and now() - begun < 2500
     await silent.got(protocol.CancelAttempt)
-    assert stack.shell.desk.taken == {} and len(client.answers(number)) == 1
+    assert stack.service.dispatcher.requests == {} and len(client.answers(number)) == 1
 
 
 @story
@@ -71,8 +71,8 @@
     host.outcome(launch)
     after = client.send(lasts=400.0)
     late = "answers to what is over or was never asked there"
-    await stack.settled(lambda: stack.counts[late])
-    assert stack.counts[late] == 1 and len(client.answers(number)) == 1
+    await stack.settled(lambda: stack.counters[late])
+    assert stack.counters[late] == 1 and len(client.answers(number)) == 1
     await client.answer(after)
 
 
@@ -86,7 +86,7 @@
     await other.got(protocol.Attempt)
     launch = asked.all(protocol.Attempt)[0]
     other.ends[0].write(protocol.AttemptResult(launch.id, "handled", 1))
-    await stack.settled(lambda: stack.counts["answers to what is over or was never asked there"])
+    await stack.settled(lambda: stack.counters["answers to what is over or was never asked there"])
     assert client.all(protocol.Response) == []
     asked.outcome(launch)
     assert (await client.answer(launch.request_id)).outcome == "handled"
@@ -144,8 +144,8 @@
     assert {r.id for r in await host.got(protocol.CancelAttempt, 5)} == {
         launch.id for launch in host.all(protocol.Attempt)
     }
-    await stack.settled(lambda: not stack.shell.desk.taken)
-    assert not stack.shell.desk.clients and not stack.shell.door.ends
+    await stack.settled(lambda: not stack.service.dispatcher.requests)
+    assert not stack.service.dispatcher.clients and not stack.service.client_listener.ends
 
 
 @story
@@ -157,8 +157,8 @@
     client.end.write(protocol.CancelRequest(number))
     client.end.write(protocol.CancelRequest(number))
     await host.got(protocol.CancelAttempt)
-    await stack.settled(lambda: stack.counts["withdrawals of what was over"])
-    assert client.all(protocol.Response) == [] and not stack.shell.desk.taken
+    await stack.settled(lambda: stack.counters["withdrawals of what was over"])
+    assert client.all(protocol.Response) == [] and not stack.service.dispatcher.requests
 
 
 @story
@@ -170,9 +170,9 @@
     )  # never recalled by the module: it may have run
     await host.got(protocol.Attempt)
     client.end.write(protocol.CancelRequest(number))
-    await stack.settled(lambda: stack.counts["clients left"])
+    await stack.settled(lambda: stack.counters["clients left"])
     assert len(await host.got(protocol.CancelAttempt)) == 1
-    await stack.settled(lambda: not stack.shell.desk.taken)
+    await stack.settled(lambda: not stack.service.dispatcher.requests)
 
 
 @story
@@ -205,7 +205,7 @@
     stack.list.ends[0].write(
         protocol.EndpointUpdate(0, "whole", [protocol.Endpoint(host.id, "ready", 0.0, "z", 0)])
     )
-    await stack.settled(lambda: stack.counts["late lists"])
+    await stack.settled(lambda: stack.counters["late lists"])
     assert (await client.answer(client.send())).outcome == "deferred" and not host.all(
         protocol.Attempt
     )
@@ -290,7 +290,7 @@
     for _ in range(60):
         deaf.send(body=bytes(200_000), lasts=4900.0)
         assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
-    await stack.settled(lambda: len(stack.shell.door.ends) == 1)
+    await stack.settled(lambda: len(stack.service.client_listener.ends) == 1)
     assert (await client.answer(client.send())).outcome == "handled"
 
 
@@ -300,9 +300,9 @@
     client = await stack.start(host)
     number = client.send(lasts=3000.0)
     client.send(lasts=3000.0, number=number)
-    await stack.settled(lambda: stack.counts["event ids doubled"])
+    await stack.settled(lambda: stack.counters["event ids doubled"])
     client.send(lasts=50.0, number=900, sent=now() - 1000)
-    await stack.settled(lambda: stack.counts["events past their time"])
+    await stack.settled(lambda: stack.counters["events past their time"])
     assert (await client.answer(client.send(clause="unheard-of"))).outcome == "dead-lettered"
     [launch] = await host.got(protocol.Attempt)
     host.outcome(launch)
@@ -336,7 +336,7 @@
 @story
 async def test_a_connection_beyond_the_bound_is_told_so(stack):
     first = await stack.start(Host("handled"), bounds="bounds: {connections: 1}")
-    second = await Client().connect(stack.shell.port)
+    second = await Client().connect(stack.service.port)
     await second.until(lambda: second.lost_ends)
     assert "too many connections from this network" in second.end.why
     assert (await first.answer(first.send())).outcome == "handled"
@@ -369,14 +369,14 @@
     await client.answer(client.send())
     port = int(host.id.rpartition(":")[2])
     host.die()
-    begun = stack.shell.clock.now()
+    begun = stack.service.clock.now()
     again = Host("handled", since=begun)
     await stack.host(again, tell=False, port=port)
     number = client.send(lasts=4500.0)
     await client.answer(number)
     await client.answer(client.send(lasts=4500.0))
-    await stack.settled(lambda: stack.counts["restarts learned from hosts"])
-    assert stack.shell.desk.gate.hosts[again.id].since == begun
+    await stack.settled(lambda: stack.counters["restarts learned from hosts"])
+    assert stack.service.dispatcher.router.hosts[again.id].since == begun
 
 
 @story
@@ -405,21 +405,21 @@
     client = await stack.start(host, may=MAY)
     number = client.send(lasts=1000.0)
     [launch] = await host.got(protocol.Attempt)
-    desk = stack.shell.desk
-    [taken] = desk.taken.values()
-    link = taken.launches[0].link
+    dispatcher = stack.service.dispatcher
+    [pending] = dispatcher.requests.values()
+    link = pending.attempts[0].link
     # both are there when the turn begins: the answer came in, and the client's time ran out
-    desk.post(desk.heard, link, protocol.AttemptResult(launch.id, "handled", 1))
-    desk.turn(taken.until + 5)
+    dispatcher.post(dispatcher.host_replied, link, protocol.AttemptResult(launch.id, "handled", 1))
+    dispatcher.tick(pending.deadline_ms + 5)
     assert (await client.answer(number)).outcome == "handled"
-    assert desk.taken == {} and len(client.answers(number)) == 1
+    assert dispatcher.requests == {} and len(client.answers(number)) == 1
 
 
 @story
 async def test_a_fault_in_the_decisions_starts_the_gateway_anew(stack):
     host = Host("handled")
     client = await stack.start(host)
-    stack.shell.desk.gate.take = None
+    stack.service.dispatcher.router.take = None
     client.send()
     await client.until(lambda: client.lost_ends)
     again = await stack.client()
@@ -430,7 +430,7 @@
 async def test_what_the_lease_says_is_not_told_reaches_the_module_as_none(stack):
     host = Host()
     client = await stack.start(host, tells="tells: {copy: false, crowd: false}")
-    heard, gate = [], stack.shell.desk.gate
+    heard, gate = [], stack.service.dispatcher.router
     take = gate.take
     gate.take = lambda now, note: heard.append(note) or take(now, note)
     number = client.send()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -121,9 +121,9 @@
 
 @with_folder
 async def test_a_port_that_is_taken(stack, tmp):
-    taken = await Host().start()
-    stack.opened.append(taken)
-    lease = await given(stack, tmp, port=int(taken.id.rpartition(":")[2]))
+    pending = await Host().start()
+    stack.opened.append(pending)
+    lease = await given(stack, tmp, port=int(pending.id.rpartition(":")[2]))
     code, errors = await (await Daemon.start(stack, lease)).end()
     assert code == 69 and "taken" in errors
 
--- a/tests/membership/test_statements.py
+++ b/tests/membership/test_statements.py
@@ -53,7 +53,7 @@
     other.hear(4.0, one.round(4.0))
     assert (
         other.members["a"].state == "here"
-        and one.counts["suspicions answered"] == 1
+        and one.counters["suspicions answered"] == 1
         and not one.ended
     )
     assert other.over(5.0, "a", 5)
@@ -79,7 +79,7 @@
         one.state(1.0, name, 1, "vanished")
     assert one.next(2) == [] and one.living() == ["g0"]
     one.hear(2.0, [Member(f"h{i}", 1) for i in range(MOST)])
-    assert len(one.members) == MOST and one.counts["names beyond the bound"]
+    assert len(one.members) == MOST and one.counters["names beyond the bound"]
     one.round(FORGET + 3.0)
     assert "g1" not in one.members and "h0" in one.members
 
--- a/tests/platform/test_change_in_service.py
+++ b/tests/platform/test_change_in_service.py
@@ -102,17 +102,19 @@
     def fails(now, note):
         raise ZeroDivisionError("a fault of the test")
 
-    platform.desk.gate.take = fails
+    platform.dispatcher.router.take = fails
     (await town.client()).call(function=f"{5:016x}")
     assert (await client.answer()).status == 502
     host.answers = host.handles
-    assert (await town.handled()).status == 200 and platform.desk.counts["started anew"] == 1
+    assert (await town.handled()).status == 200 and platform.dispatcher.counters[
+        "started anew"
+    ] == 1
 
 
 @story
 async def test_what_waits_for_a_connection_does_not_go_out_once_its_host_drains(town):
     platform, dialled, written = await town.start_within(), [], []
-    platform.desk.dial, platform.station.terms.connect = dialled.append, 60000.0
+    platform.dispatcher.dial, platform.configuration.limits.connect = dialled.append, 60000.0
 
     class Wire:
         def write(self, message):
@@ -127,9 +129,9 @@
         while not dialled:
             await asyncio.sleep(0.01)
         town.bulletins[0].tell(town.event(2, a="terminating"))
-        while platform.desk.hosts["a"].row.state == "ready":
+        while platform.dispatcher.hosts["a"].row.state == "ready":
             await asyncio.sleep(0.01)
-    platform.post(platform.desk.linked, dialled[0], Wire())
+    platform.post(platform.dispatcher.connection_opened, dialled[0], Wire())
     assert (await client.answer()).status == 503 and not written
 
 
@@ -138,14 +140,14 @@
     platform = await town.start_within(
         ("a",), limits={"cores": 1.0, "memory_mb": 64, "sockets": 128}
     )
-    before = platform.station.terms.links
+    before = platform.configuration.limits.links
     for name in "bcdefghijkl":
         await town.host(name)
     town.bulletins[0].tell(town.event(2, **{host.name: "in_service" for host in town.hosts}))
     async with asyncio.timeout(LONG):
-        while len(platform.desk.hosts) < 12:
+        while len(platform.dispatcher.hosts) < 12:
             await asyncio.sleep(0.02)
-    assert before == 12 and 1 <= platform.station.terms.links < 4
+    assert before == 12 and 1 <= platform.configuration.limits.links < 4
 
 
 @pytest.mark.parametrize(
@@ -174,5 +176,5 @@
         "known": {"no": 0, "items": []},
         "settings": {"me": 0, "instances": 1, "requestClasses": []},
     }
-    with pytest.raises(configuration.Wrong, match=place):
-        configuration.Station(said | changed, None, 1024)
+    with pytest.raises(configuration.ConfigurationError, match=place):
+        configuration.Configuration(said | changed, None, 1024)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,8 +6,8 @@
 import pytest
 from town import FUNCTION, SETTINGS
 
-from cherrydoor.gateway.dispatcher import Desk
-from cherrydoor.gateway.tables import Client
+from cherrydoor.gateway.dispatcher import Dispatcher
+from cherrydoor.gateway.tables import ClientConnection
 from cherrydoor.platform import configuration
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import Router
@@ -42,7 +42,7 @@
 
 
 def station(settings):
-    return configuration.Station(
+    return configuration.Configuration(
         {
             "name": "n1",
             "listen": "127.0.0.1:1",
@@ -60,13 +60,13 @@
 class HostWire:
     """Answers each launch at once."""
 
-    def __init__(self, desk, link):
-        self.desk, self.link = desk, link
+    def __init__(self, dispatcher, link):
+        self.dispatcher, self.link = dispatcher, link
 
     def write(self, message):
         if type(message) is protocol.Attempt:
-            self.desk.post(
-                self.desk.heard,
+            self.dispatcher.post(
+                self.dispatcher.host_replied,
                 self.link,
                 protocol.AttemptResult(message.id, "handled", 1, 2, None, b""),
             )
@@ -86,29 +86,29 @@
 def answers_of(found, kind):
     """What 40 events get of a gateway with these settings, between two warm hosts and a cold one."""
     dialled, wire = [], ClientWire()
-    desk = Desk(Router(found.lease), found.terms, dialled.append, 1000.0)
-    desk.post(
-        desk.listed,
+    dispatcher = Dispatcher(Router(found.lease), found.limits, dialled.append, 1000.0)
+    dispatcher.post(
+        dispatcher.endpoints_updated,
         "whole",
         [
             protocol.Endpoint(name, "ready", since, "east", 0)
             for name, since in (("a", 0.0), ("b", 0.0), ("c", 900.0))
         ],
     )
-    client = Client(wire)
+    client = ClientConnection(wire)
     for number in range(40):
         now = 1000.0 + 50 * number
-        desk.post(
-            desk.came,
+        dispatcher.post(
+            dispatcher.request_received,
             client,
             protocol.Request(number, kind, FUNCTION, 2000.0, now, "acme", "", 4.0, 200.0, b""),
         )
-        desk.turn(now)
+        dispatcher.tick(now)
         for link in dialled:
-            desk.post(desk.linked, link, HostWire(desk, link))
+            dispatcher.post(dispatcher.connection_opened, link, HostWire(dispatcher, link))
         dialled.clear()
-        desk.turn(now + 5)
-        desk.turn(now + 10)
+        dispatcher.tick(now + 5)
+        dispatcher.tick(now + 10)
     return wire.answers
 
 
@@ -118,7 +118,7 @@
         settings = changed(place, value)
         try:
             found = station(settings)
-        except configuration.Wrong as error:
+        except configuration.ConfigurationError as error:
             names = [key for key in place if isinstance(key, str)]
             assert str(error).startswith("settings") and any(
                 name in str(error) for name in names
--- a/tests/platform/town.py
+++ b/tests/platform/town.py
@@ -11,7 +11,7 @@
 from functools import wraps
 
 from cherrydoor.platform import configuration
-from cherrydoor.platform.process import Platform
+from cherrydoor.platform.process import PlatformService
 
 LONG = 20.0  # s after which a test that waits for something has failed
 MORE = "memory_mb:512;lanes:4;load_ms:200"
@@ -391,7 +391,7 @@
         """The same with the gateway on the test's own loop; it is what comes back."""
         await self.built(hosts)
         file = self.configuration(**changed)
-        self.within = Platform(configuration.read(file, None, 1024), file)
+        self.within = PlatformService(configuration.read(file, None, 1024), file)
         self.task = asyncio.create_task(self.within.run())
         await self.ready()
         return self.within
--- a/tests/releases/test_on_sockets.py
+++ b/tests/releases/test_on_sockets.py
@@ -82,7 +82,7 @@
 async def test_a_good_version_is_loaded_ahead_tried_and_complete(stack, tmp):
     hosts = Versioned(), Versioned()
     feed, client = await released(stack, tmp, *hosts)
-    versions = stack.shell.releases.versions
+    versions = stack.service.releases.versions
     await calls(client, 40)
     feed.release(["deed"], 3)
     await stack.settled(
@@ -106,7 +106,7 @@
 async def test_a_version_that_fails_costs_its_events_a_launch_and_is_taken_back(stack, tmp):
     hosts = Versioned({"deed@3"}), Versioned({"deed@3"})
     feed, client = await released(stack, tmp, *hosts)
-    line = stack.shell.releases.versions.lines
+    line = stack.service.releases.versions.lines
     await calls(client, 40)
     feed.release(["deed"], 3)
     await stack.settled(lambda: "deed" in line and line["deed"].release.state == d.TRIAL)
@@ -133,7 +133,7 @@
         tmp, do="dance"
     )
     feed.release(["deed"], 3)
-    versions = stack.shell.releases.versions
+    versions = stack.service.releases.versions
     await stack.settled(
         lambda: "deed" in versions.lines and versions.lines["deed"].release.state == d.TRIAL
     )
@@ -173,6 +173,6 @@
 async def test_without_a_feed_nothing_is_named_anew(stack):
     client = await stack.start(host := Versioned())
     await calls(client, 5)
-    assert stack.shell.releases is None and {x.function for x in host.all(protocol.Attempt)} == {
+    assert stack.service.releases is None and {x.function for x in host.all(protocol.Attempt)} == {
         "deed"
     }
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,7 +9,7 @@
     fleet = Fleet("a")
     event, _ = fleet.event()
     assert kinds(fleet.answer(event, routing.AttemptOutcome.FULL)) == [routing.RejectRequest]
-    assert event not in fleet.gate.events and not fleet.gate.history.functions["deed"].open
+    assert event not in fleet.router.events and not fleet.router.history.functions["deed"].open
     late, _ = fleet.event("other", max_age=200.0)
     assert kinds(fleet.answer(late, routing.AttemptOutcome.NO_RESPONSE, later=200.0)) == [
         routing.RejectRequest
@@ -19,24 +19,24 @@
     fleet.take(routing.RequestCancelled(gone))
     assert (
         kinds(fleet.answer(gone, routing.AttemptOutcome.CONNECTION_LOST)) == []
-        and not fleet.gate.events
+        and not fleet.router.events
     )
 
 
 def test_rule_1_no_launch_past_the_end_and_three_at_most_and_no_second_answer():
     fleet = Fleet("abcdef")
     event, _ = fleet.event()
-    evt, host = fleet.gate.events[event], fleet.gate.hosts["a"]
+    evt, host = fleet.router.events[event], fleet.router.hosts["a"]
     for _ in range(3):
         found = fleet.answer(event, routing.AttemptOutcome.FULL)
     assert len(fleet.sent[event]) == 3 and kinds(found) == [routing.RejectRequest]
-    fleet.gate.actions, evt.tries = [], []
-    fleet.gate.give_up(evt)
-    assert not fleet.gate.actions and not fleet.gate.may(evt, host)
+    fleet.router.actions, evt.tries = [], []
+    fleet.router.give_up(evt)
+    assert not fleet.router.actions and not fleet.router.may(evt, host)
     evt.over = False
-    assert fleet.gate.may(evt, host)
-    fleet.gate.now = evt.until
-    assert not fleet.gate.may(evt, host)
+    assert fleet.router.may(evt, host)
+    fleet.router.now = evt.until
+    assert not fleet.router.may(evt, host)
 
 
 def test_rule_1_no_host_at_all_is_answered_at_once():
@@ -82,39 +82,39 @@
 def test_rule_2_second_launch_waits_for_the_first_where_two_are_not_allowed():
     fleet = Fleet()
     event, _ = fleet.event()
-    evt = fleet.gate.events[event]
-    assert not any(fleet.gate.may(evt, h) for h in fleet.gate.hosts.values())
+    evt = fleet.router.events[event]
+    assert not any(fleet.router.may(evt, h) for h in fleet.router.hosts.values())
 
 
 def test_rule_3_nothing_goes_to_a_host_that_drains():
     fleet = Fleet("ab", may_order_loads=True)
     fleet.list(a={"state": routing.HostState.DRAINING})
     assert {fleet.handle(f"f{i}") for i in range(20)} == {"b"}
-    func, host = fleet.gate.history.functions["f1"], fleet.gate.hosts["a"]
-    assert not fleet.gate.order(func, host) and not fleet.gate.may(Open(func), host)
+    func, host = fleet.router.history.functions["f1"], fleet.router.hosts["a"]
+    assert not fleet.router.order(func, host) and not fleet.router.may(Open(func), host)
 
 
 def test_a_zone_that_a_session_has_moved_away_from_is_none_of_its_places_and_is_for_others():
     fleet = Fleet("ab", may_order_loads=True)
     func_at = {fleet.handle(f"f{i}"): f"f{i}" for i in range(20)}
-    a, b = fleet.gate.hosts["a"], fleet.gate.hosts["b"]
+    a, b = fleet.router.hosts["a"], fleet.router.hosts["b"]
     a.zone, b.zone = "north", "south"
-    func = fleet.gate.history.functions[func_at["a"]]
+    func = fleet.router.history.functions[func_at["a"]]
     event = Open(func)
-    assert fleet.gate.may(event, a) and fleet.gate.may(event, b)
+    assert fleet.router.may(event, a) and fleet.router.may(event, b)
     event.away = "north"
-    assert not fleet.gate.may(event, a) and fleet.gate.may(event, b)
+    assert not fleet.router.may(event, a) and fleet.router.may(event, b)
     assert (
-        fleet.gate.zone.outside(func.name, "south") == ["a"]
-        and fleet.gate.zone.outside(func.name, "north") == []
+        fleet.router.zone.outside(func.name, "south") == ["a"]
+        and fleet.router.zone.outside(func.name, "north") == []
     )
-    assert fleet.gate.zone.outside("never called", "north") == []
-    assert {zone: hosts for zone, _, _, hosts in fleet.gate.zone.sites()} == {
+    assert fleet.router.zone.outside("never called", "north") == []
+    assert {zone: hosts for zone, _, _, hosts in fleet.router.zone.sites()} == {
         "north": 1,
         "south": 1,
     }
     a.shut = 1e18
-    assert {zone: hosts for zone, _, _, hosts in fleet.gate.zone.sites()} == {
+    assert {zone: hosts for zone, _, _, hosts in fleet.router.zone.sites()} == {
         "north": 0,
         "south": 1,
     }
@@ -151,11 +151,11 @@
     )
     for i in range(10):
         fleet.handle(f"f{i}", later=1.0)
-    funcs, host = list(fleet.gate.history.functions.values()), fleet.gate.hosts["a"]
-    assert [fleet.gate.order(f, host) for f in funcs[:4]] == [True, True, False, False]
+    funcs, host = list(fleet.router.history.functions.values()), fleet.router.hosts["a"]
+    assert [fleet.router.order(f, host) for f in funcs[:4]] == [True, True, False, False]
     fleet.now += 6000
-    fleet.gate.now = fleet.now
-    assert fleet.gate.order(funcs[5], host) and not fleet.gate.order(funcs[6], host)
+    fleet.router.now = fleet.now
+    assert fleet.router.order(funcs[5], host) and not fleet.router.order(funcs[6], host)
 
 
 def test_a_function_foreseen_is_opened_at_its_home_within_the_ration_and_never_at_one_that_drains():
@@ -195,7 +195,7 @@
     assert fleet.sent[event] == [found[0].host] * 2
     brief, _ = fleet.event("other", max_age=200.0)
     found = fleet.answer(brief, routing.AttemptOutcome.FUNCTION_MISSING, later=180.0)
-    assert [a.at_ms for a in found if isinstance(a, routing.SetTimer)][0] < fleet.gate.events[
+    assert [a.at_ms for a in found if isinstance(a, routing.SetTimer)][0] < fleet.router.events[
         brief
     ].until
     assert kinds(fleet.take(routing.TimerFired(str(brief)), later=25.0)) == [
@@ -221,11 +221,11 @@
     fleet = Fleet(request_classes=(CLAUSE._replace(streaming=True),))
     event, _ = fleet.event()
     fleet.take(routing.StreamStarted(event, 0, fleet.sent[event][0]))
-    fleet.gate.take_back(fleet.gate.events[event].tries[0])
-    assert routing.CancelAttempt not in kinds(fleet.gate.actions + fleet.rest(20000))
+    fleet.router.take_back(fleet.router.events[event].tries[0])
+    assert routing.CancelAttempt not in kinds(fleet.router.actions + fleet.rest(20000))
     assert (
         kinds(fleet.answer(event, routing.AttemptOutcome.CONNECTION_LOST, over=True)) == []
-        and not fleet.gate.events
+        and not fleet.router.events
     )
 
 
@@ -241,7 +241,7 @@
     taken = 0
     for me in range(50):
         fleet = Fleet("a", gateway_count=50, gateway_index=me, seed=me)
-        fleet.gate.pace.value, fleet.gate.pace.at = 450.0, fleet.now
+        fleet.router.pace.value, fleet.router.pace.at = 450.0, fleet.now
         taken += fleet.event(max_age=5000.0)[0] in fleet.sent
         fleet.now += 50 * 450.0
         assert fleet.event()[0] in fleet.sent
@@ -253,13 +253,13 @@
     for _ in range(60):
         event, _ = fleet.event("deed", max_age=60.0, party="noisy", later=2.0)
         fleet.take(routing.RequestCancelled(event))
-    noisy, calm = fleet.gate.settings.tenants.values()
+    noisy, calm = fleet.router.settings.tenants.values()
     assert noisy.overloaded(fleet.now) and not calm.overloaded(fleet.now)
 
 
 def test_a_gateway_that_takes_nothing_tries_again_and_a_few_slow_hosts_do_not_make_all_seem_late():
     fleet = Fleet("ab", gateway_count=100)
-    fleet.gate.pace.value, fleet.gate.pace.at = 2000.0, fleet.now
+    fleet.router.pace.value, fleet.router.pace.at = 2000.0, fleet.now
     assert fleet.event(later=1.0)[0] not in fleet.sent
     assert fleet.event(later=15000.0)[0] in fleet.sent
     fleet = Fleet("abcd")
@@ -267,7 +267,7 @@
         event, _ = fleet.event(f"f{i}", later=100.0)
         if event in fleet.sent:
             fleet.answer(event, took=4000.0 if fleet.sent[event] == ["a"] else 50.0)
-    assert fleet.gate.mean() < 0.75 * 500.0
+    assert fleet.router.mean() < 0.75 * 500.0
 
 
 def test_launches_that_are_lost_together_shut_a_host_no_longer_than_one():
@@ -277,7 +277,7 @@
         events = [fleet.event()[0] for _ in range(count)]
         for event in events:
             fleet.answer(event, fate=routing.AttemptOutcome.CONNECT_FAILED, later=10.0)
-        shut.append(fleet.gate.hosts["a"].strikes)
+        shut.append(fleet.router.hosts["a"].strikes)
     assert shut[0] == shut[1] == 2
 
 
@@ -287,9 +287,9 @@
     host = fleet.sent[out[0]][0]
     at = [event for event in out if fleet.sent[event][0] == host]
     fleet.answer(at[0], fate=routing.AttemptOutcome.CONNECT_FAILED, later=10.0)
-    assert fleet.gate.hosts[host].shut > fleet.now
+    assert fleet.router.hosts[host].shut > fleet.now
     fleet.answer(at[1], later=10.0)
-    assert fleet.gate.hosts[host].shut <= fleet.now and not fleet.gate.hosts[host].strikes
+    assert fleet.router.hosts[host].shut <= fleet.now and not fleet.router.hosts[host].strikes
 
 
 def test_a_launch_cut_by_a_client_that_waits_for_little_is_no_strike_and_a_long_silence_is():
@@ -300,4 +300,4 @@
         fleet.answer(
             event, fate=routing.AttemptOutcome.NO_RESPONSE, took=took, over=True, later=took
         )
-        assert fleet.gate.hosts["a"].strikes == strikes
+        assert fleet.router.hosts["a"].strikes == strikes
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -19,7 +19,7 @@
     assert fleet.sent[stuck][1] != home and fleet.handle("deed") != home
     fleet.rest(3000)
     fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
-    assert not fleet.gate.hosts[home].probing and fleet.gate.hosts[home].ready(fleet.now)
+    assert not fleet.router.hosts[home].probing and fleet.router.hosts[home].ready(fleet.now)
 
 
 def test_dead_host_is_left_and_comes_back_by_a_probe():
@@ -36,7 +36,7 @@
 def test_when_most_hosts_look_bad_none_is_held_to_be():
     fleet = Fleet("abc")
     for host in ("a", "b"):
-        fleet.gate.hosts[host].strikes, fleet.gate.hosts[host].shut = 2, fleet.now + 60000
+        fleet.router.hosts[host].strikes, fleet.router.hosts[host].shut = 2, fleet.now + 60000
     fleet.rest(100)
     assert {fleet.handle(f"f{i}") for i in range(30)} == {"a", "b", "c"}
 
@@ -44,7 +44,7 @@
 def test_only_the_most_called_shed_to_a_second_worker():
     fleet = Fleet()
     home = fleet.handle("rare")
-    host = fleet.gate.hosts[home]
+    host = fleet.router.hosts[home]
     while not host.busy():  # busy with another function that lives there
         host.post("sent", Stuck(host), fleet.now)
         fleet.list()
@@ -57,7 +57,7 @@
     stood, sent, silent, clause = True, 0.0, False, routing.RequestClass("other", 500.0, 5000.0)
 
     def __init__(self, host):
-        self.host, self.evt, self.sent = host, self, host.gate.now
+        self.host, self.evt, self.sent = host, self, host.router.now
         self.func, self.streams = None, False
 
 
@@ -68,8 +68,8 @@
     fleet.event(swept)  # its copy was swept out: it waits for a load
     for _ in range(4):
         assert fleet.handle("deed", later=120.0) == home
-    stuck = fleet.gate.hosts[home]
-    funcs = fleet.gate.history.functions
+    stuck = fleet.router.hosts[home]
+    funcs = fleet.router.history.functions
     assert stuck.wait(funcs[swept]) > 800 > stuck.wait(funcs["deed"])
 
 
@@ -77,7 +77,7 @@
     for tight in (False, True):
         fleet = Fleet("abc")
         home = fleet.handle("deed")
-        for host in fleet.gate.hosts.values():
+        for host in fleet.router.hosts.values():
             host.tight = fleet.now if tight else host.tight
         fleet.event("deed")
         fleet.now += 700
@@ -89,12 +89,12 @@
     fleet = Fleet()
     fleet.list(b={"state": routing.HostState.GONE})
     fleet.rest(50000)
-    assert len(fleet.gate.zone.slots) == 4
+    assert len(fleet.router.zone.slots) == 4
     fleet.rest(13000)
-    assert [h.id for h in fleet.gate.zone.slots] == ["a", "c", "d"]
+    assert [h.id for h in fleet.router.zone.slots] == ["a", "c", "d"]
     fleet.list(b={"state": routing.HostState.READY, "started_at_ms": fleet.now})
     fleet.rest(18000)
-    assert [h.id for h in fleet.gate.zone.slots] == ["a", "b", "c", "d"]
+    assert [h.id for h in fleet.router.zone.slots] == ["a", "b", "c", "d"]
 
 
 def test_most_called_goes_by_the_work_at_once_that_answers_tell_not_by_own_calls():
@@ -124,8 +124,8 @@
         event, _ = fleet.event("deed")
         fleet.crowd = crowd
         fleet.answer(event, routing.AttemptOutcome.FULL)
-        assert fleet.gate.hosts[fleet.sent[event][0]].busy() == (crowd > 0)
-        assert (not fleet.gate.hosts[fleet.sent[event][0]].roomy()) == (crowd == 0)
+        assert fleet.router.hosts[fleet.sent[event][0]].busy() == (crowd > 0)
+        assert (not fleet.router.hosts[fleet.sent[event][0]].roomy()) == (crowd == 0)
 
 
 def test_no_copy_is_opened_on_a_second_worker_while_memory_is_short():
@@ -133,7 +133,7 @@
         fleet = Fleet(gateway_count=20)
         fleet.crowd = 1
         home = fleet.handle("deed")
-        for host in fleet.gate.hosts.values():
+        for host in fleet.router.hosts.values():
             host.tight = fleet.now if tight else host.tight
         hosts = {fleet.sent[fleet.event("deed", later=1.0)[0]][0] for _ in range(3)}
         assert (hosts == {home}) == tight
@@ -142,7 +142,7 @@
 def test_events_that_others_sent_count_for_the_pair_and_age():
     fleet = Fleet()
     fleet.crowd = 1
-    home = fleet.gate.hosts[fleet.handle("deed")]
+    home = fleet.router.hosts[fleet.handle("deed")]
     home.others = DecayingValue(fleet.now, 20.0)  # as the home's report told
     assert fleet.handle("deed") != home.id
     fleet.now += 20000
@@ -151,7 +151,7 @@
 
 def test_an_event_that_left_unanswered_teaches_that_answers_take_so_long():
     fleet = Fleet()
-    home = fleet.gate.hosts[fleet.handle("deed")]
+    home = fleet.router.hosts[fleet.handle("deed")]
     event, _ = fleet.event("deed")
     fleet.answer(event, routing.AttemptOutcome.NO_RESPONSE, took=3000.0, later=3000.0)
     assert home.mean() > 1000.0
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -24,13 +24,14 @@
         assert calm.sent[calm.event("deed")[0]][0] == first
     calm.rest(60000)
     assert (
-        "deed" not in calm.gate.history.functions or calm.gate.history.functions["deed"].count < 1
+        "deed" not in calm.router.history.functions
+        or calm.router.history.functions["deed"].count < 1
     )
 
 
 def test_home_at_t2_sheds_until_below_t1():
     fleet = Fleet(gateway_count=10)
-    host, held, shed_at = fleet.gate.hosts[fleet.handle("deed")], [], None
+    host, held, shed_at = fleet.router.hosts[fleet.handle("deed")], [], None
     while shed_at is None:
         event, _ = fleet.event("deed")
         held += [event] if fleet.sent[event][0] == host.id else []
@@ -47,7 +48,7 @@
     home = fleet.handle("deed")
     event, _ = fleet.event("deed")
     fleet.answer(event, routing.AttemptOutcome.FULL)
-    assert len(set(fleet.sent[event])) == 2 and fleet.gate.hosts[home].busy()
+    assert len(set(fleet.sent[event])) == 2 and fleet.router.hosts[home].busy()
 
 
 def test_full_where_no_copy_stood_hands_that_function_alone_to_the_next_in_order():
@@ -55,7 +56,7 @@
     event, _ = fleet.event("deed")
     fleet.answer(event, routing.AttemptOutcome.FULL)
     home, heir = fleet.sent[event]
-    assert heir == order[(order.index(home) + 1) % 4] and not fleet.gate.hosts[home].busy()
+    assert heir == order[(order.index(home) + 1) % 4] and not fleet.router.hosts[home].busy()
     fleet.answer(event)
     assert fleet.handle("deed") == heir
     assert home in {fleet.handle(f"f{i}") for i in range(20)}
@@ -65,7 +66,7 @@
     fleet = Fleet()
     home = fleet.handle("deed")
     other = next(h for h in "abcd" if h != home)
-    fleet.gate.history.functions["deed"].copies[fleet.gate.hosts[other]] = fleet.now
+    fleet.router.history.functions["deed"].copies[fleet.router.hosts[other]] = fleet.now
     fleet.event("deed")
     fleet.now += 600  # the home has stalled, and no sweep has come yet
     assert fleet.handle("deed") == other
@@ -116,8 +117,8 @@
 def test_a_function_released_anew_is_believed_nowhere_until_it_answers():
     fleet = Fleet()
     home = fleet.handle("deed")
-    func = fleet.gate.history.functions["deed"]
-    func.copies[fleet.gate.hosts["a"]] = func.copies[fleet.gate.hosts["b"]] = fleet.now
+    func = fleet.router.history.functions["deed"]
+    func.copies[fleet.router.hosts["a"]] = func.copies[fleet.router.hosts["b"]] = fleet.now
     fleet.handle("deed", copy=2)
     assert [h.id for h in func.copies] == [home]
 
@@ -149,8 +150,8 @@
         for _ in range(4):
             found += fleet.event("deed", later=1.0)[1]
         hosts = {fleet.sent[e][0] for e in range(2, 6)}
-        kept = fleet.gate.zone.kept(
-            fleet.gate.history.functions["deed"]
+        kept = fleet.router.zone.kept(
+            fleet.router.history.functions["deed"]
         )  # one alone knows by its own calls
         assert bool(kept) == (gateways == 200 and crowd == 8)
         assert (hosts != {home} and not kinds(found).count(routing.OrderLoad)) == (
@@ -161,10 +162,10 @@
 def test_second_workers_that_too_little_work_calls_for_are_not_held_to_be_kept():
     fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
     home = fleet.handle("deed")
-    func = fleet.gate.history.functions["deed"]
+    func = fleet.router.history.functions["deed"]
     for work, some in ((0.1, [home]), (0.3, None)):
         func.work.value = work
-        kept = [h.id for h in fleet.gate.zone.kept(func)]
+        kept = [h.id for h in fleet.router.zone.kept(func)]
         assert kept == some if some else len(kept) > 1
 
 
@@ -172,7 +173,7 @@
     for me in (1, 6):
         fleet = Fleet([f"h{i}" for i in range(60)], gateway_count=200, gateway_index=me)
         fleet.handle("deed")
-        func = fleet.gate.history.functions["deed"]
+        func = fleet.router.history.functions["deed"]
         func.groups, half = 8, {func.place(f"deed/{k}") for k in range(4)}
         assert set(func.seconds()) == half | {func.second()}
 
@@ -181,7 +182,7 @@
     fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
     fleet.crowd = 8
     fleet.handle("deed")
-    func, zone = fleet.gate.history.functions["deed"], fleet.gate.zone
+    func, zone = fleet.router.history.functions["deed"], fleet.router.zone
     known = zone.kept(func)
     assert len(known) > 1
     fleet.list(**{known[-1].id: {"started_at_ms": fleet.now}})
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -33,7 +33,7 @@
         fleet = Fleet("abcdefgh", gateway_index=me, gateway_count=12)
         for _ in range(80):
             untold(fleet, None, "deed", took=300.0, later=20.0)
-        places.add(fleet.gate.history.functions["deed"].second())
+        places.add(fleet.router.history.functions["deed"].second())
     assert len(places) > 4
 
 
@@ -42,12 +42,12 @@
     fleet.crowd = 30
     for _ in range(1200):
         fleet.handle(later=0.1)
-    assert 10 <= fleet.gate.history.functions["deed"].groups < 20
+    assert 10 <= fleet.router.history.functions["deed"].groups < 20
 
 
 def test_where_no_copy_is_told_a_load_does_not_pass_for_a_slow_host():
     fleet = Fleet()
-    home = fleet.gate.hosts[untold(fleet, None, "deed", took=2000.0)]
+    home = fleet.router.hosts[untold(fleet, None, "deed", took=2000.0)]
     assert home.mean() < 200
     untold(fleet, None, "deed", took=400.0)
     assert home.mean() > 125
@@ -57,10 +57,10 @@
     fleet = Fleet(gateway_count=40)
     for _ in range(30):
         home = untold(fleet, None, "deed", took=60.0, held=0.0)
-    host = fleet.gate.hosts[home]
+    host = fleet.router.hosts[home]
     assert not host.busy()
     untold(fleet, None, "deed", took=60.0, held=20.0)
-    assert host.busy() and host.wait(fleet.gate.history.functions["deed"]) > 375
+    assert host.busy() and host.wait(fleet.router.history.functions["deed"]) > 375
     fleet.now += 20000
     fleet.list()
     assert not host.busy()
@@ -69,18 +69,18 @@
 def test_where_no_report_is_told_the_crowd_tells_the_time_of_one():
     fleet = Fleet(gateway_count=40)
     for _ in range(30):
-        home = fleet.gate.hosts[fleet.handle("deed")]
+        home = fleet.router.hosts[fleet.handle("deed")]
     assert not home.busy()
     fleet.crowd = 16
     fleet.handle("deed")
-    assert home.busy() and home.wait(fleet.gate.history.functions["deed"]) > 375
+    assert home.busy() and home.wait(fleet.router.history.functions["deed"]) > 375
     loads = Fleet(gateway_count=40)
     for _ in range(3):
         loads.handle("deed", copy=2)  # the time of a load is none of the work's
-    assert loads.gate.each == 0.0
+    assert loads.router.each == 0.0
     few = Fleet("abcdef", gateway_count=3)  # own events out are a third of all: they tell
     few.handle("deed")
-    assert few.gate.each == 0.0
+    assert few.router.each == 0.0
 
 
 def test_a_host_deaf_to_one_event_type_goes_on_serving_the_other():
@@ -103,8 +103,8 @@
     fleet.take(routing.RequestArrived(fleet.events, "book", "", rare, fleet.now + 5000.0, 4.0, 0.0))
     assert fleet.sent[fleet.events] != [home] and fleet.handle(rare) == home
     deaf = [
-        fleet.gate.hosts[home].deaf(clause, fleet.now)
-        for clause in fleet.gate.settings.request_classes.values()
+        fleet.router.hosts[home].deaf(clause, fleet.now)
+        for clause in fleet.router.settings.request_classes.values()
     ]
     assert deaf == [False, True]
 
@@ -128,7 +128,7 @@
     ):
         fleet = Fleet()
         event, _ = fleet.event("deed")
-        home = fleet.gate.hosts[fleet.sent[event][0]]
+        home = fleet.router.hosts[fleet.sent[event][0]]
         fleet.take(
             routing.AttemptEnded(
                 event,
@@ -156,9 +156,9 @@
             fleet.handle(f"f{i % 20}", later=5.0)
         fleet.list(**{host: {"started_at_ms": fleet.now} for host in cold})
         fleet.take(routing.TimerFired("sweep"))
-        first, before = fleet.gate.borne(), fleet.gate.handled.read(fleet.now)
+        first, before = fleet.router.borne(), fleet.router.handled.read(fleet.now)
         fleet.handle("f1", later=0.0)
-        return first, fleet.gate.handled.read(fleet.now) - before
+        return first, fleet.router.handled.read(fleet.now) - before
 
     (first, more), (usual, each) = budgets(a=1, b=1, c=1, d=1), budgets()
     assert more > 1.3 * each, "what is answered from now on is borne by those that run"
@@ -179,8 +179,8 @@
 def test_the_first_window_is_counted_from_the_start_and_not_from_1970():
     """On real clocks the first halving had a span of fifty years: own calls told nothing until the second."""
     fleet = Fleet("ab")
-    fleet.gate.start(fleet.now)
+    fleet.router.start(fleet.now)
     for _ in range(100):
         fleet.event(later=20.0)
     fleet.rest(300.0)
-    assert 1900.0 <= fleet.gate.history.span < 4000.0
+    assert 1900.0 <= fleet.router.history.span < 4000.0
--- a/tests/tls/rings.py
+++ b/tests/tls/rings.py
@@ -4,7 +4,7 @@
 
 from stack import Client, now
 
-from cherrydoor.connection import End
+from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import decide as d
 from cherrydoor.tls import files
@@ -68,13 +68,13 @@
     """A client over TLS, with the certificate of that name; its connection may have been refused."""
     client = Client()
     await asyncio.get_running_loop().create_connection(
-        lambda: End(
+        lambda: FramedConnection(
             client,
             protocol.TO_CLIENT,
             lambda: protocol.Hello(protocol.VERSION, "client", name, now(), token=token),
         ),
         "127.0.0.1",
-        port or stack.shell.port,
+        port or stack.service.port,
         ssl=client_context(folder, name),
         server_hostname="127.0.0.1",
     )
@@ -86,4 +86,4 @@
 
 
 def seated(stack, office):
-    return len(stack.shell.hall.guard.places.offices[office].seated)
+    return len(stack.service.listeners.guard.places.offices[office].seated)
--- a/tests/tls/test_in_service.py
+++ b/tests/tls/test_in_service.py
@@ -52,7 +52,7 @@
     await stack.start(
         Host("handled"), bounds=lease_part(tmp, 'clients: "need"'), known=KNOWN, plain=False
     )
-    plain = await asyncio.open_connection("127.0.0.1", stack.shell.port)
+    plain = await asyncio.open_connection("127.0.0.1", stack.service.port)
     plain[1].write(b"\0\0\0\x08\x81\xa2is\xa3ask")
     await asyncio.wait_for(plain[0].read(), 20)
     nobody = None
@@ -73,7 +73,7 @@
     await stack.start(
         host, other, bounds=lease_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
     )
-    ring, sent, answered, ended, stop = stack.shell.keeper.ring, 0, 0, 0, False
+    ring, sent, answered, ended, stop = stack.service.tls.ring, 0, 0, 0, False
 
     async def load(name):
         nonlocal sent, answered, ended
@@ -107,7 +107,7 @@
     stop = True
     await asyncio.gather(*tasks)
     assert sent == answered + ended and ended <= 6
-    taken = stack.counts["taken"]
+    taken = stack.counters["taken"]
     assert (
         taken == answered == len(host.all(protocol.Attempt)) + len(other.all(protocol.Attempt))
     ), "no event taken is cut off"
@@ -119,7 +119,7 @@
     await stack.start(
         Host("handled"), bounds=lease_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
     )
-    ring, old = stack.shell.keeper.ring, await sealed(stack, tmp, "harbour")
+    ring, old = stack.service.tls.ring, await sealed(stack, tmp, "harbour")
     keys.authority(more=True)
     keys.issue("gateway", "g0", addresses=["127.0.0.1"])
     keys.issue("client", "meadow")
@@ -247,7 +247,7 @@
     first, idle = greeting(True), []
     for i in range(300):
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", stack.shell.port, local_addr=(f"127.3.{i % 200}.1", 0)
+            "127.0.0.1", stack.service.port, local_addr=(f"127.3.{i % 200}.1", 0)
         )
         writer.write(first[: (0, 40, len(first))[i % 3]])
         idle.append((reader, writer))
@@ -255,7 +255,7 @@
             client = await sealed(stack, tmp, "meadow")
             assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
             client.end.close()
-    guard = stack.shell.hall.guard
+    guard = stack.service.listeners.guard
     assert len(guard.porch.slots) <= guard.porch.most
     await stack.settled(lambda: not guard.porch.unshown)
     for _, writer in idle:
--- a/tests/zone_drain/test_drained_in_order.py
+++ b/tests/zone_drain/test_drained_in_order.py
@@ -190,7 +190,7 @@
             )
             for host in lost:
                 host.kill()
-                here.roll.set(protocol.Endpoint(host.id, "gone", 0.0, "floor-1"))
+                here.endpoint_watch.set(protocol.Endpoint(host.id, "gone", 0.0, "floor-1"))
 
             async def told():
                 """What whoever conducts says of it."""
@@ -209,7 +209,7 @@
             assert after["wave"] == stood["wave"] and after["why"] == stood["why"]
             for host in lost:
                 await host.start(cold=True)
-                here.roll.set(protocol.Endpoint(host.id, "ready", host.since, "floor-1"))
+                here.endpoint_watch.set(protocol.Endpoint(host.id, "ready", host.since, "floor-1"))
             await state(here, here.gates, "empty")
         assert all(len(answers) == 1 for answers in here.caller.answers.values())
 
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.gateway.dispatcher import Desk
+from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.protocol.zone_drain import DrainWave, FunctionLoad, MovedShare
 from cherrydoor.zone_drain import follow
 from cherrydoor.zone_drain.conducting import plain
@@ -101,15 +101,17 @@
 
 
 def test_a_release_loads_ahead_outside_a_site_whose_sessions_have_moved_as_well():
-    desk = SimpleNamespace(notes=[], site=SimpleNamespace(moving=lambda: ["s"]))
-    Desk.foreseen(desk, "deed@2")
-    assert [(note.function, note.drained_zone) for note in desk.notes] == [
+    dispatcher = SimpleNamespace(
+        router_messages=[], zone_drain=SimpleNamespace(draining_zones=lambda: ["s"])
+    )
+    Dispatcher.function_expected(dispatcher, "deed@2")
+    assert [(note.function, note.drained_zone) for note in dispatcher.router_messages] == [
         ("deed@2", ""),
         ("deed@2", "s"),
     ]
-    desk.notes.clear()
-    Desk.foreseen(desk, "deed@2", "s")
-    assert [note.drained_zone for note in desk.notes] == ["s"], (
+    dispatcher.router_messages.clear()
+    Dispatcher.function_expected(dispatcher, "deed@2", "s")
+    assert [note.drained_zone for note in dispatcher.router_messages] == ["s"], (
         "a drain's own copy is wanted outside alone"
     )
 
