--- a/bench/admission.py
+++ b/bench/admission.py
@@ -161,18 +161,18 @@
 
 def addresses_seen(count):
     """(bytes held, streets) after so many addresses knocked and went, ten thousand a second."""
-    guard, now = d.Guard(d.Manners(400), 0.0), 0.0
+    guard, now = d.AdmissionController(d.ClientLimits(400), 0.0), 0.0
     before = resident()
     for i in range(count):
         now += 0.1
-        caller = d.Caller(
+        caller = d.AdmittedConnection(
             f"{20 + i % 200}.{i // 200 % 256}.{i * 13 // 51200 % 256}.{i * 31 % 256}", now
         )
-        guard.take(now, d.Knock(caller))
-        guard.take(now, d.Gone(caller))
+        guard.take(now, d.ConnectionAccepted(caller))
+        guard.take(now, d.ConnectionClosed(caller))
         if i % 1000 == 0:
-            guard.take(now, d.Measured(0.1, 0.1, 0.1))
-    return resident() - before, sum(map(len, guard.streets.tables))
+            guard.take(now, d.UsageMeasured(0.1, 0.1, 0.1))
+    return resident() - before, sum(map(len, guard.networks.tables))
 
 
 def main():
--- a/cherrydoor/admission/reading.py
+++ b/cherrydoor/admission/chunked_reading.py
@@ -4,16 +4,16 @@
 from typing import Any
 
 from cherrydoor.admission import decide as d
-from cherrydoor.admission.listener import Arrival
+from cherrydoor.admission.listener import IncomingConnection
 
-CHUNK = 16 * 1024  # bytes read from one client in one pass, so that all have their turn
+CHUNK_BYTES = 16 * 1024  # bytes read from one client in one pass, so that all have their turn
 
 
-class Read(asyncio.BaseProtocol):
+class ChunkedReading(asyncio.BaseProtocol):
     """What an end that was let in shares, on a protocol that reads in chunks. A subclass has `arrival` and take(data),
     which gives how many bytes of an unfinished frame are held."""
 
-    arrival: Arrival
+    arrival: IncomingConnection
     chunk: bytearray
     transport: Any
     resting = False
@@ -25,22 +25,22 @@
         return memoryview(self.chunk)
 
     def buffer_updated(self, count):
-        caller = self.arrival.caller
+        connection = self.arrival.connection
         self.data_received(bytes(memoryview(self.chunk)[:count]))
-        caller.used = self.arrival.listeners.clock.now()
+        connection.used = self.arrival.listeners.clock.now()
 
     def holds(self, size, finished):
         """Keeps count of what is unfinished; the guard is told where the group holds too much."""
-        caller = self.arrival.caller
-        if size and (finished or not caller.partial):
-            caller.partial = self.arrival.listeners.clock.now()
+        connection = self.arrival.connection
+        if size and (finished or not connection.partial):
+            connection.partial = self.arrival.listeners.clock.now()
         elif not size:
-            caller.partial = 0.0
-        group = caller.group
+            connection.partial = 0.0
+        group = connection.group
         if group is not None:
-            more, caller.held = size - caller.held, size
+            more, connection.held = size - connection.held, size
             if more and group.holds(more) and more > 0:
-                self.arrival.listeners.post(d.Swollen(caller))
+                self.arrival.listeners.post(d.BufferLimitExceeded(connection))
 
     def pause(self):
         if not self.resting and not self.transport.is_closing():
--- a/cherrydoor/admission/manners.py
+++ b/cherrydoor/admission/client_limits.py
@@ -1,16 +1,18 @@
 """What a lease says of connections and known clients, as admission goes by it."""
 
-from cherrydoor.admission.decide import Known, Manners
+from cherrydoor.admission.decide import ClientLimits, KnownClientSettings
 
 
-def manners_of(config):
+def client_limits_of(config):
     """What the doors of the gateway with these figures go by."""
     door, bounds = config.admission, config.bounds
     known = tuple(
-        Known(one["name"], one["places"], one["most"] or 2 * one["places"], tuple(one["addresses"]))
+        KnownClientSettings(
+            one["name"], one["places"], one["most"] or 2 * one["places"], tuple(one["addresses"])
+        )
         for one in door["known"]
     )
-    return Manners(
+    return ClientLimits(
         bounds.connections,
         known,
         door["pace"],
--- a/cherrydoor/admission/decide.py
+++ b/cherrydoor/admission/decide.py
@@ -31,51 +31,51 @@
 
 # ---- notes from the shell
 @dataclass(slots=True)
-class Knock:
+class ConnectionAccepted:
     """A connection has been accepted. `door` names the kind of listener, `sealed` says that it needs a handshake."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
     sealed: bool = False
 
 
 @dataclass(slots=True)
-class Shown:
+class ClientIdentified:
     """It has said who it is: an office that proved itself by certificate or token, or "" for anybody."""
 
-    caller: "Caller"
-    office: str
+    connection: "AdmittedConnection"
+    known_client: str
 
 
 @dataclass(slots=True)
-class Gone:
+class ConnectionClosed:
     """The connection is closed, by whichever end."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
 
 
 @dataclass(slots=True)
-class Poured:
+class ReadQuotaExceeded:
     """The caller has been read beyond what its group may within this window."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
 
 
 @dataclass(slots=True)
-class Swollen:
+class BufferLimitExceeded:
     """Bytes of unfinished frames have gone beyond what its group may hold."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
 
 
 @dataclass(slots=True)
-class Exhausted:
+class DescriptorsExhausted:
     """A call failed for want of descriptors; `needed` where a host connection is what waits for one."""
 
     needed: bool
 
 
 @dataclass(slots=True)
-class Measured:
+class UsageMeasured:
     """Once each window: parts in use (0 to 1) of descriptors and of memory, and the part of the last window in which
     the process had the core."""
 
@@ -85,51 +85,51 @@
 
 
 @dataclass(slots=True)
-class Freed:
+class SlotFreed:
     """From the places to the guard: one of this office's connections has ended."""
 
-    office: "Office"
+    known_client: "KnownClient"
 
 
 # ---- actions for the shell
 @dataclass(slots=True)
-class LetIn:
+class StartHandshake:
     """Goes on to its handshake, or to its hello where there is none."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
 
 
 @dataclass(slots=True)
-class Seat:
+class Admit:
     """It has a place; `largest` is the longest frame in bytes that is read from it."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
     largest: int
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Not let in, or closed; it may come back after stay_away ms."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
     word: str
-    stay_away: float
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
-class Pause:
+class PauseReading:
     """Nothing is read from it for a while."""
 
-    caller: "Caller"
+    connection: "AdmittedConnection"
 
 
 @dataclass(slots=True)
-class Resume:
-    caller: "Caller"
+class ResumeReading:
+    connection: "AdmittedConnection"
 
 
 @dataclass(slots=True)
-class Rest:
+class PauseAccepting:
     """Accept nothing for so long."""
 
     span: float
@@ -149,7 +149,7 @@
     return (4, int(ip.ipv4_mapped)) if ip.ipv4_mapped else (6, int(ip))
 
 
-class Bucket:
+class LeakyBucket:
     """Leaks `pace` a second and holds `depth`; a drop goes in where there is room."""
 
     __slots__ = ("level", "at")
@@ -168,7 +168,7 @@
         self.level += 1
 
 
-class Group:
+class ReadGroup:
     """What is shared by the connections of one office or, for strangers, of one address: reading and bytes held."""
 
     __slots__ = ("read", "allowed", "held", "most_held", "callers", "paused", "whole")
@@ -192,7 +192,7 @@
         return over
 
 
-class Office:
+class KnownClient:
     """A known client. `own` places are its alone, `most` is what it may have with common ones."""
 
     __slots__ = ("name", "own", "most", "bucket", "group", "seated", "learned", "nets", "line")
@@ -204,8 +204,8 @@
             for one in (ip_network(n, strict=False) for n in nets)
         ]
         self.bucket, self.group, self.seated, self.learned = (
-            Bucket(now),
-            Group(most_held),
+            LeakyBucket(now),
+            ReadGroup(most_held),
             {},
             OrderedDict(),
         )
@@ -218,24 +218,24 @@
         return max(0, len(self.seated) - self.own)
 
 
-class Street:
+class NetworkPrefix:
     """A network as it is seen at one width."""
 
-    __slots__ = ("width", "key", "bucket", "porch", "seated", "group")
+    __slots__ = ("width", "key", "bucket", "pending", "seated", "group")
 
     def __init__(self, width, key, now, group):
-        self.width, self.key, self.bucket = width, key, Bucket(now)
-        self.porch, self.seated, self.group = 0, {}, group
+        self.width, self.key, self.bucket = width, key, LeakyBucket(now)
+        self.pending, self.seated, self.group = 0, {}, group
 
 
-class Caller:
+class AdmittedConnection:
     """A connection. The shell keeps `used` (when last something came or was answered), `open` (events it waits for),
     `partial` (since when a frame is unfinished, 0 for none) and `held` (bytes of it)."""
 
     __slots__ = (
         "address",
-        "streets",
-        "office",
+        "networks",
+        "known_client",
         "hinted",
         "state",
         "since",
@@ -251,7 +251,7 @@
 
     def __init__(self, address, now, wire=None):
         self.address, self.since, self.used, self.wire = address, now, now, wire
-        self.streets, self.office, self.hinted, self.state = (), None, None, "new"
+        self.networks, self.known_client, self.hinted, self.state = (), None, None, "new"
         self.open, self.partial, self.held, self.group, self.slot, self.sealed = (
             0,
             0.0,
@@ -263,7 +263,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class KnownClientSettings:
     """An office as handed over. `addresses` are networks by which it is known before it has said anything."""
 
     name: str
@@ -273,11 +273,11 @@
 
 
 @dataclass(slots=True)
-class Manners:
+class ClientLimits:
     """What admission goes by. `places` is the number of connections in all. Paces are new connections a second,
     bursts how many may come at once; times in ms; sizes in bytes."""
 
-    places: int
+    connection_slots: int
     known: tuple = ()
     pace: float = 20.0
     burst: float = 60.0
@@ -293,10 +293,10 @@
     office_bytes: int = 64 << 20
     seed: int = 1
     parts: tuple = PARTS  # all whole where everybody comes by one front
-    porch: int = 0  # its places; 0 for an eighth of `places`
+    pending: int = 0  # its places; 0 for an eighth of `places`
 
 
-def divide(limit, used, gateways, hosts_most):
+def divide_descriptors(limit, used, gateways, hosts_most):
     """Descriptors of one process: (for host connections, places for clients of each gateway, spare). Beside the places
     stands a porch with an eighth as many.
 
@@ -314,7 +314,7 @@
     return hosts, max(1, (free - spare - hosts) // max(1, gateways) * 8 // 9), spare
 
 
-def seats(limit, reserve, hosts):
+def platform_slots(limit, reserve, hosts):
     """Descriptors of a gateway whose clients come by a front: (places, porch, connections to one host).
 
     The front's connections take up to a third of the limit; they all have a place, and beside them stands a porch of
@@ -334,7 +334,7 @@
     )
 
 
-def shares(wanted, room):
+def scale_reserved_slots(wanted, room):
     """Own places scaled down alike where they would take more than three quarters of the room; none below one.
 
     >>> shares([10, 30], 100)
@@ -347,13 +347,16 @@
     return list(wanted) if total <= most else [max(1, want * most // total) for want in wanted]
 
 
-class Streets:
+class NetworkTable:
     """Who comes from where. At each width a table in order of use; a street without callers is forgotten when its
     bucket has run dry, or when there are too many: an owner of many addresses then still meets the wider widths."""
 
-    def __init__(self, manners, now):
-        self.manners, self.tables = manners, (OrderedDict(), OrderedDict(), OrderedDict())
-        self.whole = Group(manners.strangers_bytes)
+    def __init__(self, client_limits, now):
+        self.client_limits, self.tables = (
+            client_limits,
+            (OrderedDict(), OrderedDict(), OrderedDict()),
+        )
+        self.whole = ReadGroup(client_limits.strangers_bytes)
 
     def of(self, number, now):
         """The streets of an address, narrowest first."""
@@ -370,8 +373,8 @@
             street = table.get(key)
             if street is None:
                 self.trim(table, now)
-                street = table[key] = Street(
-                    width, key, now, Group(self.manners.stranger_bytes, self.whole)
+                street = table[key] = NetworkPrefix(
+                    width, key, now, ReadGroup(self.client_limits.stranger_bytes, self.whole)
                 )
             else:
                 table.move_to_end(key)
@@ -383,7 +386,7 @@
         for _ in range(min(2, len(table))):
             key = next(iter(table))
             street = table[key]
-            if street.porch or street.seated:
+            if street.pending or street.seated:
                 table.move_to_end(key)  # in use: at most as many as there are places
             elif len(table) > MOST_STREETS or street.bucket.wait(now, self.pace(street), 1) == 0.0:
                 del table[key]
@@ -391,17 +394,19 @@
                 return
 
     def pace(self, street):
-        return self.manners.pace * PACES[street.width]
+        return self.client_limits.pace * PACES[street.width]
 
     def wait(self, streets, now):
         """Ms until all of these have room for one more; drops go into none of them before all have it."""
         return max(
-            street.bucket.wait(now, self.pace(street), self.manners.burst * PACES[street.width])
+            street.bucket.wait(
+                now, self.pace(street), self.client_limits.burst * PACES[street.width]
+            )
             for street in streets
         )
 
 
-class Stair:
+class LoadShedding:
     """How near the limits are, in steps. Up at once; down one step at a time, when it has been calm for a while that
     doubles each time it has to go up again soon after: guards against flip-flop. It harms strangers only."""
 
@@ -425,7 +430,7 @@
             self.down_at = now
 
 
-class Flow:
+class FairReading:
     """Who is read how much while the core is short. Guards others' target time against connections that pour events;
     harms one that has a right to more than an equal part only while the core is short, and never below `LEAST`."""
 
@@ -434,18 +439,22 @@
     def __init__(self):
         self.level, self.groups, self.limited = None, {}, {}
 
-    def joined(self, caller):
-        caller.group.callers[caller] = True
-        self.groups[caller.group] = True
-        if caller.group.allowed is None and self.level is not None:
-            caller.group.allowed = self.level
-
-    def left(self, caller):
-        caller.group.callers.pop(caller, None)
-        if not caller.group.callers:
-            self.groups.pop(caller.group, None)
-            self.limited.pop(caller.group, None)
-            caller.group.paused, caller.group.read, caller.group.allowed = False, 0, None
+    def joined(self, connection):
+        connection.group.callers[connection] = True
+        self.groups[connection.group] = True
+        if connection.group.allowed is None and self.level is not None:
+            connection.group.allowed = self.level
+
+    def left(self, connection):
+        connection.group.callers.pop(connection, None)
+        if not connection.group.callers:
+            self.groups.pop(connection.group, None)
+            self.limited.pop(connection.group, None)
+            connection.group.paused, connection.group.read, connection.group.allowed = (
+                False,
+                0,
+                None,
+            )
 
     def poured(self, group):
         """Nothing more is read from the group in this window."""
@@ -453,7 +462,7 @@
             return []
         group.paused = True
         self.limited[group] = True
-        return [Pause(caller) for caller in group.callers]
+        return [PauseReading(connection) for connection in group.callers]
 
     def window(self, busy):
         """A window is over: the level is set anew, and those who were paused are read again."""
@@ -471,7 +480,7 @@
             group.read, group.allowed = 0, None if self.level is None else int(self.level)
         for group in self.limited:
             group.paused = False
-            actions += [Resume(caller) for caller in group.callers]
+            actions += [ResumeReading(connection) for connection in group.callers]
         self.limited = {}
         return actions
 
@@ -494,72 +503,78 @@
     return level
 
 
-class Places:
+class ConnectionSlots:
     """Every place passes through take(): the one spot where the offices' own are kept from all others."""
 
-    def __init__(self, manners, now):
-        self.manners = manners
-        self.porch_most = manners.porch or max(2, manners.places // 8)
-        own = shares([known.own for known in manners.known], manners.places)
+    def __init__(self, client_limits, now):
+        self.client_limits = client_limits
+        self.porch_most = client_limits.pending or max(2, client_limits.connection_slots // 8)
+        own = scale_reserved_slots(
+            [known.own for known in client_limits.known], client_limits.connection_slots
+        )
         self.offices = {
-            known.name: Office(
-                known.name, n, known.most, known.addresses, manners.office_bytes, now
+            known.name: KnownClient(
+                known.name, n, known.most, known.addresses, client_limits.office_bytes, now
             )
-            for known, n in zip(manners.known, own, strict=True)
+            for known, n in zip(client_limits.known, own, strict=True)
         }
-        self.common = max(0, manners.places - sum(own))
+        self.common = max(0, client_limits.connection_slots - sum(own))
         self.strangers, self.idle, self.serial = {}, [], 0
 
     def used(self):
         """Common places that are taken."""
-        return len(self.strangers) + sum(office.beyond() for office in self.offices.values())
+        return len(self.strangers) + sum(
+            known_client.beyond() for known_client in self.offices.values()
+        )
 
-    def take(self, caller, now, step):
+    def take(self, connection, now, step):
         """(a refusal's word or "", callers to be closed to make room)."""
-        if caller.office is not None:
-            return self.take_office(caller, caller.office, now)
-        for street in caller.streets:
-            if len(street.seated) >= max(1, int(self.common * self.manners.parts[street.width])):
+        if connection.known_client is not None:
+            return self.take_office(connection, connection.known_client, now)
+        for street in connection.networks:
+            if len(street.seated) >= max(
+                1, int(self.common * self.client_limits.parts[street.width])
+            ):
                 victim = self.longest(street.seated, now)
                 if victim is None:
                     return "too many connections from this network", []
-                return self.strange(caller, [victim])
+                return self.strange(connection, [victim])
         if step >= 2:
             return "no new clients for the moment", []
         if self.used() < self.common:
-            return self.strange(caller, [])
+            return self.strange(connection, [])
         victim = self.idlest(now)
         if victim is None:
             return "no place is free", []
-        return self.strange(caller, [victim])
+        return self.strange(connection, [victim])
 
-    def strange(self, caller, victims):
-        self.strangers[caller] = True
-        for street in caller.streets:
-            street.seated[caller] = True
+    def strange(self, connection, victims):
+        self.strangers[connection] = True
+        for street in connection.networks:
+            street.seated[connection] = True
         self.serial += 1
-        heappush(self.idle, (caller.used, self.serial, caller))
+        heappush(self.idle, (connection.used, self.serial, connection))
         return "", victims
 
-    def take_office(self, caller, office, now):
-        held, victims = len(office.seated), []
-        if held >= office.own and (held >= office.most or self.used() >= self.common):
+    def take_office(self, connection, known_client, now):
+        held, victims = len(known_client.seated), []
+        if held >= known_client.own and (held >= known_client.most or self.used() >= self.common):
             # beyond its own: a stranger that idles makes room, else one of its own that does, as after a lost floor
             # whose connections look alive
-            victim = self.idlest(now) if held < office.most else None
-            victim = victim or self.longest(office.seated, now)
+            victim = self.idlest(now) if held < known_client.most else None
+            victim = victim or self.longest(known_client.seated, now)
             if victim is None:
                 return "as many connections are open as this client may have", []
             victims = [victim]
-        office.seated[caller] = True
+        known_client.seated[connection] = True
         return "", victims
 
-    def leave(self, caller):
-        if caller.office is not None:
-            caller.office.seated.pop(caller, None)
-        elif self.strangers.pop(caller, None):
-            for street in caller.streets:
-                street.seated.pop(caller, None)
+    def leave(self, connection):
+        if connection.known_client is not None:
+            connection.known_client.seated.pop(connection, None)
+        elif self.strangers.pop(connection, None):
+            for street in connection.networks:
+                street.seated.pop(connection, None)
             if len(self.idle) > 2 * len(self.strangers) + 64:
                 self.idle = [entry for entry in self.idle if entry[2] in self.strangers]
                 heapify(self.idle)
@@ -569,45 +584,50 @@
         found = [
             c
             for c in callers
-            if c.state == "seated" and not c.open and now - c.used >= self.manners.idle / 5
+            if c.state == "seated" and not c.open and now - c.used >= self.client_limits.idle / 5
         ]
         return min(found, key=lambda c: (c.used, c.since), default=None)
 
     def idlest(self, now):
         """The longest idle stranger of all; entries whose caller was used since are put back where they belong."""
         for _ in range(len(self.idle)):
-            used, _, caller = self.idle[0]
-            if caller not in self.strangers or caller.state != "seated":
+            used, _, connection = self.idle[0]
+            if connection not in self.strangers or connection.state != "seated":
                 heappop(self.idle)
-            elif caller.open or caller.used > used:
+            elif connection.open or connection.used > used:
                 heappop(self.idle)
                 self.serial += 1
                 heappush(
-                    self.idle, (max(caller.used, now if caller.open else 0.0), self.serial, caller)
+                    self.idle,
+                    (
+                        max(connection.used, now if connection.open else 0.0),
+                        self.serial,
+                        connection,
+                    ),
                 )
             else:
-                return caller if now - used >= self.manners.idle else None
+                return connection if now - used >= self.client_limits.idle else None
         return None
 
 
-class Porch:
+class PendingConnections:
     """Those that have not said who they are. `unshown` holds all of them in order of arrival, `slots` those that have
     a porch place, `lines` those that wait for a handshake: offices first."""
 
-    def __init__(self, manners, most, now):
-        self.manners, self.most, self.drawn = manners, most, 0
+    def __init__(self, client_limits, most, now):
+        self.client_limits, self.most, self.drawn = client_limits, most, 0
         self.unshown, self.slots, self.lines, self.bucket = (
             OrderedDict(),
             [],
             (deque(), deque()),
-            Bucket(now),
+            LeakyBucket(now),
         )
 
     def chance(self):
         self.drawn += 1
-        return crc32(f"porch/{self.manners.seed}/{self.drawn}".encode()) / 2.0**32
+        return crc32(f"porch/{self.client_limits.seed}/{self.drawn}".encode()) / 2.0**32
 
-    def enter(self, caller):
+    def enter(self, connection):
         """Takes a porch place; whoever has to leave for it, or None.
 
         Of some drawn by chance the one goes whose network fills the porch most. Chance guards against those that hold
@@ -617,33 +637,38 @@
             drawn = [self.slots[int(self.chance() * len(self.slots))] for _ in range(4)]
             victim = max(
                 drawn,
-                key=lambda c: (c.hinted is None, c.streets[2].porch, c.streets[0].porch, -c.since),
+                key=lambda c: (
+                    c.hinted is None,
+                    c.networks[2].pending,
+                    c.networks[0].pending,
+                    -c.since,
+                ),
             )
             self.leave(victim)
-        caller.slot = len(self.slots)
-        self.slots.append(caller)
-        for street in caller.streets:
-            street.porch += 1
+        connection.slot = len(self.slots)
+        self.slots.append(connection)
+        for street in connection.networks:
+            street.pending += 1
         return victim
 
-    def leave(self, caller):
-        slots, at = self.slots, caller.slot
-        if at < len(slots) and slots[at] is caller:
+    def leave(self, connection):
+        slots, at = self.slots, connection.slot
+        if at < len(slots) and slots[at] is connection:
             last = slots.pop()
-            if last is not caller:
+            if last is not connection:
                 slots[at], last.slot = last, at
-            for street in caller.streets:
-                street.porch -= 1
+            for street in connection.networks:
+                street.pending -= 1
 
     def patience(self, step):
-        return self.manners.porch_time / (1, 2, 5, 10)[step]
+        return self.client_limits.porch_time / (1, 2, 5, 10)[step]
 
     def overdue(self, now, step):
         found, wait = [], self.patience(step)
-        for caller in self.unshown:
-            if now - caller.since < wait:
+        for connection in self.unshown:
+            if now - connection.since < wait:
                 break
-            found.append(caller)
+            found.append(connection)
         return found
 
     def next_in_line(self, now):
@@ -654,7 +679,9 @@
                     line.popleft()
                 elif (
                     self.bucket.wait(
-                        now, self.manners.handshakes, max(4.0, self.manners.handshakes / 10)
+                        now,
+                        self.client_limits.handshakes,
+                        max(4.0, self.client_limits.handshakes / 10),
                     )
                     > 0
                 ):
@@ -668,26 +695,30 @@
         return any(self.lines)
 
 
-class Guard:
+class AdmissionController:
     """One gateway's doors. take(now, note) gives actions; `counts` says how often which word was said."""
 
-    def __init__(self, manners, now):
-        self.manners, self.now = manners, now
-        self.places = Places(manners, now)
-        self.porch = Porch(manners, self.places.porch_most, now)
-        self.streets, self.stair, self.flow = Streets(manners, now), Stair(now), Flow()
-        self.all_strangers = Bucket(now)
+    def __init__(self, client_limits, now):
+        self.client_limits, self.now = client_limits, now
+        self.connection_slots = ConnectionSlots(client_limits, now)
+        self.pending = PendingConnections(client_limits, self.connection_slots.porch_most, now)
+        self.networks, self.load_shedding, self.fair_reading = (
+            NetworkTable(client_limits, now),
+            LoadShedding(now),
+            FairReading(),
+        )
+        self.all_strangers = LeakyBucket(now)
         self.inbox, self.actions, self.counters, self.swept = deque(), [], {}, now
         self.rest, self.rested = 50.0, now
         self.hear = {
-            Knock: self.knock,
-            Shown: self.shown,
-            Gone: self.gone,
-            Poured: self.poured,
-            Swollen: self.swollen,
-            Exhausted: self.exhausted,
-            Measured: self.measured,
-            Freed: self.freed,
+            ConnectionAccepted: self.knock,
+            ClientIdentified: self.shown,
+            ConnectionClosed: self.gone,
+            ReadQuotaExceeded: self.poured,
+            BufferLimitExceeded: self.swollen,
+            DescriptorsExhausted: self.exhausted,
+            UsageMeasured: self.measured,
+            SlotFreed: self.freed,
         }
 
     def take(self, now, note):
@@ -708,173 +739,196 @@
 
     # ---- a connection's way in
     def knock(self, note):
-        caller, now = note.caller, self.now
-        caller.sealed = note.sealed
-        number = number_of(caller.address)
-        caller.streets = self.streets.of(number, now)
-        office = caller.office = self.listed(number)
-        caller.hinted = office or self.remembered(caller.address)
-        if caller.hinted is not None:
-            wait = caller.hinted.bucket.wait(
-                now, self.manners.office_pace, self.burst_of(caller.hinted)
+        connection, now = note.connection, self.now
+        connection.sealed = note.sealed
+        number = number_of(connection.address)
+        connection.networks = self.networks.of(number, now)
+        known_client = connection.known_client = self.listed(number)
+        connection.hinted = known_client or self.remembered(connection.address)
+        if connection.hinted is not None:
+            wait = connection.hinted.bucket.wait(
+                now, self.client_limits.office_pace, self.burst_of(connection.hinted)
             )
             if wait > 0:
-                return self.turn_away(caller, "this client connects too often", wait)
-            caller.hinted.bucket.add()
+                return self.turn_away(connection, "this client connects too often", wait)
+            connection.hinted.bucket.add()
         else:
-            if self.stair.step >= 3:
-                return self.turn_away(caller, "no new clients for the moment", 2 * self.stair.dwell)
+            if self.load_shedding.step >= 3:
+                return self.turn_away(
+                    connection, "no new clients for the moment", 2 * self.load_shedding.dwell
+                )
             wait = max(
-                self.streets.wait(caller.streets, now),
-                self.all_strangers.wait(now, 16 * self.manners.pace, 16 * self.manners.burst),
+                self.networks.wait(connection.networks, now),
+                self.all_strangers.wait(
+                    now, 16 * self.client_limits.pace, 16 * self.client_limits.burst
+                ),
             )
             if wait > 0:
-                return self.turn_away(caller, "too many new connections from this network", wait)
+                return self.turn_away(
+                    connection, "too many new connections from this network", wait
+                )
             self.all_strangers.add()
-            for street in caller.streets:
+            for street in connection.networks:
                 street.bucket.add()
-        if office is not None:
-            word, victims = self.places.take(caller, now, self.stair.step)
+        if known_client is not None:
+            word, victims = self.connection_slots.take(connection, now, self.load_shedding.step)
             if word:
-                caller.office = None
-                if len(office.line) >= office.most:
-                    return self.turn_away(caller, word, self.manners.idle / 5)
+                connection.known_client = None
+                if len(known_client.line) >= known_client.most:
+                    return self.turn_away(connection, word, self.client_limits.idle / 5)
                 # its old connections may have ended already where nobody has seen it yet: it waits for that
-                office.line.append(caller)
-                caller.state, self.porch.unshown[caller] = "waiting", True
+                known_client.line.append(connection)
+                connection.state, self.pending.unshown[connection] = "waiting", True
                 return
             self.make_room(victims)
-        elif victim := self.porch.enter(caller):
+        elif victim := self.pending.enter(connection):
             self.close(victim, "others need the porch", 250.0)
-        self.porch.unshown[caller] = True
-        self.go_on(caller)
+        self.pending.unshown[connection] = True
+        self.go_on(connection)
 
-    def go_on(self, caller):
-        if caller.sealed:
-            caller.state = "waiting"
-            self.porch.lines[caller.hinted is None].append(caller)
+    def go_on(self, connection):
+        if connection.sealed:
+            connection.state = "waiting"
+            self.pending.lines[connection.hinted is None].append(connection)
             self.advance()
         else:
-            caller.state = "porch"
-            self.do(LetIn(caller))
+            connection.state = "porch"
+            self.do(StartHandshake(connection))
 
     def freed(self, note):
         """The next in the office's line takes the place."""
-        line = note.office.line
+        line = note.known_client.line
         while line:
-            caller = line[0]
-            if caller.state == "waiting":
-                caller.office = note.office
-                word, victims = self.places.take(caller, self.now, self.stair.step)
+            connection = line[0]
+            if connection.state == "waiting":
+                connection.known_client = note.known_client
+                word, victims = self.connection_slots.take(
+                    connection, self.now, self.load_shedding.step
+                )
                 if word:
-                    caller.office = None
+                    connection.known_client = None
                     return
                 self.make_room(victims)
-                self.go_on(caller)
+                self.go_on(connection)
             line.popleft()
 
     def advance(self):
-        while (caller := self.porch.next_in_line(self.now)) is not None:
-            caller.state = "porch"
-            self.do(LetIn(caller))
+        while (connection := self.pending.next_in_line(self.now)) is not None:
+            connection.state = "porch"
+            self.do(StartHandshake(connection))
 
-    def burst_of(self, office):
+    def burst_of(self, known_client):
         """All of an office's connections may come back at once, twice over."""
-        return max(2.0 * office.most, self.manners.burst)
+        return max(2.0 * known_client.most, self.client_limits.burst)
 
     def listed(self, number):
         version, bits = number
-        for office in self.places.offices.values():
-            for net, first, last in office.nets:
+        for known_client in self.connection_slots.offices.values():
+            for net, first, last in known_client.nets:
                 if net == version and first <= bits <= last:
-                    return office
+                    return known_client
         return None
 
     def remembered(self, address):
         """An office that proved itself from this very address not long ago; it still has to, but need not queue with
         strangers. Guards an office without listed addresses against a flood from its own network."""
-        for office in self.places.offices.values():
-            at = office.learned.get(address)
+        for known_client in self.connection_slots.offices.values():
+            at = known_client.learned.get(address)
             if at is not None:
                 if self.now - at < LEARNED_AGE:
-                    return office
-                del office.learned[address]
+                    return known_client
+                del known_client.learned[address]
         return None
 
     def shown(self, note):
-        caller, now = note.caller, self.now
-        if caller.state != "porch":
+        connection, now = note.connection, self.now
+        if connection.state != "porch":
             return
-        self.porch.unshown.pop(caller, None)
-        self.porch.leave(caller)
-        office = self.places.offices.get(note.office)
-        if office is not None:
-            office.learned[caller.address] = now
-            office.learned.move_to_end(caller.address)
-            while len(office.learned) > LEARNED:
-                office.learned.popitem(last=False)
-        if caller.office is not None and office is not None and office is not caller.office:
+        self.pending.unshown.pop(connection, None)
+        self.pending.leave(connection)
+        known_client = self.connection_slots.offices.get(note.known_client)
+        if known_client is not None:
+            known_client.learned[connection.address] = now
+            known_client.learned.move_to_end(connection.address)
+            while len(known_client.learned) > LEARNED:
+                known_client.learned.popitem(last=False)
+        if (
+            connection.known_client is not None
+            and known_client is not None
+            and known_client is not connection.known_client
+        ):
             # what is proved goes before where it comes from
-            self.places.leave(caller)
-            caller.office = None
-        if caller.office is None:
-            caller.office = office
-            word, victims = self.places.take(caller, now, self.stair.step)
+            self.connection_slots.leave(connection)
+            connection.known_client = None
+        if connection.known_client is None:
+            connection.known_client = known_client
+            word, victims = self.connection_slots.take(connection, now, self.load_shedding.step)
             if word:
-                caller.office = None
-                return self.turn_away(caller, word, max(500.0, self.stair.dwell))
+                connection.known_client = None
+                return self.turn_away(connection, word, max(500.0, self.load_shedding.dwell))
             self.make_room(victims)
-        caller.state, caller.used = "seated", now
-        caller.group = caller.office.group if caller.office else caller.streets[0].group
-        self.flow.joined(caller)
-        self.count("seated: known" if caller.office else "seated: strangers")
-        self.do(Seat(caller, self.manners.frame if caller.office else self.manners.stranger_frame))
+        connection.state, connection.used = "seated", now
+        connection.group = (
+            connection.known_client.group
+            if connection.known_client
+            else connection.networks[0].group
+        )
+        self.fair_reading.joined(connection)
+        self.count("seated: known" if connection.known_client else "seated: strangers")
+        self.do(
+            Admit(
+                connection,
+                self.client_limits.frame
+                if connection.known_client
+                else self.client_limits.stranger_frame,
+            )
+        )
 
     def make_room(self, victims):
         for victim in victims:
             self.close(victim, "idle, and others need the place", 1000.0)
 
     # ---- the way out
-    def turn_away(self, caller, word, stay_away):
+    def turn_away(self, connection, word, retry_after_ms):
         self.count(f"refused: {word}")
-        self.forget(caller)
-        self.do(Refuse(caller, word, stay_away))
+        self.forget(connection)
+        self.do(Reject(connection, word, retry_after_ms))
 
-    def close(self, caller, word, stay_away):
+    def close(self, connection, word, retry_after_ms):
         """The place is free from now on; the connection's end itself then tells nothing new."""
         self.count(f"closed: {word}")
-        self.forget(caller)
-        self.do(Refuse(caller, word, stay_away))
+        self.forget(connection)
+        self.do(Reject(connection, word, retry_after_ms))
 
     def gone(self, note):
-        self.forget(note.caller)
+        self.forget(note.connection)
 
-    def forget(self, caller):
+    def forget(self, connection):
         """The one place where a caller stops being counted."""
-        if caller.state == "over":
+        if connection.state == "over":
             return
-        self.porch.unshown.pop(caller, None)
-        self.porch.leave(caller)
-        self.places.leave(caller)
-        if caller.office is not None and caller.office.line:
-            self.inbox.append(Freed(caller.office))
-        if caller.group is not None:
-            caller.group.holds(-caller.held)
-            caller.held = 0
-            self.flow.left(caller)
-        caller.state = "over"
+        self.pending.unshown.pop(connection, None)
+        self.pending.leave(connection)
+        self.connection_slots.leave(connection)
+        if connection.known_client is not None and connection.known_client.line:
+            self.inbox.append(SlotFreed(connection.known_client))
+        if connection.group is not None:
+            connection.group.holds(-connection.held)
+            connection.held = 0
+            self.fair_reading.left(connection)
+        connection.state = "over"
 
     # ---- what goes on
     def poured(self, note):
-        if note.caller.state == "seated":
-            for action in self.flow.poured(note.caller.group):
+        if note.connection.state == "seated":
+            for action in self.fair_reading.poured(note.connection.group):
                 self.do(action)
             self.count("read less")
 
     def swollen(self, note):
         """The one that holds most goes: the bytes are freed at once."""
-        group = note.caller.group
-        if note.caller.state != "seated":
+        group = note.connection.group
+        if note.connection.state != "seated":
             return
         if group.held > group.most_held:
             self.close(
@@ -884,7 +938,7 @@
             )
         elif group.whole is not None and group.whole.held > group.whole.most_held:
             self.close(
-                max(self.places.strangers, key=lambda c: (c.held, c.since)),
+                max(self.connection_slots.strangers, key=lambda c: (c.held, c.since)),
                 "too many bytes are unfinished",
                 1000.0,
             )
@@ -893,24 +947,28 @@
         """Descriptors ran out at a call. A host connection is worth an idle stranger, else one in the porch, else any
         stranger. Accepting rests, longer each time it is met again soon."""
         self.count("descriptors ran out")
-        victim = self.places.idlest(self.now) or (self.porch.slots[0] if self.porch.slots else None)
+        victim = self.connection_slots.idlest(self.now) or (
+            self.pending.slots[0] if self.pending.slots else None
+        )
         if victim is None and note.needed:
-            victim = max(self.places.strangers, key=lambda c: (not c.open, -c.used), default=None)
+            victim = max(
+                self.connection_slots.strangers, key=lambda c: (not c.open, -c.used), default=None
+            )
         if victim is not None:
             self.close(victim, "descriptors have run out", 2000.0)
         self.rest = min(1000.0, 2 * self.rest) if self.now - self.rested < 4 * self.rest else 50.0
         self.rested = self.now
         if not note.needed:
-            self.do(Rest(self.rest))
+            self.do(PauseAccepting(self.rest))
 
     def measured(self, note):
-        now, porch = self.now, self.porch
-        handshakes = sum(map(len, porch.lines)) / max(8.0, self.manners.handshakes)
-        self.stair.measured(now, max(note.descriptors, note.memory, handshakes))
+        now, porch = self.now, self.pending
+        handshakes = sum(map(len, porch.lines)) / max(8.0, self.client_limits.handshakes)
+        self.load_shedding.measured(now, max(note.descriptors, note.memory, handshakes))
         self.advance()
-        for caller in porch.overdue(now, self.stair.step):
-            self.close(caller, "no hello in time", 1000.0)
-        for action in self.flow.window(note.busy):
+        for connection in porch.overdue(now, self.load_shedding.step):
+            self.close(connection, "no hello in time", 1000.0)
+        for action in self.fair_reading.window(note.busy):
             self.do(action)
         if now - self.swept >= SWEEP:
             self.swept = now
@@ -918,35 +976,37 @@
 
     def sweep(self, now):
         """Frames that never end; and what has aged is let go, a little each time."""
-        since = now - self.manners.frame_time
-        for caller in [
-            caller for caller in self.callers() if caller.partial and caller.partial < since
+        since = now - self.client_limits.frame_time
+        for connection in [
+            connection
+            for connection in self.callers()
+            if connection.partial and connection.partial < since
         ]:
-            self.close(caller, "a frame was not finished in time", 1000.0)
-        for table in self.streets.tables:
+            self.close(connection, "a frame was not finished in time", 1000.0)
+        for table in self.networks.tables:
             for _ in range(32):
                 before = len(table)
                 if before:
-                    self.streets.trim(table, now)
+                    self.networks.trim(table, now)
                 if len(table) == before:
                     break
 
     def config(self):
         """What an operator watches, as (name, figure)."""
         yield from (
-            ("step of the stair", self.stair.step),
-            ("places: common", self.places.common),
-            ("places: common used", self.places.used()),
-            ("porch", len(self.porch.slots)),
-            ("unshown", len(self.porch.unshown)),
-            ("read level", self.flow.level or 0),
-            ("streets", sum(map(len, self.streets.tables))),
+            ("step of the stair", self.load_shedding.step),
+            ("places: common", self.connection_slots.common),
+            ("places: common used", self.connection_slots.used()),
+            ("porch", len(self.pending.slots)),
+            ("unshown", len(self.pending.unshown)),
+            ("read level", self.fair_reading.level or 0),
+            ("streets", sum(map(len, self.networks.tables))),
         )
-        for office in self.places.offices.values():
-            yield f"places of {office.name}", len(office.seated)
+        for known_client in self.connection_slots.offices.values():
+            yield f"places of {known_client.name}", len(known_client.seated)
 
     def callers(self):
         """All that have a place."""
-        yield from self.places.strangers
-        for office in self.places.offices.values():
-            yield from office.seated
+        yield from self.connection_slots.strangers
+        for known_client in self.connection_slots.offices.values():
+            yield from known_client.seated
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -25,12 +25,12 @@
 
 
 @lru_cache(maxsize=256)
-def word_of(reason, stay_away):
+def rejection_bytes(reason, retry_after_ms):
     """The bytes of a refusal; the wait in whole 10 ms, upwards, so that few are made."""
-    return codec.encode(protocol.GoAway(reason, stay_away))
+    return codec.encode(protocol.GoAway(reason, retry_after_ms))
 
 
-class Arrival:
+class IncomingConnection:
     """A connection on its way in: first a bare socket, then an end on a transport."""
 
     def __init__(self, listeners, listener, sock, address, now):
@@ -44,7 +44,7 @@
         self.waited = (
             now - listener.since if listener.since is not None else 0.0
         )  # ms to be accepted, at most
-        self.caller = d.Caller(address, now, self)
+        self.connection = d.AdmittedConnection(address, now, self)
 
     def let_in(self):
         self.task = asyncio.get_running_loop().create_task(self.join())
@@ -71,17 +71,17 @@
     def seat(self, largest):
         self.end.seated(largest)
 
-    def refuse(self, word, stay_away):
+    def refuse(self, word, retry_after_ms):
         """Tells it if it can be told, and closes. What it has sent is read first: a close over unread bytes would
         throw away what it was told."""
         if self.end is not None:
-            return self.end.close(word, stay_away)
+            return self.end.close(word, retry_after_ms)
         if self.task is not None:
             self.task.cancel()
         sock, self.sock = self.sock, None
         if sock is not None:
             try:
-                sock.send(self.listener.word_of(word, -(-stay_away // 10) * 10.0))
+                sock.send(self.listener.word_of(word, -(-retry_after_ms // 10) * 10.0))
                 sock.shutdown(socket.SHUT_WR)
                 sock.recv(4096)
             except OSError:
@@ -99,7 +99,7 @@
     """One listening socket. make(arrival) gives the protocol; context() the TLS to use now, or None is in its place;
     word(reason, stay_away) the bytes of a refusal."""
 
-    def __init__(self, listeners, where, make, context=None, backlog=BACKLOG, word=word_of):
+    def __init__(self, listeners, where, make, context=None, backlog=BACKLOG, word=rejection_bytes):
         self.listeners, self.make, self.context, self.resting, self.word_of = (
             listeners,
             make,
@@ -145,12 +145,14 @@
             return False
         except OSError as error:
             if error.errno in NO_ROOM:
-                listeners.post(d.Exhausted(False))
+                listeners.post(d.DescriptorsExhausted(False))
                 return False
             return True  # it was gone before it was accepted
         sock.setblocking(False)
-        arrival = Arrival(listeners, self, sock, peer[0].partition("%")[0], listeners.clock.now())
-        listeners.post(d.Knock(arrival.caller, self.context is not None))
+        arrival = IncomingConnection(
+            listeners, self, sock, peer[0].partition("%")[0], listeners.clock.now()
+        )
+        listeners.post(d.ConnectionAccepted(arrival.connection, self.context is not None))
         return True
 
     def rest(self, span):
@@ -176,30 +178,30 @@
             self.sock = None
 
 
-class Hall:
+class ListenerSet:
     """One gateway's guard with its listeners. close() ends all."""
 
-    def __init__(self, manners, clock, uses, log=logged):
+    def __init__(self, client_limits, clock, uses, log=logged):
         self.log = log
-        self.guard, self.clock, self.uses, self.listeners = (
-            d.Guard(manners, clock.now()),
+        self.controller, self.clock, self.uses, self.listeners = (
+            d.AdmissionController(client_limits, clock.now()),
             clock,
             uses,
             [],
         )
         self.loop, self.said = asyncio.get_running_loop(), {}
         self.carry = {
-            d.LetIn: self.let_in,
-            d.Seat: self.seat,
-            d.Refuse: self.refuse,
-            d.Pause: self.pause,
-            d.Resume: self.resume,
-            d.Rest: self.rest,
+            d.StartHandshake: self.let_in,
+            d.Admit: self.seat,
+            d.Reject: self.refuse,
+            d.PauseReading: self.pause,
+            d.ResumeReading: self.resume,
+            d.PauseAccepting: self.rest,
         }
         self.timer = self.loop.call_later(d.FLOW_WINDOW / 1000, self.window)
 
     def post(self, note):
-        for action in self.guard.take(self.clock.now(), note):
+        for action in self.controller.take(self.clock.now(), note):
             self.carry[type(action)](action)
 
     def window(self):
@@ -212,14 +214,14 @@
         self.post(self.uses.measure())
 
     def let_in(self, action):
-        action.caller.wire.let_in()
+        action.connection.wire.let_in()
 
     def seat(self, action):
-        action.caller.wire.seat(action.largest)
+        action.connection.wire.seat(action.largest)
 
     def refuse(self, action):
-        self.tell(action.word, action.caller.address)
-        action.caller.wire.refuse(action.word, action.stay_away)
+        self.tell(action.word, action.connection.address)
+        action.connection.wire.refuse(action.word, action.retry_after_ms)
 
     def tell(self, word, address):
         """Each word is logged once in ten seconds, with how often it was said in between."""
@@ -231,25 +233,25 @@
         self.said[word] = at, count + 1
 
     def pause(self, action):
-        action.caller.wire.pause()
+        action.connection.wire.pause()
 
     def resume(self, action):
-        action.caller.wire.resume()
+        action.connection.wire.resume()
 
     def rest(self, action):
         for listener in self.listeners:
             listener.rest(action.span)
 
     def handshake_failed(self, arrival, error):
-        self.guard.count("handshakes failed")
+        self.controller.count("handshakes failed")
         if getattr(error, "errno", None) in NO_DESCRIPTORS:
-            self.post(d.Exhausted(False))
-        self.post(d.Gone(arrival.caller))
+            self.post(d.DescriptorsExhausted(False))
+        self.post(d.ConnectionClosed(arrival.connection))
 
     def needs_descriptor(self):
         """A host connection found none: a stranger is closed for it, and the spare one is let go."""
         self.uses.let_go()
-        self.post(d.Exhausted(True))
+        self.post(d.DescriptorsExhausted(True))
 
     def close(self):
         self.timer.cancel()
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -7,7 +7,7 @@
 from cherrydoor.admission import decide as d
 
 
-class Uses:
+class ProcessUsage:
     """What this process has in use, measured: descriptors, memory, the core. One for all gateways of a process.
 
     A descriptor is held spare, to be let go where one is missing for a host."""
@@ -57,7 +57,7 @@
         self.at, self.ran = t, ran
         if t - self.counted > 0.5:
             self.counted, self.descriptors = t, self.used()
-        self.last = d.Measured(
+        self.last = d.UsageMeasured(
             self.descriptors / self.limit, self.measure_held() / self.memory, busy
         )
         return self.last
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cherrydoor.admission import decide as d
-from cherrydoor.admission.listener import word_of
+from cherrydoor.admission.listener import rejection_bytes
 from cherrydoor.failover.fellows import Fellows
 from cherrydoor.gateway.service import GatewayService
 from cherrydoor.leader_election import decide
@@ -26,7 +26,7 @@
     """Nothing is short here."""
 
     def measure(self):
-        return d.Measured(0.0, 0.0, 0.0)
+        return d.UsageMeasured(0.0, 0.0, 0.0)
 
     def take_back(self):
         pass
@@ -43,7 +43,9 @@
 
     def __init__(self, service, make, pipe):
         self.listeners, self.make, self.pipe, self.end = service.listeners, make, pipe, None
-        self.caller = d.Caller(pipe.other.address, service.listeners.clock.now(), self)
+        self.connection = d.AdmittedConnection(
+            pipe.other.address, service.listeners.clock.now(), self
+        )
 
     def let_in(self):
         self.pipe.world.call_soon(
@@ -57,7 +59,7 @@
         if self.end is not None:
             return self.end.close(word, stay_away)
         self.pipe.protocol = asyncio.BaseProtocol()
-        self.pipe.write(word_of(word, -(-stay_away // 10) * 10.0))
+        self.pipe.write(rejection_bytes(word, -(-stay_away // 10) * 10.0))
         self.pipe.close()
 
     def pause(self):
@@ -147,7 +149,7 @@
 
         def accept(pipe):
             pipe.frozen = self.stands
-            self.listeners.post(d.Knock(Arrival(self, make, pipe).caller))
+            self.listeners.post(d.ConnectionAccepted(Arrival(self, make, pipe).connection))
 
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
@@ -173,7 +175,7 @@
         found = [end.transport for end in self.client_listener.ends]
         found += [
             caller.wire.end.transport
-            for caller in list(self.listeners.guard.porch.unshown)
+            for caller in list(self.listeners.controller.pending.unshown)
             if caller.wire.end
         ]
         found += [
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -5,7 +5,7 @@
 import structlog
 
 from cherrydoor.admission import decide as d
-from cherrydoor.admission.reading import CHUNK, Read
+from cherrydoor.admission.chunked_reading import CHUNK_BYTES, ChunkedReading
 from cherrydoor.connection import FramedConnection, OrderedSet
 from cherrydoor.gateway.dispatcher import ClientConnection
 from cherrydoor.gateway.sockets import peer_closed
@@ -25,7 +25,7 @@
 QUIET = 250.0  # ms without a word from a client before its connection is closed on it
 
 
-class ClientProtocol(Read, FramedConnection):
+class ClientProtocol(ChunkedReading, FramedConnection):
     """A client at the door: at first only a short hello is read from it."""
 
     def __init__(self, service, arrival):
@@ -36,9 +36,9 @@
             service.bounds.client_bytes,
             HELLO,
         )
-        self.reader.halts, self.arrival, self.chunk = True, arrival, bytearray(CHUNK)
+        self.reader.halts, self.arrival, self.chunk = True, arrival, bytearray(CHUNK_BYTES)
         self.client, self.stay = ClientConnection(self, has_closed=self.has_closed), None
-        arrival.caller.open = self.client.open
+        arrival.connection.open = self.client.open
 
     def connection_made(self, transport):
         self.arrival.end = self  # from now on it can be told why it is refused
@@ -53,7 +53,7 @@
         if (
             heard
             and self.reader.held
-            and self.arrival.caller.state == "seated"
+            and self.arrival.connection.state == "seated"
             and not self.reader.fault
         ):
             heard += self.take(b"")  # what came along with the hello
@@ -75,12 +75,12 @@
         try:
             office, proof = service.tls.identify(end.transport, hello.token)
         except NotProved as error:
-            service.listeners.guard.count(
+            service.listeners.controller.count(
                 "not proved"
             )  # not the word itself: it may hold what a client wrote
             return end.close(str(error), 1000.0)
         end.proof = proof
-        service.listeners.post(d.Shown(end.arrival.caller, office))
+        service.listeners.post(d.ClientIdentified(end.arrival.connection, office))
 
     def seated(self, end):
         self.ends.add(end)
@@ -95,11 +95,11 @@
             return
         if type(message) is protocol.Request:
             service.post(service.dispatcher.request_received, end.client, message)
-            caller = end.arrival.caller
+            caller = end.arrival.connection
             group = caller.group
             group.read += 1
             if group.allowed is not None and group.read >= group.allowed and not group.paused:
-                service.listeners.post(d.Poured(caller))
+                service.listeners.post(d.ReadQuotaExceeded(caller))
         elif type(message) is protocol.CancelRequest:
             service.post(service.dispatcher.request_withdrawn, end.client, message.id)
         elif service.peer_services:
@@ -127,7 +127,7 @@
                 end.write(protocol.Draining(why))
         quiet = (
             self.service.clock.now()
-            - max(end.arrival.caller.used, 1000 * since + self.service.clock.ahead)
+            - max(end.arrival.connection.used, 1000 * since + self.service.clock.ahead)
             > QUIET
         )
         if at_once or not end.client.open and quiet or loop.time() - since > LONGEST_EASE:
@@ -137,7 +137,7 @@
             loop.call_later(EASE, self.put_out, end, why, False, since)
 
     def lost(self, end):
-        self.service.listeners.post(d.Gone(end.arrival.caller))
+        self.service.listeners.post(d.ConnectionClosed(end.arrival.connection))
         if end in self.ends:
             self.ends.discard(end)
             self.service.tls.post(k.Left(end))
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -12,9 +12,9 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from cherrydoor.admission.decide import divide
+from cherrydoor.admission.decide import divide_descriptors
 from cherrydoor.admission.listener import Listener
-from cherrydoor.admission.usage import Uses
+from cherrydoor.admission.usage import ProcessUsage
 from cherrydoor.config.figures import read_config
 from cherrydoor.config.records import Problems
 from cherrydoor.gateway.metrics import MetricsRequest
@@ -42,7 +42,7 @@
             name, dispatcher = service.config.name, service.dispatcher
             for what, count in [
                 *dispatcher.counters.items(),
-                *service.listeners.guard.counters.items(),
+                *service.listeners.controller.counters.items(),
             ]:
                 told.add_metric([name, what], count)
             for what, count in (
@@ -50,7 +50,7 @@
                 ("hosts", len(dispatcher.hosts)),
                 ("clients", len(dispatcher.clients)),
                 ("alarms", len(dispatcher.timers)),
-                *service.listeners.guard.config(),
+                *service.listeners.controller.config(),
             ):
                 now.add_metric([name, what], count)
         yield told
@@ -70,8 +70,8 @@
 
     async def run(self, config):
         loop = asyncio.get_running_loop()
-        uses = Uses(min(one.memory for one in config))
-        hosts, places, spare = divide(
+        uses = ProcessUsage(min(one.memory for one in config))
+        hosts, places, spare = divide_descriptors(
             uses.limit,
             uses.used() + 2 * len(config),
             len(config),
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -3,12 +3,12 @@
 import h11
 
 from cherrydoor.admission import decide as d
-from cherrydoor.admission.reading import Read
+from cherrydoor.admission.chunked_reading import ChunkedReading
 
 LONGEST = 8192  # bytes of a request that are read
 
 
-class MetricsRequest(Read):
+class MetricsRequest(ChunkedReading):
     """One scrape: GET /metrics, and the connection closes."""
 
     def __init__(self, arrival, text):
@@ -28,7 +28,7 @@
             return self.answer(error.error_status_hint, b"this is no request\n")
         if isinstance(event, h11.Request):
             self.asked = event
-            self.arrival.listeners.post(d.Shown(self.arrival.caller, ""))
+            self.arrival.listeners.post(d.ClientIdentified(self.arrival.connection, ""))
 
     def seated(self, largest):
         if self.asked.method == b"GET" and self.asked.target.split(b"?")[0] in (b"/", b"/metrics"):
@@ -62,4 +62,4 @@
         return False
 
     def connection_lost(self, error):
-        self.arrival.listeners.post(d.Gone(self.arrival.caller))
+        self.arrival.listeners.post(d.ConnectionClosed(self.arrival.connection))
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -5,9 +5,9 @@
 
 import structlog
 
-from cherrydoor.admission.listener import Hall, Listener
-from cherrydoor.admission.manners import manners_of
-from cherrydoor.admission.usage import Uses
+from cherrydoor.admission.client_limits import client_limits_of
+from cherrydoor.admission.listener import Listener, ListenerSet
+from cherrydoor.admission.usage import ProcessUsage
 from cherrydoor.gateway.client_listener import ClientListener, ClientProtocol
 from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.gateway.endpoint_watch import EndpointWatch
@@ -37,11 +37,11 @@
             self, config.list_at, config.saved, config.lease.polls_endpoints
         )
         self.make_router, self.broken = router, 0
-        self.uses, self.own_uses = uses or Uses(config.memory), uses is None
-        manners = manners_of(config)
+        self.uses, self.own_uses = uses or ProcessUsage(config.memory), uses is None
+        manners = client_limits_of(config)
         if places is not None:
-            manners = replace(manners, places=min(places, manners.places))
-        self.listeners = Hall(manners, self.clock, self.uses)
+            manners = replace(manners, connection_slots=min(places, manners.connection_slots))
+        self.listeners = ListenerSet(manners, self.clock, self.uses)
         said = {
             name: value for name, value in config.keys.items() if name not in ("standing", "warn")
         }
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cherrydoor.admission import decide as d
-from cherrydoor.admission.reading import CHUNK, Read
+from cherrydoor.admission.chunked_reading import CHUNK_BYTES, ChunkedReading
 from cherrydoor.codecs import invoke
 from cherrydoor.gateway.dispatcher import ClientConnection
 from cherrydoor.gateway.sockets import has_unread_input, peer_closed
@@ -14,7 +14,7 @@
 LINGER = 0.25  # s for which a connection that is closed over unread input is read to its end
 
 
-class ClientProtocol(Read, asyncio.BaseProtocol):
+class ClientProtocol(ChunkedReading, asyncio.BaseProtocol):
     """A client connection, and the desk's `wire` to it."""
 
     def __init__(self, door, arrival):
@@ -22,7 +22,7 @@
         self.talk, self.transport, self.closing = invoke.Conversation(), None, False
         self.client = ClientConnection(self, has_closed=self.has_closed)
         self.waits, self.seated_once = None, False  # the id that an answer is owed for
-        arrival.caller.open = self.client.open
+        arrival.connection.open = self.client.open
 
     def connection_made(self, transport):
         self.arrival.end, self.transport = self, transport
@@ -69,7 +69,7 @@
             close or self.client_listener.leaving,
         )
         self.transport.write(data)
-        self.arrival.caller.used = self.client_listener.service.clock.now()
+        self.arrival.connection.used = self.client_listener.service.clock.now()
         if over:
             return self.shut()
         if self.transport.get_write_buffer_size() > MOST_WAITING:
@@ -121,7 +121,7 @@
 
     def released(self):
         """Nothing points back here any more: what has ended is freed at once, and does not wait for a collection."""
-        self.arrival.end = self.arrival.task = self.arrival.caller.wire = self.transport = None
+        self.arrival.end = self.arrival.task = self.arrival.connection.wire = self.transport = None
         self.client.wire = self.arrival = None  # type: ignore[assignment]
 
 
@@ -149,7 +149,7 @@
     def __init__(self, service):
         self.service, self.ends, self.leaving = service, {}, False
         self.chunk = bytearray(
-            CHUNK
+            CHUNK_BYTES
         )  # one for all: what is read is copied out before the next is read
         self.known = RecentRequestIds(2 * service.configuration.longest)
 
@@ -161,7 +161,7 @@
     def seat(self, end):
         """A client has said something whole: it has a place from now on, or is turned away."""
         if not end.seated_once:
-            self.service.listeners.post(d.Shown(end.arrival.caller, ""))
+            self.service.listeners.post(d.ClientIdentified(end.arrival.connection, ""))
             if end.seated_once:
                 self.service.post(
                     self.service.dispatcher.client_connected,
@@ -222,7 +222,7 @@
 
     def lost(self, end):
         self.ends.pop(end, None)
-        self.service.listeners.post(d.Gone(end.arrival.caller))
+        self.service.listeners.post(d.ConnectionClosed(end.arrival.connection))
         self.went(end)
         self.service.post(end.released)
 
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -3,7 +3,7 @@
 import json
 
 from cherrydoor.adapter import wire
-from cherrydoor.admission.decide import Manners, seats
+from cherrydoor.admission.decide import ClientLimits, platform_slots
 from cherrydoor.codecs import sse
 from cherrydoor.gateway.event_loop import address
 from cherrydoor.platform.settings import ConfigurationError, checked, need, number
@@ -88,7 +88,7 @@
         handshake = said["prices"].get("handshake", 0.0)
         self.longest = max(clause.deadline_ms for clause in self.lease.request_classes)
         self.patience = FARTHEST * self.longest
-        places, porch, _ = seats(sockets, RESERVE, 1)
+        places, porch, _ = platform_slots(sockets, RESERVE, 1)
         self.descriptors = sockets
         self.limits = DispatcherLimits(
             said["permissions"],
@@ -98,7 +98,7 @@
             (self.lease.reports_copy, self.lease.reports_concurrency),
         )
         self.fit(sum(row.state != sse.GONE for row in self.known_rows()))
-        self.manners = Manners(
+        self.client_limits = ClientLimits(
             places,
             (),
             1e6,
@@ -111,12 +111,12 @@
             stranger_bytes=8 << 20,
             seed=seed,
             parts=(1, 1, 1),
-            porch=porch,
+            pending=porch,
         )
 
     def fit(self, hosts):
         """So many hosts share the descriptors that are theirs from now on."""
-        self.limits.links = seats(self.descriptors, RESERVE, hosts)[2]
+        self.limits.links = platform_slots(self.descriptors, RESERVE, hosts)[2]
 
     def changes(self, said):
         """(the last number, what the known items tell)."""
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -13,8 +13,8 @@
 import uvloop
 
 from cherrydoor.admission import decide as d
-from cherrydoor.admission.listener import Hall, Listener
-from cherrydoor.admission.usage import Uses
+from cherrydoor.admission.listener import Listener, ListenerSet
+from cherrydoor.admission.usage import ProcessUsage
 from cherrydoor.codecs import invoke
 from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.gateway.event_loop import TickingService, address
@@ -46,7 +46,7 @@
         return time.time() * 1000
 
 
-class PlatformUsage(Uses):
+class PlatformUsage(ProcessUsage):
     """What is in use, by the platform's limits: memory beyond what the start took, and no part of a core, since all
     clients come by one front and none is to be read less than another."""
 
@@ -57,7 +57,7 @@
     def measure(self):
         said = super().measure()
         part = (said.memory * self.memory - self.base) / max(1.0, self.memory - self.base)
-        return d.Measured(said.descriptors, max(0.0, part), 0.0)
+        return d.UsageMeasured(said.descriptors, max(0.0, part), 0.0)
 
 
 class PlatformService(TickingService):
@@ -76,7 +76,7 @@
         )
         self.said, self.began, self.listener, self.dispatcher = {}, self.clock.now(), None, None
         self.uses = PlatformUsage(station.memory, station.descriptors)
-        self.listeners = Hall(station.manners, self.clock, self.uses, self.say)
+        self.listeners = ListenerSet(station.client_limits, self.clock, self.uses, self.say)
         self.client_listener, self.upstream = ClientListener(self), Upstream(self)
         self.done = self.loop.create_future()
         self.dispatcher = self.new_desk()
@@ -145,7 +145,7 @@
             hosts=len(self.dispatcher.hosts),
             held_mb=round(self.uses.base / 2**20, 1),
             links=self.configuration.limits.links,
-            places=self.configuration.manners.places,
+            places=self.configuration.client_limits.connection_slots,
             cores=self.configuration.cores,
             memory_mb=self.configuration.memory >> 20,
             sockets=self.configuration.descriptors,
@@ -250,7 +250,7 @@
             events=len(self.dispatcher.requests),
             hosts=len(self.dispatcher.hosts),
             counts=dict(self.dispatcher.counters),
-            doors=self.listeners.guard.counters,
+            doors=self.listeners.controller.counters,
         )
 
     def believed(self):
--- a/tests/admission/callers.py
+++ b/tests/admission/callers.py
@@ -8,47 +8,50 @@
 
     def __init__(self, places=40, known=(), **more):
         self.now = 1000.0
-        self.guard = d.Guard(d.Manners(places, tuple(d.Known(*k) for k in known), **more), self.now)
+        self.controller = d.AdmissionController(
+            d.ClientLimits(places, tuple(d.KnownClientSettings(*k) for k in known), **more),
+            self.now,
+        )
         self.said, self.open, self.paused = {}, [], set()
 
     def post(self, note):
-        actions = self.guard.take(self.now, note)
+        actions = self.controller.take(self.now, note)
         for action in actions:
-            caller = getattr(action, "caller", None)
-            if isinstance(action, d.Refuse):
+            caller = getattr(action, "connection", None)
+            if isinstance(action, d.Reject):
                 self.said[caller] = action
                 if caller in self.open:
                     self.open.remove(caller)
                 self.paused.discard(caller)
-            elif isinstance(action, d.Pause):
+            elif isinstance(action, d.PauseReading):
                 self.paused.add(caller)
-            elif isinstance(action, d.Resume):
+            elif isinstance(action, d.ResumeReading):
                 self.paused.discard(caller)
         return actions
 
     def knock(self, address="10.0.0.1", sealed=False):
-        caller = d.Caller(address, self.now)
+        caller = d.AdmittedConnection(address, self.now)
         self.open.append(caller)
-        self.post(d.Knock(caller, sealed))
+        self.post(d.ConnectionAccepted(caller, sealed))
         return caller
 
     def come(self, address="10.0.0.1", office=""):
         """Knocks and says who it is."""
         caller = self.knock(address)
         if caller.state == "porch":
-            self.post(d.Shown(caller, office))
+            self.post(d.ClientIdentified(caller, office))
         return caller
 
     def go(self, caller):
         if caller in self.open:
             self.open.remove(caller)
-        self.post(d.Gone(caller))
+        self.post(d.ConnectionClosed(caller))
 
     def wait(self, ms, busy=0.0, descriptors=0.0, memory=0.0, steps=None):
         """Time passes, with a measurement in each window."""
         for _ in range(steps or max(1, int(ms / d.FLOW_WINDOW))):
             self.now += d.FLOW_WINDOW
-            self.post(d.Measured(descriptors, memory, busy))
+            self.post(d.UsageMeasured(descriptors, memory, busy))
 
     def word(self, caller):
         return self.said[caller].word if caller in self.said else ""
--- a/tests/admission/test_decide.py
+++ b/tests/admission/test_decide.py
@@ -14,7 +14,8 @@
     strangers = [doors.come(stranger(i)) for i in range(60)]
     assert len(doors.seated(strangers)) == 25
     assert (
-        doors.word(strangers[-1]) == "no place is free" and doors.said[strangers[-1]].stay_away > 0
+        doors.word(strangers[-1]) == "no place is free"
+        and doors.said[strangers[-1]].retry_after_ms > 0
     )
     assert len(doors.seated([doors.come("10.1.0.9") for _ in range(10)])) == 10
     assert len(doors.seated([doors.come("10.2.0.9") for _ in range(5)])) == 5
@@ -32,7 +33,7 @@
     for i in range(25):
         doors.come(stranger(i)).open = 1  # busy: none of them makes room
     assert len(doors.seated([doors.come("10.1.0.9") for _ in range(12)])) == 10
-    assert doors.guard.places.used() == 25
+    assert doors.controller.connection_slots.used() == 25
 
 
 def test_an_idle_stranger_makes_room_the_longest_idle_first():
@@ -69,7 +70,7 @@
     doors = Doors(4000)
     told = [doors.knock("10.9.9.9") for _ in range(100)]
     refused = [c for c in told if doors.word(c) == "too many new connections from this network"]
-    assert len(refused) == 40 and 0 < doors.said[refused[0]].stay_away <= 50
+    assert len(refused) == 40 and 0 < doors.said[refused[0]].retry_after_ms <= 50
     doors.wait(1000)
     assert sum(doors.word(doors.knock("10.9.9.9")) == "" for _ in range(100)) == 20
     spread = [doors.knock(f"77.7.{i // 250}.{i % 250 + 1}") for i in range(2000)]
@@ -104,11 +105,11 @@
     silent = []
     for i in range(400):
         silent.append(doors.knock(stranger(i)))
-    assert len(doors.guard.porch.slots) == 20
+    assert len(doors.controller.pending.slots) == 20
     known = doors.come("55.5.5.5", "harbour")
-    assert known.state == "seated" and known.office.name == "harbour"
+    assert known.state == "seated" and known.known_client.name == "harbour"
     doors.wait(6000)
-    assert not doors.guard.porch.unshown, "no hello in time"
+    assert not doors.controller.pending.unshown, "no hello in time"
 
 
 def test_who_proved_itself_is_known_by_its_address_even_in_a_network_that_floods():
@@ -119,13 +120,16 @@
     assert doors.come("127.9.9.9", "harbour").state == "seated"
     doors.now += d.LEARNED_AGE
     doors.wait(100)
-    assert doors.guard.remembered("127.9.9.9") is None
+    assert doors.controller.remembered("127.9.9.9") is None
 
 
 def test_what_is_proved_goes_before_where_it_comes_from():
     doors = Doors(40, [HARBOUR, MEADOW])
     caller = doors.come("10.1.0.9", "meadow")
-    assert caller.office.name == "meadow" and not doors.guard.places.offices["harbour"].seated
+    assert (
+        caller.known_client.name == "meadow"
+        and not doors.controller.connection_slots.offices["harbour"].seated
+    )
 
 
 def test_handshakes_are_paced_and_offices_go_first():
@@ -142,32 +146,32 @@
 def test_near_the_limit_strangers_are_refused_in_steps_that_end_by_themselves():
     doors = Doors(40, [HARBOUR])
     doors.wait(100, descriptors=0.92)
-    assert doors.guard.stair.step == 2
+    assert doors.controller.load_shedding.step == 2
     assert doors.word(doors.come(stranger(1))) == "no new clients for the moment"
     assert doors.come("10.1.0.9").state == "seated"
     doors.wait(100, memory=0.98)
     assert (
         doors.word(doors.knock(stranger(2))) == "no new clients for the moment"
-        and doors.guard.stair.step == 3
+        and doors.controller.load_shedding.step == 3
     )
     doors.wait(5000)
-    assert doors.guard.stair.step == 0 and doors.come(stranger(3)).state == "seated"
+    assert doors.controller.load_shedding.step == 0 and doors.come(stranger(3)).state == "seated"
 
 
 def test_the_stair_does_not_flip_where_use_swings_about_an_edge():
     doors, changes, last = Doors(40), 0, 0
     for i in range(600):  # a minute
         doors.wait(100, steps=1, descriptors=0.92 if i // 3 % 2 else 0.6)
-        changes += doors.guard.stair.step != last
-        last = doors.guard.stair.step
+        changes += doors.controller.load_shedding.step != last
+        last = doors.controller.load_shedding.step
     assert changes <= 2
     for i in range(1200):  # calm for longer than the dwell, then up again, and so on
         doors.wait(100, steps=1, descriptors=0.82 if i % 15 == 0 else 0.1)
-        changes += doors.guard.stair.step != last
-        last = doors.guard.stair.step
+        changes += doors.controller.load_shedding.step != last
+        last = doors.controller.load_shedding.step
     assert changes <= 14, "the dwell doubles"
     doors.wait(40000)
-    assert doors.guard.stair.step == 0
+    assert doors.controller.load_shedding.step == 0
 
 
 def test_who_pours_is_read_less_and_the_quiet_as_ever():
@@ -183,17 +187,21 @@
                 caller.group.read += 1
                 read += caller is pourer
                 if caller.group.allowed is not None and caller.group.read >= caller.group.allowed:
-                    doors.post(d.Poured(caller))
+                    doors.post(d.ReadQuotaExceeded(caller))
         quiet_paused = quiet in doors.paused
         doors.wait(100, steps=1, busy=busy)
         assert not quiet_paused
         return read
 
-    got = [window(1.0)] + [window(0.9 if doors.guard.flow.level else 1.0) for _ in range(10)]
+    got = [window(1.0)] + [
+        window(0.9 if doors.controller.fair_reading.level else 1.0) for _ in range(10)
+    ]
     assert got[0] == 300 and max(got[1:]) <= 240
     for _ in range(60):
         last = window(0.3)
-    assert last == 300 and doors.guard.flow.level is None, "with the core idle nobody is held back"
+    assert last == 300 and doors.controller.fair_reading.level is None, (
+        "with the core idle nobody is held back"
+    )
 
 
 def test_bytes_of_frames_that_are_not_finished_are_bounded_and_do_not_last():
@@ -202,7 +210,7 @@
     for caller, size in ((few, 300), (many, 800)):
         caller.held = size
         if caller.group.holds(size):
-            doors.post(d.Swollen(caller))
+            doors.post(d.BufferLimitExceeded(caller))
     assert doors.word(many) == "too many bytes are unfinished" and few.state == "seated"
     few.partial = doors.now
     doors.wait(5700)
@@ -213,12 +221,16 @@
     doors = Doors(40, [HARBOUR])
     known, busy, idle = doors.come("10.1.0.9"), doors.come(stranger(1)), doors.come(stranger(2))
     busy.open = 1
-    doors.post(d.Exhausted(True))
+    doors.post(d.DescriptorsExhausted(True))
     assert doors.word(idle) == "descriptors have run out"
-    doors.post(d.Exhausted(True))
+    doors.post(d.DescriptorsExhausted(True))
     assert doors.word(busy) == "descriptors have run out" and known.state == "seated"
-    first = [a.span for a in doors.post(d.Exhausted(False)) if isinstance(a, d.Rest)]
-    second = [a.span for a in doors.post(d.Exhausted(False)) if isinstance(a, d.Rest)]
+    first = [
+        a.span for a in doors.post(d.DescriptorsExhausted(False)) if isinstance(a, d.PauseAccepting)
+    ]
+    second = [
+        a.span for a in doors.post(d.DescriptorsExhausted(False)) if isinstance(a, d.PauseAccepting)
+    ]
     assert second > first, "accepting rests longer where it does not help"
 
 
@@ -238,9 +250,9 @@
         doors.go(caller)
         if i % 100 == 0:
             doors.wait(100, steps=1)
-    assert max(map(len, doors.guard.streets.tables)) <= d.MOST_STREETS + 2
+    assert max(map(len, doors.controller.networks.tables)) <= d.MOST_STREETS + 2
     doors.wait(400000)
-    assert max(map(len, doors.guard.streets.tables)) < 400, "and they shrink once it is over"
+    assert max(map(len, doors.controller.networks.tables)) < 400, "and they shrink once it is over"
 
 
 steps = st.lists(
@@ -268,7 +280,7 @@
 @given(steps)
 def test_no_order_of_notes_breaks_the_reserve_or_grows_without_bound(notes):
     doors = Doors(24, [("harbour", 6, 8, ("10.1.0.0/16",)), ("meadow", 3, 3, ("10.2.0.0/16",))])
-    places, porch = doors.guard.places, doors.guard.porch
+    places, porch = doors.controller.connection_slots, doors.controller.pending
     for what, a, b in notes:
         if what == "come":
             doors.come(stranger(a), b)
@@ -282,7 +294,7 @@
                 or doors.word(caller) == "this client connects too often"
             )
             if caller.state == "porch" and not b:
-                doors.post(d.Shown(caller, ""))
+                doors.post(d.ClientIdentified(caller, ""))
         elif what == "silent":
             doors.knock(stranger(a), sealed=b)
         elif what == "go" and doors.open:
@@ -293,19 +305,22 @@
         elif what == "wait":
             doors.wait(0, steps=a, descriptors=b)
         elif what == "lack":
-            doors.post(d.Exhausted(a))
+            doors.post(d.DescriptorsExhausted(a))
         assert len(places.strangers) <= places.common and places.used() <= places.common
         assert all(len(o.seated) <= o.most for o in places.offices.values())
         assert len(porch.slots) <= porch.most
         assert len(porch.unshown) <= porch.most + sum(2 * o.most for o in places.offices.values())
         assert {c.state for c in doors.open} <= {"porch", "waiting", "seated"}
         assert len(places.idle) <= 2 * len(places.strangers) + 64
-        for table in doors.guard.streets.tables:
-            assert all(s.porch >= 0 and s.group.held >= 0 for s in table.values())
+        for table in doors.controller.networks.tables:
+            assert all(s.pending >= 0 and s.group.held >= 0 for s in table.values())
     for caller in list(doors.open):
         doors.go(caller)
     assert (
-        not places.used() and not porch.slots and not porch.unshown and not doors.guard.flow.groups
+        not places.used()
+        and not porch.slots
+        and not porch.unshown
+        and not doors.controller.fair_reading.groups
     )
     doors.wait(0, steps=400)  # an office is never kept out for ever
     assert all(doors.come(f"10.{i}.0.9").state == "seated" for i in (1, 2))
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -22,12 +22,12 @@
 # ---- admission: names of the code under test
 
 ADMISSION_ACTIONS = (
-    admission.LetIn,
-    admission.Seat,
-    admission.Refuse,
-    admission.Pause,
-    admission.Resume,
-    admission.Rest,
+    admission.StartHandshake,
+    admission.Admit,
+    admission.Reject,
+    admission.PauseReading,
+    admission.ResumeReading,
+    admission.PauseAccepting,
 )
 ADMISSION_KINDS = {kind: number for number, kind in enumerate(ADMISSION_ACTIONS)}
 
@@ -52,9 +52,9 @@
     pending_places=0,
 ):
     """What admission goes by; the positions are those of the class."""
-    return admission.Manners(
+    return admission.ClientLimits(
         places,
-        tuple(admission.Known(*one) for one in known),
+        tuple(admission.KnownClientSettings(*one) for one in known),
         pace,
         burst,
         known_pace,
@@ -165,8 +165,8 @@
     def __init__(self, seed, manners):
         self.random = Random(seed)
         self.now = 1000.0
-        self.guard = admission.Guard(manners, self.now)
-        self.transcript = Transcript(ADMISSION_KINDS, entities=(admission.Caller,))
+        self.controller = admission.AdmissionController(manners, self.now)
+        self.transcript = Transcript(ADMISSION_KINDS, entities=(admission.AdmittedConnection,))
         self.pending = {}
         self.seated = {}
         self.closing = []
@@ -178,13 +178,13 @@
         for phase in phases:
             for _ in range(phase.steps):
                 self.step(phase)
-        config = [value for _, value in self.guard.config()]
-        self.transcript.add(self.now, config, list(self.guard.counters.values()))
+        config = [value for _, value in self.controller.config()]
+        self.transcript.add(self.now, config, list(self.controller.counters.values()))
         return self.transcript
 
     def post(self, note):
         self.notes += 1
-        actions = self.guard.take(self.now, note)
+        actions = self.controller.take(self.now, note)
         if actions:
             self.transcript.add(self.now, *actions)
         for action in actions:
@@ -192,16 +192,16 @@
 
     def carry_out(self, action):
         value = values_of(action)[0]
-        if isinstance(action, admission.LetIn):
+        if isinstance(action, admission.StartHandshake):
             self.pending[value] = self.random.random() < self.silent
-        elif isinstance(action, admission.Seat):
+        elif isinstance(action, admission.Admit):
             self.pending.pop(value, None)
             self.seated[value] = True
-        elif isinstance(action, admission.Refuse):
+        elif isinstance(action, admission.Reject):
             self.pending.pop(value, None)
             self.seated.pop(value, None)
             self.closing.append(value)
-        elif isinstance(action, admission.Rest):
+        elif isinstance(action, admission.PauseAccepting):
             self.rest_until = self.now + value
 
     def step(self, phase):
@@ -218,23 +218,23 @@
         for caller in [one for one, silent in self.pending.items() if not silent]:
             if self.random.random() < 0.4:
                 self.post(
-                    admission.Shown(
+                    admission.ClientIdentified(
                         caller, self.random.choice(("", "", "", "alpha", "beta", "gamma", "x"))
                     )
                 )
         while self.closing and self.random.random() < 0.7:
-            self.post(admission.Gone(self.closing.pop(0)))
+            self.post(admission.ConnectionClosed(self.closing.pop(0)))
 
     def measure(self, phase):
         descriptors, memory = (
             min(1.0, part + self.random.uniform(-0.05, 0.05)) for part in phase.shortage
         )
         busy = min(1.0, phase.busy + self.random.uniform(-0.1, 0.1))
-        self.post(admission.Measured(descriptors, memory, busy))
+        self.post(admission.UsageMeasured(descriptors, memory, busy))
 
     def knock(self, phase):
-        caller = admission.Caller(self.address(phase), self.now)
-        self.post(admission.Knock(caller, self.random.random() < phase.sealed))
+        caller = admission.AdmittedConnection(self.address(phase), self.now)
+        self.post(admission.ConnectionAccepted(caller, self.random.random() < phase.sealed))
 
     def address(self, phase):
         chosen = self.random.random()
@@ -260,9 +260,9 @@
         chosen = self.random.random()
         if chosen < 0.12:
             self.seated.pop(caller)
-            self.post(admission.Gone(caller))
+            self.post(admission.ConnectionClosed(caller))
         elif chosen < 0.13:
-            self.post(admission.Exhausted(self.random.random() < 0.5))
+            self.post(admission.DescriptorsExhausted(self.random.random() < 0.5))
         elif chosen < 0.30:
             set_open(caller, self.random.choice((0, 0, 1, 3)))
         elif chosen < 0.45:
@@ -274,12 +274,12 @@
         size = self.random.choice((0, 0, 1000, 20000, 60000))
         set_unfinished_since(caller, self.now if size else 0.0)
         if hold_bytes(caller, size):
-            self.post(admission.Swollen(caller))
+            self.post(admission.BufferLimitExceeded(caller))
 
     def read(self, caller):
         set_used(caller, self.now)
         if read_messages(caller, self.random.choice((1, 1, 2, 5, 30))):
-            self.post(admission.Poured(caller))
+            self.post(admission.ReadQuotaExceeded(caller))
 
 
 ADMISSION_HISTORIES = {
--- a/tests/platform/test_list_and_signals.py
+++ b/tests/platform/test_list_and_signals.py
@@ -102,7 +102,7 @@
     bulletin.cut()
     await bulletin.until_asked(2)
     assert not lacking[0] and len(idle) == 20 and (await town.handled()).status == 200
-    assert platform.listeners.guard.counters["closed: descriptors have run out"] >= 1
+    assert platform.listeners.controller.counters["closed: descriptors have run out"] >= 1
 
 
 @story
--- a/tests/tls/rings.py
+++ b/tests/tls/rings.py
@@ -86,4 +86,4 @@
 
 
 def seated(stack, office):
-    return len(stack.service.listeners.guard.places.offices[office].seated)
+    return len(stack.service.listeners.controller.connection_slots.offices[office].seated)
--- a/tests/tls/test_in_service.py
+++ b/tests/tls/test_in_service.py
@@ -255,8 +255,8 @@
             client = await sealed(stack, tmp, "meadow")
             assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
             client.end.close()
-    guard = stack.service.listeners.guard
-    assert len(guard.porch.slots) <= guard.porch.most
-    await stack.settled(lambda: not guard.porch.unshown)
+    guard = stack.service.listeners.controller
+    assert len(guard.pending.slots) <= guard.pending.most
+    await stack.settled(lambda: not guard.pending.unshown)
     for _, writer in idle:
         writer.close()
