--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,13 @@
 PY := .venv/bin/python
 READY := .venv/ready
 
-.PHONY: service rehearse test lint ci bench bench-doors bench-releases fleet fleet-full variants clean
+# Tests that start no process and serve no real client: seconds, for small steps. `make test` stays the whole.
+CHECK := tests/behaviour tests/compatibility tests/routing tests/protocol tests/config tests/admission/test_decide.py \
+	tests/releases/test_decide.py tests/tls/test_ring.py tests/membership/test_statements.py \
+	tests/leader_election/test_one_holder.py tests/failover/test_verdicts.py tests/failover/test_claims.py \
+	tests/zone_drain/test_conductor.py tests/zone_drain/test_waves.py tests/zone_drain/test_room.py
+
+.PHONY: service rehearse check test lint ci bench bench-doors bench-releases fleet fleet-full variants clean
 # what the platform's gateway needs, and its byte code, as the file system is read-only in service
 service:
 	test -x $(PY) || python3 -m venv .venv
@@ -15,6 +21,9 @@
 test: $(READY)
 	$(PY) -m pytest -q --doctest-modules cherrydoor tests docs
 
+check: $(READY)
+	$(PY) -m pytest -q $(CHECK)
+
 lint: $(READY)
 	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
