--- a/bench/drains.py
+++ b/bench/drains.py
@@ -84,12 +84,12 @@
                 }
             )
             (rehearse if on_sockets else emulate)(read_day(path, seed=seed), Path(folder) / "out")
-            return config(Audit(Path(folder) / "out"))
+            return figures(Audit(Path(folder) / "out"))
     finally:
         conducting.plan, planning.priority = was
 
 
-def config(judge):
+def figures(judge):
     found = judge.report()
     line, first = found["line"], int(judge.warm / 1000)
 
--- a/bench/mistakes.py
+++ b/bench/mistakes.py
@@ -34,7 +34,7 @@
                 "loss": loss,
                 "s": seconds,
                 "events": sent,
-                "frames lost": town.relay.counters.get("dropped", 0),
+                "frames lost": town.relay.counts.get("dropped", 0),
                 "estates taken over": estates,
                 "lives over": over,
                 "effects twice": len(effects) - len(set(effects)),
--- a/cherrydoor/codecs/invoke.py
+++ b/cherrydoor/codecs/invoke.py
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True)
 class Call:
-    """An event as a client sent it, in full form. `figures` are its X-Extras, `idempotency_key` its X-Dedupe-Key."""
+    """An event as a client sent it, in full form. `extras` are its X-Extras, `idempotency_key` its X-Dedupe-Key."""
 
     id: str
     kind: str
     customer: str
     function: str
     patience: float
-    config: dict = field(default_factory=dict)
+    extras: dict = field(default_factory=dict)
     body: bytes = b""
     idempotency_key: str = ""
 
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -189,7 +189,7 @@
         if not self.known.add(note.id, now):
             counts["bad calls: a known id"] += 1
             return end.reply(KNOWN, "X-Call-Id: known already", close=True)
-        config = note.config
+        extras = note.extras
         # A client sends as soon as the kernel has accepted it: what it waited for us until then is of its time.
         lasts, end.arrival.waited = max(1.0, note.patience - end.arrival.waited), 0.0
         event = protocol.Request(
@@ -200,8 +200,8 @@
             now,
             note.customer,
             note.idempotency_key,
-            config.get("lanes", 0.0),
-            config.get("load_ms", 0.0),
+            extras.get("lanes", 0.0),
+            extras.get("load_ms", 0.0),
             note.body,
         )
         end.waits = event.id
