--- a/cherrydoor/tls/__init__.py
+++ b/cherrydoor/tls/__init__.py
@@ -1,2 +1,4 @@
-"""Keys that change in service. decide.py says what is in service, files.py reads it, keeper.py puts it to use, make.py
-makes it."""
+"""Certificates, authorities, revocation lists and token keys, replaced while the gateway serves.
+
+Begin at credential_store.py, which decides what is in service; credential_manager.py applies it.
+"""
--- /dev/null
+++ b/cherrydoor/tls/peer_authentication.py
@@ -0,0 +1,135 @@
+"""Authenticates a peer by the certificate and the token that it presents."""
+
+from asyncio import BaseTransport
+from collections.abc import Callable
+from typing import Any, NamedTuple, TypedDict
+
+import jwt
+from cryptography import x509
+
+from cherrydoor.tls.credential_store import REVOKED_WHY, CredentialStore
+from cherrydoor.tls.errors import PeerAuthenticationError
+from cherrydoor.tls.x509_fields import (
+    common_name,
+    epoch_ms,
+    find_issuer,
+    fingerprint,
+    serial_hex,
+)
+
+TOKEN_AUDIENCE = "cherrydoor"
+TOKEN_ALGORITHM = "EdDSA"
+
+
+class Proof(TypedDict, total=False):
+    """What a connection rests on, as the fields of `messages.ConnectionOpened`."""
+
+    serial: str
+    authority: str
+    token: str
+    expires_ms: float
+
+
+class PeerIdentity(NamedTuple):
+    """Who a peer is: "" where it presented nothing, and the proof that it gave."""
+
+    known_client: str
+    proof: Proof
+
+
+class VerifiedToken(NamedTuple):
+    """A token that holds: its client, the id of its key and its end in ms since 1970."""
+
+    known_client: str
+    key_id: str
+    expires_ms: float
+
+
+class PeerAuthenticator:
+    """Verifies peers by the credentials in service.
+
+    Owned by the credential manager, which sets `trusted` and `token_keys` when they are put in
+    service.
+    """
+
+    def __init__(self, store: CredentialStore, wall_clock_ms: Callable[[], float]) -> None:
+        """Nothing is trusted yet.
+
+        Args:
+            store: What is revoked and what each token key permits.
+            wall_clock_ms: The time in ms since 1970.
+        """
+        self.store = store
+        self.wall_clock_ms = wall_clock_ms
+        self.trusted: tuple[x509.Certificate, ...] = ()
+        self.token_keys: dict[str, Any] = {}
+
+    def identify(self, transport: BaseTransport, token: str) -> PeerIdentity:
+        """Who is at the other end of a connection.
+
+        The handshake has verified the certificate, but perhaps by credentials that have been
+        replaced since; it is therefore verified anew by those in service.
+
+        Raises:
+            PeerAuthenticationError: The certificate or the token does not hold.
+        """
+        known_client = ""
+        proof: Proof = {}
+        tls = transport.get_extra_info("ssl_object")
+        der = tls.getpeercert(True) if tls is not None else None
+        if der:
+            certificate = x509.load_der_x509_certificate(der)
+            known_client = common_name(certificate.subject)
+            proof = self._verify_certificate(certificate)
+        if token:
+            verified = self._verify_token(token)
+            if known_client and verified.known_client != known_client:
+                raise PeerAuthenticationError("certificate and token speak for different clients")
+            known_client = verified.known_client
+            expires_ms = min(verified.expires_ms, proof.get("expires_ms", verified.expires_ms))
+            proof["token"] = verified.key_id
+            proof["expires_ms"] = expires_ms
+        return PeerIdentity(known_client, proof)
+
+    def _verify_certificate(self, certificate: x509.Certificate) -> Proof:
+        issuer = find_issuer(certificate, self.trusted)
+        if issuer is None:
+            raise PeerAuthenticationError("the authority of this certificate is in service no more")
+        authority = fingerprint(issuer)
+        serial = serial_hex(certificate)
+        if self.store.is_revoked(authority, serial):
+            raise PeerAuthenticationError(REVOKED_WHY)
+        return {
+            "serial": serial,
+            "authority": authority,
+            "expires_ms": epoch_ms(certificate.not_valid_after_utc),
+        }
+
+    def _verify_token(self, token: str) -> VerifiedToken:
+        key_id = self._key_id(token)
+        if key_id not in self.token_keys:
+            raise PeerAuthenticationError("the key of this token is not in service")
+        try:
+            # Its end is compared below, with the clock that the rest is decided by.
+            claims = jwt.decode(
+                token,
+                self.token_keys[key_id],
+                [TOKEN_ALGORITHM],
+                {"require": ["exp", "sub", "aud"], "verify_exp": False, "verify_iat": False},
+                audience=TOKEN_AUDIENCE,
+            )
+        except jwt.exceptions.PyJWTError as error:
+            raise PeerAuthenticationError(f"this token does not hold: {error}") from None
+        expires_ms = float(claims["exp"]) * 1000
+        if expires_ms <= self.wall_clock_ms():
+            raise PeerAuthenticationError("this token has ended")
+        known_client = claims["sub"]
+        if not self.store.token_key_permits(key_id, known_client):
+            raise PeerAuthenticationError("the key of this token may not speak for this client")
+        return VerifiedToken(known_client, key_id, expires_ms)
+
+    def _key_id(self, token: str) -> str:
+        try:
+            return str(jwt.get_unverified_header(token).get("kid", ""))
+        except jwt.exceptions.PyJWTError:
+            raise PeerAuthenticationError("this is no token") from None
--- /dev/null
+++ b/cherrydoor/tls/validation.py
@@ -0,0 +1,69 @@
+"""Checks that a part of the credentials must pass before it is put in service.
+
+Each function returns the reason for a rejection, or "" where there is none. Pure.
+"""
+
+from collections.abc import Iterable
+
+from cherrydoor.tls.credentials import Authority, Pair, RevocationList, TokenKey
+from cherrydoor.tls.expiry import format_time
+
+
+def pair_rejection(pair: Pair, now_ms: float) -> str:
+    """Guards against a pair that no peer would accept.
+
+    Harms where the gateway's clock is wrong; the store therefore tries such a pair again.
+    """
+    if not pair.key_matches:
+        return "the certificate and the key do not belong together"
+    if pair.not_after_ms <= now_ms:
+        return f"the certificate ended at {format_time(pair.not_after_ms)}"
+    if pair.not_before_ms > now_ms:
+        return f"the certificate begins at {format_time(pair.not_before_ms)} only"
+    return ""
+
+
+def authorities_rejection(authorities: tuple[Authority, ...], now_ms: float) -> str:
+    """Guards against a set by which no peer could be trusted."""
+    if not authorities:
+        return "there is no authority in it"
+    if all(authority.not_after_ms <= now_ms for authority in authorities):
+        return "every authority in it has ended"
+    return ""
+
+
+def revocations_rejection(
+    offered: tuple[RevocationList, ...],
+    in_service: tuple[RevocationList, ...],
+    trusted: Iterable[Authority],
+) -> str:
+    """Guards against revocations that are forged, rolled back or left out.
+
+    Harms where an authority's list is numbered anew: it is rejected until the number has grown
+    past the one in service.
+
+    Args:
+        offered: The lists to check.
+        in_service: The lists that they would replace.
+        trusted: Authorities in service. A list of any other may be left out.
+    """
+    if not all(revocations.signature_verified for revocations in offered):
+        return "a list of revocations is not signed by an authority in service"
+    numbers = {revocations.authority: revocations.number for revocations in in_service}
+    for revocations in offered:
+        number = numbers.get(revocations.authority, 0)
+        if revocations.number < number:
+            return (
+                f"list {revocations.number} of revocations is older than {number}, "
+                "which is in service"
+            )
+    required = set(numbers) & {authority.id for authority in trusted}
+    if required - {revocations.authority for revocations in offered}:
+        return "the list of revocations of an authority in service is missing"
+    return ""
+
+
+def token_keys_rejection(token_keys: tuple[TokenKey, ...]) -> str:
+    """Guards against an id that stands for two keys: which one verifies would be left to chance."""
+    ids = {token_key.id for token_key in token_keys}
+    return "two token keys have one id" if len(ids) < len(token_keys) else ""
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -17,7 +17,10 @@
 from cherrydoor.protocol import peers as frames
 from cherrydoor.releases import decide as versions
 from cherrydoor.releases import proof
-from cherrydoor.tls import decide as keys
+from cherrydoor.tls import credentials as key_credentials
+from cherrydoor.tls import messages as key_messages
+from cherrydoor.tls.credential_store import CredentialStore
+from cherrydoor.tls.expiry import ExpiryPolicy
 
 # ---- admission: names of the code under test
 
@@ -578,14 +581,15 @@
 # ---- keys: names of the code under test
 
 KEY_ACTIONS = (
-    keys.TakeUp,
-    keys.Keep,
-    keys.Warn,
-    keys.PutOut,
+    key_messages.PutInService,
+    key_messages.Rejected,
+    key_messages.ExpiryWarning,
+    key_messages.EndConnection,
 )
 KEY_KINDS = {kind: number for number, kind in enumerate(KEY_ACTIONS)}
-PAIR, AUTHORITIES, REVOKED, TOKENS = keys.PARTS
-KEY_CONSTANTS = {part: number for number, part in enumerate(keys.PARTS)}
+KEY_PARTS = tuple(key_credentials.Part)
+PAIR, AUTHORITIES, REVOKED, TOKENS = KEY_PARTS
+KEY_CONSTANTS = {part: number for number, part in enumerate(KEY_PARTS)}
 
 
 # ---- keys: the history
@@ -599,7 +603,7 @@
     def __init__(self, seed):
         self.random = Random(seed)
         self.now = 1.8e12
-        self.ring = keys.Ring(keys.Usage(900000.0, 14 * DAY, seed))
+        self.store = CredentialStore(ExpiryPolicy(900000.0, 14 * DAY, seed))
         self.transcript = Transcript(KEY_KINDS, KEY_CONSTANTS)
         self.connections = []
         self.marks = 0
@@ -611,23 +615,23 @@
             self.now += self.random.expovariate(1 / DAY if long else 1 / 20000.0)
             chosen = self.random.random()
             if chosen < 0.35:
-                self.post(keys.Tick())
+                self.post(key_messages.Tick())
             elif chosen < 0.65:
                 self.join()
             elif chosen < 0.75 and self.connections:
                 left = self.connections.pop(self.random.randrange(len(self.connections)))
-                self.post(keys.Left(left))
+                self.post(key_messages.ConnectionClosed(left))
             elif chosen < 0.90:
                 self.offer()
             else:
-                believed = self.ring.believes(
+                believed = self.store.token_key_permits(
                     self.token_id(), self.random.choice(("alpha", "beta"))
                 )
                 self.transcript.add(self.now, believed)
         return self.transcript
 
-    def post(self, note):
-        actions = self.ring.take(self.now, note)
+    def post(self, message):
+        actions = self.store.handle(self.now, message)
         if actions:
             self.transcript.add(self.now, *actions)
 
@@ -652,25 +656,27 @@
         authority = self.authority_id() if by_certificate else ""
         token = "" if by_certificate else self.token_id()
         until = self.random.choice((0.0, self.now + 300000.0, self.now + DAY))
-        self.post(keys.Joined(connection, serial, authority, token, until))
+        self.post(key_messages.ConnectionOpened(connection, serial, authority, token, until))
 
     def offer(self):
-        part = self.random.choice(keys.PARTS)
+        part = self.random.choice(KEY_PARTS)
         self.marks += self.random.random() < 0.9
         mark = f"mark-{part}-{self.marks}"
         if self.random.random() < 0.1:
-            self.post(keys.Offered(part, mark, None, f"fault-{self.random.randrange(2)}"))
+            self.post(key_messages.Offered(part, mark, None, f"fault-{self.random.randrange(2)}"))
             return
-        self.post(keys.Offered(part, mark, self.content(part)))
+        self.post(key_messages.Offered(part, mark, self.content(part)))
 
     def content(self, part):
         if part == PAIR:
             since, until = self.span()
-            return keys.Pair(self.serial(), "gateway", since, until, self.random.random() < 0.85)
+            return key_credentials.Pair(
+                self.serial(), "gateway", since, until, self.random.random() < 0.85
+            )
         if part == AUTHORITIES:
             found = [number for number in range(3) if self.random.random() < 0.75]
             return tuple(
-                keys.Authority(f"authority-{number}", f"name-{number}", *self.span())
+                key_credentials.Authority(f"authority-{number}", f"name-{number}", *self.span())
                 for number in found
             )
         if part == REVOKED:
@@ -682,18 +688,22 @@
 
     def revocations(self, number, signed):
         serials = frozenset(self.serial() for _ in range(3))
-        return keys.Revoked(f"authority-{number}", self.list_number, serials, signed)
+        return key_credentials.RevocationList(
+            f"authority-{number}", self.list_number, serials, signed
+        )
 
     def token(self):
-        return keys.Token(self.token_id(), self.random.choice(((), ("alpha",), ("alpha", "beta"))))
+        return key_credentials.TokenKey(
+            self.token_id(), self.random.choice(((), ("alpha",), ("alpha", "beta")))
+        )
 
 
 KEY_HISTORIES = {
-    "one ring of keys": (
+    "one credential store": (
         31,
         "0c278d015d4e25cbfdf1f28b9bccffbc6c7174c657f625427a0d8bebce915cc4",
     ),
-    "another ring of keys": (
+    "another credential store": (
         32,
         "414aa129eaaefbc5c5835a0c486f93e6645da68c7d01616ea28630ffd2ca1bf6",
     ),
@@ -701,7 +711,7 @@
 
 
 @pytest.mark.parametrize("name", KEY_HISTORIES)
-def test_keys_are_taken_up_and_connections_ended_as_recorded(name):
+def test_keys_are_put_in_service_and_connections_ended_as_recorded(name):
     seed, expected = KEY_HISTORIES[name]
     transcript = KeyHistory(seed).run(4000)
     assert not transcript.missing(KEY_ACTIONS)
--- /dev/null
+++ b/tests/tls/test_credentials_in_service.py
@@ -0,0 +1,283 @@
+"""TLS on real sockets, at the listener and to hosts, with credentials that change under load."""
+
+import asyncio
+import json
+import signal
+
+import pytest
+from stack import LEASE, Host, Listing
+from test_process import Daemon, with_folder
+from tls_support import (
+    client_context,
+    config_part,
+    connect_tls,
+    connections_of,
+    make_local_authority,
+)
+
+from cherrydoor.fakes.crowd import greeting
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.tls.credential_files import read_pair, read_token_keys
+from cherrydoor.tls.credential_manager import CredentialManager
+from cherrydoor.tls.credentials import Part
+from cherrydoor.tls.errors import CredentialFileError, CredentialRejectedError
+from cherrydoor.tls.settings import CredentialSettings
+from cherrydoor.tls.tls_context import make_context
+
+KNOWN = 'admission: {known: [{name: "harbour", places: 8}, {name: "meadow", places: 8}]}\n'
+
+
+def pair_settings(folder, **more):
+    return CredentialSettings(str(folder / "g0.pem"), str(folder / "g0.key"), **more)
+
+
+def server_context(folder, name):
+    loaded = read_pair(folder / f"{name}.pem", folder / f"{name}.key")
+    return make_context(True, loaded.chain, loaded.private_key)
+
+
+@with_folder
+async def test_clients_are_identified_by_certificate_and_by_token(stack, tmp):
+    local_authority = make_local_authority(tmp)
+    await stack.start(Host("handled"), bounds=config_part(tmp), known=KNOWN, plain=False)
+    for known_client, name, token in (
+        ("harbour", "harbour", ""),
+        ("meadow", "meadow", ""),
+        ("harbour", "", local_authority.token("k1", "harbour")),
+    ):
+        before = connections_of(stack, known_client)
+        client = await connect_tls(stack, tmp, name, token)
+        assert (await client.answer(client.send())).outcome == "handled"
+        assert connections_of(stack, known_client) == before + 1
+    unknown = await connect_tls(stack, tmp)
+    assert (await unknown.answer(unknown.send())).outcome == "handled"
+    for token, why in (
+        (local_authority.token("k1", "meadow"), "may not speak for"),
+        ("nonsense", "no token"),
+        (local_authority.token("k1", "harbour", -1.0), "ended"),
+        (local_authority.token("k1", "harbour")[:-9] + "AAAAAAAAA", "does not hold"),
+    ):
+        refused = await connect_tls(stack, tmp, "", token)
+        await refused.until(lambda refused=refused: refused.lost_ends)
+        assert why in refused.ends[0].why
+
+
+@with_folder
+async def test_a_client_without_tls_or_without_a_required_certificate_is_rejected_alone(stack, tmp):
+    make_local_authority(tmp)
+    await stack.start(
+        Host("handled"), bounds=config_part(tmp, 'clients: "need"'), known=KNOWN, plain=False
+    )
+    reader, writer = await asyncio.open_connection("127.0.0.1", stack.service.port)
+    writer.write(b"\0\0\0\x08\x81\xa2is\xa3ask")
+    await asyncio.wait_for(reader.read(), 20)
+    without_certificate = None
+    try:
+        without_certificate = await connect_tls(stack, tmp)
+        await without_certificate.until(lambda: without_certificate.lost_ends)
+    except OSError:
+        pass
+    assert without_certificate is None or not without_certificate.all(protocol.Response)
+    known = await connect_tls(stack, tmp, "harbour")
+    assert (await known.answer(known.send())).outcome == "handled"
+
+
+@with_folder
+async def test_credentials_are_replaced_twice_under_load_with_an_invalid_file_in_between(
+    stack, tmp
+):
+    local_authority = make_local_authority(tmp)
+    host = Host("handled")
+    other = Host("handled")
+    await stack.start(
+        host, other, bounds=config_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
+    )
+    store = stack.service.tls.store
+    sent = 0
+    answered = 0
+    ended = 0
+    stop = False
+
+    async def load(name):
+        nonlocal sent, answered, ended
+        while not stop:
+            client = await connect_tls(stack, tmp, name)
+            number = client.send(f"document {sent % 9}", lasts=4900.0)
+            sent += 1
+            await client.until(lambda c=client, n=number: c.answers(n) or c.lost_ends)
+            if client.answers(number):
+                assert client.answers(number)[0].outcome == "handled"
+                answered += 1
+            else:  # ended before its request was accepted: then no host has received it
+                assert "has changed" in client.end.why
+                ended += 1
+            client.end.close()
+
+    tasks = [asyncio.ensure_future(load(name)) for name in ("harbour", "meadow")]
+    first = store.pair.serial
+    local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
+    await stack.settled(lambda: store.pair.serial != first)
+    second = store.pair.serial
+    key = (tmp / "g0.key").read_bytes()
+    (tmp / "g0.key").write_bytes(key[: len(key) // 2])  # half-written
+    await stack.settled(lambda: store.parts[Part.PAIR].reported)
+    assert store.pair.serial == second
+    local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
+    await stack.settled(lambda: store.pair.serial != second)
+    local_authority.authority(more=True)
+    await stack.settled(lambda: len(store.authorities) == 2)
+    before = answered
+    await stack.settled(lambda: answered > before + 10)
+    stop = True
+    await asyncio.gather(*tasks)
+    assert sent == answered + ended and ended <= 6
+    attempts = len(host.all(protocol.Attempt)) + len(other.all(protocol.Attempt))
+    assert stack.counters["taken"] == answered == attempts, "no accepted request is cut off"
+
+
+@with_folder
+async def test_an_authority_is_replaced_from_beginning_to_end(stack, tmp):
+    local_authority = make_local_authority(tmp)
+    await stack.start(
+        Host("handled"), bounds=config_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
+    )
+    store = stack.service.tls.store
+    old = await connect_tls(stack, tmp, "harbour")
+    local_authority.authority(more=True)
+    local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
+    local_authority.issue("client", "meadow")
+    await stack.settled(lambda: len(store.authorities) == 2 and not store.parts[Part.PAIR].reported)
+    new = await connect_tls(stack, tmp, "meadow")
+    assert (await new.answer(new.send())).outcome == "handled"
+    assert (await connect_tls(stack, tmp, "harbour")).ends
+    local_authority.retire()
+    await stack.settled(lambda: len(store.authorities) == 1)
+    await old.until(lambda: old.lost_ends)
+    assert "service no more" in old.end.why or "has changed" in old.end.why
+    assert (await new.answer(new.send())).outcome == "handled"
+
+
+@with_folder
+async def test_a_revoked_client_is_disconnected_and_cannot_connect_again(stack, tmp):
+    local_authority = make_local_authority(tmp)
+    await stack.start(Host("handled"), bounds=config_part(tmp), known=KNOWN, plain=False)
+    client = await connect_tls(stack, tmp, "harbour")
+    other = await connect_tls(stack, tmp, "meadow")
+    local_authority.revoke("harbour")
+    await client.until(lambda: client.lost_ends)
+    assert "revoked" in client.end.why
+    again = await connect_tls(stack, tmp, "harbour")
+    await again.until(lambda: again.lost_ends)
+    assert "revoked" in again.ends[0].why and not other.lost_ends
+
+
+@with_folder
+async def test_a_host_whose_certificate_is_not_trusted_is_treated_as_unreachable(stack, tmp):
+    local_authority = make_local_authority(tmp)
+    local_authority.issue("host", "h0", addresses=["127.0.0.1"])
+    other_authority = make_local_authority(tmp / "elsewhere")
+    other_authority.issue("host", "h1", addresses=["127.0.0.1"])
+    host = Host("handled")
+    impostor = Host("handled")
+    host.tls = server_context(tmp, "h0")
+    impostor.tls = server_context(tmp / "elsewhere", "h1")
+    await stack.start(host, impostor, bounds=config_part(tmp, "hosts: true"), plain=False)
+    client = await connect_tls(stack, tmp)
+    for i in range(8):
+        assert (await client.answer(client.send(f"document {i}"))).outcome == "handled"
+    assert host.all(protocol.Attempt) and not impostor.all(protocol.Attempt)
+
+
+@with_folder
+async def test_no_secret_is_in_a_log_or_an_error(stack, tmp):
+    local_authority = make_local_authority(tmp)
+    stack.list = await Listing().start()
+    stack.opened.append(stack.list)
+    lease = tmp / "g.lease"
+    lease.write_text(
+        LEASE % stack.list.port + "may: {}\ncold: {}\nration: {}\n" + config_part(tmp) + KNOWN
+    )
+    daemon = await Daemon.start(stack, lease)
+    token = local_authority.token("k1", "harbour")
+    await connect_tls(stack, tmp, "", token[:-9] + "AAAAAAAAA", daemon.port)
+    secret = (tmp / "g0.key").read_text()
+    (tmp / "g0.key").write_text(secret[:120])
+    daemon.process.send_signal(signal.SIGHUP)
+    while True:
+        line = (await asyncio.wait_for(daemon.process.stderr.readline(), 20)).decode()
+        daemon.errors.append(line)
+        if "no whole private key" in line:
+            break
+    daemon.process.send_signal(signal.SIGTERM)
+    code, rest = await daemon.end()
+    output = "".join(daemon.errors) + rest
+    assert code == 0 and "Traceback" not in output and token[:40] not in output
+    assert not any(piece in output for piece in secret.splitlines()[1:-1] if piece)
+
+
+def test_a_start_with_a_pair_that_does_not_match_is_an_error_that_says_why(tmp_path):
+    make_local_authority(tmp_path)
+    (tmp_path / "g0.key").write_text((tmp_path / "harbour.key").read_text())
+    manager = CredentialManager(pair_settings(tmp_path), None)
+    with pytest.raises(CredentialRejectedError, match="do not belong together"):
+        asyncio.run(manager.start())
+    assert client_context(tmp_path, "harbour")
+
+
+def test_the_error_for_a_secret_token_key_does_not_contain_it(tmp_path):
+    path = tmp_path / "tokens.jwks"
+    path.write_text(json.dumps({"keys": [{"kty": "oct", "k": "c2VjcmV0", "kid": "x"}]}))
+    with pytest.raises(CredentialFileError, match="no public Ed25519") as caught:
+        read_token_keys(path)
+    assert "c2VjcmV0" not in str(caught.value)
+
+
+def test_a_start_while_its_pair_is_being_replaced_waits_for_the_other_file(tmp_path):
+    """A rehearsal once ended with "bad lease" as a gateway started while its key was written."""
+    make_local_authority(tmp_path)
+    whole = (tmp_path / "g0.key").read_bytes()
+    (tmp_path / "g0.key").write_bytes(whole[:80])
+    manager = CredentialManager(
+        pair_settings(tmp_path, start_timeout_ms=20000.0, poll_interval_ms=50.0), None
+    )
+
+    async def start():
+        starting = asyncio.ensure_future(manager.start())
+        while manager.stamps is None:
+            await asyncio.sleep(0)
+        (tmp_path / "g0.key").write_bytes(whole)
+        await starting
+        manager.close()
+
+    asyncio.run(start())
+    assert manager.server is not None
+
+
+@with_folder
+async def test_handshakes_that_never_end_do_not_keep_clients_out(stack, tmp):
+    make_local_authority(tmp)
+    await stack.start(
+        Host("handled"),
+        bounds=config_part(tmp),
+        plain=False,
+        known=KNOWN.replace("{known", "{hello: 500ms, known").replace(
+            "places: 8}]", 'places: 8, addresses: ["127.0.0.1/32"]}]'
+        ),
+    )
+    first = greeting(True)
+    idle = []
+    for i in range(300):
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", stack.service.port, local_addr=(f"127.3.{i % 200}.1", 0)
+        )
+        writer.write(first[: (0, 40, len(first))[i % 3]])
+        idle.append((reader, writer))
+        if i % 30 == 29:
+            client = await connect_tls(stack, tmp, "meadow")
+            assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
+            client.end.close()
+    guard = stack.service.listeners.controller
+    assert len(guard.pending.slots) <= guard.pending.most
+    await stack.settled(lambda: not guard.pending.unshown)
+    for _, writer in idle:
+        writer.close()
--- /dev/null
+++ b/tests/tls/tls_support.py
@@ -0,0 +1,101 @@
+"""A credential store that a test drives by hand, and a gateway with TLS whose files it changes."""
+
+import asyncio
+
+from stack import Client, now
+
+from cherrydoor.connection import FramedConnection
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.tls.credential_files import read_authorities, read_pair
+from cherrydoor.tls.credential_store import CredentialStore
+from cherrydoor.tls.credentials import Authority, Pair
+from cherrydoor.tls.expiry import DAY_MS, ExpiryPolicy
+from cherrydoor.tls.local_authority import LocalAuthority
+from cherrydoor.tls.messages import Offered, Tick
+from cherrydoor.tls.tls_context import make_context
+
+START_MS = 20000 * DAY_MS  # 2024-10-04 00:00 UTC
+
+
+class StoreDriver:
+    """A credential store, and the time that it is given."""
+
+    def __init__(self, **policy):
+        self.store = CredentialStore(ExpiryPolicy(**policy))
+        self.now_ms = START_MS
+        self.offers = 0
+
+    def handle(self, message):
+        return self.store.handle(self.now_ms, message)
+
+    def offer(self, part, content=None, fault=""):
+        """Offers content that differs from all that was offered before."""
+        self.offers += 1
+        return self.handle(Offered(part, f"hash-{self.offers}", content, fault))
+
+    def wait(self, ms):
+        self.now_ms += ms
+        return self.handle(Tick())
+
+
+def pair(name="g", not_before_ms=-DAY_MS, not_after_ms=90 * DAY_MS, key_matches=True):
+    """A pair whose validity is given relative to the start."""
+    return Pair("1a", name, START_MS + not_before_ms, START_MS + not_after_ms, key_matches)
+
+
+def authority(name, not_after_ms=900 * DAY_MS):
+    return Authority(name, name, START_MS - DAY_MS, START_MS + not_after_ms)
+
+
+def config_part(folder, more=""):
+    """The part of a configuration that names the files of this folder."""
+    return (
+        f'bounds: {{}}\nkeys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
+        f'authorities: "{folder}/authorities.pem", revoked: "{folder}/revoked.pem", '
+        f'tokens: "{folder}/tokens.jwks", look: 50ms, {more}}}\n'
+    )
+
+
+def make_local_authority(folder):
+    """A local authority, with credentials of gateway g0 and of clients harbour and meadow."""
+    local_authority = LocalAuthority(folder)
+    local_authority.authority()
+    local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
+    local_authority.issue("client", "harbour")
+    local_authority.issue("client", "meadow")
+    local_authority.token_key("k1", ["harbour"])
+    return local_authority
+
+
+def client_context(folder, name=""):
+    trusted = read_authorities(folder / "authorities.pem").certificates
+    if not name:
+        return make_context(False, b"", b"", trusted)
+    loaded = read_pair(folder / f"{name}.pem", folder / f"{name}.key")
+    return make_context(False, loaded.chain, loaded.private_key, trusted)
+
+
+async def connect_tls(stack, folder, name="", token="", port=None):
+    """A client over TLS, with the certificate of that name; its connection may be refused."""
+    client = Client()
+    await asyncio.get_running_loop().create_connection(
+        lambda: FramedConnection(
+            client,
+            protocol.TO_CLIENT,
+            lambda: protocol.Hello(protocol.VERSION, "client", name, now(), token=token),
+        ),
+        "127.0.0.1",
+        port or stack.service.port,
+        ssl=client_context(folder, name),
+        server_hostname="127.0.0.1",
+    )
+    stack.opened.append(client)
+    await client.until(lambda: client.ends or client.lost_ends)
+    if client.ends:
+        client.end = client.ends[0]
+    return client
+
+
+def connections_of(stack, known_client):
+    """How many connections the gateway has of this client."""
+    return len(stack.service.listeners.controller.connection_slots.offices[known_client].seated)
