--- a/cherrydoor/tls/certificate_builder.py
+++ b/cherrydoor/tls/certificate_builder.py
@@ -4,6 +4,7 @@
 from datetime import datetime, timedelta
 from enum import StrEnum
 from ipaddress import ip_address
+from typing import NamedTuple
 
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes
@@ -12,7 +13,8 @@
 
 # A certificate is valid from this long ago. Guards against peers whose clocks are behind.
 BACKDATING = timedelta(minutes=5)
-# Lists are replaced by events and not by time; a next update is required by RFC 5280, 5.1.2.5.
+# A list is replaced when a certificate is revoked, not when it expires; RFC 5280, 5.1.2.5 requires
+# a next update all the same.
 REVOCATION_LIST_VALIDITY = timedelta(days=3650)
 
 
@@ -31,6 +33,13 @@
 }
 
 
+class Signer(NamedTuple):
+    """An authority's certificate and the private key that it signs with."""
+
+    certificate: x509.Certificate
+    key: ec.EllipticCurvePrivateKey
+
+
 def build_authority(
     name: str, key: ec.EllipticCurvePrivateKey, now: datetime, days: float
 ) -> x509.Certificate:
@@ -67,8 +76,7 @@
     kind: CertificateKind,
     name: str,
     public_key: ec.EllipticCurvePublicKey,
-    issuer: x509.Name,
-    signer: ec.EllipticCurvePrivateKey,
+    signer: Signer,
     now: datetime,
     days: float,
     addresses: Iterable[str],
@@ -79,18 +87,17 @@
         kind: Decides what the certificate may be used for.
         name: Its common name.
         public_key: The key that it certifies.
-        issuer: Name of the authority.
-        signer: Private key of the authority.
+        signer: The authority.
         now: Start of its validity, but for the backdating.
         days: Length of its validity.
         addresses: IP addresses and DNS names that it is valid for.
     """
     builder = (
-        _builder(_subject(name), issuer, public_key, now, days)
+        _builder(_subject(name), signer.certificate.subject, public_key, now, days)
         .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
         .add_extension(x509.ExtendedKeyUsage(EXTENDED_KEY_USAGES[kind]), critical=False)
         .add_extension(
-            x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()),
+            x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.key.public_key()),
             critical=False,
         )
     )
@@ -99,12 +106,11 @@
         builder = builder.add_extension(
             x509.SubjectAlternativeName(alternative_names), critical=False
         )
-    return builder.sign(signer, hashes.SHA256())
+    return builder.sign(signer.key, hashes.SHA256())
 
 
 def build_revocation_list(
-    issuer: x509.Name,
-    signer: ec.EllipticCurvePrivateKey,
+    signer: Signer,
     number: int,
     revoked: Mapping[int, datetime],
     now: datetime,
@@ -112,15 +118,14 @@
     """A revocation list of an authority.
 
     Args:
-        issuer: Name of the authority.
-        signer: Its private key.
+        signer: The authority.
         number: Number of the list; must be larger than that of the list before.
         revoked: Serial numbers and when each was revoked.
         now: Time of the list, but for the backdating.
     """
     builder = (
         x509.CertificateRevocationListBuilder()
-        .issuer_name(issuer)
+        .issuer_name(signer.certificate.subject)
         .last_update(now - BACKDATING)
         .next_update(now + REVOCATION_LIST_VALIDITY)
         .add_extension(x509.CRLNumber(number), critical=False)
@@ -133,7 +138,7 @@
             .build()
         )
         builder = builder.add_revoked_certificate(entry)
-    return builder.sign(signer, hashes.SHA256())
+    return builder.sign(signer.key, hashes.SHA256())
 
 
 def _builder(
--- a/cherrydoor/tls/credential_manager.py
+++ b/cherrydoor/tls/credential_manager.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable, Iterator
 from ssl import SSLContext
-from typing import NamedTuple
+from typing import NamedTuple, assert_never
 
 import structlog
 
@@ -180,6 +180,8 @@
                     self._log_expiry(action)
                 case EndConnection():
                     self.end_connection(action.connection, action.why, action.at_once)
+                case _:
+                    assert_never(action)
         return actions
 
     def identify(self, transport: asyncio.BaseTransport, token: str) -> PeerIdentity:
@@ -230,6 +232,10 @@
             case PairFile():
                 self.chain = loaded.chain
                 self.private_key = loaded.private_key
+            case RevocationsFile():
+                pass  # The store's records are all that is used of it.
+            case _:
+                assert_never(loaded)
         log.info("keys are in service", part=part.value)
         if part in (Part.PAIR, Part.AUTHORITIES):
             self._make_contexts()
--- a/cherrydoor/tls/local_authority.py
+++ b/cherrydoor/tls/local_authority.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from datetime import UTC, datetime, timedelta
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 import jwt
 from cryptography import x509
@@ -18,6 +18,7 @@
 
 from cherrydoor.tls.certificate_builder import (
     CertificateKind,
+    Signer,
     build_authority,
     build_certificate,
     build_revocation_list,
@@ -30,13 +31,6 @@
 PEM = serialization.Encoding.PEM
 
 
-class Signer(NamedTuple):
-    """An authority's certificate and the private key that it signs with."""
-
-    certificate: x509.Certificate
-    key: ec.EllipticCurvePrivateKey
-
-
 class LocalAuthority:
     """The files of one folder, which this class alone writes.
 
@@ -60,19 +54,19 @@
         self.now = now or datetime.now(UTC)
 
     # ---- authorities
-    def authority(self, days: float = 3650.0, more: bool = False) -> Path:
+    def authority(self, days: float = 3650.0, additional: bool = False) -> Path:
         """Makes an authority.
 
         Args:
             days: Length of its validity.
-            more: Make one although there is one, so that both are trusted.
+            additional: Make one although there is one, so that both are trusted.
 
         Raises:
             LocalAuthorityError: There is one, and no other was asked for.
         """
         self.path.mkdir(parents=True, exist_ok=True)
         existing = self._authority_files()
-        if existing and not more:
+        if existing and not additional:
             raise LocalAuthorityError(
                 f"{existing[-1]} is an authority already; --next makes one to follow it"
             )
@@ -124,8 +118,7 @@
             CertificateKind(kind),
             name,
             key.public_key(),
-            signer.certificate.subject,
-            signer.key,
+            signer,
             self.now,
             days,
             addresses,
@@ -156,12 +149,12 @@
         return path
 
     # ---- tokens
-    def token_key(self, kid: str, offices: Iterable[str] = ()) -> Path:
+    def token_key(self, kid: str, known_clients: Iterable[str] = ()) -> Path:
         """Makes a key that signs tokens; its public half goes into tokens.jwks.
 
         Args:
             kid: Its id.
-            offices: Known clients whose tokens it may sign; none for all.
+            known_clients: Those whose tokens it may sign; none for all.
 
         Raises:
             LocalAuthorityError: There is a key of that id.
@@ -173,9 +166,9 @@
         key = ed25519.Ed25519PrivateKey.generate()
         public = json.loads(jwt.algorithms.OKPAlgorithm.to_jwk(key.public_key()))
         public |= {"kid": kid, "use": "sig", "alg": TOKEN_ALGORITHM}
-        known_clients = list(offices)
-        if known_clients:
-            public["offices"] = known_clients
+        permitted = list(known_clients)
+        if permitted:
+            public["offices"] = permitted
         write_private(self.path / f"token-{kid}.key", private_pem(key))
         return self._write_public_token_keys([*existing, public])
 
@@ -191,12 +184,12 @@
             raise LocalAuthorityError(f"there is no token key {kid}")
         self._write_public_token_keys(left)
 
-    def token(self, kid: str, office: str, days: float = 30.0) -> str:
+    def token(self, kid: str, known_client: str, days: float = 30.0) -> str:
         """Signs a JSON Web Token (RFC 7519), by which a client identifies itself.
 
         Args:
             kid: Id of the key that signs it.
-            office: The known client.
+            known_client: The client that the token identifies.
             days: Length of its validity.
 
         Raises:
@@ -209,7 +202,7 @@
         if not isinstance(key, ed25519.Ed25519PrivateKey):
             raise LocalAuthorityError(f"{path} is no Ed25519 key")
         claims = {
-            "sub": office,
+            "sub": known_client,
             "aud": TOKEN_AUDIENCE,
             "iat": self.now,
             "exp": self.now + timedelta(days=days),
@@ -253,9 +246,7 @@
             if find_issuer(certificate, [signer.certificate]):
                 revoked[certificate.serial_number] = self.now
         if old is None or len(revoked) > count_before:
-            new = build_revocation_list(
-                signer.certificate.subject, signer.key, number, revoked, self.now
-            )
+            new = build_revocation_list(signer, number, revoked, self.now)
             write_public(path, new.public_bytes(PEM))
         return path.read_bytes()
 
--- a/cherrydoor/tls/settings.py
+++ b/cherrydoor/tls/settings.py
@@ -17,7 +17,7 @@
 
     @property
     def verify_mode(self) -> ssl.VerifyMode:
-        """What a server's context is told."""
+        """The mode of a server's context."""
         return VERIFY_MODES[self]
 
 
--- a/cherrydoor/tls/validation.py
+++ b/cherrydoor/tls/validation.py
@@ -64,6 +64,6 @@
 
 
 def token_keys_rejection(token_keys: tuple[TokenKey, ...]) -> str:
-    """Guards against an id that stands for two keys: which one verifies would be left to chance."""
+    """Guards against an id that two keys share: which one verifies would be left to chance."""
     ids = {token_key.id for token_key in token_keys}
     return "two token keys have one id" if len(ids) < len(token_keys) else ""
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -124,7 +124,7 @@
     assert store.pair.serial == second
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
     await stack.settled(lambda: store.pair.serial != second)
-    local_authority.authority(more=True)
+    local_authority.authority(additional=True)
     await stack.settled(lambda: len(store.authorities) == 2)
     before = answered
     await stack.settled(lambda: answered > before + 10)
@@ -143,7 +143,7 @@
     )
     store = stack.service.tls.store
     old = await connect_tls(stack, tmp, "harbour")
-    local_authority.authority(more=True)
+    local_authority.authority(additional=True)
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
     local_authority.issue("client", "meadow")
     await stack.settled(lambda: len(store.authorities) == 2 and not store.parts[Part.PAIR].reported)
