--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -281,3 +281,20 @@
     await stack.settled(lambda: not guard.pending.unshown)
     for _, writer in idle:
         writer.close()
+
+
+def test_a_start_with_a_pair_that_stays_bad_is_refused_once_its_time_is_over(tmp_path):
+    """Without this a listener that should speak TLS would have no context to speak it with."""
+    make_local_authority(tmp_path)
+    certificate, key_of_another = tmp_path / "g0.pem", tmp_path / "harbour.key"
+    settings = CredentialSettings(str(certificate), str(key_of_another), start_timeout_ms=50.0)
+
+    async def start():
+        manager = CredentialManager(settings, lambda *_: None)
+        try:
+            await manager.start()
+        finally:
+            manager.close()
+
+    with pytest.raises(CredentialRejectedError):
+        asyncio.run(start())
