--- a/cherrydoor/gateway/endpoints.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -1,64 +1,91 @@
-"""The desk's side of the list of hosts: what it says, what the module is told of it, and when a host is forgotten."""
+"""The endpoint list as the dispatcher holds it: updates of it, and when a host is forgotten."""
 
-from typing import Any
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
-from cherrydoor.gateway.tables import CLOSED, OPEN, HostRecord
+from cherrydoor.gateway.tables import HostRecord
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
+if TYPE_CHECKING:
+    from cherrydoor.gateway.dispatcher import Dispatcher
 
-class Endpoints:
-    """The tables are the desk's."""
-
-    now: float
-    limits: Any
-    router_messages: Any
-    hosts: dict
-    set_timer: Any
-
-    def endpoints_updated(self, how, rows):
-        """Rows of the list's wire. A whole list leaves out what is gone."""
-        if how != routing.UpdateKind.INCREMENTAL:
-            named = {row.host for row in rows}
-            for host in self.hosts.values():
-                if host.id not in named:
-                    host.row = protocol.Endpoint(
-                        host.id, "gone", host.row.started_at_ms, host.row.zone, host.row.cell
-                    )
-        told = []
+GONE = "gone"
+READY = "ready"
+# Unused connections are looked for so many times within the time after which they are closed.
+CLEANUPS_PER_IDLE_TIME = 10
+
+
+class EndpointList:
+    """Owner of the host table.
+
+    Invariant: a host is in the table from the first update that lists it until it is gone and its
+    last connection is closed. A host that was never listed is not in it, and is sent nothing.
+
+    Attributes:
+        hosts: Records of hosts by their ids.
+    """
+
+    def __init__(self, dispatcher: "Dispatcher") -> None:
+        self.dispatcher = dispatcher
+        self.hosts: dict[str, HostRecord] = {}
+
+    def update(self, kind: routing.UpdateKind, rows: Iterable[protocol.Endpoint]) -> None:
+        """Takes in rows of the endpoint list. All but an incremental update name every host."""
+        if kind != routing.UpdateKind.INCREMENTAL:
+            self.mark_absent_as_gone({row.host for row in rows})
+        endpoints = []
         for row in rows:
             host = self.hosts.get(row.host)
-            if host is None and row.state == "gone":
-                continue
-            host = self.hosts[row.host] = host or HostRecord(row)
-            host.row, host.since = row, max(host.since, row.started_at_ms)
-            told.append(self.told(host))
-        self.router_messages.append(routing.EndpointsUpdated(how, tuple(told)))
-
-    def endpoint_poll_failed(self):
-        self.router_messages.append(routing.EndpointsUpdated(routing.UpdateKind.FAILED, ()))
-
-    def told(self, host):
-        row = host.row
-        return routing.Endpoint(row.host, row.state, host.since, row.zone, row.cell)
-
-    def endpoints(self):
-        """The list as last held, for the next start."""
-        return [h.row for h in self.hosts.values() if h.row.state != "gone"]
-
-    def tidy(self):
-        """Closes idle links and forgets hosts that are gone and unlinked."""
-        self.set_timer(self.now + self.limits.idle / 10, self.tidy)
+            if host is None:
+                if row.state == GONE:
+                    continue
+                host = self.hosts[row.host] = HostRecord(row)
+            host.row = row
+            host.started_at_ms = max(host.started_at_ms, row.started_at_ms)
+            endpoints.append(endpoint_of(host))
+        self.dispatcher.router_messages.append(routing.EndpointsUpdated(kind, tuple(endpoints)))
+
+    def mark_absent_as_gone(self, listed: set[str]) -> None:
+        """Marks the hosts as gone that a whole list leaves out."""
+        for host in self.hosts.values():
+            if host.id not in listed:
+                row = host.row
+                host.row = protocol.Endpoint(host.id, GONE, row.started_at_ms, row.zone, row.cell)
+
+    def poll_failed(self) -> None:
+        """Notifies the router that the endpoint list could not be read."""
+        self.dispatcher.router_messages.append(
+            routing.EndpointsUpdated(routing.UpdateKind.FAILED, ())
+        )
+
+    def host_greeted(self, host: HostRecord, started_at_ms: float) -> None:
+        """Learns a restart from the host's own hello, which may be newer than the list."""
+        if started_at_ms > host.started_at_ms + 1 and host.row.state == READY:
+            host.started_at_ms = started_at_ms
+            self.dispatcher.counters["restarts learned from hosts"] += 1
+            self.dispatcher.router_messages.append(
+                routing.EndpointsUpdated(routing.UpdateKind.INCREMENTAL, (endpoint_of(host),))
+            )
+
+    def rows(self) -> list[protocol.Endpoint]:
+        """Returns the list as last held, for the next start."""
+        return [host.row for host in self.hosts.values() if host.row.state != GONE]
+
+    def clean_up(self) -> None:
+        """Closes idle connections, forgets hosts that are gone, and sets its timer again."""
+        dispatcher = self.dispatcher
+        dispatcher.timers.set(
+            dispatcher.now + dispatcher.limits.idle / CLEANUPS_PER_IDLE_TIME, self.clean_up
+        )
         for host in list(self.hosts.values()):
-            gone = host.row.state == "gone"
-            for link in list(host.links):
-                if (
-                    link.state == OPEN
-                    and not link.out
-                    and (gone or self.now - link.used > self.limits.idle)
-                ):
-                    link.state = CLOSED
-                    host.links.remove(link)
-                    link.wire.close("")
+            gone = host.row.state == GONE
+            dispatcher.connections.close_idle(host, 0.0 if gone else dispatcher.limits.idle, gone)
             if gone and not host.links:
                 del self.hosts[host.id]
+
+
+def endpoint_of(host: HostRecord) -> routing.Endpoint:
+    """Returns a host as the router gets it."""
+    row = host.row
+    return routing.Endpoint(row.host, row.state, host.started_at_ms, row.zone, row.cell)
--- a/cherrydoor/gateway/host_connections.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -1,298 +1,346 @@
-"""The desk's side towards hosts: links, what is out on them and how it ends, and the list. No I/O, no clock."""
+"""Connections to hosts, the calls in flight on them, and how each call ends. No I/O, no clock."""
 
-from typing import Any
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
 
-from cherrydoor.gateway.tables import CLOSED, DIALING, OPEN, HostCall, HostConnection
+from cherrydoor.gateway.tables import (
+    CallKind,
+    ConnectionState,
+    HostCall,
+    HostConnection,
+    HostRecord,
+)
 from cherrydoor.protocol import messages as protocol
-from cherrydoor.releases import decide as v
+from cherrydoor.releases import decide as releases
 from cherrydoor.routing import messages as routing
+from cherrydoor.routing.messages import AttemptOutcome
 
-MISSED = 32  # events of which a link remembers that they were missing there
-HANDSHAKES = (
-    0.01  # of the worth of what a host has carried may have gone into connections beside the first
-)
+if TYPE_CHECKING:
+    from cherrydoor.gateway.dispatcher import Dispatcher
+
+# Requests remembered on a connection as missing at its host; old ones have had their last reply.
+MISSING_REMEMBERED = 32
+# Share of the worth of all calls to a host that may go into connections beside the first.
+HANDSHAKE_SHARE = 0.01
+# New work, which is held back where a host drains or a request is over.
+NEW_WORK = (protocol.Attempt, protocol.LoadOrder, protocol.HealthCheck)
 
 
 class HostConnections:
-    """What the desk does with hosts; the tables are the desk's."""
-
-    router: Any
-    limits: Any
-    router_messages: Any
-    counters: Any
-    hosts: dict
-    now: float
-    numbers: int
-    releases: Any
-    failover: Any
-    zone_drain: Any
-    respond: Any  # from here on what the desk and its other parts do
-    forget: Any
-    dial: Any
-    ended: Any
-    set_timer: Any
-    leave: Any
-    told: Any
-    give_up: Any
-    came_to_nothing: Any
-
-    def ask(self, name, kind, function, wait, message, *values):
-        """A probe or an order: exactly one note comes back."""
-        self.numbers += 1
-        sent = HostCall(kind, self.numbers, self.now, None, function=function)
-        host = self.hosts.get(name)
-        if host is not None and self.send(host, sent, message(sent.id, *values)):
-            self.set_timer(self.now + wait, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
-        elif host is None:
-            self.counters["questions to hosts never listed"] += 1
-            unknown = (
-                routing.HealthCheckEnded(name, routing.AttemptOutcome.CONNECT_FAILED, 0.0)
-                if kind is routing.HealthCheckEnded
-                else routing.LoadOrderEnded(
-                    function, name, routing.AttemptOutcome.CONNECT_FAILED, 0, 0.0
-                )
+    """Owner of the connections of each host (``host.links``) and of the calls on them.
+
+    Invariant: a call that was made ends exactly once, in ``end_call``. A connection is among its
+    host's ``links`` until it is closed; a call is in its connection's ``out`` until it ends.
+    """
+
+    def __init__(self, dispatcher: "Dispatcher") -> None:
+        self.dispatcher = dispatcher
+
+    # ---- calls out
+    def check_health(self, action: routing.CheckHealth) -> None:
+        """Sends a health check, as the router decided."""
+        wait_ms = self.dispatcher.limits.probe
+        self.ask(action.host, CallKind.HEALTH_CHECK, "", wait_ms, protocol.HealthCheck)
+
+    def ask(
+        self,
+        host_id: str,
+        kind: CallKind,
+        function: str,
+        wait_ms: float,
+        make_message: Callable[..., Any],
+        *values: Any,
+    ) -> None:
+        """Sends a health check or a load order; the router gets exactly one message of its end.
+
+        Args:
+            host_id: The host; one that was never listed counts as not reachable.
+            kind: Which of the two.
+            function: The function of a load order.
+            wait_ms: After this time it ends without a response.
+            make_message: Makes the message of the call's number and ``values``.
+            values: Further fields of the message.
+        """
+        dispatcher = self.dispatcher
+        call = HostCall(kind, dispatcher.next_number(), dispatcher.now, function=function)
+        host = dispatcher.hosts.get(host_id)
+        if host is None:
+            dispatcher.counters["questions to hosts never listed"] += 1
+            self.notify_router_of_end(call, host_id, AttemptOutcome.CONNECT_FAILED, 0, 0.0)
+        elif self.send(host, call, make_message(call.id, *values)):
+            dispatcher.timers.set(
+                dispatcher.now + wait_ms, self.abandon_call, call, AttemptOutcome.NO_RESPONSE
             )
-            self.router_messages.append(unknown)
-
-    # ---- the floor
-    def barred(self, host, sent, message):
-        """Why this may not go out to the host now, "" where it may. Every launch, probe and order to load passes here
-        when it is sent and again when it was waiting for a connection: nothing new goes to a host that is known to
-        drain (rule 3), and no launch for an event that is over or whose client has gone (rule 1)."""
-        if type(message) not in (protocol.Attempt, protocol.LoadOrder, protocol.HealthCheck):
+
+    def held_back_reason(self, host: HostRecord, call: HostCall, message: Any) -> str:
+        """Returns why a message may not go out to the host now, "" where it may.
+
+        Each attempt, health check and load order is checked when it is sent, and again when it
+        waited for a connection. Guards against new work for a host that is known to drain, and
+        against attempts for a request that is finished or whose client has disconnected.
+        """
+        if type(message) not in NEW_WORK:
             return ""
         if host.row.state != "ready":
             return "the host drains"
-        pending = sent.taken
+        pending = call.pending
         if pending is None:
             return ""
-        if not pending.finished and not pending.client.connected(self.now):
-            self.counters["closes found at a launch"] += 1
-            self.leave(pending)
+        dispatcher = self.dispatcher
+        if not pending.finished and not pending.client.connected(dispatcher.now):
+            dispatcher.counters["closes found at a launch"] += 1
+            dispatcher.request_table.cancel(pending)
         if pending.finished:
             return "the event is over"
-        return "" if self.now < pending.deadline_ms else "the time is up"
-
-    def send(self, host, sent, message):
-        """On the first link with room; a further one is opened up to the bound and as far as what the host has carried
-        bears it, then they are shared. Guards against hundreds of gateways that open connections which each serve
-        once; harms where a connection that ends takes other launches with it: one that has carried little.
-        An event that was missing at the host goes out again on another link, where there is one: a second copy of
-        that answer would pass for the new launch's. False where nothing may go out."""
-        if why := self.barred(host, sent, message):
-            self.counters[f"held back: {why}"] += 1
-            self.done(sent, routing.AttemptOutcome.NOT_SENT, at=host.id)
+        return "" if dispatcher.now < pending.deadline_ms else "the time is up"
+
+    def send(self, host: HostRecord, call: HostCall, message: Any) -> bool:
+        """Sends a call on a connection to the host; returns False where nothing may go out."""
+        if reason := self.held_back_reason(host, call, message):
+            self.dispatcher.counters[f"held back: {reason}"] += 1
+            self.end_call(call, AttemptOutcome.NOT_SENT, host_id=host.id)
             return False
-        host.carried += 1
-        links = [ln for ln in host.links if not ln.mute]
-        clean = [ln for ln in links if sent.taken is None or sent.taken.number not in ln.missed]
-        link = next((ln for ln in clean if len(ln.out) < self.limits.per_link), None)
-        borne = HANDSHAKES * host.carried >= self.limits.handshake * len(links)
-        if link is None and borne and len(host.links) < self.limits.links:
-            link = HostConnection(host, self.now)
-            host.links.append(link)
-            self.set_timer(self.now + self.limits.connect, self.connect_timed_out, link)
-            self.dial(link)
-        link = link or min(clean or links or host.links, key=lambda ln: len(ln.out))
-        sent.link, link.out[sent.id], link.used = link, sent, self.now
+        host.calls_sent += 1
+        link = self.choose_connection(host, call)
+        call.link = link
+        link.out[call.id] = call
+        link.last_used_ms = self.dispatcher.now
         link.write(message)
         return True
 
-    def connection_opened(self, link, wire):
-        if link.state != DIALING:  # it timed out in the meantime
-            return wire.close("")
-        link.state, link.wire, link.heard = OPEN, wire, self.now
-        waiting, link.waiting = link.waiting, []
-        for message in waiting:
-            sent = link.out.get(message.id)
-            if why := sent and self.barred(link.host, sent, message):
-                self.counters[f"held back: {why}"] += 1
-                self.done(sent, routing.AttemptOutcome.NOT_SENT)
+    def choose_connection(self, host: HostRecord, call: HostCall) -> HostConnection:
+        """Returns the connection for a call: the first one with room, or a new one.
+
+        A new one is opened up to the bound and as far as the host's calls are worth it; then
+        connections are shared. Guards against hundreds of gateways opening connections that serve
+        once each; harms where a connection that is lost takes more attempts with it.
+
+        A request that was missing at the host goes out on another connection, where there is one:
+        a second copy of that reply would pass for the new attempt's.
+        """
+        limits = self.dispatcher.limits
+        responsive = [link for link in host.links if not link.unresponsive]
+        pending = call.pending
+        if pending is None:
+            suitable = responsive
+        else:
+            number = pending.number
+            suitable = [link for link in responsive if number not in link.missing_requests]
+        for link in suitable:
+            if len(link.out) < limits.per_link:
+                return link
+        worth_it = HANDSHAKE_SHARE * host.calls_sent >= limits.handshake * len(responsive)
+        if worth_it and len(host.links) < limits.links:
+            return self.open(host)
+        return min(suitable or responsive or host.links, key=calls_in_flight)
+
+    # ---- connections
+    def open(self, host: HostRecord) -> HostConnection:
+        """Dials the host; what is written meanwhile is sent once the connection is open."""
+        dispatcher = self.dispatcher
+        link = HostConnection(host, dispatcher.now)
+        host.links.append(link)
+        dispatcher.timers.set(
+            dispatcher.now + dispatcher.limits.connect, self.connect_timed_out, link
+        )
+        dispatcher.dial(link)
+        return link
+
+    def opened(self, link: HostConnection, wire: Any) -> None:
+        """Sends what waited for the connection, as far as it still may go out."""
+        if link.state is not ConnectionState.DIALING:  # it timed out in the meantime
+            wire.close("")
+            return
+        link.state = ConnectionState.OPEN
+        link.wire = wire
+        link.last_reply_ms = self.dispatcher.now
+        unsent = link.unsent
+        link.unsent = []
+        for message in unsent:
+            call = link.out.get(message.id)
+            reason = self.held_back_reason(link.host, call, message) if call else ""
+            if call and reason:
+                self.dispatcher.counters[f"held back: {reason}"] += 1
+                self.end_call(call, AttemptOutcome.NOT_SENT)
             else:
                 wire.write(message)
 
-    def message_not_sent(self, link, number):
-        """A launch, probe or order that was never written."""
-        if number in link.out:
-            self.done(link.out[number], routing.AttemptOutcome.NOT_SENT)
+    def message_not_sent(self, link: HostConnection, number: int) -> None:
+        """Ends a call whose message the I/O could not write."""
+        call = link.out.get(number)
+        if call is not None:
+            self.end_call(call, AttemptOutcome.NOT_SENT)
 
-    def connect_timed_out(self, link):
-        if link.state == DIALING:
-            self.counters["connections not up in time"] += 1
-            self.connection_lost(link)
+    def connect_timed_out(self, link: HostConnection) -> None:
+        """Gives up a connection that was not opened in time."""
+        if link.state is ConnectionState.DIALING:
+            self.dispatcher.counters["connections not up in time"] += 1
+            self.lost(link)
 
-    def connection_lost(self, link):
-        """Refused, never up, or lost: what was never sent is told apart from what was."""
-        if link.state == CLOSED:
+    def lost(self, link: HostConnection) -> None:
+        """Ends all calls on a connection that was refused, never opened, or lost."""
+        if link.state is ConnectionState.CLOSED:
             return
-        fate = (
-            routing.AttemptOutcome.CONNECT_FAILED
-            if link.state == DIALING
-            else routing.AttemptOutcome.CONNECTION_LOST
-        )
-        link.state, link.waiting = CLOSED, []
+        outcome = AttemptOutcome.CONNECTION_LOST
+        if link.state is ConnectionState.DIALING:
+            outcome = AttemptOutcome.CONNECT_FAILED
+        link.state = ConnectionState.CLOSED
+        link.unsent = []
         link.host.links.remove(link)
-        self.counters[f"links: {fate}"] += bool(link.out)
-        out = list(link.out.values())
-        if fate == routing.AttemptOutcome.CONNECTION_LOST and self.failover is not None and out:
-            self.give_up(link.host, [sent.id for sent in out if sent.kind is routing.AttemptEnded])
-        for sent in out:
-            self.done(sent, fate)
-
-    def host_greeted(self, link, hello):
-        """A host's own word on when it started is newer than the list's, never older."""
-        host = link.host
-        if hello.started_at_ms > host.since + 1 and host.row.state == "ready":
-            host.since = hello.started_at_ms
-            self.counters["restarts learned from hosts"] += 1
-            self.router_messages.append(
-                routing.EndpointsUpdated(routing.UpdateKind.INCREMENTAL, (self.told(host),))
-            )
+        self.dispatcher.counters[f"links: {outcome}"] += bool(link.out)
+        calls = list(link.out.values())
+        if outcome is AttemptOutcome.CONNECTION_LOST and calls:
+            self.dispatcher.takeover.cancel_on_other_connection(link.host, calls)
+        for call in calls:
+            self.end_call(call, outcome)
+
+    def close_idle(self, host: HostRecord, idle_ms: float, host_is_gone: bool) -> None:
+        """Closes the host's connections that are unused for ``idle_ms``, or at all if it is gone."""
+        now_ms = self.dispatcher.now
+        for link in list(host.links):
+            if (
+                link.state is ConnectionState.OPEN
+                and not link.out
+                and (host_is_gone or now_ms - link.last_used_ms > idle_ms)
+            ):
+                self.close(link)
+
+    def close_silent(self, host: HostRecord, since_ms: float) -> None:
+        """Closes the host's unused connections without a reply since then.
+
+        Guards against connections that a cut network leaves open, where each attempt would be lost
+        anew; harms where a host is only slow: it is dialed again.
+        """
+        for link in list(host.links):
+            if (
+                link.state is ConnectionState.OPEN
+                and not link.out
+                and link.last_reply_ms <= since_ms
+            ):
+                self.dispatcher.counters["silent connections closed"] += 1
+                self.close(link)
+
+    def close(self, link: HostConnection) -> None:
+        """Closes an open connection on which no call is in flight."""
+        link.state = ConnectionState.CLOSED
+        link.host.links.remove(link)
+        link.wire.close("")
 
-    def host_replied(self, link, message):
-        """Whatever a host answers; only what is out on this very link counts."""
-        link.used = link.heard = self.now
-        link.mute = False
-        sent = link.out.get(message.id)
-        kind = sent and sent.kind
-        if sent is not None and sent.then is not None:
-            return self.done(sent, routing.AttemptOutcome.SUCCEEDED, message)
-        if kind is routing.AttemptEnded and type(message) is protocol.AttemptResult:
-            self.done(sent, message.outcome, message)
-        elif kind is routing.AttemptEnded and type(message) is protocol.AttemptStreaming:
-            self.underway(sent)
-        elif (
-            kind is routing.HealthCheckEnded
-            and type(message) is protocol.HealthCheckResult
-            or kind is routing.LoadOrderEnded
-            and type(message) is protocol.LoadOrderResult
+    # ---- ends of calls
+    def replied(self, link: HostConnection, message: Any) -> None:
+        """Takes in a host's reply; it counts only for a call in flight on this connection."""
+        link.last_used_ms = link.last_reply_ms = self.dispatcher.now
+        link.unresponsive = False
+        call = link.out.get(message.id)
+        kind = call.kind if call is not None else None
+        message_type = type(message)
+        if call is not None and kind is CallKind.QUERY:
+            self.end_call(call, AttemptOutcome.SUCCEEDED, message)
+        elif call is not None and RESULT_TYPES.get(message_type) is kind:
+            self.end_call(call, message.outcome, message)
+        elif call is not None and (
+            kind is CallKind.ATTEMPT and message_type is protocol.AttemptStreaming
         ):
-            self.done(sent, message.outcome, message)
-        elif type(message) is not protocol.UnloadResult:
-            self.counters["answers to what is over or was never asked there"] += 1
+            self.dispatcher.attempts.streaming_started(call)
+        elif message_type is not protocol.UnloadResult:
+            self.dispatcher.counters["replies without a call in flight"] += 1
+
+    def abandon_call(self, call: HostCall, outcome: AttemptOutcome) -> None:
+        """Ends a call without waiting further; the host is sent a cancellation of an attempt.
 
-    def underway(self, sent):
-        pending = sent.taken
+        Args:
+            call: Ignored if it has ended.
+            outcome: How it ends; if it waited for a connection, the router gets that instead.
+        """
+        if call.outcome is not None:
+            return
+        link = call.link
+        assert link is not None, "a call without a connection ends as it is made"
+        if link.state is ConnectionState.DIALING:
+            link.unsent = [message for message in link.unsent if message.id != call.id]
+            if outcome is AttemptOutcome.CANCELLED:
+                outcome = AttemptOutcome.NOT_SENT
+            else:
+                outcome = AttemptOutcome.CONNECT_FAILED
+        elif call.kind is CallKind.ATTEMPT:
+            link.write(protocol.CancelAttempt(call.id))
+        self.end_call(call, outcome)
+        dispatcher = self.dispatcher
+        silent_since_ms = max(call.started_at_ms, link.last_reply_ms)
         if (
-            not pending.finished
-            and not pending.streaming
-            and self.router.settings.request_classes[pending.request.request_class].streaming
+            link.state is ConnectionState.OPEN
+            and dispatcher.now - silent_since_ms >= dispatcher.limits.silence
         ):
-            pending.streaming = True
-            pending.client.wire.write(protocol.StreamStarted(pending.request.id))
-            self.router_messages.append(
-                routing.StreamStarted(pending.number, sent.index, sent.link.host.id)
-            )
+            link.unresponsive = True
+            self.close_silent(link.host, call.started_at_ms)
 
-    def cut(self, sent, fate):
-        """The gateway waits no longer: the host is told, unless it never had it."""
-        if sent.outcome is not None:
-            return
-        link, launch = sent.link, sent.kind is routing.AttemptEnded
-        if link.state == DIALING:
-            link.waiting = [w for w in link.waiting if w.id != sent.id]
-            fate = (
-                routing.AttemptOutcome.NOT_SENT
-                if fate == routing.AttemptOutcome.CANCELLED
-                else routing.AttemptOutcome.CONNECT_FAILED
-            )
-        elif launch:
-            link.write(protocol.CancelAttempt(sent.id))
-        self.done(sent, fate)
-        if link.state == OPEN and self.now - max(sent.at, link.heard) >= self.limits.silence:
-            link.mute = True
-            self.silent(link.host, sent.at)
-
-    def silent(self, host, since):
-        """Closes the host's unused links on which nothing was heard since then. Guards against connections that a cut
-        network leaves open and dead, where each launch would be lost anew; harms where a host is only slow: it is
-        dialled again."""
-        for link in [
-            ln for ln in host.links if ln.state == OPEN and not ln.out and ln.heard <= since
-        ]:
-            self.counters["links closed over their silence"] += 1
-            link.state = CLOSED
-            host.links.remove(link)
-            link.wire.close("")
-
-    def done(self, sent, fate, message=None, at=""):
-        """The one place where a launch, probe or order ends; an end that comes twice is ignored. `at` names the host
-        of one that never had a link."""
-        if sent.outcome is not None:
+    def end_call(
+        self, call: HostCall, outcome: AttemptOutcome, message: Any = None, host_id: str = ""
+    ) -> None:
+        """Ends a call; the only place where one ends.
+
+        Args:
+            call: Ignored if it has ended.
+            outcome: How it ended.
+            message: The host's reply, if there was one.
+            host_id: The host of a call that never had a connection.
+        """
+        if call.outcome is not None:
             return
-        sent.outcome, took = fate, self.now - sent.at
-        if sent.link:
-            sent.link.out.pop(sent.id, None)
-            if fate == routing.AttemptOutcome.FUNCTION_MISSING:
-                sent.link.missed = dict.fromkeys([*sent.link.missed, sent.taken.number][-MISSED:])
-        name = sent.link.host.id if sent.link else at
-        if sent.then is not None:
-            sent.then(name, fate, message)
-        elif sent.kind is routing.HealthCheckEnded:
-            self.router_messages.append(routing.HealthCheckEnded(name, fate, took))
-        elif sent.kind is routing.LoadOrderEnded:
-            self.router_messages.append(
-                routing.LoadOrderEnded(
-                    sent.function, name, fate, message.copies if message else 0, took
-                )
-            )
-            self.ended(v.Loaded(sent.function, fate, took))
-            if self.zone_drain is not None:
-                self.zone_drain.load_ended(
-                    sent.function, name, fate == routing.AttemptOutcome.SUCCEEDED
-                )
+        call.outcome = outcome
+        took_ms = self.dispatcher.now - call.started_at_ms
+        link = call.link
+        if link is not None:
+            host_id = link.host.id
+            link.out.pop(call.id, None)
+            if outcome == AttemptOutcome.FUNCTION_MISSING and call.pending is not None:
+                remember_missing(link, call.pending.number)
+        if call.kind is CallKind.ATTEMPT:
+            self.dispatcher.attempts.ended(call, outcome, took_ms, host_id, message)
+        elif call.on_reply is not None:
+            call.on_reply(host_id, outcome, message)
         else:
-            self.landed(sent, fate, took, name, message)
-
-    def landed(self, sent, fate, took, name, message):
-        pending, adopted = sent.taken, sent.taken.adopted
-        pending.out -= 1
-        broken = pending.streaming and fate != routing.AttemptOutcome.SUCCEEDED
-        if not pending.finished and fate == routing.AttemptOutcome.SUCCEEDED:
-            self.respond(
-                pending, protocol.Response(pending.request.id, "handled", 0.0, "", message.body)
-            )
-        elif not pending.finished and pending.adopted:
-            self.came_to_nothing(pending, fate)
-        elif not pending.finished and broken:
-            self.respond(
-                pending,
-                protocol.Response(pending.request.id, "dead-lettered", 0.0, "the stream broke"),
-            )
-        copy = message.copy if message else 0
-        told = self.told_by(message) if message else (None,) * 5
-        if self.releases is not None and sent.link:
-            self.ended(
-                v.Ended(
-                    sent.called,
-                    name,
-                    fate,
-                    took,
-                    copy in (2, 3),
-                    copy == 4,
-                    message.version_counts if message else None,
-                    pending.request.tenant,
-                )
-            )
-            if (
-                sent.called != pending.function
-            ):  # what it says of copies is of another version than the module's
-                told = (None, None, *told[2:])
-        if not adopted:  # the module knows nothing of it
-            self.router_messages.append(
-                routing.AttemptEnded(
-                    pending.number, sent.index, fate, pending.finished, name, took, *told
-                )
+            copies = message.copies if message and call.kind is CallKind.LOAD_ORDER else 0
+            self.notify_router_of_end(call, host_id, outcome, copies, took_ms)
+            if call.kind is CallKind.LOAD_ORDER:
+                self.load_order_ended(call, host_id, outcome, took_ms)
+
+    def notify_router_of_end(
+        self, call: HostCall, host_id: str, outcome: AttemptOutcome, copies: int, took_ms: float
+    ) -> None:
+        """Notifies the router of the end of a health check or a load order."""
+        ended: Any
+        if call.kind is CallKind.HEALTH_CHECK:
+            ended = routing.HealthCheckEnded(host_id, outcome, took_ms)
+        else:
+            ended = routing.LoadOrderEnded(call.function, host_id, outcome, copies, took_ms)
+        self.dispatcher.router_messages.append(ended)
+
+    def load_order_ended(
+        self, call: HostCall, host_id: str, outcome: AttemptOutcome, took_ms: float
+    ) -> None:
+        """Notifies releases and the zone drain of the end of a load order."""
+        dispatcher = self.dispatcher
+        dispatcher.call_ended(releases.Loaded(call.function, outcome, took_ms))
+        if dispatcher.zone_drain is not None:
+            dispatcher.zone_drain.load_ended(
+                call.function, host_id, outcome == AttemptOutcome.SUCCEEDED
             )
-        self.forget(pending)
-
-    def told_by(self, outcome):
-        """What this deployment's answers do not tell is None; that a load failed is told everywhere."""
-        copy, crowd = self.limits.tells
-        return (
-            outcome.copy if copy or outcome.copy == 4 else None,
-            outcome.concurrency if crowd else None,
-            outcome.in_flight,
-            outcome.queued,
-            outcome.unevictable_memory,
-        )
+
+
+RESULT_TYPES = {
+    protocol.AttemptResult: CallKind.ATTEMPT,
+    protocol.HealthCheckResult: CallKind.HEALTH_CHECK,
+    protocol.LoadOrderResult: CallKind.LOAD_ORDER,
+}
+
+
+def calls_in_flight(link: HostConnection) -> int:
+    """Returns how many calls are in flight on a connection."""
+    return len(link.out)
+
+
+def remember_missing(link: HostConnection, number: int) -> None:
+    """Remembers that the connection's host answered a request without running it."""
+    numbers = [*link.missing_requests, number]
+    link.missing_requests = dict.fromkeys(numbers[-MISSING_REMEMBERED:])
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -1,38 +1,69 @@
-"""What the desk does for releases: functions foreseen, copies that stand, copies to unload."""
+"""Load orders, and what releases and zone drains know of functions and their copies."""
 
-from typing import Any
+from typing import TYPE_CHECKING
 
-from cherrydoor.gateway.tables import OPEN
+from cherrydoor.gateway.tables import CallKind, ConnectionState
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
+if TYPE_CHECKING:
+    from cherrydoor.gateway.dispatcher import Dispatcher
+
 
 class LoadOrders:
-    """The tables are the desk's."""
-
-    numbers: int
-    router_messages: Any
-    hosts: dict
-    zone_drain: Any
-
-    def function_expected(self, name, away=""):
-        """Also outside a site whose sessions have moved: a release loads ahead where they are, too."""
-        for site in (
-            [away] if away or self.zone_drain is None else ["", *self.zone_drain.draining_zones()]
-        ):
-            self.router_messages.append(routing.FunctionExpected(name, site))
-
-    def copy_reported(self, name, host):
-        """Others tell that a copy of the function stands there: as good as an order's answer."""
-        self.router_messages.append(
-            routing.LoadOrderEnded(name, host, routing.AttemptOutcome.SUCCEEDED, 1, 0.0)
+    """Sends load orders and unloads to hosts, and functions and copies to the router.
+
+    It has no table: a load order in flight is a call of ``HostConnections``.
+    """
+
+    def __init__(self, dispatcher: "Dispatcher") -> None:
+        self.dispatcher = dispatcher
+
+    def order(self, action: routing.OrderLoad) -> None:
+        """Orders a host to load copies of a function, as the router decided."""
+        self.dispatcher.counters["orders"] += 1
+        self.dispatcher.connections.ask(
+            action.host,
+            CallKind.LOAD_ORDER,
+            action.function,
+            self.dispatcher.limits.order,
+            protocol.LoadOrder,
+            action.function,
+            action.copies,
+        )
+
+    def function_expected(self, function: str, drained_zone: str = "") -> None:
+        """Notifies the router that a function will be called.
+
+        Args:
+            function: The version expected.
+            drained_zone: A zone outside which alone it is wanted. Without one it is wanted
+                everywhere, and beside that outside each zone that drains: a release loads ahead
+                where the sessions of that zone have moved as well.
+        """
+        dispatcher = self.dispatcher
+        if drained_zone:
+            zones = [drained_zone]
+        elif dispatcher.zone_drain is None:
+            zones = [""]
+        else:
+            zones = ["", *dispatcher.zone_drain.draining_zones()]
+        for zone in zones:
+            dispatcher.router_messages.append(routing.FunctionExpected(function, zone))
+
+    def copy_reported(self, function: str, host_id: str) -> None:
+        """Notifies the router of a loaded copy that others report, as of a load order's end."""
+        self.dispatcher.router_messages.append(
+            routing.LoadOrderEnded(function, host_id, routing.AttemptOutcome.SUCCEEDED, 1, 0.0)
         )
 
-    def unload(self, name, hosts):
-        """Idle copies of a version may go; nobody waits for an answer."""
-        for one in hosts:
-            host = self.hosts.get(one)
-            link = next((ln for ln in host.links if ln.state == OPEN), None) if host else None
-            if link is not None:
-                self.numbers += 1
-                link.write(protocol.Unload(self.numbers, name))
+    def unload(self, function: str, host_ids: list[str]) -> None:
+        """Allows hosts to drop idle copies of a version; no reply is waited for."""
+        for host_id in host_ids:
+            host = self.dispatcher.hosts.get(host_id)
+            if host is None:
+                continue
+            for link in host.links:
+                if link.state is ConnectionState.OPEN:
+                    link.write(protocol.Unload(self.dispatcher.next_number(), function))
+                    break
--- a/cherrydoor/gateway/takeover.py
+++ b/cherrydoor/gateway/takeover.py
@@ -1,82 +1,130 @@
-"""What the desk does for work that outlives its gateway: questions to hosts beside the module, events taken over, and
-launches whose link was lost. All of it is asked for by custody (custody/shell.py); alone a gateway does none of it."""
+"""Requests of another gateway: queries to hosts, attempts adopted, and cancellation after a loss.
 
-from typing import Any
+Asked for by failover and zone drains (``cherrydoor/failover``); a gateway without peers uses none
+of it.
+"""
 
-from cherrydoor.gateway.tables import CLOSED, HostCall, HostConnection
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from cherrydoor.gateway.requests import FAILED
+from cherrydoor.gateway.tables import (
+    CallKind,
+    ClientConnection,
+    HostCall,
+    HostRecord,
+    PendingRequest,
+)
 from cherrydoor.protocol import messages as protocol
-from cherrydoor.routing import messages as routing
+from cherrydoor.routing.messages import AttemptOutcome
+
+if TYPE_CHECKING:
+    from cherrydoor.gateway.dispatcher import Dispatcher
 
 
 class Takeover:
-    """The tables are the desk's."""
-
-    now: float
-    numbers: int
-    limits: Any
-    hosts: dict
-    counters: Any
-    dial: Any
-    set_timer: Any
-    send: Any
-    cut: Any
-    accept: Any
-    route: Any
-    respond: Any
-    failover: Any
-    connect_timed_out: Any
-
-    def query_host(self, name, make, wait, then):
-        """Asks a host, a draining one too, what is neither launch nor order; then(host, fate, message) comes once."""
-        host = self.hosts.get(name)
+    """Takes over the requests of a lost gateway, for failover, which decides which.
+
+    It has no table: what it takes over are pending requests of ``RequestTable`` with an origin.
+    """
+
+    def __init__(self, dispatcher: "Dispatcher") -> None:
+        self.dispatcher = dispatcher
+
+    def query_host(
+        self,
+        host_id: str,
+        make_message: Callable[[int], Any],
+        wait_ms: float,
+        on_reply: Callable[[str, Any, Any], object],
+    ) -> None:
+        """Asks a host, also a draining one, something that the router does not know of.
+
+        Args:
+            host_id: The host.
+            make_message: Makes the message of the query's number.
+            wait_ms: After this time it ends without a response.
+            on_reply: Called exactly once as (host id, outcome, message or None).
+        """
+        dispatcher = self.dispatcher
+        host = dispatcher.hosts.get(host_id)
         if host is None or host.row.state == "gone":
-            return then(name, routing.AttemptOutcome.CONNECT_FAILED, None)
-        self.numbers += 1
-        sent = HostCall(None, self.numbers, self.now, None, then=then)
-        self.send(host, sent, make(sent.id))
-        self.set_timer(self.now + wait, self.cut, sent, routing.AttemptOutcome.NO_RESPONSE)
-
-    def take_over_request(self, client, event, until, origin):
-        """Launched anew, as any event, with the time it has left."""
-        pending = self.accept(client, event, until)
+            on_reply(host_id, AttemptOutcome.CONNECT_FAILED, None)
+            return
+        call = HostCall(CallKind.QUERY, dispatcher.next_number(), dispatcher.now, on_reply=on_reply)
+        dispatcher.connections.send(host, call, make_message(call.id))
+        dispatcher.timers.set(
+            dispatcher.now + wait_ms,
+            dispatcher.connections.abandon_call,
+            call,
+            AttemptOutcome.NO_RESPONSE,
+        )
+
+    def take_over_request(
+        self,
+        client: ClientConnection,
+        request: protocol.Request,
+        deadline_ms: float,
+        origin: tuple[Any, ...],
+    ) -> None:
+        """Accepts a request of another gateway and routes it anew in the time that it has left.
+
+        Args:
+            client: Stands for the client, whose response is claimed here.
+            request: The request as it was replicated.
+            deadline_ms: When its client stops waiting.
+            origin: Its identity in the other gateway, as attempts carry it.
+        """
+        pending = self.dispatcher.request_table.accept(client, request, deadline_ms)
+        pending.origin = origin
+        self.dispatcher.counters["requests taken over"] += 1
+        self.dispatcher.request_table.route(pending)
+
+    def adopt_attempt(
+        self,
+        client: ClientConnection,
+        request: protocol.Request,
+        deadline_ms: float,
+        origin: tuple[Any, ...],
+        host_id: str,
+        make_message: Callable[[int], Any],
+    ) -> None:
+        """Accepts a request whose attempt is still in flight: its outcome is the response.
+
+        Args:
+            client: As in ``take_over_request``.
+            request: As there.
+            deadline_ms: As there.
+            origin: As there.
+            host_id: The host with the attempt.
+            make_message: Makes the message that adopts it of the call's number.
+        """
+        dispatcher = self.dispatcher
+        pending = dispatcher.request_table.accept(client, request, deadline_ms)
         pending.origin = origin
-        self.counters["events launched anew for another gateway"] += 1
-        self.route(pending)
-
-    def adopt_attempt(self, client, event, until, origin, name, make):
-        """A launch of another gateway still at work at that host: its outcome is the event's."""
-        host = self.hosts.get(name)
-        pending = self.accept(client, event, until)
-        pending.origin, pending.adopted = origin, True
-        self.counters["launches adopted"] += 1
-        self.numbers += 1
-        sent = HostCall(routing.AttemptEnded, self.numbers, self.now, None, pending)
-        pending.attempts.append(sent)
-        pending.out += 1
-        self.send(host, sent, make(sent.id))
-
-    def came_to_nothing(self, pending, fate):
-        """An adopted launch has ended without its answer."""
-        if self.failover.may_retry_adopted(pending, fate):
-            self.route(pending)
+        pending.adopted = True
+        dispatcher.counters["attempts adopted"] += 1
+        call = dispatcher.attempts.add(pending)
+        dispatcher.connections.send(dispatcher.hosts[host_id], call, make_message(call.id))
+
+    def adopted_attempt_failed(self, pending: PendingRequest, outcome: AttemptOutcome) -> None:
+        """Routes a request anew whose adopted attempt failed, or answers it."""
+        if self.dispatcher.failover.may_retry_adopted(pending, outcome):
+            self.dispatcher.request_table.route(pending)
         else:
-            self.respond(
-                pending,
-                protocol.Response(
-                    pending.request.id, "dead-lettered", 0.0, f"adopted, then {fate}"
-                ),
-            )
-
-    def give_up(self, host, numbers):
-        """Launches whose link was lost are recalled over another: a host lets work in hand go on, as it cannot tell a
-        lost link from a lost gateway. Guards against two launches of one event out at once."""
-        if host.row.state == "gone":
+            reason = f"adopted, then {outcome}"
+            response = protocol.Response(pending.request.id, FAILED, 0.0, reason)
+            self.dispatcher.request_table.respond(pending, response)
+
+    def cancel_on_other_connection(self, host: HostRecord, calls: list[HostCall]) -> None:
+        """Cancels the attempts of a lost connection over another one, where there is failover.
+
+        With failover a host continues its work, as it cannot tell a lost connection from a lost
+        gateway. Guards against two attempts of one request in flight at once.
+        """
+        if self.dispatcher.failover is None or host.row.state == "gone":
             return
-        link = next((ln for ln in host.links if ln.state != CLOSED), None)
-        if link is None:
-            link = HostConnection(host, self.now)
-            host.links.append(link)
-            self.set_timer(self.now + self.limits.connect, self.connect_timed_out, link)
-            self.dial(link)
-        for number in numbers:
-            link.write(protocol.CancelAttempt(number))
+        link = host.links[0] if host.links else self.dispatcher.connections.open(host)
+        for call in calls:
+            if call.kind is CallKind.ATTEMPT:
+                link.write(protocol.CancelAttempt(call.id))
--- a/cherrydoor/gateway/timers.py
+++ b/cherrydoor/gateway/timers.py
@@ -1,69 +1,64 @@
-"""The desk's turn: inputs, notes to the module, its actions, and what falls due. No I/O, no clock."""
+"""Timers of the dispatcher and how late they have lately fired. No I/O, no clock."""
 
+from collections.abc import Callable
 from heapq import heappop, heappush
 from typing import Any
 
-MAX_LAG_SHARE = (
-    0.25  # of an event's time, that may be kept for alarms told late where the core is short
-)
-LAG_HALF_LIFE_MS = 2000.0  # ms after which half of how late alarms were told is forgotten
+MAX_LAG_SHARE = 0.25  # of a request's time that may be set aside for late timers on a busy core
+LAG_HALF_LIFE_MS = 2000.0  # a stall counts half after so long: a short one is over by then
 
+Callback = Callable[..., object]
+Entry = tuple[float, int, Callback, tuple[Any, ...]]
 
-class Timers:
-    """One queue of inputs, one of notes, one heap of alarms; each is emptied by turns. `behind` is how many ms late
-    alarms have lately been told."""
 
-    router: Any
-    now: float
-    numbers: int
-    inputs: list
-    router_messages: Any
-    timers: list
-    behind: float
-    carry: dict
-    overdue: Any
-    told_left: Any
+class TimerQueue:
+    """Timers in the order in which they are due; owned by the dispatcher.
 
-    def post(self, what, *args):
-        """Queues an input; True if a turn has to be asked for."""
-        self.inputs.append((what, args))
-        return len(self.inputs) == 1
+    Invariant: timers with the same time fire in the order in which they were set.
 
-    def tick(self, now):
-        """One now for everything that has come in. What has come goes before what has run out of time."""
-        self.behind *= 0.5 ** (max(0.0, now - self.now) / LAG_HALF_LIFE_MS)
-        self.now = now = max(now, self.now)
-        inputs, self.inputs = self.inputs, []
-        for what, args in inputs:
-            what(*args)
-        self.tell()
-        while self.timers and self.timers[0][0] <= now:
-            at, _, what, args = heappop(self.timers)
-            self.behind = max(self.behind, now - at)
-            what(*args)
-            self.tell()
+    Attributes:
+        lag_ms: How late timers have lately fired; fades with ``LAG_HALF_LIFE_MS``.
+    """
 
-    def tell(self):
-        while self.router_messages:
-            self.carry_out(self.router.take(self.now, self.router_messages.popleft()))
-        self.told_left()
+    __slots__ = ("next_number", "entries", "lag_ms")
 
-    def carry_out(self, actions):
-        for action in actions:
-            self.carry[type(action)](action)
+    def __init__(self, next_number: Callable[[], int]) -> None:
+        self.next_number = next_number
+        self.entries: list[Entry] = []
+        self.lag_ms = 0.0
 
-    def set_timer(self, at, what, *args):
-        self.numbers += 1
-        heappush(self.timers, (at, self.numbers, what, args))
+    def __len__(self) -> int:
+        """Returns the number of timers, including those that are obsolete."""
+        return len(self.entries)
 
-    def next_timer_ms(self):
-        """When to turn next; what belongs to events that are over is dropped here, not waited for."""
-        alarms = self.timers
-        while (
-            alarms
-            and alarms[0][2] == self.overdue
-            and alarms[0][3][0].finished
-            and not alarms[0][3][0].out
-        ):
-            heappop(alarms)
-        return alarms[0][0] if alarms else None
+    def set(self, at_ms: float, callback: Callback, *args: Any) -> None:
+        """Calls ``callback(*args)`` in the first tick at or after ``at_ms``."""
+        heappush(self.entries, (at_ms, self.next_number(), callback, args))
+
+    def decay_lag(self, elapsed_ms: float) -> None:
+        """Lets the lag fade over the time since the last tick."""
+        self.lag_ms *= 0.5 ** (elapsed_ms / LAG_HALF_LIFE_MS)
+
+    def fire_next(self, now_ms: float) -> bool:
+        """Fires the first timer that is due; returns whether there was one."""
+        if not self.entries or self.entries[0][0] > now_ms:
+            return False
+        at_ms, _, callback, args = heappop(self.entries)
+        self.lag_ms = max(self.lag_ms, now_ms - at_ms)
+        callback(*args)
+        return True
+
+    def next_due_ms(self, is_obsolete: Callable[[Callback, tuple[Any, ...]], bool]) -> float | None:
+        """Returns when the next timer is due, or None without any.
+
+        Args:
+            is_obsolete: Whether a timer has nothing left to do. Such timers at the head are
+                dropped, so that nobody waits for them.
+        """
+        entries = self.entries
+        while entries:
+            at_ms, _, callback, args = entries[0]
+            if not is_obsolete(callback, args):
+                return at_ms
+            heappop(entries)
+        return None
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -70,7 +70,7 @@
     await host.got(protocol.CancelAttempt)
     host.outcome(launch)
     after = client.send(lasts=400.0)
-    late = "answers to what is over or was never asked there"
+    late = "replies without a call in flight"
     await stack.settled(lambda: stack.counters[late])
     assert stack.counters[late] == 1 and len(client.answers(number)) == 1
     await client.answer(after)
@@ -86,7 +86,7 @@
     await other.got(protocol.Attempt)
     launch = asked.all(protocol.Attempt)[0]
     other.ends[0].write(protocol.AttemptResult(launch.id, "handled", 1))
-    await stack.settled(lambda: stack.counters["answers to what is over or was never asked there"])
+    await stack.settled(lambda: stack.counters["replies without a call in flight"])
     assert client.all(protocol.Response) == []
     asked.outcome(launch)
     assert (await client.answer(launch.request_id)).outcome == "handled"
@@ -157,7 +157,7 @@
     client.end.write(protocol.CancelRequest(number))
     client.end.write(protocol.CancelRequest(number))
     await host.got(protocol.CancelAttempt)
-    await stack.settled(lambda: stack.counters["withdrawals of what was over"])
+    await stack.settled(lambda: stack.counters["cancellations of unknown requests"])
     assert client.all(protocol.Response) == [] and not stack.service.dispatcher.requests
 
 
@@ -300,9 +300,9 @@
     client = await stack.start(host)
     number = client.send(lasts=3000.0)
     client.send(lasts=3000.0, number=number)
-    await stack.settled(lambda: stack.counters["event ids doubled"])
+    await stack.settled(lambda: stack.counters["duplicate request ids"])
     client.send(lasts=50.0, number=900, sent=now() - 1000)
-    await stack.settled(lambda: stack.counters["events past their time"])
+    await stack.settled(lambda: stack.counters["requests past their deadline"])
     assert (await client.answer(client.send(clause="unheard-of"))).outcome == "dead-lettered"
     [launch] = await host.got(protocol.Attempt)
     host.outcome(launch)
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.gateway.dispatcher import Dispatcher
+from cherrydoor.gateway.load_orders import LoadOrders
 from cherrydoor.protocol.zone_drain import DrainWave, FunctionLoad, MovedShare
 from cherrydoor.zone_drain import follow
 from cherrydoor.zone_drain.conducting import plain
@@ -104,13 +104,13 @@
     dispatcher = SimpleNamespace(
         router_messages=[], zone_drain=SimpleNamespace(draining_zones=lambda: ["s"])
     )
-    Dispatcher.function_expected(dispatcher, "deed@2")
+    LoadOrders(dispatcher).function_expected("deed@2")
     assert [(note.function, note.drained_zone) for note in dispatcher.router_messages] == [
         ("deed@2", ""),
         ("deed@2", "s"),
     ]
     dispatcher.router_messages.clear()
-    Dispatcher.function_expected(dispatcher, "deed@2", "s")
+    LoadOrders(dispatcher).function_expected("deed@2", "s")
     assert [note.drained_zone for note in dispatcher.router_messages] == ["s"], (
         "a drain's own copy is wanted outside alone"
     )
