--- a/cherrydoor/gateway/attempts.py
+++ b/cherrydoor/gateway/attempts.py
@@ -1,10 +1,11 @@
 """What the router decides about a request, and the ends of its attempts. No I/O, no clock."""
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from cherrydoor.gateway.requests import FAILED, REJECTED, SUCCEEDED
 from cherrydoor.gateway.tables import CallKind, HostCall, PendingRequest
 from cherrydoor.protocol import messages as protocol
+from cherrydoor.protocol.basics import FinalOutcome
 from cherrydoor.releases import decide as releases
 from cherrydoor.routing import messages as routing
 from cherrydoor.routing.messages import AttemptOutcome
@@ -41,10 +42,10 @@
         timeout_ms = min(remaining_ms, action.timeout_ms or remaining_ms)
         call = self.add(pending)
         if host is None or pending.streaming or timeout_ms <= 0:
-            dispatcher.connections.end_call(call, AttemptOutcome.NOT_SENT)
+            dispatcher.calls.end(call, AttemptOutcome.NOT_SENT)
             return
         message = self.message(pending, call, timeout_ms)
-        if not dispatcher.connections.send(host, call, message):
+        if not dispatcher.calls.send(host, call, message):
             return
         if dispatcher.failover is not None:
             dispatcher.failover.attempt_started(pending, host.id)
@@ -55,7 +56,7 @@
         if action.timeout_ms and timeout_at_ms < pending.deadline_ms:
             dispatcher.timers.set(
                 timeout_at_ms,
-                dispatcher.connections.abandon_call,
+                dispatcher.calls.abandon,
                 call,
                 AttemptOutcome.NO_RESPONSE,
             )
@@ -111,9 +112,7 @@
             dispatcher.counters["cancellations of finished attempts"] += 1
             return
         dispatcher.counters["attempts cancelled"] += 1
-        dispatcher.connections.abandon_call(
-            pending.attempts[action.attempt], AttemptOutcome.CANCELLED
-        )
+        dispatcher.calls.abandon(pending.attempts[action.attempt], AttemptOutcome.CANCELLED)
 
     def reject_request(self, action: routing.RejectRequest) -> None:
         """Answers a request with the advice to try again later."""
@@ -123,7 +122,9 @@
         """Answers a request with a failure."""
         self.respond_without_result(action.request_id, FAILED, 0.0)
 
-    def respond_without_result(self, number: int, outcome: Any, retry_after_ms: float) -> None:
+    def respond_without_result(
+        self, number: int, outcome: FinalOutcome, retry_after_ms: float
+    ) -> None:
         """Answers a request; the reason lists how its attempts have ended."""
         dispatcher = self.dispatcher
         pending = dispatcher.requests.get(number)
@@ -169,43 +170,10 @@
         pending.references -= 1
         if not pending.finished:
             self.respond_to_end(pending, outcome, message)
-        copy = None
-        concurrency = None
-        in_flight = None
-        queued = None
-        unevictable_memory = None
-        if message is not None:
-            # what this deployment's replies do not report is None; a failed load always is
-            reports_copy, reports_concurrency = dispatcher.limits.tells
-            if reports_copy or message.copy == LOAD_FAILED:
-                copy = message.copy
-            if reports_concurrency:
-                concurrency = message.concurrency
-            in_flight = message.in_flight
-            queued = message.queued
-            unevictable_memory = message.unevictable_memory
         if dispatcher.releases is not None and call.link is not None:
             self.notify_releases(call, outcome, took_ms, host_id, message)
-            if call.called_function != pending.function:
-                # what it reports of copies is of another version than the router's
-                copy = None
-                concurrency = None
         if not adopted:
-            dispatcher.router_messages.append(
-                routing.AttemptEnded(
-                    pending.number,
-                    call.index,
-                    outcome,
-                    pending.finished,
-                    host_id,
-                    took_ms,
-                    copy,
-                    concurrency,
-                    in_flight,
-                    queued,
-                    unevictable_memory,
-                )
-            )
+            self.notify_router(call, pending, outcome, took_ms, host_id, message)
         dispatcher.request_table.forget(pending)
 
     def respond_to_end(
@@ -228,6 +196,51 @@
                 pending, protocol.Response(request_id, FAILED, 0.0, "the stream broke")
             )
 
+    def notify_router(
+        self,
+        call: HostCall,
+        pending: PendingRequest,
+        outcome: AttemptOutcome,
+        took_ms: float,
+        host_id: str,
+        message: protocol.AttemptResult | None,
+    ) -> None:
+        """Notifies the router of an attempt's end, with what the host reports of itself.
+
+        What this deployment's replies do not report is None, but a failed load always is reported.
+        Nothing is passed on of copies of another version than the one the router knows.
+        """
+        copy = None
+        concurrency = None
+        in_flight = None
+        queued = None
+        unevictable_memory = None
+        if message is not None:
+            reports_copy, reports_concurrency = self.dispatcher.limits.tells
+            if call.called_function == pending.function:
+                if reports_copy or message.copy == LOAD_FAILED:
+                    copy = message.copy
+                if reports_concurrency:
+                    concurrency = message.concurrency
+            in_flight = message.in_flight
+            queued = message.queued
+            unevictable_memory = message.unevictable_memory
+        self.dispatcher.router_messages.append(
+            routing.AttemptEnded(
+                pending.number,
+                call.index,
+                outcome,
+                pending.finished,
+                host_id,
+                took_ms,
+                copy,
+                concurrency,
+                in_flight,
+                queued,
+                unevictable_memory,
+            )
+        )
+
     def notify_releases(
         self,
         call: HostCall,
--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -14,6 +14,7 @@
 
 from cherrydoor.gateway.attempts import Attempts
 from cherrydoor.gateway.endpoints import CLEANUPS_PER_IDLE_TIME, EndpointList
+from cherrydoor.gateway.host_calls import HostCalls
 from cherrydoor.gateway.host_connections import HostConnections
 from cherrydoor.gateway.load_orders import LoadOrders
 from cherrydoor.gateway.requests import RequestTable
@@ -37,7 +38,8 @@
     ========================  ==================================================================
     ``request_table``         pending requests (empties with responses) and clients
     ``attempts``              attempts of each pending request
-    ``connections``           connections to hosts and calls in flight (end within their time)
+    ``connections``           connections to hosts (closed when they are unused)
+    ``calls``                 calls to hosts in flight (each ends within its time)
     ``endpoint_list``         hosts (dropped when gone and without connections)
     ``timers``                timers (due within the longest deadline)
     ``load_orders``           none: load orders are calls in flight
@@ -92,6 +94,7 @@
         self.request_table = RequestTable(self)
         self.attempts = Attempts(self)
         self.connections = HostConnections(self)
+        self.calls = HostCalls(self)
         self.endpoint_list = EndpointList(self)
         self.load_orders = LoadOrders(self)
         self.takeover = Takeover(self)
@@ -109,8 +112,8 @@
         self.respond_to_all = self.request_table.respond_to_all
         self.connection_opened = self.connections.opened
         self.connection_lost = self.connections.lost
-        self.message_not_sent = self.connections.message_not_sent
-        self.host_replied = self.connections.replied
+        self.message_not_sent = self.calls.message_not_sent
+        self.host_replied = self.calls.replied
         self.endpoints_updated = self.endpoint_list.update
         self.endpoint_poll_failed = self.endpoint_list.poll_failed
         self.endpoints = self.endpoint_list.rows
@@ -129,7 +132,7 @@
             routing.RejectRequest: self.attempts.reject_request,
             routing.FailRequest: self.attempts.fail_request,
             routing.SetTimer: self.set_router_timer,
-            routing.CheckHealth: self.connections.check_health,
+            routing.CheckHealth: self.calls.check_health,
             routing.OrderLoad: self.load_orders.order,
             routing.PollEndpoints: self.request_endpoints,
             routing.LogMessage: self.count_log_message,
--- a/cherrydoor/gateway/endpoints.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -1,7 +1,7 @@
 """The endpoint list as the dispatcher holds it: updates of it, and when a host is forgotten."""
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Final
 
 from cherrydoor.gateway.tables import HostRecord
 from cherrydoor.protocol import messages as protocol
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from cherrydoor.gateway.dispatcher import Dispatcher
 
-GONE = "gone"
-READY = "ready"
+GONE: Final = "gone"
+READY: Final = "ready"
 # Unused connections are looked for so many times within the time after which they are closed.
 CLEANUPS_PER_IDLE_TIME = 10
 
--- /dev/null
+++ b/cherrydoor/gateway/host_calls.py
@@ -0,0 +1,233 @@
+"""Calls to hosts, from when they are sent until they end. No I/O, no clock."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from cherrydoor.gateway.tables import (
+    CallKind,
+    ConnectionState,
+    HostCall,
+    HostConnection,
+    HostRecord,
+)
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.releases import decide as releases
+from cherrydoor.routing import messages as routing
+from cherrydoor.routing.messages import AttemptOutcome
+
+if TYPE_CHECKING:
+    from cherrydoor.gateway.dispatcher import Dispatcher
+
+# Requests remembered on a connection as missing at its host; old ones have had their last reply.
+MISSING_REMEMBERED = 32
+# New work, which is held back where a host drains or a request is over.
+NEW_WORK = (protocol.Attempt, protocol.LoadOrder, protocol.HealthCheck)
+# The reply that ends a call of each kind.
+RESULT_TYPES: dict[type, CallKind] = {
+    protocol.AttemptResult: CallKind.ATTEMPT,
+    protocol.HealthCheckResult: CallKind.HEALTH_CHECK,
+    protocol.LoadOrderResult: CallKind.LOAD_ORDER,
+}
+
+
+class HostCalls:
+    """Owner of the calls to hosts (``link.out`` of each connection).
+
+    Invariant: a call that was made ends exactly once, in ``end``. Until then it is in its
+    connection's ``out``; replies that come in elsewhere are ignored.
+    """
+
+    def __init__(self, dispatcher: "Dispatcher") -> None:
+        self.dispatcher = dispatcher
+
+    # ---- calls out
+    def check_health(self, action: routing.CheckHealth) -> None:
+        """Sends a health check, as the router decided."""
+        wait_ms = self.dispatcher.limits.probe
+        self.ask(action.host, CallKind.HEALTH_CHECK, "", wait_ms, protocol.HealthCheck)
+
+    def ask(
+        self,
+        host_id: str,
+        kind: CallKind,
+        function: str,
+        wait_ms: float,
+        make_message: Callable[..., Any],
+        *values: Any,
+    ) -> None:
+        """Sends a health check or a load order; the router gets exactly one message of its end.
+
+        Args:
+            host_id: The host; one that was never listed counts as not reachable.
+            kind: Which of the two.
+            function: The function of a load order.
+            wait_ms: After this time it ends without a response.
+            make_message: Makes the message of the call's number and ``values``.
+            values: Further fields of the message.
+        """
+        dispatcher = self.dispatcher
+        call = HostCall(kind, dispatcher.next_number(), dispatcher.now, function=function)
+        host = dispatcher.hosts.get(host_id)
+        if host is None:
+            dispatcher.counters["calls to hosts never listed"] += 1
+            self.notify_router_of_end(call, host_id, AttemptOutcome.CONNECT_FAILED, 0, 0.0)
+        elif self.send(host, call, make_message(call.id, *values)):
+            dispatcher.timers.set(
+                dispatcher.now + wait_ms, self.abandon, call, AttemptOutcome.NO_RESPONSE
+            )
+
+    def hold_back(self, host: HostRecord, call: HostCall, message: Any) -> bool:
+        """Ends a call as never sent if it may not go out to the host now; returns whether so."""
+        reason = self.held_back_reason(host, call, message)
+        if not reason:
+            return False
+        self.dispatcher.counters[f"held back: {reason}"] += 1
+        self.end(call, AttemptOutcome.NOT_SENT, host_id=host.id)
+        return True
+
+    def held_back_reason(self, host: HostRecord, call: HostCall, message: Any) -> str:
+        """Returns why a message may not go out to the host now, "" where it may.
+
+        Each attempt, health check and load order is checked when it is sent, and again when it
+        waited for a connection. Guards against new work for a host that is known to drain, and
+        against attempts for a request that is finished or whose client has disconnected.
+        """
+        if type(message) not in NEW_WORK:
+            return ""
+        if host.row.state != "ready":
+            return "the host drains"
+        pending = call.pending
+        if pending is None:
+            return ""
+        dispatcher = self.dispatcher
+        if not pending.finished and not pending.client.connected(dispatcher.now):
+            dispatcher.counters["closes found at a launch"] += 1
+            dispatcher.request_table.cancel(pending)
+        if pending.finished:
+            return "the event is over"
+        return "" if dispatcher.now < pending.deadline_ms else "the time is up"
+
+    def send(self, host: HostRecord, call: HostCall, message: Any) -> bool:
+        """Sends a call on a connection to the host; returns False where nothing may go out."""
+        if self.hold_back(host, call, message):
+            return False
+        host.calls_sent += 1
+        link = self.dispatcher.connections.choose(host, call)
+        call.link = link
+        link.out[call.id] = call
+        link.last_used_ms = self.dispatcher.now
+        link.write(message)
+        return True
+
+    def message_not_sent(self, link: HostConnection, number: int) -> None:
+        """Ends a call whose message the I/O could not write."""
+        call = link.out.get(number)
+        if call is not None:
+            self.end(call, AttemptOutcome.NOT_SENT)
+
+    # ---- ends of calls
+    def replied(self, link: HostConnection, message: Any) -> None:
+        """Takes in a host's reply; it counts only for a call in flight on this connection."""
+        link.last_used_ms = link.last_reply_ms = self.dispatcher.now
+        link.unresponsive = False
+        call = link.out.get(message.id)
+        kind = call.kind if call is not None else None
+        message_type = type(message)
+        if call is not None and kind is CallKind.QUERY:
+            self.end(call, AttemptOutcome.SUCCEEDED, message)
+        elif call is not None and RESULT_TYPES.get(message_type) is kind:
+            self.end(call, message.outcome, message)
+        elif call is not None and (
+            kind is CallKind.ATTEMPT and message_type is protocol.AttemptStreaming
+        ):
+            self.dispatcher.attempts.streaming_started(call)
+        elif message_type is not protocol.UnloadResult:
+            self.dispatcher.counters["replies without a call in flight"] += 1
+
+    def abandon(self, call: HostCall, outcome: AttemptOutcome) -> None:
+        """Ends a call without waiting further; the host is sent a cancellation of an attempt.
+
+        Args:
+            call: Ignored if it has ended.
+            outcome: How it ends; if it waited for a connection, the router gets that instead.
+        """
+        if call.outcome is not None:
+            return
+        link = call.link
+        assert link is not None, "a call without a connection ends as it is made"
+        if link.state is ConnectionState.DIALING:
+            link.unsent = [message for message in link.unsent if message.id != call.id]
+            if outcome is AttemptOutcome.CANCELLED:
+                outcome = AttemptOutcome.NOT_SENT
+            else:
+                outcome = AttemptOutcome.CONNECT_FAILED
+        elif call.kind is CallKind.ATTEMPT:
+            link.write(protocol.CancelAttempt(call.id))
+        self.end(call, outcome)
+        dispatcher = self.dispatcher
+        silent_since_ms = max(call.started_at_ms, link.last_reply_ms)
+        if (
+            link.state is ConnectionState.OPEN
+            and dispatcher.now - silent_since_ms >= dispatcher.limits.silence
+        ):
+            link.unresponsive = True
+            self.dispatcher.connections.close_silent(link.host, call.started_at_ms)
+
+    def end(
+        self, call: HostCall, outcome: AttemptOutcome, message: Any = None, host_id: str = ""
+    ) -> None:
+        """Ends a call; the only place where one ends.
+
+        Args:
+            call: Ignored if it has ended.
+            outcome: How it ended.
+            message: The host's reply, if there was one.
+            host_id: The host of a call that never had a connection.
+        """
+        if call.outcome is not None:
+            return
+        call.outcome = outcome
+        took_ms = self.dispatcher.now - call.started_at_ms
+        link = call.link
+        if link is not None:
+            host_id = link.host.id
+            link.out.pop(call.id, None)
+            if outcome == AttemptOutcome.FUNCTION_MISSING and call.pending is not None:
+                remember_missing(link, call.pending.number)
+        if call.kind is CallKind.ATTEMPT:
+            self.dispatcher.attempts.ended(call, outcome, took_ms, host_id, message)
+        elif call.on_reply is not None:
+            call.on_reply(host_id, outcome, message)
+        else:
+            copies = message.copies if message and call.kind is CallKind.LOAD_ORDER else 0
+            self.notify_router_of_end(call, host_id, outcome, copies, took_ms)
+            if call.kind is CallKind.LOAD_ORDER:
+                self.load_order_ended(call, host_id, outcome, took_ms)
+
+    def notify_router_of_end(
+        self, call: HostCall, host_id: str, outcome: AttemptOutcome, copies: int, took_ms: float
+    ) -> None:
+        """Notifies the router of the end of a health check or a load order."""
+        ended: Any
+        if call.kind is CallKind.HEALTH_CHECK:
+            ended = routing.HealthCheckEnded(host_id, outcome, took_ms)
+        else:
+            ended = routing.LoadOrderEnded(call.function, host_id, outcome, copies, took_ms)
+        self.dispatcher.router_messages.append(ended)
+
+    def load_order_ended(
+        self, call: HostCall, host_id: str, outcome: AttemptOutcome, took_ms: float
+    ) -> None:
+        """Notifies releases and the zone drain of the end of a load order."""
+        dispatcher = self.dispatcher
+        dispatcher.call_ended(releases.Loaded(call.function, outcome, took_ms))
+        if dispatcher.zone_drain is not None:
+            dispatcher.zone_drain.load_ended(
+                call.function, host_id, outcome == AttemptOutcome.SUCCEEDED
+            )
+
+
+def remember_missing(link: HostConnection, number: int) -> None:
+    """Remembers that the connection's host answered a request without running it."""
+    numbers = [*link.missing_requests, number]
+    link.missing_requests = dict.fromkeys(numbers[-MISSING_REMEMBERED:])
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -21,8 +21,8 @@
 
     def order(self, action: routing.OrderLoad) -> None:
         """Orders a host to load copies of a function, as the router decided."""
-        self.dispatcher.counters["orders"] += 1
-        self.dispatcher.connections.ask(
+        self.dispatcher.counters["load orders"] += 1
+        self.dispatcher.calls.ask(
             action.host,
             CallKind.LOAD_ORDER,
             action.function,
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -1,6 +1,6 @@
 """Pending requests and clients: acceptance, deadlines, responses and cancellation. No I/O."""
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Final
 
 from cherrydoor.gateway.tables import (
     ATTEMPTS_AFTER_CLOSE,
@@ -10,15 +10,16 @@
 )
 from cherrydoor.gateway.timers import MAX_LAG_SHARE, Callback
 from cherrydoor.protocol import messages as protocol
+from cherrydoor.protocol.basics import Draining, FinalOutcome
 from cherrydoor.routing import messages as routing
 from cherrydoor.routing.messages import AttemptOutcome
 
 if TYPE_CHECKING:
     from cherrydoor.gateway.dispatcher import Dispatcher
 
-SUCCEEDED = "handled"
-REJECTED = "deferred"
-FAILED = "dead-lettered"
+SUCCEEDED: Final = "handled"
+REJECTED: Final = "deferred"
+FAILED: Final = "dead-lettered"
 # Timers that fire late cost a request twice: once as it is read, once as its deadline passes.
 LAGS_PER_REQUEST = 2
 
@@ -49,7 +50,7 @@
         client.late(hello.clock_ms, dispatcher.now)
         self.clients[client] = True
         if dispatcher.draining is not None:
-            client.wire.write(protocol.Draining(dispatcher.draining))
+            client.wire.write(Draining(dispatcher.draining))
 
     def client_disconnected(self, client: ClientConnection) -> None:
         """Cancels all that the client has open."""
@@ -120,7 +121,7 @@
         request: protocol.Request,
         reason: str,
         retry_after_ms: float,
-        outcome: Any = REJECTED,
+        outcome: FinalOutcome = REJECTED,
     ) -> None:
         """Answers a request that is not accepted."""
         self.dispatcher.counters[f"not accepted: {reason}"] += 1
@@ -192,7 +193,7 @@
                 dispatcher.counters[ATTEMPTS_AFTER_CLOSE] += 1
         if pending.streaming:
             for call in pending.attempts:
-                dispatcher.connections.abandon_call(call, AttemptOutcome.CANCELLED)
+                dispatcher.calls.abandon(call, AttemptOutcome.CANCELLED)
         # what the router decides before it is notified must find the request
         pending.references += 1
         self.cancelled.append(pending)
@@ -222,7 +223,7 @@
         """
         for pending in list(self.requests.values()):
             if not pending.finished:
-                outcome: Any = FAILED if pending.attempts else REJECTED
+                outcome: FinalOutcome = FAILED if pending.attempts else REJECTED
                 self.respond(pending, protocol.Response(pending.request.id, outcome, 0.0, reason))
 
     def finish(self, pending: PendingRequest) -> None:
@@ -251,7 +252,7 @@
         for call in pending.attempts:
             if call.outcome is None:
                 dispatcher.counters["launches out when the client's time was up"] += 1
-                dispatcher.connections.abandon_call(call, AttemptOutcome.NO_RESPONSE)
+                dispatcher.calls.abandon(call, AttemptOutcome.NO_RESPONSE)
         dispatcher.notify_router()
         if not pending.finished:
             if pending.adopted:
--- a/cherrydoor/gateway/takeover.py
+++ b/cherrydoor/gateway/takeover.py
@@ -52,10 +52,10 @@
             on_reply(host_id, AttemptOutcome.CONNECT_FAILED, None)
             return
         call = HostCall(CallKind.QUERY, dispatcher.next_number(), dispatcher.now, on_reply=on_reply)
-        dispatcher.connections.send(host, call, make_message(call.id))
+        dispatcher.calls.send(host, call, make_message(call.id))
         dispatcher.timers.set(
             dispatcher.now + wait_ms,
-            dispatcher.connections.abandon_call,
+            dispatcher.calls.abandon,
             call,
             AttemptOutcome.NO_RESPONSE,
         )
@@ -105,7 +105,7 @@
         pending.adopted = True
         dispatcher.counters["attempts adopted"] += 1
         call = dispatcher.attempts.add(pending)
-        dispatcher.connections.send(dispatcher.hosts[host_id], call, make_message(call.id))
+        dispatcher.calls.send(dispatcher.hosts[host_id], call, make_message(call.id))
 
     def adopted_attempt_failed(self, pending: PendingRequest, outcome: AttemptOutcome) -> None:
         """Routes a request anew whose adopted attempt failed, or answers it."""
