--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -22,7 +22,7 @@
 from cherrydoor.gateway.tables import ClientConnection as ClientConnection
 from cherrydoor.gateway.takeover import Takeover
 from cherrydoor.gateway.timers import Callback, TimerQueue
-from cherrydoor.protocol import messages as protocol
+from cherrydoor.protocol.basics import Draining
 from cherrydoor.routing import messages as routing
 
 
@@ -103,7 +103,16 @@
         self.clients = self.request_table.clients
         self.hosts = self.endpoint_list.hosts
 
-        # inputs that the service and the subsystems post
+        self.expose_inputs()
+        self.handlers = self.action_handlers()
+        self.carry_out(router.start(now_ms))
+        self.timers.set(now_ms + limits.idle / CLEANUPS_PER_IDLE_TIME, self.endpoint_list.clean_up)
+
+    def expose_inputs(self) -> None:
+        """Makes the parts' inputs callable here, for the service and the subsystems to post.
+
+        They are attributes rather than methods, as a further call would be paid for each request.
+        """
         self.client_connected = self.request_table.client_connected
         self.client_disconnected = self.request_table.client_disconnected
         self.request_received = self.request_table.request_received
@@ -126,7 +135,9 @@
         self.adopt_attempt = self.takeover.adopt_attempt
         self.set_timer = self.timers.set
 
-        self.handlers: dict[type, Callable[[Any], object]] = {
+    def action_handlers(self) -> dict[type, Callable[[Any], object]]:
+        """Returns who carries out each action of the router."""
+        return {
             routing.StartAttempt: self.attempts.start,
             routing.CancelAttempt: self.attempts.cancel,
             routing.RejectRequest: self.attempts.reject_request,
@@ -137,8 +148,6 @@
             routing.PollEndpoints: self.request_endpoints,
             routing.LogMessage: self.count_log_message,
         }
-        self.carry_out(router.start(now_ms))
-        self.timers.set(now_ms + limits.idle / CLEANUPS_PER_IDLE_TIME, self.endpoint_list.clean_up)
 
     @property
     def behind(self) -> float:
@@ -208,4 +217,4 @@
         if self.draining is None:
             self.draining = reason
             for client in self.clients:
-                client.wire.write(protocol.Draining(reason))
+                client.wire.write(Draining(reason))
--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -216,17 +216,17 @@
 
 
 def dispatcher_bounds(spare, most_open, per_link, links, connect, idle, probe, order, silence):
-    return dict(
-        spare=spare,
-        most_open=most_open,
-        per_link=per_link,
-        links=links,
-        connect=connect,
-        idle=idle,
-        probe=probe,
-        order=order,
-        silence=silence,
-    )
+    return {
+        "spare": spare,
+        "most_open": most_open,
+        "per_link": per_link,
+        "links": links,
+        "connect": connect,
+        "idle": idle,
+        "probe": probe,
+        "order": order,
+        "silence": silence,
+    }
 
 
 def dispatcher_inputs(dispatcher):
