--- a/tests/behaviour/dispatcher_world.py
+++ b/tests/behaviour/dispatcher_world.py
@@ -15,7 +15,7 @@
 
 
 class Story(NamedTuple):
-    """What a history consists of, apart from its seed. Chances are of each message."""
+    """What a history consists of, apart from its seed. Chances are for each message."""
 
     settings: tuple
     bounds: tuple
@@ -26,16 +26,15 @@
     clients: int = 5
     refused: float = 0.1  # chance that a dial is refused
     never_up: float = 0.05  # chance that a dial is never answered
-    troubles: float = (
-        2.0  # links lost, hosts silent, changes of the list, clients gone: in a second
-    )
+    # a second: connections lost, hosts unresponsive, endpoints changed, clients disconnected
+    faults: float = 2.0
     unanswered: float = 0.02
     failed: float = 0.005  # chance of an answer that is no success, each kind of it alike
     doubled: float = 0.02  # chance that a message is sent twice
 
 
 class Writer:
-    """One end of a connection as the dispatcher has it: it records, and tells `receive`."""
+    """The dispatcher's end of a connection: records messages and hands them to `receive`."""
 
     def __init__(self, world, name, receive):
         self.world, self.name, self.receive = world, name, receive
@@ -59,8 +58,8 @@
         self.sequence = 0
         self.canonical = Canonical(n.WIRE_KINDS, n.CONSTANTS)
         self.rows = {}
-        self.links = {}  # wire name -> (link, writer)
-        self.silent_until = {}
+        self.connections = {}  # wire name -> (link, writer)
+        self.unresponsive_until_ms = {}
         self.wires = 0
         self.requests = 0
         self.clients = {}  # name -> (client, writer, open request numbers)
@@ -70,24 +69,28 @@
         lease = n.settings(*first, classes=classes, **switches)
         self.classes = [values_of(each) for each in classes]
         self.dispatcher = n.make_dispatcher(
-            lease, self.dialed, self.now, self.list_asked, **n.dispatcher_bounds(*story.bounds)
+            lease,
+            self.dialed,
+            self.now,
+            self.endpoints_polled,
+            **n.dispatcher_bounds(*story.bounds),
         )
         self.call = n.dispatcher_inputs(self.dispatcher)
 
     def play(self):
         for number in range(self.story.hosts):
             self.add_row(f"h{number}", 0.0)
-        self.enter(self.call.listed, n.SAVED, list(self.rows.values()))
+        self.enter(self.call.endpoints_updated, n.SAVED, list(self.rows.values()))
         for _ in range(self.story.clients):
-            self.client_comes()
-        self.every(self.story.per_second, self.request_comes)
-        self.every(self.story.troubles, self.trouble)
+            self.client_connects()
+        self.every(self.story.per_second, self.request_arrives)
+        self.every(self.story.faults, self.fault)
         self.every(2.0, self.announce)
         self.later(self.story.drains_at, self.enter, self.call.drain, "the test drains")
-        self.later(self.story.length, self.enter, self.call.answer_all, "the test ends")
+        self.later(self.story.length, self.enter, self.call.respond_to_all, "the test ends")
         end = START + self.story.length + 5000.0
         while True:
-            timer = self.call.next_timer()
+            timer = self.call.next_timer_ms()
             entry = self.queue[0][0] if self.queue else end
             at = max(self.now, entry if timer is None else min(entry, timer))
             if at >= end:
@@ -96,7 +99,7 @@
             while self.queue and self.queue[0][0] <= at:
                 _, _, action, arguments = heapq.heappop(self.queue)
                 action(*arguments)
-            self.call.turn(at)
+            self.call.tick(at)
 
     # ---- time
     def later(self, delay, action, *arguments):
@@ -111,15 +114,15 @@
             action()
             self.every(per_second, action)
 
-    def chance(self, part):
-        return self.random.random() < part
+    def chance(self, probability):
+        return self.random.random() < probability
 
     def enter(self, what, *arguments):
         self.inputs += 1
         self.call.post(what, *arguments)
 
     # ---- clients
-    def client_comes(self):
+    def client_connects(self):
         self.wires += 1
         name = f"client {self.wires}"
         waiting = set()
@@ -131,30 +134,30 @@
         writer = Writer(self, name, receive)
         client = n.make_client(writer, lambda: name in self.gone)
         self.clients[name] = client, waiting
-        self.enter(self.call.client_came, client, n.client_hello(name, self.now - 7.0))
+        self.enter(self.call.client_connected, client, n.client_hello(name, self.now - 7.0))
 
-    def request_comes(self):
+    def request_arrives(self):
         client, waiting = self.clients[self.random.choice(list(self.clients))]
         self.requests += 1
         number = self.requests
         if waiting and self.chance(self.story.doubled):
             number = max(waiting)
-        class_name, _, max_age, *_ = self.random.choice(self.classes)
+        class_name, _, deadline_ms, *_ = self.random.choice(self.classes)
         class_name = "unknown" if self.chance(0.01) else class_name
-        lasts = max_age * self.random.choice((1.0, 0.3, 0.02))
+        timeout_ms = deadline_ms * self.random.choice((1.0, 0.3, 0.02))
         function = f"f{int(20 * self.random.random() ** 2)}"
-        late = self.random.choice((0.0, 0.0, 3.0, 40.0))
+        delay_ms = self.random.choice((0.0, 0.0, 3.0, 40.0))
         waiting.add(number)
         body = b"x" * self.random.randrange(4)
         self.enter(
-            self.call.request,
+            self.call.request_received,
             client,
             n.wire_event(
                 number,
                 class_name,
                 function,
-                lasts,
-                self.now - late,
+                timeout_ms,
+                self.now - delay_ms,
                 self.random.choice(("", "tenant")),
                 f"key {number}",
                 self.random.choice((1.0, 4.0)),
@@ -164,15 +167,21 @@
         )
         if self.chance(0.05):
             self.later(
-                self.random.uniform(1.0, 300.0), self.enter, self.call.withdrawn, client, number
+                self.random.uniform(1.0, 300.0),
+                self.enter,
+                self.call.request_withdrawn,
+                client,
+                number,
             )
 
-    def client_goes(self):
+    def client_disconnects(self):
         name = self.random.choice(list(self.clients))
         client, _ = self.clients.pop(name)
         self.gone.add(name)
-        self.later(self.random.choice((0.0, 5.0)), self.enter, self.call.client_went, client)
-        self.client_comes()
+        self.later(
+            self.random.choice((0.0, 5.0)), self.enter, self.call.client_disconnected, client
+        )
+        self.client_connects()
 
     # ---- hosts
     def dialed(self, link):
@@ -180,11 +189,11 @@
         self.canonical.add(self.now, DIALED, name)
         drawn = self.random.random()
         if drawn < self.story.refused:
-            self.later(1.0, self.enter, self.call.disconnected, link)
+            self.later(1.0, self.enter, self.call.connection_lost, link)
         elif drawn > self.story.never_up:
-            self.later(self.random.uniform(1.0, 30.0), self.link_up, link, name)
+            self.later(self.random.uniform(1.0, 30.0), self.open_connection, link, name)
 
-    def link_up(self, link, host):
+    def open_connection(self, link, host):
         self.wires += 1
         name = f"{host} {self.wires}"
 
@@ -192,35 +201,41 @@
             self.host_receives(name, kind, values)
 
         writer = Writer(self, name, receive)
-        self.links[name] = link, writer, host
-        self.enter(self.call.connected, link, writer)
+        self.connections[name] = link, writer, host
+        self.enter(self.call.connection_opened, link, writer)
         since = START + 1.0 if self.chance(0.02) else 0.0
-        self.enter(self.call.greeted, link, n.host_hello(host, self.now, since))
+        self.enter(self.call.host_greeted, link, n.host_hello(host, self.now, since))
 
-    def link_lost(self):
-        open_links = [name for name, (_, writer, _) in self.links.items() if not writer.closed]
-        if open_links:
-            link, _, _ = self.links.pop(self.random.choice(open_links))
-            self.enter(self.call.disconnected, link)
+    def lose_connection(self):
+        open_connections = [
+            name for name, (_, writer, _) in self.connections.items() if not writer.closed
+        ]
+        if open_connections:
+            link, _, _ = self.connections.pop(self.random.choice(open_connections))
+            self.enter(self.call.connection_lost, link)
 
     def host_receives(self, name, kind, values):
-        host = self.links[name][2] if name in self.links else ""
+        host = self.connections[name][2] if name in self.connections else ""
         number = values[0]
-        took = self.random.expovariate(1 / 40.0)
-        took = max(took, self.silent_until.get(host, 0.0) - self.now)
+        took_ms = self.random.expovariate(1 / 40.0)
+        took_ms = max(took_ms, self.unresponsive_until_ms.get(host, 0.0) - self.now)
         if self.chance(self.story.unanswered):
             return
         if kind == n.WIRE_LAUNCH:
             if values[3] == "stream" and self.chance(0.7):
-                self.later(took / 2, self.host_sends, name, n.wire_underway(number))
-            fates = (n.ERROR, n.FULL, n.MISSING)
-            fate = self.random.choice(fates) if self.chance(3 * self.story.failed) else n.HANDLED
+                self.later(took_ms / 2, self.host_sends, name, n.wire_underway(number))
+            outcomes = (n.ERROR, n.FULL, n.MISSING)
+            outcome = (
+                self.random.choice(outcomes) if self.chance(3 * self.story.failed) else n.HANDLED
+            )
             copy = (
-                4 if fate == n.ERROR and self.chance(0.3) else self.random.choice((1, 1, 1, 2, 3))
+                4
+                if outcome == n.ERROR and self.chance(0.3)
+                else self.random.choice((1, 1, 1, 2, 3))
             )
             message = n.wire_outcome(
                 number,
-                fate,
+                outcome,
                 copy,
                 self.random.randrange(4),
                 self.random.choice((None, 2.0)),
@@ -237,37 +252,37 @@
             )
         else:
             return
-        self.later(took, self.host_sends, name, message)
+        self.later(took_ms, self.host_sends, name, message)
         if self.chance(self.story.doubled):
-            self.later(took + 1.0, self.host_sends, name, message)
+            self.later(took_ms + 1.0, self.host_sends, name, message)
 
     def host_sends(self, name, message):
-        if name in self.links and not self.links[name][1].closed:
-            self.enter(self.call.heard, self.links[name][0], message)
+        if name in self.connections and not self.connections[name][1].closed:
+            self.enter(self.call.host_replied, self.connections[name][0], message)
 
-    # ---- the list, and what else happens
+    # ---- the endpoint list and faults
     def add_row(self, host, since, state=n.READY):
         number = int(host[1:])
         self.rows[host] = n.wire_row(host, state, since, f"z{number % 2}", number % 3)
 
-    def list_asked(self, asked):
-        self.later(10.0, self.list_answers)
+    def endpoints_polled(self, asked):
+        self.later(10.0, self.endpoint_list_responds)
 
-    def list_answers(self):
+    def endpoint_list_responds(self):
         if self.chance(0.3):
-            self.enter(self.call.list_failed)
+            self.enter(self.call.endpoint_poll_failed)
         else:
-            self.enter(self.call.listed, n.WHOLE, list(self.rows.values()))
+            self.enter(self.call.endpoints_updated, n.WHOLE, list(self.rows.values()))
 
-    def trouble(self):
+    def fault(self):
         drawn = self.random.random()
         if drawn < 0.25:
-            self.link_lost()
+            self.lose_connection()
         elif drawn < 0.4:
             host = self.random.choice(list(self.rows))
-            self.silent_until[host] = self.now + self.random.uniform(300.0, 2000.0)
+            self.unresponsive_until_ms[host] = self.now + self.random.uniform(300.0, 2000.0)
         elif drawn < 0.55:
-            self.client_goes()
+            self.client_disconnects()
         else:
             self.change()
 
@@ -279,7 +294,7 @@
             gone = self.rows.pop(host)
             new = f"h{self.story.hosts + self.inputs}"
             self.add_row(new, self.now)
-            self.enter(self.call.listed, n.CHANGES, [gone, self.rows[new]])
+            self.enter(self.call.endpoints_updated, n.CHANGES, [gone, self.rows[new]])
         else:
             self.add_row(
                 host,
@@ -287,18 +302,20 @@
                 n.DRAINING if self.chance(0.6) else n.READY,
             )
             if self.chance(0.7):
-                self.enter(self.call.listed, n.CHANGES, [self.rows[host]])
+                self.enter(self.call.endpoints_updated, n.CHANGES, [self.rows[host]])
             else:
-                self.enter(self.call.listed, n.WHOLE, list(self.rows.values()))
+                self.enter(self.call.endpoints_updated, n.WHOLE, list(self.rows.values()))
 
     def announce(self):
-        """Functions that will be called, copies that stand, and copies that may go."""
+        """Functions expected, copies reported, and copies that may be unloaded."""
         function = f"f{self.random.randrange(25)}"
         host = self.random.choice(list(self.rows))
-        what = self.random.choice((self.call.foreseen, self.call.copy_stands, self.call.unload))
+        what = self.random.choice(
+            (self.call.function_expected, self.call.copy_reported, self.call.unload)
+        )
         arguments = {
-            self.call.foreseen: (),
-            self.call.copy_stands: (host,),
+            self.call.function_expected: (),
+            self.call.copy_reported: (host,),
             self.call.unload: ([host],),
         }[what]
         self.enter(what, function, *arguments)
