--- a/cherrydoor/gateway/attempts.py
+++ b/cherrydoor/gateway/attempts.py
@@ -22,8 +22,8 @@
 class Attempts:
     """Carries out the router's decisions on requests and notifies it of each attempt's end.
 
-    Owner of ``PendingRequest.attempts``, which but for an adopted attempt only it extends. An
-    action on a request that is finished, or on an attempt that has ended, is ignored.
+    Owner of ``PendingRequest.attempts``: ``add`` extends it, ``RequestTable.route`` empties it.
+    An action on a request that is finished, or on an attempt that has ended, is ignored.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -213,7 +213,7 @@
         self.endpoint_list.host_greeted(link.host, hello.started_at_ms)
 
     def drain(self, reason: str) -> None:
-        """Accepts nothing new from now on; what is pending is answered. Clients are told once."""
+        """Rejects new requests from now on and notifies clients once; pending ones are answered."""
         if self.draining is None:
             self.draining = reason
             for client in self.clients:
--- a/cherrydoor/gateway/host_calls.py
+++ b/cherrydoor/gateway/host_calls.py
@@ -90,7 +90,8 @@
 
         Each attempt, health check and load order is checked when it is sent, and again when it
         waited for a connection. Guards against new work for a host that is known to drain, and
-        against attempts for a request that is finished or whose client has disconnected.
+        against attempts for a request that is finished or whose client has disconnected; costs a
+        system call for each attempt.
         """
         if type(message) not in NEW_WORK:
             return ""
@@ -149,7 +150,8 @@
 
         Args:
             call: Ignored if it has ended.
-            outcome: How it ends; if it waited for a connection, the router gets that instead.
+            outcome: How it ends. A call that still waits for its connection ends as never sent if
+                it is cancelled, else as not connected.
         """
         if call.outcome is not None:
             return
--- a/cherrydoor/gateway/host_connections.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from cherrydoor.gateway.dispatcher import Dispatcher
 
-# Share of the worth of all calls to a host that may go into connections beside the first.
+# Share of the calls to a host that connections beside the first may cost (limits.handshake each).
 HANDSHAKE_SHARE = 0.01
 
 
@@ -25,9 +25,9 @@
     def choose(self, host: HostRecord, call: HostCall) -> HostConnection:
         """Returns the connection for a call: the first one with room, or a new one.
 
-        A new one is opened up to the bound and as far as the host's calls are worth it; then
-        connections are shared. Guards against hundreds of gateways opening connections that serve
-        once each; harms where a connection that is lost takes more attempts with it.
+        A new one is opened up to the bound, and once the host has had calls enough to be worth the
+        cost; then connections are shared. Guards against hundreds of gateways opening connections
+        that serve once each; harms where a connection that is lost takes more attempts with it.
 
         A request that was missing at the host goes out on another connection, where there is one:
         a second copy of that reply would pass for the new attempt's.
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -44,7 +44,7 @@
 
     # ---- clients
     def client_connected(self, client: ClientConnection, hello: Any) -> None:
-        """Takes in a client; one that connects while the gateway drains is told so."""
+        """Adds a client and notifies it if the gateway is draining."""
         dispatcher = self.dispatcher
         client.name = hello.name
         client.late(hello.clock_ms, dispatcher.now)
@@ -62,8 +62,9 @@
     def request_received(self, client: ClientConnection, request: protocol.Request) -> None:
         """Accepts a request, rejects it, or ignores it: one that is open already or past its time.
 
-        The time that is set aside for a response grows with the lag of the timers: a request that
-        is read late is also answered late.
+        The time that is set aside for its response grows with the lag of the timers. Guards
+        against a response after the client's deadline, as a request that is read late is also
+        answered late; harms where the lag was a single stall: the request has less time for it.
         """
         dispatcher = self.dispatcher
         delay_ms = client.late(request.sent_at_ms, dispatcher.now)
--- a/cherrydoor/gateway/tables.py
+++ b/cherrydoor/gateway/tables.py
@@ -22,7 +22,7 @@
 
     DIALING = "dialing"
     OPEN = "open"
-    CLOSED = "shut"
+    CLOSED = "closed"
 
 
 CLOSED = ConnectionState.CLOSED  # the service closes all connections as it starts anew
@@ -85,7 +85,8 @@
         """Returns by how many ms a frame took longer than the fastest one of this connection.
 
         Guards against a stall of ours or of the network, after which a request would be given
-        time that its client no longer has.
+        time that its client no longer has; harms where the client's clock goes slow against ours,
+        as that counts as a delay.
 
         Args:
             sent_at_ms: When it was sent, by the client's clock.
@@ -100,7 +101,7 @@
 class PendingRequest:
     """A request from its arrival to its response and the end of its last attempt.
 
-    Owned by ``RequestTable``; ``Attempts`` and ``Takeover`` add attempts.
+    Owned by ``RequestTable``; ``Attempts`` adds its attempts and ends them.
 
     Attributes:
         number: Its number in this gateway; ``request.id`` is the client's.
@@ -154,7 +155,7 @@
 class HostCall:
     """An attempt, health check, load order or query that a host owes a reply to.
 
-    Owned by ``HostConnections``, which sets ``outcome`` exactly once.
+    Owned by ``HostCalls``, which sets ``outcome`` exactly once.
 
     Attributes:
         id: Its number on the wire.
@@ -243,7 +244,7 @@
         row: Its latest row of the endpoint list.
         links: Connections to it that are not closed; ``HostConnections`` changes them.
         started_at_ms: The later of what the list and the host's own hello state.
-        calls_sent: How many calls it was sent, written by ``HostConnections``.
+        calls_sent: How many calls it was sent, written by ``HostCalls``.
     """
 
     def __init__(self, row: protocol.Endpoint) -> None:
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Each fault is provoked on real sockets; what is judged is what clients and hosts saw."""
+"""Faults are injected on real sockets; what clients and hosts received is judged."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 @story
-async def test_silence_is_met_at_another_host_while_there_is_time(stack):
+async def test_an_attempt_without_response_is_retried_at_another_host_while_there_is_time(stack):
     one, other = Host(), Host()
     client = await stack.start(one, other)
     number = client.send(lasts=4500.0)
@@ -41,21 +41,21 @@
         1,
     )
     assert len(await silent.got(protocol.CancelAttempt)) == 1, (
-        "the first was taken back before the second went"
+        "the first was cancelled before the second was sent"
     )
 
 
 @story
-async def test_a_drain_while_events_wait_there(stack):
+async def test_a_draining_host_completes_its_attempts_and_gets_no_new_ones(stack):
     leaving, staying = Host(), Host("handled")
     client = await stack.start(leaving)
     waits = [client.send("deed", lasts=4500.0) for _ in range(3)]
-    launches = await leaving.got(protocol.Attempt, 3)
+    attempts = await leaving.got(protocol.Attempt, 3)
     await stack.host(staying)
     await stack.list.tell(protocol.Endpoint(leaving.id, "draining", 0.0, "z", 0))
     assert (await client.answer(client.send("deed"))).outcome == "handled"
-    for launch in launches:
-        leaving.outcome(launch)
+    for attempt in attempts:
+        leaving.outcome(attempt)
     assert [(await client.answer(n)).outcome for n in waits] == ["handled"] * 3
     assert len(leaving.all(protocol.Attempt)) == 3 and len(staying.all(protocol.Attempt)) == 1
 
@@ -65,10 +65,10 @@
     host = Host()
     client = await stack.start(host)
     number = client.send(lasts=400.0)
-    [launch] = await host.got(protocol.Attempt)
+    [attempt] = await host.got(protocol.Attempt)
     assert (await client.answer(number)).outcome == "deferred"
     await host.got(protocol.CancelAttempt)
-    host.outcome(launch)
+    host.outcome(attempt)
     after = client.send(lasts=400.0)
     late = "replies without a call in flight"
     await stack.settled(lambda: stack.counters[late])
@@ -77,30 +77,32 @@
 
 
 @story
-async def test_an_answer_from_a_host_that_was_not_asked(stack):
+async def test_a_response_from_a_host_without_the_attempt_is_ignored(stack):
     asked, other = Host(), Host()
     client = await stack.start(asked, other)
     for i in range(12):  # so that both hosts hold something
         client.send(f"deed {i}", lasts=3000.0)
     await asked.got(protocol.Attempt)
     await other.got(protocol.Attempt)
-    launch = asked.all(protocol.Attempt)[0]
-    other.ends[0].write(protocol.AttemptResult(launch.id, "handled", 1))
+    attempt = asked.all(protocol.Attempt)[0]
+    other.ends[0].write(protocol.AttemptResult(attempt.id, "handled", 1))
     await stack.settled(lambda: stack.counters["replies without a call in flight"])
     assert client.all(protocol.Response) == []
-    asked.outcome(launch)
-    assert (await client.answer(launch.request_id)).outcome == "handled"
+    asked.outcome(attempt)
+    assert (await client.answer(attempt.request_id)).outcome == "handled"
 
 
 @story
 async def test_a_connection_reset_with_fifty_launches_on_it(stack):
     first, second = Host(), Host()
     client = await stack.start(first, second, bounds="bounds: {launches_on_a_link: 1000}")
-    clauses, i = {}, 0
+    class_by_number = {}
+    i = 0
     while len(first.all(protocol.Attempt)) < 50:
-        for clause in ("draft", "archive"):
-            clauses[client.send(f"deed {i}", clause, lasts=4500.0)], i = clause, i + 1
-        sent = len(clauses)
+        for request_class in ("draft", "archive"):
+            class_by_number[client.send(f"deed {i}", request_class, lasts=4500.0)] = request_class
+            i += 1
+        sent = len(class_by_number)
         await stack.settled(
             lambda sent=sent: (
                 sent
@@ -116,25 +118,26 @@
                 )
             )
         )
-    waits = {launch.request_id for launch in first.all(protocol.Attempt)}
-    for launch in second.all(protocol.Attempt):
-        second.outcome(launch)
-    clauses = {n: c for n, c in clauses.items() if n in waits}
+    waits = {attempt.request_id for attempt in first.all(protocol.Attempt)}
+    for attempt in second.all(protocol.Attempt):
+        second.outcome(attempt)
+    class_by_number = {n: c for n, c in class_by_number.items() if n in waits}
     second.answers = "handled"
     first.die()
-    answers = {n: await client.answer(n) for n in clauses}
-    fates = {
-        c: {answers[n].outcome for n in clauses if clauses[n] == c} for c in ("draft", "archive")
+    answers = {n: await client.answer(n) for n in class_by_number}
+    outcomes = {
+        c: {answers[n].outcome for n in class_by_number if class_by_number[n] == c}
+        for c in ("draft", "archive")
     }
-    assert fates["archive"] == {"dead-lettered"}, "it may have run, so nothing more is promised"
-    again = [launch.request_id for launch in second.all(protocol.Attempt) if launch.attempt]
-    assert all(clauses[n] == "draft" for n in again) and len(again) == len(set(again)) > 0
-    assert all((answers[n].outcome == "handled") == (n in again) for n in clauses)
-    assert all(len(client.answers(n)) == 1 for n in clauses)
+    assert outcomes["archive"] == {"dead-lettered"}, "it may have run, so nothing more is promised"
+    again = [attempt.request_id for attempt in second.all(protocol.Attempt) if attempt.attempt]
+    assert all(class_by_number[n] == "draft" for n in again) and len(again) == len(set(again)) > 0
+    assert all((answers[n].outcome == "handled") == (n in again) for n in class_by_number)
+    assert all(len(client.answers(n)) == 1 for n in class_by_number)
 
 
 @story
-async def test_a_client_that_vanishes_with_events_out(stack):
+async def test_requests_of_a_client_that_disconnects_are_cancelled_at_their_host(stack):
     host = Host()
     client = await stack.start(host)
     for _ in range(5):
@@ -142,14 +145,14 @@
     await host.got(protocol.Attempt, 5)
     client.end.abort()
     assert {r.id for r in await host.got(protocol.CancelAttempt, 5)} == {
-        launch.id for launch in host.all(protocol.Attempt)
+        attempt.id for attempt in host.all(protocol.Attempt)
     }
     await stack.settled(lambda: not stack.service.dispatcher.requests)
     assert not stack.service.dispatcher.clients and not stack.service.client_listener.ends
 
 
 @story
-async def test_a_withdrawal_ends_an_event_and_a_second_one_is_ignored(stack):
+async def test_a_cancelled_request_is_finished_and_a_second_cancellation_is_ignored(stack):
     host = Host()
     client = await stack.start(host)
     number = client.send(lasts=4500.0)
@@ -162,12 +165,12 @@
 
 
 @story
-async def test_a_launch_whose_event_is_over_ends_with_the_clients_time(stack):
+async def test_an_attempt_of_a_cancelled_request_is_cancelled_at_the_clients_deadline(stack):
     host = Host()
     client = await stack.start(host)
     number = client.send(
         clause="archive", lasts=500.0
-    )  # never recalled by the module: it may have run
+    )  # never cancelled by the router: it may have run
     await host.got(protocol.Attempt)
     client.end.write(protocol.CancelRequest(number))
     await stack.settled(lambda: stack.counters["clients left"])
@@ -176,7 +179,7 @@
 
 
 @story
-async def test_a_list_that_empties_defers_and_recovers(stack):
+async def test_requests_are_rejected_while_the_endpoint_list_is_empty(stack):
     host = Host("handled")
     client = await stack.start(host)
     assert (await client.answer(client.send())).outcome == "handled"
@@ -188,7 +191,7 @@
 
 
 @story
-async def test_a_lost_list_connection_keeps_the_last_list(stack):
+async def test_the_last_endpoint_list_is_used_after_its_connection_is_lost(stack):
     host = Host("handled")
     client = await stack.start(host)
     stack.list.ends[0].abort()
@@ -198,7 +201,7 @@
 
 
 @story
-async def test_a_list_older_than_the_one_before_is_ignored(stack):
+async def test_an_endpoint_list_older_than_the_one_before_is_ignored(stack):
     host = Host("handled")
     client = await stack.start(host)
     await stack.list.tell(protocol.Endpoint(host.id, "draining", 0.0, "z", 0))
@@ -212,7 +215,7 @@
 
 
 @story
-async def test_a_list_that_must_be_asked_is_asked_again_after_a_failure(stack):
+async def test_an_endpoint_list_that_is_polled_is_polled_again_after_a_failure(stack):
     host = Host("handled")
     client = await stack.start(host, cold="asks: true, cold: {}")
     assert (await client.answer(client.send())).outcome == "handled"
@@ -223,13 +226,13 @@
 
 
 @story
-async def test_a_keyed_event_that_may_have_run_stays_in_its_group(stack):
+async def test_a_request_with_an_idempotency_key_is_retried_only_where_repeats_are_dropped(stack):
     near, twin, far = Host(), Host("handled"), Host("handled")
     client = await stack.start(near)
     number = client.send(clause="sign", lasts=4500.0, mark="m1")
-    [launch] = await near.got(protocol.Attempt)
+    [attempt] = await near.got(protocol.Attempt)
     await stack.host(far, zone="elsewhere")
-    near.outcome(launch, "error", 0)
+    near.outcome(attempt, "error", 0)
     answer = await client.answer(number)
     assert answer.outcome == "dead-lettered" and not far.all(protocol.Attempt), (
         "it left its zone, where repeats are dropped"
@@ -244,7 +247,7 @@
 
 
 @story
-async def test_a_ration_of_orders_at_its_limit(stack):
+async def test_load_orders_stop_at_their_quota(stack):
     hosts = [Host("handled") for _ in range(3)]
     client = await stack.start(
         *hosts,
@@ -262,7 +265,7 @@
 
 
 @story
-async def test_large_events_and_answers(stack):
+async def test_large_requests_and_responses_pass_whole(stack):
     host = Host("handled")
     client = await stack.start(host)
     for size in (64 * 2**10, 10 * 2**20):
@@ -272,7 +275,7 @@
 
 
 @story
-async def test_an_event_larger_than_its_host_takes_is_answered(stack):
+async def test_a_request_larger_than_its_host_takes_is_rejected(stack):
     host = Host("handled")
     host.largest = 1000
     client = await stack.start(host)
@@ -285,17 +288,17 @@
 async def test_a_client_that_reads_nothing_is_the_casualty_and_no_other(stack):
     host = Host("handled")
     client = await stack.start(host, bounds="bounds: {client_bytes: 64kB}")
-    deaf = await stack.client()
-    deaf.end.transport.pause_reading()
+    slow_reader = await stack.client()
+    slow_reader.end.transport.pause_reading()
     for _ in range(60):
-        deaf.send(body=bytes(200_000), lasts=4900.0)
+        slow_reader.send(body=bytes(200_000), lasts=4900.0)
         assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
     await stack.settled(lambda: len(stack.service.client_listener.ends) == 1)
     assert (await client.answer(client.send())).outcome == "handled"
 
 
 @story
-async def test_doubled_ids_past_times_and_unknown_event_types(stack):
+async def test_duplicate_ids_and_late_requests_are_ignored_and_unknown_classes_fail(stack):
     host = Host()
     client = await stack.start(host)
     number = client.send(lasts=3000.0)
@@ -304,13 +307,13 @@
     client.send(lasts=50.0, number=900, sent=now() - 1000)
     await stack.settled(lambda: stack.counters["requests past their deadline"])
     assert (await client.answer(client.send(clause="unheard-of"))).outcome == "dead-lettered"
-    [launch] = await host.got(protocol.Attempt)
-    host.outcome(launch)
+    [attempt] = await host.got(protocol.Attempt)
+    host.outcome(attempt)
     assert (await client.answer(number)).outcome == "handled" and client.answers(900) == []
 
 
 @story
-async def test_an_event_with_less_time_than_is_spared_is_deferred_at_once(stack):
+async def test_a_request_without_time_for_its_response_is_rejected_at_once(stack):
     host = Host("handled")
     client = await stack.start(host, bounds="bounds: {spare: 10s}")
     answer = await client.answer(client.send(lasts=5000.0))
@@ -322,19 +325,19 @@
 
 
 @story
-async def test_more_open_events_than_may_be_are_deferred_untaken(stack):
+async def test_requests_beyond_the_bound_of_pending_ones_are_rejected(stack):
     host = Host()
     client = await stack.start(host, bounds="bounds: {open_events: 3}")
     numbers = [client.send(lasts=3000.0) for _ in range(5)]
     refused = [await client.answer(n) for n in numbers[3:]]
     assert {a.outcome for a in refused} == {"deferred"} and all("open" in a.reason for a in refused)
-    for launch in await host.got(protocol.Attempt, 3):
-        host.outcome(launch)
+    for attempt in await host.got(protocol.Attempt, 3):
+        host.outcome(attempt)
     assert {(await client.answer(n)).outcome for n in numbers[:3]} == {"handled"}
 
 
 @story
-async def test_a_connection_beyond_the_bound_is_told_so(stack):
+async def test_a_connection_beyond_the_bound_is_closed_with_the_reason(stack):
     first = await stack.start(Host("handled"), bounds="bounds: {connections: 1}")
     second = await Client().connect(stack.service.port)
     await second.until(lambda: second.lost_ends)
@@ -343,18 +346,18 @@
 
 
 @story
-async def test_a_bad_frame_closes_its_connection_alone(stack):
+async def test_a_malformed_frame_closes_only_its_own_connection(stack):
     host = Host("handled")
     client = await stack.start(host)
-    rude = await stack.client()
-    rude.end.write_bytes(b"\x00\x00\x00\x02hi")
-    await rude.until(lambda: rude.lost_ends)
-    assert rude.end.why.startswith("peer: ")
+    bad_client = await stack.client()
+    bad_client.end.write_bytes(b"\x00\x00\x00\x02hi")
+    await bad_client.until(lambda: bad_client.lost_ends)
+    assert bad_client.end.why.startswith("peer: ")
     assert (await client.answer(client.send())).outcome == "handled"
 
 
 @story
-async def test_nobody_listens_and_a_hosts_refusal_are_no_connection(stack):
+async def test_requests_succeed_elsewhere_when_a_host_refuses_connections(stack):
     dead, well = Host(), Host("handled")
     client = await stack.start(dead, well)
     dead.die()
@@ -363,7 +366,7 @@
 
 
 @story
-async def test_a_restart_is_known_by_the_hosts_own_start_time(stack):
+async def test_a_restart_is_learned_from_the_hosts_own_start_time(stack):
     host = Host("handled")
     client = await stack.start(host, cold="cold: {from: 25%, time: 10s, multiple: 3, fall: 2s}")
     await client.answer(client.send())
@@ -380,16 +383,16 @@
 
 
 @story
-async def test_a_stream_that_began_belongs_to_the_client_and_its_break_is_the_end(stack):
+async def test_a_started_stream_has_no_deadline_and_fails_when_it_breaks(stack):
     host = Host()
     client = await stack.start(host)
     number = client.send(clause="read", lasts=500.0)
-    [launch] = await host.got(protocol.Attempt)
-    host.ends[0].write(protocol.AttemptStreaming(launch.id))
+    [attempt] = await host.got(protocol.Attempt)
+    host.ends[0].write(protocol.AttemptStreaming(attempt.id))
     await client.got(protocol.StreamStarted)
     other = client.send(clause="read", lasts=500.0)
     await host.got(protocol.Attempt, 2)
-    host.outcome(launch, body=b"all of it")
+    host.outcome(attempt, body=b"all of it")
     assert (await client.answer(number)).body == b"all of it"
     host.ends[0].write(protocol.AttemptStreaming(host.all(protocol.Attempt)[1].id))
     await client.got(protocol.StreamStarted, 2)
@@ -404,19 +407,19 @@
     host = Host()
     client = await stack.start(host, may=MAY)
     number = client.send(lasts=1000.0)
-    [launch] = await host.got(protocol.Attempt)
+    [attempt] = await host.got(protocol.Attempt)
     dispatcher = stack.service.dispatcher
     [pending] = dispatcher.requests.values()
     link = pending.attempts[0].link
-    # both are there when the turn begins: the answer came in, and the client's time ran out
-    dispatcher.post(dispatcher.host_replied, link, protocol.AttemptResult(launch.id, "handled", 1))
+    # both are there as the tick begins: the response, and the client's deadline
+    dispatcher.post(dispatcher.host_replied, link, protocol.AttemptResult(attempt.id, "handled", 1))
     dispatcher.tick(pending.deadline_ms + 5)
     assert (await client.answer(number)).outcome == "handled"
     assert dispatcher.requests == {} and len(client.answers(number)) == 1
 
 
 @story
-async def test_a_fault_in_the_decisions_starts_the_gateway_anew(stack):
+async def test_a_fault_in_the_router_restarts_the_gateway(stack):
     host = Host("handled")
     client = await stack.start(host)
     stack.service.dispatcher.router.take = None
@@ -427,19 +430,25 @@
 
 
 @story
-async def test_what_the_lease_says_is_not_told_reaches_the_module_as_none(stack):
+async def test_what_hosts_are_configured_not_to_report_reaches_the_router_as_none(stack):
     host = Host()
     client = await stack.start(host, tells="tells: {copy: false, crowd: false}")
-    heard, gate = [], stack.service.dispatcher.router
-    take = gate.take
-    gate.take = lambda now, note: heard.append(note) or take(now, note)
+    messages = []
+    router = stack.service.dispatcher.router
+    take = router.take
+
+    def recording_take(now, message):
+        messages.append(message)
+        return take(now, message)
+
+    router.take = recording_take
     number = client.send()
-    [launch] = await host.got(protocol.Attempt)
-    end = next(e for e, message in host.heard_all if message is launch)
+    [attempt] = await host.got(protocol.Attempt)
+    end = next(e for e, message in host.heard_all if message is attempt)
     end.write(
-        protocol.AttemptResult(launch.id, "handled", 1, 3, 2.0, queued=1.0, unevictable_memory=0.5)
+        protocol.AttemptResult(attempt.id, "handled", 1, 3, 2.0, queued=1.0, unevictable_memory=0.5)
     )
     assert (await client.answer(number)).outcome == "handled"
-    [outcome] = [note for note in heard if isinstance(note, routing.AttemptEnded)]
+    [outcome] = [each for each in messages if isinstance(each, routing.AttemptEnded)]
     assert (outcome.copy, outcome.concurrency) == (None, None)
     assert (outcome.in_flight, outcome.queued, outcome.unevictable_memory) == (2.0, 1.0, 0.5)
