--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -216,39 +216,39 @@
 
 
 def dispatcher_bounds(spare, most_open, per_link, links, connect, idle, probe, order, silence):
-    return dict(
-        spare=spare,
-        most_open=most_open,
-        per_link=per_link,
-        links=links,
-        connect=connect,
-        idle=idle,
-        probe=probe,
-        order=order,
-        silence=silence,
-    )
+    return {
+        "spare": spare,
+        "most_open": most_open,
+        "per_link": per_link,
+        "links": links,
+        "connect": connect,
+        "idle": idle,
+        "probe": probe,
+        "order": order,
+        "silence": silence,
+    }
 
 
 def dispatcher_inputs(dispatcher):
     return SimpleNamespace(
-        turn=dispatcher.tick,
-        next_timer=dispatcher.next_timer_ms,
+        tick=dispatcher.tick,
+        next_timer_ms=dispatcher.next_timer_ms,
         post=dispatcher.post,
-        client_came=dispatcher.client_connected,
-        request=dispatcher.request_received,
-        withdrawn=dispatcher.request_withdrawn,
-        client_went=dispatcher.client_disconnected,
-        listed=dispatcher.endpoints_updated,
-        list_failed=dispatcher.endpoint_poll_failed,
-        connected=dispatcher.connection_opened,
-        disconnected=dispatcher.connection_lost,
-        greeted=dispatcher.host_greeted,
-        heard=dispatcher.host_replied,
-        foreseen=dispatcher.function_expected,
-        copy_stands=dispatcher.copy_reported,
+        client_connected=dispatcher.client_connected,
+        request_received=dispatcher.request_received,
+        request_withdrawn=dispatcher.request_withdrawn,
+        client_disconnected=dispatcher.client_disconnected,
+        endpoints_updated=dispatcher.endpoints_updated,
+        endpoint_poll_failed=dispatcher.endpoint_poll_failed,
+        connection_opened=dispatcher.connection_opened,
+        connection_lost=dispatcher.connection_lost,
+        host_greeted=dispatcher.host_greeted,
+        host_replied=dispatcher.host_replied,
+        function_expected=dispatcher.function_expected,
+        copy_reported=dispatcher.copy_reported,
         unload=dispatcher.unload,
         drain=dispatcher.drain,
-        answer_all=dispatcher.respond_to_all,
+        respond_to_all=dispatcher.respond_to_all,
     )
 
 
