--- a/bench/releases.py
+++ b/bench/releases.py
@@ -1,197 +1,297 @@
-"""Measures releases by the decision module alone, over many seeded ones: how long until each gateway has come to an
-end, and how many events were harmed, by rate of failure, calls and what the gateways go by. `make bench-releases`
-prints the table and draws the chart that docs/measurements.md keeps.
+"""Measures canary rollouts by the rollout controller alone, over many seeded releases.
+
+How long until each gateway has reached an end, and how many requests were harmed, by failure rate,
+request rate and what the gateways go by. `make bench-releases` prints the table and draws the chart
+that docs/measurements.md keeps.
 """
 
 import sys
 from random import Random
 from statistics import median
-
-from cherrydoor.releases import decide as d
-
-NOW = 1.8e12
-
-
-class Gateway:
-    """Versions at one gateway; loads ahead are answered at once."""
+from typing import NamedTuple
+
+from cherrydoor.releases.controller import RolloutController
+from cherrydoor.releases.messages import (
+    AttemptEnded,
+    LoadAhead,
+    LoadEnded,
+    ReleaseState,
+    ReleaseUpdated,
+    Tick,
+    canary_position,
+    version_name,
+)
+from cherrydoor.routing.messages import AttemptOutcome
+
+START_MS = 1.8e12
+# The name and the version decide which affinity keys get the canary first: the recorded figures go
+# with them.
+FUNCTION = "deed"
+VERSION = 1
+CANARY = version_name(FUNCTION, VERSION)
+HOST = "h"
+AFFINITY_KEYS = 100000
+LOAD_MS = 300.0
+TICK_MS = 1000.0
+SLOWNESS_THAT_HARMS = 1.5
+FINAL_STATES = {ReleaseState.COMPLETE, ReleaseState.ROLLED_BACK}
+
+FIXED_SHARE = 0.1  # of the requests that the fixed canary gets ...
+FIXED_CANARY_MS = 600000.0  # ... for so long
+FIXED_FACTOR = 2  # it is rolled back if it fails more than so many times as often
+
+
+class CanaryGateway:
+    """A gateway's rollout controller; loads ahead are answered at once."""
 
     def __init__(self):
-        self.now, self.versions = NOW, d.Versions(NOW)
+        self.now = START_MS
+        self.controller = RolloutController(START_MS)
 
-    def take(self, note):
-        for action in self.versions.take(self.now, note):
-            if isinstance(action, d.LoadAhead):
-                self.take(d.Loaded(action.name, "handled", 300.0))
+    def take(self, message):
+        for action in self.controller.take(self.now, message):
+            if isinstance(action, LoadAhead):
+                self.take(LoadEnded(action.name, AttemptOutcome.SUCCEEDED, LOAD_MS))
 
-    def call(self, function, document):
-        return self.versions.choose(function, document)
+    def call(self, function, affinity_key):
+        return self.controller.version_for(function, affinity_key)
 
     def state(self):
-        return self.versions.lines["deed"].release.state
+        return self.controller.functions[FUNCTION].release.state
 
+    def slow_above_ms(self, function):
+        return self.controller.slow_above_ms(function)
 
-class Canary(Gateway):
-    """The baseline: a tenth of the documents for ten minutes, then whatever fails more than twice as often as the old
-    version, by what this gateway has seen, is withdrawn, and all else is complete."""
+
+class FixedCanaryGateway(CanaryGateway):
+    """The baseline: a fixed share for ten minutes, then one comparison.
+
+    It compares the failures that this gateway has seen.
+    """
 
     def __init__(self):
         super().__init__()
-        self.is_in, self.begun, self.seen = "", 0.0, {"deed": [0, 0], "deed@1": [0, 0]}
-
-    def take(self, note):
-        if isinstance(note, d.Fed):
-            self.is_in, self.begun = d.TRIAL, self.now
-        elif isinstance(note, d.Ended):
-            self.seen[note.name][0] += 1
-            self.seen[note.name][1] += note.outcome == "error"
-        if self.is_in == d.TRIAL and self.now - self.begun > 600000:
-            (old, old_bad), (new, new_bad) = self.seen["deed"], self.seen["deed@1"]
-            self.is_in = (
-                d.WITHDRAWN if new_bad / max(1, new) > 2 * old_bad / max(1, old) else d.COMPLETE
-            )
-
-    def call(self, function, document):
-        share = {d.TRIAL: 0.1, d.COMPLETE: 1.0}.get(self.is_in, 0.0)
-        return "deed@1" if d.place(function, 1, document) < share else function
+        self.release_state = None
+        self.started_at_ms = 0.0
+        self.requests = {FUNCTION: 0, CANARY: 0}
+        self.errors = {FUNCTION: 0, CANARY: 0}
+
+    def take(self, message):
+        if isinstance(message, ReleaseUpdated):
+            self.release_state = ReleaseState.CANARY
+            self.started_at_ms = self.now
+        elif isinstance(message, AttemptEnded):
+            self.requests[message.name] += 1
+            self.errors[message.name] += message.outcome == AttemptOutcome.ERROR
+        canary_is_over = self.now - self.started_at_ms > FIXED_CANARY_MS
+        if self.release_state == ReleaseState.CANARY and canary_is_over:
+            rolled_back = self.error_rate(CANARY) > FIXED_FACTOR * self.error_rate(FUNCTION)
+            self.release_state = ReleaseState.ROLLED_BACK if rolled_back else ReleaseState.COMPLETE
+
+    def error_rate(self, name):
+        return self.errors[name] / max(1, self.requests[name])
+
+    def call(self, function, affinity_key):
+        shares = {ReleaseState.CANARY: FIXED_SHARE, ReleaseState.COMPLETE: 1.0}
+        share = shares.get(self.release_state, 0.0)
+        return CANARY if canary_position(function, VERSION, affinity_key) < share else function
 
     def state(self):
-        return self.is_in
+        return self.release_state
+
+
+class Result(NamedTuple):
+    """How one release went; took_s: until all gateways had reached an end."""
+
+    took_s: float
+    states: list
+    harmed: int
 
 
 class Fleet:
-    """Gateways that share the hosts of one function and nothing else. `fails`: part of the new version's events that
-    fail, `slow`: by how many times they take longer; the old fails in `before`."""
+    """Gateways that share the hosts of one function and nothing else."""
 
     def __init__(
         self,
         seed,
         gateways=10,
-        per_second=10.0,
-        fails=0.0,
-        slow=1.0,
-        before=0.0,
-        tallies=True,
-        made=Gateway,
+        requests_per_second=10.0,
+        canary_failure_rate=0.0,
+        canary_slowness=1.0,
+        baseline_failure_rate=0.0,
+        host_tallies=True,
+        gateway_type=CanaryGateway,
     ):
-        self.random, self.gates = Random(seed), [made() for _ in range(gateways)]
-        self.rate, self.fails, self.slow, self.before = per_second, fails, slow, before
-        self.tallies, self.at, self.tally = tallies, 0.0, {}
-        self.new = self.harmed = 0
-
-    def event(self):
-        gate, document = self.random.choice(self.gates), f"d{self.random.randrange(100000)}"
-        gate.now = NOW + self.at
-        name = gate.call("deed", document)
-        fresh = name != "deed"
-        error = self.random.random() < (self.fails if fresh else self.before)
-        took = self.random.lognormvariate(4.0, 0.3) * (self.slow if fresh else 1.0)
-        self.new += fresh
-        self.harmed += fresh and (error or self.slow > 1.5)
-        usual = gate.versions.usual("deed")
-        told = self.tally.setdefault(name, [0, 0, 0])
-        told[0] += 1
-        told[1] += error
-        told[2] += not error and bool(usual) and took > usual
-        gate.take(
-            d.Ended(
+        """Set up the gateways.
+
+        canary_slowness: how many times as long its requests take; host_tallies: whether hosts
+        report counts.
+        """
+        self.random = Random(seed)
+        self.gateways = [gateway_type() for _ in range(gateways)]
+        self.requests_per_second = requests_per_second
+        self.canary_failure_rate = canary_failure_rate
+        self.canary_slowness = canary_slowness
+        self.baseline_failure_rate = baseline_failure_rate
+        self.host_tallies = host_tallies
+        self.elapsed_ms = 0.0
+        self.released_at_ms = 0.0
+        self.tallies = {}
+        self.harmed = 0
+
+    def request(self):
+        gateway = self.random.choice(self.gateways)
+        affinity_key = f"d{self.random.randrange(AFFINITY_KEYS)}"
+        gateway.now = START_MS + self.elapsed_ms
+        name = gateway.call(FUNCTION, affinity_key)
+        is_canary = name != FUNCTION
+        failure_rate = self.canary_failure_rate if is_canary else self.baseline_failure_rate
+        error = self.random.random() < failure_rate
+        slowness = self.canary_slowness if is_canary else 1.0
+        took_ms = self.random.lognormvariate(4.0, 0.3) * slowness
+        if is_canary and (error or self.canary_slowness > SLOWNESS_THAT_HARMS):
+            self.harmed += 1
+        slow_above_ms = gateway.slow_above_ms(FUNCTION)
+        slow = not error and bool(slow_above_ms) and took_ms > slow_above_ms
+        tally = self.add_to_tally(name, error, slow)
+        gateway.take(
+            AttemptEnded(
                 name,
-                "h",
-                "error" if error else "handled",
-                took,
-                tally=tuple(told) if self.tallies else None,
+                HOST,
+                AttemptOutcome.ERROR if error else AttemptOutcome.SUCCEEDED,
+                took_ms,
+                tally=tally if self.host_tallies else None,
             )
         )
 
+    def add_to_tally(self, name, error, slow):
+        runs, errors, slow_runs = self.tallies.get(name, (0, 0, 0))
+        self.tallies[name] = (runs + 1, errors + error, slow_runs + slow)
+        return self.tallies[name]
+
     def pass_time(self, seconds):
-        until = self.at + seconds * 1000
-        while self.at < until:
-            gap = self.random.expovariate(self.rate) * 1000
-            while gap > 0:
-                step = min(gap, 1000.0 - self.at % 1000.0 or 1000.0)
-                self.at, gap = self.at + step, gap - step
-                if gap > 0:
-                    for gate in self.gates:
-                        gate.now = NOW + self.at
-                        gate.take(d.Tick())
-            self.event()
+        until_ms = self.elapsed_ms + seconds * 1000
+        while self.elapsed_ms < until_ms:
+            gap_ms = self.random.expovariate(self.requests_per_second) * 1000
+            while gap_ms > 0:
+                step_ms = min(gap_ms, TICK_MS - self.elapsed_ms % TICK_MS or TICK_MS)
+                self.elapsed_ms += step_ms
+                gap_ms -= step_ms
+                if gap_ms > 0:
+                    self.take_everywhere(Tick())
+            self.request()
+
+    def take_everywhere(self, message):
+        for gateway in self.gateways:
+            gateway.now = START_MS + self.elapsed_ms
+            gateway.take(message)
 
     def release(self):
-        for gate in self.gates:
-            gate.now = NOW + self.at
-            gate.take(d.Fed("deed", 1))
-        self.begun = self.at
+        self.take_everywhere(ReleaseUpdated(FUNCTION, VERSION))
+        self.released_at_ms = self.elapsed_ms
 
     def states(self):
-        return [gate.state() for gate in self.gates]
+        return [gateway.state() for gateway in self.gateways]
 
-    def run(self, most=900.0, warm=60.0):
-        """(seconds until all gateways have come to an end, their states, events harmed)."""
-        self.pass_time(warm)
+    def run(self, longest_s=900.0, warm_up_s=60.0):
+        self.pass_time(warm_up_s)
         self.release()
-        while self.at - self.begun < most * 1000 and not set(self.states()) <= {
-            d.COMPLETE,
-            d.WITHDRAWN,
-        }:
+        while (
+            self.elapsed_ms - self.released_at_ms < longest_s * 1000
+            and not set(self.states()) <= FINAL_STATES
+        ):
             self.pass_time(2.0)
-        return (self.at - self.begun) / 1000, self.states(), self.harmed
+        took_s = (self.elapsed_ms - self.released_at_ms) / 1000
+        return Result(took_s, self.states(), self.harmed)
 
 
 OPTIONS = {
     "tallies of hosts": {},
-    "own evidence alone": {"tallies": False},
-    "fixed canary": {"made": Canary},
+    "own evidence alone": {"host_tallies": False},
+    "fixed canary": {"gateway_type": FixedCanaryGateway},
 }
+GATEWAYS = 10
+CHART_FAILURE_RATE = 0.1
+
+
+class Row(NamedTuple):
+    """A line of the table: medians over the releases."""
+
+    requests_per_second: float
+    failure_rate: float
+    option: str
+    took_s: float
+    harmed: float
+
+
+def measure(requests_per_second, failure_rate, option, count):
+    """Run so many releases, print their line and return it."""
+    results = [
+        Fleet(
+            seed,
+            GATEWAYS,
+            requests_per_second,
+            canary_failure_rate=failure_rate,
+            **OPTIONS[option],
+        ).run(1500)
+        for seed in range(count)
+    ]
+    took_s = median(result.took_s for result in results)
+    longest_s = max(result.took_s for result in results)
+    harmed = median(result.harmed for result in results)
+    rolled_back, complete = (
+        sum(result.states.count(state) for result in results) / GATEWAYS / count
+        for state in (ReleaseState.ROLLED_BACK, ReleaseState.COMPLETE)
+    )
+    print(
+        f"{requests_per_second:10.0f} {failure_rate:6.2f}  {option:20} {took_s:12.0f}"
+        f" {longest_s:8.0f} {harmed:18.0f} {rolled_back:14.2f} {complete:8.2f}",
+        flush=True,
+    )
+    return Row(requests_per_second, failure_rate, option, took_s, harmed)
 
 
 def main(count=8):
-    rows = []
+    """Print the table; draw the chart into the file that the command line names."""
     print(
-        "calls/s  fails  goes by               s to the end (median, most)  events harmed  withdrawn, complete"
+        "requests/s  fails  goes by               s to the end (median, most)"
+        "  requests harmed  rolled back, complete"
     )
-    for per_second in (30.0, 10.0, 2.0):
-        for fails in (0.5, 0.1, 0.01, 0.0):
-            for name, more in OPTIONS.items():
-                runs = [
-                    Fleet(seed, 10, per_second, fails=fails, **more).run(1500)
-                    for seed in range(count)
-                ]
-                took, harmed = [r[0] for r in runs], median(r[2] for r in runs)
-                ends = [
-                    sum(r[1].count(state) for r in runs) / 10 / count
-                    for state in (d.WITHDRAWN, d.COMPLETE)
-                ]
-                rows.append((per_second, fails, name, median(took), harmed))
-                print(
-                    f"{per_second:7.0f} {fails:6.2f}  {name:20} {median(took):12.0f} {max(took):8.0f} {harmed:18.0f}"
-                    f" {ends[0]:14.2f} {ends[1]:8.2f}",
-                    flush=True,
-                )
+    rows = [
+        measure(requests_per_second, failure_rate, option, count)
+        for requests_per_second in (30.0, 10.0, 2.0)
+        for failure_rate in (0.5, 0.1, 0.01, 0.0)
+        for option in OPTIONS
+    ]
     if len(sys.argv) > 1:
         draw(rows, sys.argv[1])
 
 
 def draw(rows, path):
+    """Draw two panels by request rate: how long it took, and how many requests were harmed."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
-    fig, axes = plt.subplots(1, 2, figsize=(10, 3.6), sharey=False)
-    for axis, what, column in (
-        (axes[0], "s until all gateways have withdrawn it", 3),
-        (axes[1], "events harmed", 4),
-    ):
-        for name in OPTIONS:
-            points = [(row[0], row[column]) for row in rows if row[1] == 0.1 and row[2] == name]
-            axis.plot(*zip(*points, strict=True), marker="o", label=name)
+    figure, (time_axis, harm_axis) = plt.subplots(1, 2, figsize=(10, 3.6), sharey=False)
+    for option in OPTIONS:
+        chosen = [
+            row for row in rows if row.failure_rate == CHART_FAILURE_RATE and row.option == option
+        ]
+        rates = [row.requests_per_second for row in chosen]
+        time_axis.plot(rates, [row.took_s for row in chosen], marker="o", label=option)
+        harm_axis.plot(rates, [row.harmed for row in chosen], marker="o", label=option)
+    time_axis.set_title("s until all gateways have rolled it back", fontsize=9)
+    harm_axis.set_title("requests harmed", fontsize=9)
+    for axis in (time_axis, harm_axis):
         axis.set_xscale("log")
         axis.set_yscale("log")
-        axis.set_xlabel("calls a second over ten gateways")
-        axis.set_title(what, fontsize=9)
-    axes[0].legend(fontsize=8)
-    fig.suptitle("a version that fails on one in ten events", fontsize=10)
-    fig.tight_layout()
-    fig.savefig(path)
+        axis.set_xlabel("requests a second over ten gateways")
+    time_axis.legend(fontsize=8)
+    figure.suptitle("a version that fails on one in ten requests", fontsize=10)
+    figure.tight_layout()
+    figure.savefig(path)
 
 
 if __name__ == "__main__":
--- a/cherrydoor/releases/__init__.py
+++ b/cherrydoor/releases/__init__.py
@@ -1,2 +1,4 @@
-"""Releases that take a share of the events while they prove themselves. decide.py decides, proof.py weighs evidence,
-keep.py keeps what has to outlive a start."""
+"""Canary rollouts: a new version of a function gets a growing traffic share while it proves itself.
+
+Begin with `controller.py`, which decides; `feed.py` is the I/O around it.
+"""
--- /dev/null
+++ b/cherrydoor/releases/controller.py
@@ -0,0 +1,265 @@
+"""The rollout controller: one gateway's decisions about releases.
+
+It decides which version of a function a request calls, and what becomes of each release. Pure:
+messages come in with the time, actions go out. Times are ms since 1970, so that what is stored
+outlives a restart. Tables: `functions` has the size of the release feed; evidence is kept for
+releases in progress alone, one entry a host that answered; the traffic table forgets functions that
+are no longer called.
+"""
+
+from typing import assert_never
+
+from cherrydoor.releases.messages import (
+    Action,
+    AttemptEnded,
+    LoadEnded,
+    Message,
+    OperatorAction,
+    OperatorCommand,
+    ReleaseState,
+    ReleaseUpdated,
+    Tick,
+    canary_position,
+    split_version_name,
+    version_name,
+)
+from cherrydoor.releases.release import FunctionVersions, Release
+from cherrydoor.releases.rollouts import MOST_LOAD_FAILURES, Rollouts
+from cherrydoor.releases.status import ReleaseStatus, status_rows
+from cherrydoor.releases.stored_state import StoredFunction, from_stored, to_stored
+from cherrydoor.releases.traffic import HALVING_MS, TrafficTable
+from cherrydoor.routing.messages import AttemptOutcome
+
+EVALUATION_GROWTH = 1.02  # evidence is evaluated again once it has grown by this factor
+
+
+class RolloutController:
+    """All releases as one gateway sees them: messages in, transitions by `Rollouts`, actions out.
+
+    Attributes:
+        now: The latest time seen, ms since 1970.
+        rollouts: The releases and their transitions.
+        functions: The table of `rollouts`, read only here but for `restore`.
+        slow_above_ms: Takes a function; returns the ms beyond which its request is slow, 0 where
+            too little is known.
+    """
+
+    def __init__(self, now: float) -> None:
+        """Start without a release."""
+        self.now = now
+        self._traffic = TrafficTable()
+        self.rollouts = Rollouts(now, self._traffic)
+        self.functions = self.rollouts.functions
+        self._halved_at_ms = now
+        self.slow_above_ms = self._traffic.slow_above_ms
+        self.usual = self.slow_above_ms  # the name that the dispatcher calls
+
+    def take(self, now: float, message: Message) -> list[Action]:
+        """Take one message; return what is to be done."""
+        self.now = max(now, self.now)
+        self.rollouts.now = self.now
+        match message:
+            case AttemptEnded():
+                self._attempt_ended(message)
+            case LoadEnded():
+                self._load_ended(message)
+            case Tick():
+                self._tick()
+            case ReleaseUpdated():
+                self._release_updated(message)
+            case OperatorCommand():
+                self._operator_command(message)
+            case _:
+                assert_never(message)
+        return self.rollouts.take_actions()
+
+    # ---- which version a request calls
+    def version_for(self, function: str, affinity_key: str) -> str:
+        """Count a call; return the name of the version that it gets."""
+        self._traffic.add_call(function)
+        versions = self.functions.get(function)
+        if versions is None:
+            return function
+        release = versions.release
+        if (
+            release is not None
+            and release.state == ReleaseState.CANARY
+            and canary_position(function, release.version, affinity_key) < release.traffic_share()
+        ):
+            return release.name
+        return version_name(function, versions.version)
+
+    def version_for_retry(self, name: str) -> str:
+        """Return what a retry calls after an attempt at `name`.
+
+        That is the version before where `name` is a canary or was rolled back, else the same.
+        """
+        function, _, _ = name.partition("@")
+        versions = self.functions.get(function)
+        release = versions.release if versions is not None else None
+        if (
+            release is not None
+            and name == release.name
+            and release.state in (ReleaseState.CANARY, ReleaseState.ROLLED_BACK)
+        ):
+            return version_name(function, release.fallback_version)
+        return name
+
+    # ---- the feed and the operator
+    def _release_updated(self, update: ReleaseUpdated) -> None:
+        versions = self.functions.get(update.function)
+        if versions is None:
+            versions = self.functions[update.function] = FunctionVersions(update.function)
+        if update.state == ReleaseState.ANNOUNCED:
+            self.rollouts.announce(versions, update.version)
+            return
+        versions.newest_version = max(versions.newest_version, update.version)
+        if update.state == ReleaseState.ROLLED_BACK:
+            self._rolled_back_by_feed(versions, update.version)
+        elif update.state == ReleaseState.COMPLETE:
+            self._completed_by_feed(versions, update.version)
+
+    def _rolled_back_by_feed(self, versions: FunctionVersions, version: int) -> None:
+        release = versions.release
+        if (
+            release is not None
+            and release.version == version
+            and release.state != ReleaseState.ROLLED_BACK
+        ):
+            self.rollouts.roll_back(release, "by whoever released it")
+        elif versions.version == version:  # in service here without having been a canary
+            versions.version = 0
+            versions.rolled_back[version] = "withdrawn by whoever released it"
+            self.rollouts.has_unsaved_changes = True
+
+    def _completed_by_feed(self, versions: FunctionVersions, version: int) -> None:
+        if version in versions.rolled_back or version < versions.version:
+            return
+        release = versions.release
+        if release is not None and release.version == version:
+            if release.state != ReleaseState.COMPLETE:
+                self.rollouts.complete(release, "by whoever released it")
+        elif release is None or release.version < version:
+            self.rollouts.supersede(versions, version)
+            versions.version = version
+            versions.release = None
+            self.rollouts.has_unsaved_changes = True
+
+    def _operator_command(self, command: OperatorCommand) -> None:
+        versions = self.functions.get(command.function)
+        release = versions.release if versions is not None else None
+        if release is None:
+            return
+        action = command.action
+        if not release.in_progress():
+            if action == OperatorAction.ROLL_BACK and release.state == ReleaseState.COMPLETE:
+                self.rollouts.roll_back(release, "by hand")
+        elif action in (OperatorAction.PAUSE, OperatorAction.RESUME):
+            release.paused = action == OperatorAction.PAUSE
+            release.since_at_ms = self.now
+            self.rollouts.report(release, str(action))
+        elif action == OperatorAction.ROLL_BACK:
+            self.rollouts.roll_back(release, "by hand")
+        elif action == OperatorAction.COMPLETE:
+            self.rollouts.complete(release, "by hand")
+
+    def _load_ended(self, load: LoadEnded) -> None:
+        succeeded = load.outcome == AttemptOutcome.SUCCEEDED
+        release = self.rollouts.loads.load_ended(load.name, self.now, succeeded)
+        if release is None:
+            return
+        if release.state == ReleaseState.LOADING:
+            if succeeded:
+                self.rollouts.begin_canary(release)
+            else:
+                self.rollouts.load_failed(release)
+        self.rollouts.start_loads()
+
+    # ---- evidence
+    def _attempt_ended(self, attempt: AttemptEnded) -> None:
+        function, version = split_version_name(attempt.name)
+        versions = self.functions.get(function)
+        release = versions.release if versions is not None else None
+        slow_above_ms = self.slow_above_ms(function)
+        if release is None or version != release.version:
+            if attempt.outcome == AttemptOutcome.SUCCEEDED and not attempt.cold:
+                self._traffic.add_latency(function, attempt.took_ms)
+            self.rollouts.background.add_local(attempt, slow_above_ms, tenant="")
+        if release is None or release.state not in (ReleaseState.LOADING, ReleaseState.CANARY):
+            return
+        if version == release.version:
+            self._canary_attempt_ended(release, attempt, slow_above_ms)
+        elif version == release.fallback_version and release.splits_traffic:
+            release.baseline.add(attempt, slow_above_ms)
+
+    def _canary_attempt_ended(
+        self, release: Release, attempt: AttemptEnded, slow_above_ms: float
+    ) -> None:
+        release.hosts[attempt.host] = None
+        if attempt.load_failed:
+            release.load_failures += 1
+            if release.load_failures >= MOST_LOAD_FAILURES and release.state == ReleaseState.CANARY:
+                self.rollouts.found_bad(release, "it does not load")
+                return
+        elif attempt.outcome == AttemptOutcome.SUCCEEDED:
+            release.load_failures = 0
+        release.canary.add(attempt, slow_above_ms)
+        requests = release.canary.count("errors").total + release.canary.lost.total
+        if requests < EVALUATION_GROWTH * release.evaluated_requests:
+            return  # with many answers not each of them is worth an evaluation
+        release.evaluated_requests = requests
+        worse_in = release.verdict()
+        if worse_in:
+            self.rollouts.found_bad(release, f"worse in {worse_in}")
+        else:
+            self.rollouts.advance(release)
+
+    # ---- time
+    def _tick(self) -> None:
+        if self.now - self._halved_at_ms >= HALVING_MS:
+            self._halved_at_ms = self.now
+            self.rollouts.background.halve()
+            self._traffic.halve()
+        for release in self.rollouts.loads.time_out(self.now):
+            if release.state == ReleaseState.LOADING:
+                self.rollouts.begin_canary(release)
+        for versions in self.functions.values():
+            if versions.release is not None and versions.release.state == ReleaseState.CANARY:
+                self.rollouts.advance(versions.release)
+        self.rollouts.start_loads()
+
+    # ---- over a restart, and for the operator
+    @property
+    def has_unsaved_changes(self) -> bool:
+        """Whether a state has changed since `stored` was called."""
+        return self.rollouts.has_unsaved_changes
+
+    def stored(self) -> dict[str, StoredFunction]:
+        """Return all that a restart needs, as plain values."""
+        self.rollouts.has_unsaved_changes = False
+        return {
+            versions.function: to_stored(versions, self.now) for versions in self.functions.values()
+        }
+
+    def restore(self, stored: dict[str, StoredFunction]) -> None:
+        """Take what `stored` gave before the restart.
+
+        Raises:
+            KeyError, TypeError, ValueError, AttributeError: It is not what `stored` gives.
+        """
+        for function, values in stored.items():
+            versions = from_stored(function, values, self.now, self.rollouts.background)
+            self.functions[function] = versions
+            release = versions.release
+            if release is not None and release.state == ReleaseState.ANNOUNCED:
+                self.rollouts.loads.add(release)
+
+    def table(self) -> list[ReleaseStatus]:
+        """Return what an operator is shown: a row for each function with a release."""
+        return status_rows(self.functions.values(), self._traffic)
+
+    # Names that other packages still call.
+    choose = version_for
+    again = version_for_retry
+    kept = stored
+    take_back = restore
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -15,8 +15,9 @@
 from cherrydoor.membership import decide as peers
 from cherrydoor.platform.configuration import IDLE, SILENT
 from cherrydoor.protocol import peers as frames
-from cherrydoor.releases import decide as versions
-from cherrydoor.releases import proof
+from cherrydoor.releases import messages as release_messages
+from cherrydoor.releases import sequential_analysis
+from cherrydoor.releases.controller import RolloutController
 from cherrydoor.tls import decide as keys
 
 # ---- admission: names of the code under test
@@ -347,22 +348,27 @@
 # ---- versions: names of the code under test
 
 VERSION_ACTIONS = (
-    versions.LoadAhead,
-    versions.Unload,
-    versions.Said,
+    release_messages.LoadAhead,
+    release_messages.UnloadIdle,
+    release_messages.ReleaseChanged,
 )
 VERSION_KINDS = {kind: number for number, kind in enumerate(VERSION_ACTIONS)}
 RELEASE_STATES = (
-    versions.ANNOUNCED,
-    versions.LOADING,
-    versions.TRIAL,
-    versions.COMPLETE,
-    versions.WITHDRAWN,
-    versions.SUPERSEDED,
+    release_messages.ReleaseState.ANNOUNCED,
+    release_messages.ReleaseState.LOADING,
+    release_messages.ReleaseState.CANARY,
+    release_messages.ReleaseState.COMPLETE,
+    release_messages.ReleaseState.ROLLED_BACK,
+    release_messages.ReleaseState.SUPERSEDED,
 )
 VERSION_CONSTANTS = {state: number for number, state in enumerate(RELEASE_STATES)}
 FATES = ("handled", "error", "lost", "deferred")
-ORDERS = ("hold", "go on", "withdraw", "complete")
+ORDERS = (
+    release_messages.OperatorAction.PAUSE,
+    release_messages.OperatorAction.RESUME,
+    release_messages.OperatorAction.ROLL_BACK,
+    release_messages.OperatorAction.COMPLETE,
+)
 
 
 # ---- versions: the histories
@@ -406,7 +412,7 @@
         self.bad_share = bad_share
         self.mean_pause = mean_pause
         self.release_every = release_every
-        self.machine = versions.Versions(self.now)
+        self.machine = RolloutController(self.now)
         self.transcript = Transcript(VERSION_KINDS, VERSION_CONSTANTS)
         self.newest = dict.fromkeys(self.functions, 0)
         self.traits = {}
@@ -421,7 +427,7 @@
             self.now += self.random.expovariate(1 / self.mean_pause)
             if self.now >= next_tick:
                 next_tick = self.now + 1000.0
-                self.post(versions.Tick())
+                self.post(release_messages.Tick())
             if self.now >= next_release:
                 next_release = self.now + self.random.expovariate(1 / self.release_every)
                 self.release()
@@ -439,16 +445,16 @@
         if actions:
             self.transcript.add(self.now, *actions)
         for action in actions:
-            if isinstance(action, versions.LoadAhead):
+            if isinstance(action, release_messages.LoadAhead):
                 name = values_of(action)[0]
                 self.loads.append(
                     (self.now + self.random.choice((200.0, 300.0, 2000.0, 1e9)), self.now, name)
                 )
 
     def restart(self):
-        kept = self.machine.kept()
-        self.machine = versions.Versions(self.now)
-        self.machine.take_back(kept)
+        kept = self.machine.stored()
+        self.machine = RolloutController(self.now)
+        self.machine.restore(kept)
 
     def release(self):
         function = self.random.choice(self.functions)
@@ -457,14 +463,28 @@
             count = self.random.choice((1, 1, 1, min(4, len(self.functions))))
             for one in self.random.sample(self.functions, count):
                 self.newest[one] += self.random.choice((1, 1, 2))
-                self.post(versions.Fed(one, self.newest[one], versions.ANNOUNCED))
+                self.post(
+                    release_messages.ReleaseUpdated(
+                        one, self.newest[one], release_messages.ReleaseState.ANNOUNCED
+                    )
+                )
             return
         version = max(1, self.newest[function] - self.random.choice((0, 0, 1)))
-        state = self.random.choice((versions.WITHDRAWN, versions.COMPLETE, versions.ANNOUNCED))
-        self.post(versions.Fed(function, version, state))
+        state = self.random.choice(
+            (
+                release_messages.ReleaseState.ROLLED_BACK,
+                release_messages.ReleaseState.COMPLETE,
+                release_messages.ReleaseState.ANNOUNCED,
+            )
+        )
+        self.post(release_messages.ReleaseUpdated(function, version, state))
 
     def order(self):
-        self.post(versions.Ordered(self.random.choice(self.functions), self.random.choice(ORDERS)))
+        self.post(
+            release_messages.OperatorCommand(
+                self.random.choice(self.functions), self.random.choice(ORDERS)
+            )
+        )
 
     def traits_of(self, name):
         if name not in self.traits:
@@ -477,13 +497,15 @@
             self.loads.remove(entry)
             _, begun, name = entry
             failed = self.random.random() < self.traits_of(name).fails
-            self.post(versions.Loaded(name, "error" if failed else "handled", self.now - begun))
+            self.post(
+                release_messages.LoadEnded(name, "error" if failed else "handled", self.now - begun)
+            )
 
     def call(self):
         function = self.random.choices(self.functions, self.weights)[0]
-        name = self.machine.choose(function, f"document-{self.random.randrange(2000)}")
+        name = self.machine.version_for(function, f"document-{self.random.randrange(2000)}")
         fate = self.launch(name)
-        again = self.machine.again(name)
+        again = self.machine.version_for_retry(name)
         self.transcript.add(self.now, name, again)
         if fate in ("error", "lost") and again != name:
             self.launch(again)
@@ -505,7 +527,9 @@
         took = self.random.lognormvariate(3.0, 0.3) * traits.slow
         tally = self.tally(host, name, fate, failed, took > 35.0)
         cold = self.random.random() < 0.05
-        self.post(versions.Ended(name, host, fate, took, cold, failed, tally, customer))
+        self.post(
+            release_messages.AttemptEnded(name, host, fate, took, cold, failed, tally, customer)
+        )
         return fate
 
     def tally(self, host, name, fate, failed, slow):
@@ -543,7 +567,7 @@
     transcript = history.run(8000)
     assert not transcript.missing(VERSION_ACTIONS)
     assert len(transcript.seen_texts) > texts
-    assert transcript.seen_constants == set(RELEASE_STATES) - {versions.TRIAL}
+    assert transcript.seen_constants == set(RELEASE_STATES) - {release_messages.ReleaseState.CANARY}
     assert transcript.digest() == expected
 
 
@@ -555,18 +579,20 @@
     for _ in range(400):
         new_all = random.choice((0, 1, 5, 40, 300))
         old_all = random.choice((0, 5, 100, 1000))
-        new = proof.Count(random.randint(0, new_all), new_all)
-        old = proof.Count(random.randint(0, old_all) // random.choice((1, 5, 20)), old_all)
+        new = sequential_analysis.FailureCount(random.randint(0, new_all), new_all)
+        old = sequential_analysis.FailureCount(
+            random.randint(0, old_all) // random.choice((1, 5, 20)), old_all
+        )
         alpha = random.choice((0.5, 0.05, 0.004))
         margin = random.choice((0.0, 0.02, 0.1))
         carried = random.choice((0.0, 1.0))
         found = (
-            proof.worse(new, old, alpha, margin, carried),
-            proof.no_worse(new, old, alpha, margin),
+            sequential_analysis.is_worse(new, old, alpha, margin, carried),
+            sequential_analysis.is_no_worse(new, old, alpha, margin),
         )
         verdicts.add(found)
         config = [round(one, 9) for one in new.bounds(alpha)]
-        config.append(round(proof.carry(new, old, margin), 9))
+        config.append(round(sequential_analysis.evidence_to_carry(new, old, margin), 9))
         transcript.add(alpha, config, found)
     assert verdicts == {(True, False), (False, True), (False, False)}
     assert transcript.digest() == EVIDENCE_DIGEST
--- /dev/null
+++ b/tests/releases/conftest.py
@@ -0,0 +1,7 @@
+import pytest
+from gateway_with_releases import GatewayWithReleases
+
+
+@pytest.fixture
+def gateway():
+    return GatewayWithReleases()
