--- a/cherrydoor/releases/controller.py
+++ b/cherrydoor/releases/controller.py
@@ -30,6 +30,12 @@
 from cherrydoor.releases.traffic import HALVING_MS, TrafficTable
 from cherrydoor.routing.messages import AttemptOutcome
 
+# Read for each request: in Python 3.11 a global is several times as fast as an enum's member.
+_SUCCEEDED = AttemptOutcome.SUCCEEDED
+_CANARY = ReleaseState.CANARY
+_LOADING = ReleaseState.LOADING
+_ROLLED_BACK = ReleaseState.ROLLED_BACK
+
 EVALUATION_GROWTH = 1.02  # evidence is evaluated again once it has grown by this factor
 
 
@@ -83,7 +89,7 @@
         release = versions.release
         if (
             release is not None
-            and release.state == ReleaseState.CANARY
+            and release.state is _CANARY
             and canary_position(function, release.version, affinity_key) < release.traffic_share()
         ):
             return release.name
@@ -94,13 +100,15 @@
 
         That is the version before where `name` is a canary or was rolled back, else the same.
         """
-        function, _, _ = name.partition("@")
+        function, _, version = name.partition("@")
+        if not version:
+            return name
         versions = self.functions.get(function)
         release = versions.release if versions is not None else None
         if (
             release is not None
             and name == release.name
-            and release.state in (ReleaseState.CANARY, ReleaseState.ROLLED_BACK)
+            and (release.state is _CANARY or release.state is _ROLLED_BACK)
         ):
             return version_name(function, release.fallback_version)
         return name
@@ -124,7 +132,7 @@
         if (
             release is not None
             and release.version == version
-            and release.state != ReleaseState.ROLLED_BACK
+            and release.state is not ReleaseState.ROLLED_BACK
         ):
             self.rollouts.roll_back(release, "by whoever released it")
         elif versions.version == version:  # in service here without having been a canary
@@ -137,7 +145,7 @@
             return
         release = versions.release
         if release is not None and release.version == version:
-            if release.state != ReleaseState.COMPLETE:
+            if release.state is not ReleaseState.COMPLETE:
                 self.rollouts.complete(release, "by whoever released it")
         elif release is None or release.version < version:
             self.rollouts.supersede(versions, version)
@@ -152,7 +160,7 @@
             return
         action = command.action
         if not release.in_progress():
-            if action == OperatorAction.ROLL_BACK and release.state == ReleaseState.COMPLETE:
+            if action == OperatorAction.ROLL_BACK and release.state is ReleaseState.COMPLETE:
                 self.rollouts.roll_back(release, "by hand")
         elif action in (OperatorAction.PAUSE, OperatorAction.RESUME):
             release.paused = action == OperatorAction.PAUSE
@@ -164,11 +172,11 @@
             self.rollouts.complete(release, "by hand")
 
     def _load_ended(self, load: LoadEnded) -> None:
-        succeeded = load.outcome == AttemptOutcome.SUCCEEDED
+        succeeded = load.outcome == _SUCCEEDED
         release = self.rollouts.loads.load_ended(load.name, self.now, succeeded)
         if release is None:
             return
-        if release.state == ReleaseState.LOADING:
+        if release.state is ReleaseState.LOADING:
             if succeeded:
                 self.rollouts.begin_canary(release)
             else:
@@ -182,10 +190,10 @@
         release = versions.release if versions is not None else None
         slow_above_ms = self.slow_above_ms(function)
         if release is None or version != release.version:
-            if attempt.outcome == AttemptOutcome.SUCCEEDED and not attempt.cold:
+            if attempt.outcome == _SUCCEEDED and not attempt.cold:
                 self._traffic.add_latency(function, attempt.took_ms)
             self.rollouts.background.add_local(attempt, slow_above_ms, tenant="")
-        if release is None or release.state not in (ReleaseState.LOADING, ReleaseState.CANARY):
+        if release is None or not (release.state is _CANARY or release.state is _LOADING):
             return
         if version == release.version:
             self._canary_attempt_ended(release, attempt, slow_above_ms)
@@ -198,10 +206,10 @@
         release.hosts[attempt.host] = None
         if attempt.load_failed:
             release.load_failures += 1
-            if release.load_failures >= MOST_LOAD_FAILURES and release.state == ReleaseState.CANARY:
+            if release.load_failures >= MOST_LOAD_FAILURES and release.state is ReleaseState.CANARY:
                 self.rollouts.found_bad(release, "it does not load")
                 return
-        elif attempt.outcome == AttemptOutcome.SUCCEEDED:
+        elif attempt.outcome == _SUCCEEDED:
             release.load_failures = 0
         release.canary.add(attempt, slow_above_ms)
         requests = release.canary.count("errors").total + release.canary.lost.total
@@ -221,10 +229,10 @@
             self.rollouts.background.halve()
             self._traffic.halve()
         for release in self.rollouts.loads.time_out(self.now):
-            if release.state == ReleaseState.LOADING:
+            if release.state is ReleaseState.LOADING:
                 self.rollouts.begin_canary(release)
         for versions in self.functions.values():
-            if versions.release is not None and versions.release.state == ReleaseState.CANARY:
+            if versions.release is not None and versions.release.state is ReleaseState.CANARY:
                 self.rollouts.advance(versions.release)
         self.rollouts.start_loads()
 
@@ -251,7 +259,7 @@
             versions = from_stored(function, values, self.now, self.rollouts.background)
             self.functions[function] = versions
             release = versions.release
-            if release is not None and release.state == ReleaseState.ANNOUNCED:
+            if release is not None and release.state is ReleaseState.ANNOUNCED:
                 self.rollouts.loads.add(release)
 
     def table(self) -> list[ReleaseStatus]:
--- a/cherrydoor/releases/evidence.py
+++ b/cherrydoor/releases/evidence.py
@@ -14,11 +14,12 @@
 Measure = Literal["errors", "slow", "lost"]
 StoredEvidence = dict[Measure, list[int]]
 
-COUNTED_OUTCOMES = (
-    AttemptOutcome.SUCCEEDED,
-    AttemptOutcome.ERROR,
-    AttemptOutcome.CONNECTION_LOST,
-)
+# Read for each request: in Python 3.11 a global is several times as fast as an enum's member.
+_SUCCEEDED = AttemptOutcome.SUCCEEDED
+_ERROR = AttemptOutcome.ERROR
+_CONNECTION_LOST = AttemptOutcome.CONNECTION_LOST
+
+COUNTED_OUTCOMES = (_SUCCEEDED, _ERROR, _CONNECTION_LOST)
 
 
 class HostTallies:
@@ -95,7 +96,7 @@
         """
         if not self.add_local(attempt, slow_above_ms, attempt.tenant) or attempt.tally is None:
             return
-        error = attempt.outcome == AttemptOutcome.ERROR and not attempt.load_failed
+        error = attempt.outcome == _ERROR and not attempt.load_failed
         self._tallies.add(attempt.host, attempt.tally, error)
         runs, errors, slow = self._tallies.totals()
         self.reported_errors = FailureCount(errors, runs)
@@ -105,11 +106,11 @@
         """Count an attempt without its report; return whether it was answered."""
         if attempt.outcome not in COUNTED_OUTCOMES:
             return False
-        lost = attempt.outcome == AttemptOutcome.CONNECTION_LOST
+        lost = attempt.outcome == _CONNECTION_LOST
         self.lost.add(lost)
         if lost:
             return False
-        error = attempt.outcome == AttemptOutcome.ERROR and not attempt.load_failed
+        error = attempt.outcome == _ERROR and not attempt.load_failed
         self.local_errors.add(error)
         if not error and not attempt.cold and slow_above_ms:
             self.local_slow.add(attempt.took_ms > slow_above_ms)
--- a/cherrydoor/releases/load_queue.py
+++ b/cherrydoor/releases/load_queue.py
@@ -36,7 +36,7 @@
     def drop_begun(self) -> None:
         """Forget those waiting that are no longer announced."""
         self._waiting = [
-            release for release in self._waiting if release.state == ReleaseState.ANNOUNCED
+            release for release in self._waiting if release.state is ReleaseState.ANNOUNCED
         ]
 
     def start(self, now: float, traffic: TrafficTable) -> list[Release]:
--- a/cherrydoor/releases/release.py
+++ b/cherrydoor/releases/release.py
@@ -38,6 +38,9 @@
 COMPLETE_ALPHA = 0.05  # the release completes once errors lie, surely, ...
 COMPLETE_MARGIN = 0.05  # ... within this of before
 
+# Read for each request: in Python 3.11 a global is several times as fast as an enum's member.
+_CANARY = ReleaseState.CANARY
+
 ROLLED_BACK_KEPT = 8  # versions of a function of which it is kept why they were rolled back
 
 
@@ -120,9 +123,9 @@
 
     def traffic_share(self) -> float:
         """Return the part of the affinity keys, 0 to 1, that get this version."""
-        if self.state == ReleaseState.CANARY:
+        if self.state is _CANARY:
             return TRAFFIC_SHARES[self.step] if self.splits_traffic else 1.0
-        return 1.0 if self.state == ReleaseState.COMPLETE else 0.0
+        return 1.0 if self.state is ReleaseState.COMPLETE else 0.0
 
     def verdict(self) -> str:
         """Return what the canary is surely worse in; empty where in nothing."""
--- a/cherrydoor/releases/rollouts.py
+++ b/cherrydoor/releases/rollouts.py
@@ -91,7 +91,7 @@
         """Return how many functions have their traffic split over two versions here."""
         return sum(
             versions.release is not None
-            and versions.release.state == ReleaseState.CANARY
+            and versions.release.state is ReleaseState.CANARY
             and versions.release.splits_traffic
             for versions in self.functions.values()
         )
@@ -116,7 +116,7 @@
 
     def advance(self, release: Release) -> None:
         """Take the next step, or complete the release, where its evidence or its time allows it."""
-        if release.state != ReleaseState.CANARY or release.paused:
+        if release.state is not ReleaseState.CANARY or release.paused:
             return
         called_here = self._traffic.is_called(release.owner.function)
         if not release.step_is_over(self.now, called_here):
@@ -167,6 +167,6 @@
         """Ask for a log entry about the release's state, and for it to be saved."""
         self.has_unsaved_changes = True
         state = release.state.value
-        if release.state == ReleaseState.CANARY:
+        if release.state is ReleaseState.CANARY:
             state = f"{state}, {release.traffic_share():.0%}"
         self._actions.append(ReleaseChanged(release.owner.function, release.version, state, reason))
--- a/cherrydoor/releases/stored_state.py
+++ b/cherrydoor/releases/stored_state.py
@@ -46,7 +46,7 @@
     if release is None:
         return stored
     state = release.state
-    if state == ReleaseState.LOADING:
+    if state is ReleaseState.LOADING:
         state = ReleaseState.ANNOUNCED
     baseline = release.baseline if release.splits_traffic else VersionEvidence()
     stored["release"] = {
