--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -68,7 +68,7 @@
         self._state_file = StateFile(Path(settings["saved"])) if settings["saved"] else None
         self._control: Any = None
         if settings["control"]:
-            self._control = ControlSocket(settings["control"], self.obey)  # type: ignore[no-untyped-call]
+            self._control = ControlSocket(settings["control"], self.execute_command)  # type: ignore[no-untyped-call]
         self._disconnected: asyncio.Future[None]
         self._restore()
 
@@ -213,7 +213,7 @@
             self._disconnected.set_result(None)
 
     # ---- the operator
-    def obey(self, command: dict[str, Any]) -> dict[str, Any]:
+    def execute_command(self, command: dict[str, Any]) -> dict[str, Any]:
         """Carry out an operator's command; return the answer.
 
         Args:
--- a/cherrydoor/releases/load_pacing.py
+++ b/cherrydoor/releases/load_pacing.py
@@ -1,8 +1,8 @@
 """How many loads ahead of requests may be under way at once."""
 
-FEWEST_LOADS = 1.0
-MOST_LOADS = 8.0  # at once: no more than the program store serves at its usual speed
-LOADS_AT_START = 4.0
+FEWEST_LOADS = 1.0  # at once, however slow loads are, so that a release still moves
+MOST_LOADS = 8.0  # at once, however quick they are
+LOADS_AT_START = 4.0  # between the two, as no load has been seen yet
 SLOW_FACTOR = 3.0  # a load that takes so many times what is usual halves the limit
 USUAL_FACTOR = 1.5  # one that takes at most so many times what is usual raises it
 FORGETTING = 1.02  # the usual time may rise by this factor with each load
--- a/cherrydoor/releases/release.py
+++ b/cherrydoor/releases/release.py
@@ -173,7 +173,7 @@
             self.baseline = background
 
     def next_step(self, now: float) -> None:
-        """Raise the traffic share; evidence begins anew.
+        """Raise the traffic share; evidence starts from nothing.
 
         Within a step both versions have a constant share, so that whatever strikes both while it
         lasts counts alike for both. Across steps it would not.
--- a/cherrydoor/releases/stored_state.py
+++ b/cherrydoor/releases/stored_state.py
@@ -35,7 +35,7 @@
 def to_stored(versions: FunctionVersions, now: float) -> StoredFunction:
     """Return a function's versions as plain values.
 
-    What is loading is announced anew after a restart.
+    What is loading is announced again after a restart.
     """
     stored: StoredFunction = {
         "version": versions.version,
