--- a/cherrydoor/fakes/estates.py
+++ b/cherrydoor/fakes/estates.py
@@ -1,80 +1,100 @@
-"""What a host does for gateways whose work in hand outlives them: work goes on, is told of, and the dead are refused.
+"""What a host does for requests that outlive their gateway.
 
-A launch belongs to the estate of the life that took its event: the one its connection's hello says, or the one that a
-launch of an heir names. Ended launches are remembered for a while with their answers.
+Attempts go on and are reported to the successor, and the ended incarnation is refused. An attempt
+belongs to the incarnation that accepted its request: the one that its connection's hello names, or
+the one that a successor's attempt names. Ended attempts are remembered for a while with their
+responses.
 """
 
 from collections import deque
 from typing import Any
 
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import failover as c
-
-REMEMBERS = 6000.0  # ms for which ended launches are told of
-MOST, BYTES = (
-    4000,
-    8 * 2**20,
-)  # of them that are remembered, and of their answers; the oldest go first
-LONG = 600000.0  # ms for which the number under which a life was taken over is remembered
-
-
-class Past:
-    """A launch that has ended, as an heir is told of it."""
-
-    def __init__(self, job, fate, body):
-        self.at, self.origin, self.number, self.launch, self.outcome, self.body = (
-            now(),
-            job.origin,
-            job.number,
-            job.launch,
-            fate,
-            body,
-        )
+from cherrydoor.protocol import messages as protocol
+from cherrydoor.protocol.failover import (
+    INCARNATION_ENDED,
+    AttemptsReport,
+    HostAttempt,
+    InFlightCount,
+)
+
+ENDED_RETENTION_MS = 6000.0  # for which ended attempts are reported
+MAX_ENDED_ATTEMPTS = 4000  # that are remembered; the oldest go first
+MAX_ENDED_BYTES = 8 * 2**20  # of their responses, likewise
+FENCING_TOKEN_RETENTION_MS = 600000.0  # for which the token of a takeover is remembered
+OWNER_RETENTION_MS = 1000.0  # for which the owner of an ended attempt is counted
+MAX_OWNERS_REPORTED = 8
+
+
+class EndedAttempt:
+    """An attempt that has ended, as a successor is told of it."""
+
+    def __init__(self, job, outcome, body):
+        self.at_ms = now()
+        self.origin = job.origin
+        self.number = job.number
+        self.launch = job.launch
+        self.outcome = outcome
+        self.body = body
 
 
 class Estates:
-    """Estates at one host; its jobs are the host's. `ended` is bounded by names of gateways that were lost."""
+    """Attempts by owner at one host; the table of running ones is the host's.
+
+    `ended_incarnations` is bounded by the names of gateways that were lost.
+    """
 
     id: str
     jobs: dict
+    ends: Any
     record: Any
     say: Any
     let_go: Any
     answer: Any
 
     def begin_estates(self):
-        self.ended, self.past, self.past_bytes, self.numbers = {}, deque(), 0, 0
-        self.passed = {}  # (gateway, life) -> the highest number under which its estate was taken over here, when
+        """Begin with nothing remembered."""
+        self.ended_incarnations = {}  # gateway -> its highest incarnation that is over
+        self.ended_attempts = deque()
+        self.ended_bytes = 0
+        self.numbers = 0
+        # (gateway, incarnation) -> the highest fencing token of its takeover, and when that came
+        self.fencing_tokens = {}
 
     def origin(self, end, launch):
+        """Return owner and incarnation that an attempt belongs to."""
         return (launch.owner, launch.incarnation) if launch.owner else (end.name, end.incarnation)
 
     def refused(self, end, launch=None):
-        """Whether this comes from a life that is over, or under a number that has been passed."""
-        if 0 < end.incarnation <= self.ended.get(end.name, 0):
+        """Return whether this is of an ended incarnation, or under a superseded fencing token."""
+        if 0 < end.incarnation <= self.ended_incarnations.get(end.name, 0):
             return True
         if launch is None or not launch.owner:
             return False
-        return (
-            launch.fencing_token < self.passed.get((launch.owner, launch.incarnation), (0, 0.0))[0]
-        )
+        return launch.fencing_token < self._fencing_token((launch.owner, launch.incarnation))
 
-    def remember(self, job, fate, body):
-        """Keeps what has ended, for an heir that may come; only of gateways that may have one."""
+    def _fencing_token(self, origin):
+        fencing_token, _ = self.fencing_tokens.get(origin, (0, 0.0))
+        return fencing_token
+
+    def remember(self, job, outcome, body):
+        """Keep an ended attempt for a successor; only of gateways that may have one."""
         if not job.origin[1]:
             return
-        self.past.append(Past(job, fate, body))
-        self.past_bytes += len(body)
-        old = now() - REMEMBERS
-        while self.past and (
-            self.past[0].at < old or len(self.past) > MOST or self.past_bytes > BYTES
+        self.ended_attempts.append(EndedAttempt(job, outcome, body))
+        self.ended_bytes += len(body)
+        oldest_ms = now() - ENDED_RETENTION_MS
+        while self.ended_attempts and (
+            self.ended_attempts[0].at_ms < oldest_ms
+            or len(self.ended_attempts) > MAX_ENDED_ATTEMPTS
+            or self.ended_bytes > MAX_ENDED_BYTES
         ):
-            self.past_bytes -= len(self.past.popleft().body)
+            self.ended_bytes -= len(self.ended_attempts.popleft().body)
 
     def over(self, end, message):
-        """That life is over: nothing more of it is taken, and what it had here is told to its heir."""
+        """Accept nothing more of an ended incarnation, and report its attempts to its successor."""
         origin = message.owner, message.incarnation
-        passed = self.passed.get(origin, (0, 0.0))[0]
+        highest_fencing_token = self._fencing_token(origin)
         self.record.add(
             "over",
             self.id,
@@ -83,20 +103,33 @@
             number=message.fencing_token,
             text=message.owner,
             a=float(message.incarnation),
-            fate="refused" if passed > message.fencing_token else "",
+            fate="refused" if highest_fencing_token > message.fencing_token else "",
+        )
+        if highest_fencing_token > message.fencing_token:
+            self.say(end, AttemptsReport(message.id, highest_fencing_token))
+            return
+        oldest_ms = now() - FENCING_TOKEN_RETENTION_MS
+        self.fencing_tokens = {
+            key: (fencing_token, at_ms)
+            for key, (fencing_token, at_ms) in self.fencing_tokens.items()
+            if at_ms > oldest_ms
+        }
+        self.fencing_tokens[origin] = message.fencing_token, now()
+        self.ended_incarnations[message.owner] = max(
+            message.incarnation, self.ended_incarnations.get(message.owner, 0)
         )
-        if passed > message.fencing_token:
-            return self.say(end, c.AttemptsReport(message.id, passed))
-        self.passed = {key: one for key, one in self.passed.items() if one[1] > now() - LONG}
-        self.passed[origin] = message.fencing_token, now()
-        self.ended[message.owner] = max(message.incarnation, self.ended.get(message.owner, 0))
-        jobs = [
-            c.HostAttempt(job.number, job.launch.client, job.launch.request_id, job.launch.attempt)
+        self.say(end, AttemptsReport(message.id, message.fencing_token, self._attempts_of(origin)))
+        for other in [other for other in self.ends if self.refused(other)]:
+            other.close(INCARNATION_ENDED)
+
+    def _attempts_of(self, origin):
+        running = [
+            HostAttempt(job.number, job.launch.client, job.launch.request_id, job.launch.attempt)
             for job in self.jobs.values()
             if job.origin == origin
         ]
-        jobs += [
-            c.HostAttempt(
+        ended = [
+            HostAttempt(
                 one.number,
                 one.launch.client,
                 one.launch.request_id,
@@ -104,21 +137,26 @@
                 one.outcome,
                 one.body,
             )
-            for one in self.past
+            for one in self.ended_attempts
             if one.origin == origin
         ]
-        self.say(end, c.AttemptsReport(message.id, message.fencing_token, jobs))
-        for other in [other for other in self.ends if self.refused(other)]:
-            other.close(c.INCARNATION_ENDED)
+        return running + ended
 
     def count(self, end, message):
-        """What is in hand here, of whomever, and how many launches ever came."""
-        by = dict.fromkeys(job.origin[0] or job.end.name for job in self.jobs.values())
-        by |= dict.fromkeys(one.origin[0] for one in self.past if one.at > now() - 1000.0)
-        self.say(end, c.InFlightCount(message.id, len(self.jobs), self.numbers, list(by)[:8]))
+        """Report how many attempts run here, of whomever, and how many ever arrived."""
+        owners = dict.fromkeys(job.origin[0] or job.end.name for job in self.jobs.values())
+        owners |= dict.fromkeys(
+            one.origin[0] for one in self.ended_attempts if one.at_ms > now() - OWNER_RETENTION_MS
+        )
+        self.say(
+            end,
+            InFlightCount(
+                message.id, len(self.jobs), self.numbers, list(owners)[:MAX_OWNERS_REPORTED]
+            ),
+        )
 
     def adopt(self, end, message):
-        """The job's outcome goes to the heir; it may have ended meanwhile."""
+        """Send the attempt's outcome to the successor; it may have ended meanwhile."""
         found = next(
             ((key, job) for key, job in self.jobs.items() if job.number == message.attempt_id), None
         )
@@ -131,18 +169,17 @@
             job.end, job.launch.id = end, message.id
             self.jobs[end, message.id] = job
             return
-        past = next((one for one in self.past if one.number == message.attempt_id), None)
-        self.tell_past(end, message.id, past)
+        ended = next((one for one in self.ended_attempts if one.number == message.attempt_id), None)
+        self._report_ended(end, message.id, ended)
 
-    def tell_past(self, end, id_, past):
-        from cherrydoor.protocol import messages as protocol
-
-        if past is None:
-            return self.say(end, protocol.AttemptResult(id_, "error"))
-        self.say(end, protocol.AttemptResult(id_, past.outcome, 1, body=past.body))
+    def _report_ended(self, end, message_id, ended):
+        if ended is None:
+            self.say(end, protocol.AttemptResult(message_id, "error"))
+            return
+        self.say(end, protocol.AttemptResult(message_id, ended.outcome, 1, body=ended.body))
 
     def recalled(self, end, message):
-        """A recall by the connection that launched it, or by another one of the same life."""
+        """Return the attempt that a connection, or another one of its incarnation, may cancel."""
         job = self.jobs.get((end, message.id))
         if job is None and end.incarnation:
             job = next(
@@ -156,5 +193,3 @@
                 None,
             )
         return job
-
-    ends: Any
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, hosts of ours and a list in the test's own loop, a relay on every link between them."""
+"""Gateways as processes, our hosts in the test's own loop, proxies between them."""
 
 import asyncio
 
@@ -11,11 +11,14 @@
 from cherrydoor.fakes.record import now
 from cherrydoor.fakes.roll import Roll
 from cherrydoor.fakes.store import Store
-from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import failover
 from cherrydoor.protocol import messages as protocol
 
+POLL_INTERVAL_S = 0.005
+STOPPED_SLOWNESS = 1e9  # factor by which work at hosts is slowed while it is paused
 
-class Rows:
+
+class RecordedRows:
     """What hosts record, as dicts."""
 
     def __init__(self):
@@ -34,31 +37,38 @@
             }
         )
 
-    def of(self, what, event=None):
-        return [row for row in self.rows if row["what"] == what and event in (None, row["event"])]
+    def of(self, what, request_id=None):
+        """Rows of a kind, of one request or of all."""
+        return [
+            row for row in self.rows if row["what"] == what and request_id in (None, row["event"])
+        ]
 
 
-class Caller:
-    """A client: connections by gateway, answers by id."""
+class FleetClient:
+    """A client of all gateways: connections by gateway, responses by id."""
 
     def __init__(self):
-        self.ends, self.answers, self.lost_ends, self.ids = {}, {}, [], 0
+        self.ends = {}
+        self.answers = {}
+        self.lost_ends = []
+        self.last_id = 0
 
     async def connect(self, gate):
         host, _, port = gate.door.rpartition(":")
         _, end = await asyncio.get_running_loop().create_connection(
             lambda: FramedConnection(
                 self,
-                custody.TO_CLIENT,
+                failover.TO_CLIENT,
                 lambda: protocol.Hello(protocol.VERSION, "client", "caller", now()),
             ),
             host,
             int(port),
         )
         self.ends[gate.name] = end
-        await come(lambda: end.reader.hello)
+        await eventually(lambda: end.reader.hello)
         return end
 
+    # ---- called by its connections
     def greeted(self, end, hello):
         pass
 
@@ -69,61 +79,73 @@
     def lost(self, end):
         self.lost_ends.append(end)
 
+    # ---- called by tests
     def send(
         self,
         gate,
-        clause,
-        lasts=3000.0,
-        mark="",
-        key="secret",
+        request_class,
+        timeout_ms=3000.0,
+        idempotency_key="",
+        claim_key="secret",
         function="deed-1",
         body=b"body",
         document="",
     ):
-        self.ids += 1
+        """Send a request; return its id."""
+        self.last_id += 1
         self.ends[gate.name].write(
             protocol.Request(
-                self.ids,
-                clause,
+                self.last_id,
+                request_class,
                 function,
-                lasts,
+                timeout_ms,
                 now(),
                 "",
-                mark or f"m{self.ids}",
-                claim_key=key,
+                idempotency_key or f"m{self.last_id}",
+                claim_key=claim_key,
                 body=body,
                 affinity_key=document,
             )
         )
-        return self.ids
+        return self.last_id
 
-    def claim(self, gate, taker, event, key="secret", lasts=3000.0):
-        self.ids += 1
-        hello = self.ends[taker.name].reader.hello
+    def claim(self, gate, owner, request_id, claim_key="secret", timeout_ms=3000.0):
+        """Claim at one gateway the response that another owed; return the claim's id."""
+        self.last_id += 1
+        incarnation = self.ends[owner.name].reader.hello.incarnation
         self.ends[gate.name].write(
-            custody.ClaimResponse(self.ids, taker.name, hello.incarnation, event, key, lasts, now())
+            failover.ClaimResponse(
+                self.last_id, owner.name, incarnation, request_id, claim_key, timeout_ms, now()
+            )
         )
-        return self.ids
+        return self.last_id
 
-    async def answer(self, number):
-        await come(lambda: self.answers.get(number))
-        return self.answers[number][0]
+    async def answer(self, message_id):
+        """The first message that came back under an id."""
+        await eventually(lambda: self.answers.get(message_id))
+        return self.answers[message_id][0]
 
 
-class Town(Fleet):
-    """hosts of one work time in ms; each gateway and each host behind the relay."""
+class FailoverPlatform(Fleet):
+    """Gateways, hosts and an endpoint list; each gateway and each host behind a proxy.
+
+    Work at hosts takes `work` ms; hosts are spread over as many zones as `sites`.
+    """
 
     def __init__(self, folder, gates=5, hosts=3, work=600.0, sites=1, **more):
         super().__init__(folder, gates, **more)
-        self.rows, self.count, self.work, self.sites = Rows(), hosts, work, sites
+        self.rows = RecordedRows()
+        self.host_count = hosts
+        self.work_ms = work
+        self.zone_count = sites
+        self.hosts = []
+        self.caller = FleetClient()
 
     async def __aenter__(self):
-        catalogue = Catalogue(load=(20, 40), work=(self.work, self.work), memory=(100, 100))
+        catalogue = Catalogue(load=(20, 40), work=(self.work_ms, self.work_ms), memory=(100, 100))
         store = await Store(self.rows, catalogue).start()
-        self.farm, self.endpoint_watch = (
-            Farm(self.rows, catalogue),
-            await Roll(self.rows, (1.0, 2.0)).start(),
-        )
+        self.farm = Farm(self.rows, catalogue)
+        self.endpoint_watch = await Roll(self.rows, (1.0, 2.0)).start()
         await asyncio.get_running_loop().create_connection(
             lambda: FramedConnection(
                 self.farm.store,
@@ -133,58 +155,66 @@
             "127.0.0.1",
             store.port,
         )
-        self.hosts = []
-        for _ in range(self.count):
-            real = self.ports.take()
-            name = await self.relay.port("h", real)
-            host = await self.farm.add(name, Build(eager=False), bind=real)
-            host.draw = lambda mean: mean
-            self.hosts.append(host)
-            self.endpoint_watch.set(
-                protocol.Endpoint(
-                    host.id, "ready", 0.0, f"floor-{(len(self.hosts) - 1) % self.sites}"
-                )
-            )
+        for _ in range(self.host_count):
+            await self.add_host()
         self.list_at = f"127.0.0.1:{self.endpoint_watch.port}"
         await super().__aenter__()
         await self.together()
-        self.caller = Caller()
         for gate in self.gates:
             await self.caller.connect(gate)
-            await come(lambda gate=gate: gate.name in self.heard_list())
+            await eventually(lambda gate=gate: gate.name in self.gateways_with_endpoints())
         return self
 
-    def heard_list(self):
-        """Gateways that have read the list."""
+    async def add_host(self):
+        address = self.ports.take()
+        name = await self.relay.port("h", address)
+        host = await self.farm.add(name, Build(eager=False), bind=address)
+        host.draw = lambda mean: mean
+        zone = f"floor-{len(self.hosts) % self.zone_count}"
+        self.hosts.append(host)
+        self.endpoint_watch.set(protocol.Endpoint(host.id, "ready", 0.0, zone))
+
+    def gateways_with_endpoints(self):
+        """Names of gateways that have read the endpoint list."""
         return {row["peer"] for row in self.rows.of("heard")}
 
-    async def entrusted(self, gate):
-        """Until all that this gateway has in hand has been told to its witnesses, and what is out is at work."""
+    async def until_replicated(self, gate):
+        """Until both replicas of this gateway have all that it has in flight."""
         await until(
             lambda: gate.ask(do="custody"),
-            lambda said: (
-                said and said["in hand"] and not said["untold ms"] and len(said["witnesses"]) == 2
+            lambda table: (
+                table
+                and table["in hand"]
+                and not table["untold ms"]
+                and len(table["witnesses"]) == 2
             ),
         )
-        return await gate.ask(do="custody")
 
-    def hold(self, on=True):
-        """Work at hosts stands, whatever time passes, or goes on; they go on speaking."""
+    def pause_work(self):
+        """Stop work at hosts, whatever time passes; they go on answering messages."""
+        self._set_slowness(STOPPED_SLOWNESS)
+
+    def resume_work(self):
+        self._set_slowness(1.0)
+
+    def _set_slowness(self, factor):
         for host in self.hosts:
-            host.slow = 1e9 if on else 1.0
+            host.slow = factor
             host.kick()
 
-    async def at_work(self, event):
-        await come(lambda: self.rows.of("launch", event))
-        await come(
+    async def until_running(self, request_id):
+        """Until an attempt of this request runs at a host."""
+        await eventually(lambda: self.rows.of("launch", request_id))
+        await eventually(
             lambda: any(
-                job.launch.request_id == event and job.serial is not None
+                job.launch.request_id == request_id and job.serial is not None
                 for host in self.hosts
                 for job in host.jobs.values()
             )
         )
 
-    def heirs(self, owner):
+    def takeovers_of(self, owner):
+        """What gateways have logged of takeovers of this one's in-flight set."""
         return [
             line
             for gate in self.gates
@@ -193,9 +223,16 @@
         ]
 
 
-async def come(what):
-    end = asyncio.get_running_loop().time() + LONGEST
-    while not (found := what()):
-        assert asyncio.get_running_loop().time() < end, "never came"
-        await asyncio.sleep(0.005)
+async def eventually(condition):
+    """Wait for a condition, and return what is true of it."""
+    loop = asyncio.get_running_loop()
+    deadline = loop.time() + LONGEST
+    while not (found := condition()):
+        assert loop.time() < deadline, "never came"
+        await asyncio.sleep(POLL_INTERVAL_S)
     return found
+
+
+# Names that tests of other packages use.
+Town = FailoverPlatform
+come = eventually
--- a/tests/failover/test_every_order.py
+++ b/tests/failover/test_every_order.py
@@ -1,4 +1,4 @@
-"""One request, its owner, two successors one after the other, two hosts, in every order of messages.
+"""One request, its owner, two successors in turn, two hosts, in every order of messages.
 
 Messages under way are lost, doubled and late; the owner is killed, or stopped and resumed;
 successors die at any step. Hosts are a model of what the wire asks of them.
@@ -58,6 +58,9 @@
     SUCCESSOR_DIES = "successor dies"
 
 
+OWNER_AFTER = {Step.KILL: "dead", Step.STOP: "stopped"}
+
+
 class Host:
     """What a host must do: refuse what is over, report what it holds, keep what has ended."""
 
@@ -171,10 +174,8 @@
                 del self.in_transit[which]
             case Step.FINISH:
                 self.hosts[which].finish(self)
-            case Step.KILL:
-                self.owner = "dead"
-            case Step.STOP:
-                self.owner = "stopped"
+            case Step.KILL | Step.STOP:
+                self.owner = OWNER_AFTER[step]
             case Step.RESUME:
                 self.owner_retries += 1
                 self.in_transit.append(InTransit(Kind.ATTEMPT, "B", 0))
--- a/tests/failover/test_taken_over_once.py
+++ b/tests/failover/test_taken_over_once.py
@@ -1,226 +1,256 @@
-"""Work in hand outlives its gateway and is taken over once: gateways are killed, stopped and cut off in mid-act."""
+"""Requests in flight outlive their gateway and are taken over once.
+
+Gateways are killed, stopped and cut off while requests run.
+"""
 
 import signal
 
 from fleet import story, until
-from fleet_and_hosts import Town, come
+from fleet_and_hosts import FailoverPlatform, eventually
 
 from cherrydoor.config.records import Duration
-from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol.failover import ResponseUnknown
 
 
-def ran(town, event):
-    """How often an event had its effect, over all hosts."""
-    return len(town.rows.of("effect", event))
+def effects_of(platform, request_id):
+    """How often a request had its effect, over all hosts."""
+    return len(platform.rows.of("effect", request_id))
 
 
 @story
-async def test_what_is_at_work_when_its_gateway_is_killed_is_adopted_and_its_answer_claimed(
+async def test_an_attempt_running_when_its_gateway_is_killed_is_adopted_and_its_response_claimed(
     tmp_path,
 ):
-    async with Town(tmp_path) as town:
-        giver, other = town.gates[3], town.gates[4]
-        numbers = [town.caller.send(giver, clause) for clause in ("file", "sign", "draft")]
-        for number in numbers:
-            await town.at_work(number)
-        town.hold()
-        await town.entrusted(giver)
-        await giver.kill()
-        claims = [town.caller.claim(other, giver, number) for number in numbers]
-        await come(lambda: len(town.rows.of("adopt")) == 3)
-        town.hold(False)
-        for number, claim in zip(numbers, claims, strict=True):
-            said = await town.caller.answer(claim)
-            assert said.outcome == "handled" and said.body == b"xxxx", said
-            assert ran(town, number) == 1 and len(town.rows.of("launch", number)) == 1
-        assert len(town.heirs(giver)) == 1
+    async with FailoverPlatform(tmp_path) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        request_ids = [
+            platform.caller.send(owner, request_class)
+            for request_class in ("file", "sign", "draft")
+        ]
+        for request_id in request_ids:
+            await platform.until_running(request_id)
+        platform.pause_work()
+        await platform.until_replicated(owner)
+        await owner.kill()
+        claims = [platform.caller.claim(other, owner, request_id) for request_id in request_ids]
+        await eventually(lambda: len(platform.rows.of("adopt")) == 3)
+        platform.resume_work()
+        for request_id, claim in zip(request_ids, claims, strict=True):
+            response = await platform.caller.answer(claim)
+            assert response.outcome == "handled" and response.body == b"xxxx", response
+            assert (
+                effects_of(platform, request_id) == 1
+                and len(platform.rows.of("launch", request_id)) == 1
+            )
+        assert len(platform.takeovers_of(owner)) == 1
 
 
 @story
-async def test_nobody_reads_anothers_answer_and_what_was_never_entrusted_is_not_known(tmp_path):
-    async with Town(tmp_path) as town:
-        giver, other = town.gates[3], town.gates[4]
-        number = town.caller.send(giver, "file")
-        await town.at_work(number)
-        await town.entrusted(giver)
-        await giver.kill()
+async def test_a_response_is_given_to_nobody_without_its_claim_key(tmp_path):
+    async with FailoverPlatform(tmp_path) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        request_id = platform.caller.send(owner, "file")
+        await platform.until_running(request_id)
+        await platform.until_replicated(owner)
+        await owner.kill()
         for claim in (
-            town.caller.claim(other, giver, number, "guessed"),
-            town.caller.claim(other, giver, number, ""),
-            town.caller.claim(other, giver, number + 1000),
+            platform.caller.claim(other, owner, request_id, "guessed"),
+            platform.caller.claim(other, owner, request_id, ""),
+            platform.caller.claim(other, owner, request_id + 1000),
         ):
-            assert type(await town.caller.answer(claim)) is custody.ResponseUnknown
+            assert type(await platform.caller.answer(claim)) is ResponseUnknown
         assert (
-            await town.caller.answer(town.caller.claim(other, giver, number))
+            await platform.caller.answer(platform.caller.claim(other, owner, request_id))
         ).outcome == "handled"
 
 
 @story
-async def test_what_had_ended_unheard_is_answered_and_not_run_again(tmp_path):
-    """The giver is stopped while the host answers it: the answer lies in its socket and is nobody's but the heir's."""
-    async with Town(tmp_path) as town:
-        giver, other = town.gates[3], town.gates[4]
-        number = town.caller.send(giver, "file")
-        await town.at_work(number)
-        await town.entrusted(giver)
-        giver.signal(signal.SIGSTOP)
-        await come(lambda: town.rows.of("outcome", number))
-        said = await town.caller.answer(town.caller.claim(other, giver, number))
-        assert said.outcome == "handled" and ran(town, number) == 1
-        # it wakes: its life is over, it answers nothing of it, and its client hears no second answer
-        giver.signal(signal.SIGCONT)
-        await come(lambda: giver.logged("this life is over"))
-        await come(lambda: town.caller.ends[giver.name] in town.caller.lost_ends)
-        assert number not in town.caller.answers
-        await town.together()
-        again = await town.caller.connect(giver)
+async def test_an_attempt_whose_outcome_the_owner_never_read_is_answered_and_not_run_again(
+    tmp_path,
+):
+    """The owner is stopped while the host answers: the answer lies in its socket, and is the
+    successor's alone to give."""
+    async with FailoverPlatform(tmp_path) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        request_id = platform.caller.send(owner, "file")
+        await platform.until_running(request_id)
+        await platform.until_replicated(owner)
+        owner.signal(signal.SIGSTOP)
+        await eventually(lambda: platform.rows.of("outcome", request_id))
+        response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
+        assert response.outcome == "handled" and effects_of(platform, request_id) == 1
+        # it resumes: its incarnation is over, and its client gets no second response
+        owner.signal(signal.SIGCONT)
+        await eventually(lambda: owner.logged("this life is over"))
+        await eventually(lambda: platform.caller.ends[owner.name] in platform.caller.lost_ends)
+        assert request_id not in platform.caller.answers
+        await platform.together()
+        again = await platform.caller.connect(owner)
         assert again.reader.hello.incarnation > 0
-        assert (await town.caller.answer(town.caller.send(giver, "draft"))).outcome == "handled"
+        assert (
+            await platform.caller.answer(platform.caller.send(owner, "draft"))
+        ).outcome == "handled"
 
 
 @story
-async def test_a_second_heir_starts_from_the_hosts_word_under_a_higher_number(tmp_path):
-    async with Town(tmp_path, gates=6) as town:
-        giver = town.gates[5]
-        number = town.caller.send(giver, "file", lasts=30000.0)
-        await town.at_work(number)
-        town.hold()
-        await town.entrusted(giver)
-        await giver.kill()
-        await come(lambda: town.rows.of("adopt", number))
+async def test_a_second_successor_starts_from_host_reports_under_a_higher_fencing_token(tmp_path):
+    async with FailoverPlatform(tmp_path, gates=6) as platform:
+        owner = platform.gates[5]
+        request_id = platform.caller.send(owner, "file", timeout_ms=30000.0)
+        await platform.until_running(request_id)
+        platform.pause_work()
+        await platform.until_replicated(owner)
+        await owner.kill()
+        await eventually(lambda: platform.rows.of("adopt", request_id))
         first = next(
-            gate for gate in town.gates if gate.name == town.rows.of("adopt", number)[0]["peer"]
+            gate
+            for gate in platform.gates
+            if gate.name == platform.rows.of("adopt", request_id)[0]["peer"]
         )
         await first.kill()
-        await come(lambda: len(town.rows.of("adopt", number)) == 2)
-        town.hold(False)
-        other = next(gate for gate in town.gates if gate not in (giver, first))
-        said = await town.caller.answer(town.caller.claim(other, giver, number, lasts=30000.0))
-        assert said.outcome == "handled" and ran(town, number) == 1
-        told = [
+        await eventually(lambda: len(platform.rows.of("adopt", request_id)) == 2)
+        platform.resume_work()
+        other = next(gate for gate in platform.gates if gate not in (owner, first))
+        response = await platform.caller.answer(
+            platform.caller.claim(other, owner, request_id, timeout_ms=30000.0)
+        )
+        assert response.outcome == "handled" and effects_of(platform, request_id) == 1
+        fencing_tokens = [
             row["number"]
-            for row in town.rows.of("over")
-            if row["who"] == town.hosts[0].id and row["text"] == giver.name
+            for row in platform.rows.of("over")
+            if row["who"] == platform.hosts[0].id and row["text"] == owner.name
         ]
-        assert len(told) == 2 and told[0] < told[1]
+        assert len(fencing_tokens) == 2 and fencing_tokens[0] < fencing_tokens[1]
 
 
 @story
-async def test_what_never_reached_a_host_is_launched_anew(tmp_path):
-    """Its launch is held between the gateway and the hosts; what comes out of there later is refused."""
-    async with Town(tmp_path, work=50.0) as town:
-        giver, other = town.gates[3], town.gates[4]
-        town.relay.set(giver.name, "h", hold=True)
-        number = town.caller.send(giver, "file")
+async def test_a_request_that_never_reached_a_host_is_retried(tmp_path):
+    """Its attempt is held on its way to the hosts, which refuse it when it comes later."""
+    async with FailoverPlatform(tmp_path, work=50.0) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        platform.relay.set(owner.name, "h", hold=True)
+        request_id = platform.caller.send(owner, "file")
         await until(
-            lambda: giver.ask(do="custody"),
-            lambda said: said and said["in hand"] and not said["untold ms"],
+            lambda: owner.ask(do="custody"),
+            lambda table: table and table["in hand"] and not table["untold ms"],
         )
-        await come(lambda: town.relay.counts.get("held"))
-        await giver.kill()
-        said = await town.caller.answer(town.caller.claim(other, giver, number))
-        assert said.outcome == "handled" and ran(town, number) == 1
-        assert town.rows.of("launch", number)[0]["peer"] != giver.name
+        await eventually(lambda: platform.relay.counts.get("held"))
+        await owner.kill()
+        response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
+        assert response.outcome == "handled" and effects_of(platform, request_id) == 1
+        assert platform.rows.of("launch", request_id)[0]["peer"] != owner.name
 
 
 @story
-async def test_a_host_that_does_not_say_leaves_an_at_most_once_event_in_doubt_and_it_is_not_run(
+async def test_an_at_most_once_request_is_not_retried_while_a_host_does_not_report(
     tmp_path,
 ):
-    async with Town(tmp_path, work=1500.0) as town:
-        giver, other = town.gates[3], town.gates[4]
-        numbers = {clause: town.caller.send(giver, clause) for clause in ("file", "draft")}
-        for number in numbers.values():
-            await town.at_work(number)
-        await town.entrusted(giver)
-        for gate in town.gates:
-            if gate is not giver:
-                town.relay.set(gate.name, "h", hold=True)  # nobody's question comes through
-        await giver.kill()
-        said = await town.caller.answer(town.caller.claim(other, giver, numbers["file"]))
-        assert said.outcome == "dead-lettered" and "may have run" in said.reason
-        assert ran(town, numbers["file"]) <= 1 and len(town.rows.of("launch", numbers["file"])) == 1
+    async with FailoverPlatform(tmp_path, work=1500.0) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        request_ids = {
+            request_class: platform.caller.send(owner, request_class)
+            for request_class in ("file", "draft")
+        }
+        for request_id in request_ids.values():
+            await platform.until_running(request_id)
+        await platform.until_replicated(owner)
+        for gate in platform.gates:
+            if gate is not owner:
+                platform.relay.set(gate.name, "h", hold=True)  # no query comes through
+        await owner.kill()
+        response = await platform.caller.answer(
+            platform.caller.claim(other, owner, request_ids["file"])
+        )
+        assert response.outcome == "dead-lettered" and "may have run" in response.reason
+        assert (
+            effects_of(platform, request_ids["file"]) <= 1
+            and len(platform.rows.of("launch", request_ids["file"])) == 1
+        )
 
 
 @story
-async def test_a_plain_repeat_of_what_is_being_taken_over_waits_for_that_one(tmp_path):
-    async with Town(tmp_path) as town:
-        giver, other = town.gates[3], town.gates[4]
-        number = town.caller.send(giver, "file", lasts=30000.0, mark="contract")
-        await town.at_work(number)
-        town.hold()
-        await town.entrusted(giver)
-        await giver.kill()
-        await come(lambda: town.rows.of("adopt", number))
-        for gate in town.gates[:3]:
+async def test_a_repeat_of_a_request_being_taken_over_waits_for_its_response(tmp_path):
+    async with FailoverPlatform(tmp_path) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        request_id = platform.caller.send(
+            owner, "file", timeout_ms=30000.0, idempotency_key="contract"
+        )
+        await platform.until_running(request_id)
+        platform.pause_work()
+        await platform.until_replicated(owner)
+        await owner.kill()
+        await eventually(lambda: platform.rows.of("adopt", request_id))
+        for gate in platform.gates[:3]:
             await until(
                 lambda gate=gate: gate.ask(do="peers"),
-                lambda said: any(
-                    row["name"] == giver.name and row["state"] == "over" for row in said["members"]
+                lambda table: any(
+                    row["name"] == owner.name and row["state"] == "over" for row in table["members"]
                 ),
             )
-        repeat = town.caller.send(other, "file", lasts=30000.0, mark="contract")
+        repeat = platform.caller.send(other, "file", timeout_ms=30000.0, idempotency_key="contract")
         await until(
             lambda: other.ask(do="custody"),
-            lambda said: said["claims"]["waiting"] or said["claims"].get("claimed"),
+            lambda table: table["claims"]["waiting"] or table["claims"].get("claimed"),
         )
-        town.hold(False)
-        said = await town.caller.answer(repeat)
+        platform.resume_work()
+        response = await platform.caller.answer(repeat)
         assert (
-            said.outcome == "handled"
-            and not town.rows.of("launch", repeat)
-            and ran(town, number) == 1
+            response.outcome == "handled"
+            and not platform.rows.of("launch", repeat)
+            and effects_of(platform, request_id) == 1
         )
 
 
 @story
-async def test_a_gateway_that_lost_sight_of_one_peer_alone_takes_nothing_over(tmp_path):
-    """Keepers hear that one: they grant nobody its estate."""
-    async with Town(tmp_path, work=1500.0, peers={"silent": Duration(1500.0)}) as town:
-        giver = town.gates[4]
-        number = town.caller.send(giver, "file", 15000.0)
-        await town.at_work(number)
-        town.hold()
-        await town.entrusted(giver)
-        blind = [gate for gate in town.gates if gate.name in ("g0", "g3")]
-        for gate in blind:
-            town.relay.cut([giver.name], [gate.name])
-        for gate in blind:
+async def test_a_gateway_that_alone_lost_its_connection_to_a_peer_takes_nothing_over(tmp_path):
+    """Voters hear that one: they grant nobody its takeover."""
+    async with FailoverPlatform(
+        tmp_path, work=1500.0, peers={"silent": Duration(1500.0)}
+    ) as platform:
+        owner = platform.gates[4]
+        request_id = platform.caller.send(owner, "file", 15000.0)
+        await platform.until_running(request_id)
+        platform.pause_work()
+        await platform.until_replicated(owner)
+        cut_off = [gate for gate in platform.gates if gate.name in ("g0", "g3")]
+        for gate in cut_off:
+            platform.relay.cut([owner.name], [gate.name])
+        for gate in cut_off:
             await until(
                 lambda gate=gate: gate.ask(do="peers"),
-                lambda said: (
-                    said
+                lambda table: (
+                    table
                     and any(
-                        row["name"] == giver.name and not row["linked"] for row in said["members"]
+                        row["name"] == owner.name and not row["linked"] for row in table["members"]
                     )
                 ),
             )
-        town.hold(False)
-        assert (await town.caller.answer(number)).outcome == "handled"
+        platform.resume_work()
+        assert (await platform.caller.answer(request_id)).outcome == "handled"
         assert (
-            ran(town, number) == 1
-            and not town.heirs(giver)
-            and not giver.logged("this life is over")
+            effects_of(platform, request_id) == 1
+            and not platform.takeovers_of(owner)
+            and not owner.logged("this life is over")
         )
 
 
 @story
-async def test_a_gateway_cut_off_in_mid_act_finds_its_life_over_and_answers_what_nobody_heard_of(
+async def test_a_gateway_cut_off_ends_its_incarnation_and_answers_what_no_replica_knows(
     tmp_path,
 ):
-    async with Town(tmp_path, work=900.0) as town:
-        giver, other = town.gates[3], town.gates[4]
-        number = town.caller.send(giver, "file")
-        await town.at_work(number)
-        await town.entrusted(giver)
-        town.relay.set(giver.name, "*", True, cut=True)
-        town.caller.ends[giver.name].close()  # a client claims once it has let go, and not before
-        said = await town.caller.answer(town.caller.claim(other, giver, number))
-        assert said.outcome == "handled" and ran(town, number) == 1
-        await until(lambda: giver.ask(do="custody"), lambda said: not said["witnesses"])
-        await town.caller.connect(giver)
-        unheard = town.caller.send(giver, "draft")  # taken by a gateway that nobody hears
-        town.relay.calm()
-        assert (await town.caller.answer(unheard)).outcome in ("deferred", "handled")
-        await come(lambda: giver.logged("this life is over"))
-        assert number not in town.caller.answers and ran(town, number) == 1
+    async with FailoverPlatform(tmp_path, work=900.0) as platform:
+        owner, other = platform.gates[3], platform.gates[4]
+        request_id = platform.caller.send(owner, "file")
+        await platform.until_running(request_id)
+        await platform.until_replicated(owner)
+        platform.relay.set(owner.name, "*", True, cut=True)
+        platform.caller.ends[owner.name].close()  # a client claims once it has disconnected
+        response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
+        assert response.outcome == "handled" and effects_of(platform, request_id) == 1
+        await until(lambda: owner.ask(do="custody"), lambda table: not table["witnesses"])
+        await platform.caller.connect(owner)
+        unreplicated = platform.caller.send(owner, "draft")  # accepted by a gateway that is cut off
+        platform.relay.calm()
+        assert (await platform.caller.answer(unreplicated)).outcome in ("deferred", "handled")
+        await eventually(lambda: owner.logged("this life is over"))
+        assert request_id not in platform.caller.answers and effects_of(platform, request_id) == 1
