--- a/cherrydoor/failover/owner.py
+++ b/cherrydoor/failover/owner.py
@@ -62,6 +62,9 @@
     ) -> None:
         self.incarnation = incarnation
         self.policies = policies
+        self.rank_by_class = {
+            name: RETENTION_RANK[policy.retry_safety] for name, policy in policies.items()
+        }
         self.max_requests = max_requests
         self.max_body_bytes = max_body_bytes
         self.requests: dict[int, _OwnedRequest] = {}
@@ -84,12 +87,13 @@
             request: What replicas are to know of it.
             deadline_ms: When its client gives up.
         """
-        retry_safety = self.policies[request.request_class].retry_safety
-        rank = RETENTION_RANK[retry_safety]
+        rank = self.rank_by_class[request.request_class]
         size = len(request.body)
-        while self._exceeds_bounds(size):
+        while (
+            len(self.requests) >= self.max_requests or self.body_bytes + size > self.max_body_bytes
+        ):
             if not self._evict_below(rank):
-                self.counters[f"left out: {retry_safety}"] += 1
+                self._count_left_out(request)
                 return
         owned = _OwnedRequest(request, deadline_ms, rank)
         self.by_rank[rank][request.number] = owned
@@ -100,23 +104,20 @@
         if self.unsent_since_ms is None:
             self.unsent_since_ms = now
 
-    def _exceeds_bounds(self, more_bytes: int) -> bool:
-        return (
-            len(self.requests) >= self.max_requests
-            or self.body_bytes + more_bytes > self.max_body_bytes
-        )
-
     def _evict_below(self, rank: int) -> bool:
         """Leave out the oldest of the cheapest requests below this rank; False if there is none."""
         cheaper = next((r for r in sorted(self.by_rank) if self.by_rank[r] and r < rank), None)
         if cheaper is None:
             return False
         number, owned = next(iter(self.by_rank[cheaper].items()))
-        retry_safety = self.policies[owned.request.request_class].retry_safety
-        self.counters[f"left out: {retry_safety}"] += 1
+        self._count_left_out(owned.request)
         self.finish(number)
         return True
 
+    def _count_left_out(self, request: ReplicatedRequest) -> None:
+        retry_safety = self.policies[request.request_class].retry_safety
+        self.counters[f"left out: {retry_safety}"] += 1
+
     def attempt_started(self, number: int, host: str) -> None:
         """Note that an attempt of a request went to a host."""
         owned = self.requests.get(number)
