--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -7,7 +7,7 @@
 
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.listener import rejection_bytes
-from cherrydoor.failover.fellows import Fellows
+from cherrydoor.failover.peer_services import PeerServices
 from cherrydoor.gateway.service import GatewayService
 from cherrydoor.leader_election import decide
 
@@ -137,7 +137,7 @@
             None
             if disk is None
             else lambda service, incarnation=0: (
-                Fellows(service, incarnation, lambda path, name: Promises(disk, path, name))
+                PeerServices(service, incarnation, lambda path, name: Promises(disk, path, name))
                 if service.config.peers["door"]
                 else None
             ),
--- a/cherrydoor/peer_services.py
+++ b/cherrydoor/peer_services.py
@@ -9,6 +9,6 @@
     the same process."""
     if not service.config.peers["door"]:
         return None
-    from cherrydoor.failover.fellows import Fellows
+    from cherrydoor.failover.peer_services import PeerServices
 
-    return Fellows(service, incarnation)
+    return PeerServices(service, incarnation)
