--- a/cherrydoor/leader_election/__init__.py
+++ b/cherrydoor/leader_election/__init__.py
@@ -1,1 +1,5 @@
-"""One holder for a task of the whole fleet, under a number that only rises."""
+"""Leases of fleet-wide tasks: one leaseholder a task, under a fencing token that only rises.
+
+Begin with `candidate.py` and `voter.py`, the pure state machines; `service.py` runs both over the
+links to peers.
+"""
--- a/cherrydoor/membership/decide.py
+++ b/cherrydoor/membership/decide.py
@@ -27,9 +27,9 @@
 def merged(one, other):
     """The one of two statements of a name that stands; None stands for nothing said.
 
-    >>> merged(Row("a", 1, state=SILENT), Row("a", 1, word=1)).state
+    >>> merged(Row("a", 1, state=SILENT), Row("a", 1, refutation=1)).state
     'here'
-    >>> merged(Row("a", 1, state=OVER), Row("a", 1, word=9)).state
+    >>> merged(Row("a", 1, state=OVER), Row("a", 1, refutation=9)).state
     'over'
     """
     if one is None or other is None:
@@ -98,7 +98,7 @@
         if row.incarnation == me.incarnation and row.state in FINAL:
             return self.take(row)
         elif row.incarnation == me.incarnation and row.rank() > me.row().rank():
-            me.word = row.word + 1
+            me.word = row.refutation + 1
             self.counters["suspicions answered"] += 1
             return self.take(me.row())
         elif row.incarnation > me.incarnation:
--- a/cherrydoor/protocol/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -1,4 +1,4 @@
-"""What gateways say to each other: who is there, tenures, and work in hand entrusted."""
+"""Messages between gateways: membership, leader election, and replication of requests in flight."""
 
 from typing import Annotated, Literal
 
@@ -18,67 +18,107 @@
 Digest = Annotated[bytes, Meta(max_length=16)]
 
 
-# ---- who is there
+# ---- membership
+MemberState = Literal["here", "silent", "vanished", "left", "over"]
+# Rank of each state; from `FIRST_FINAL_STATE` on no refutation outranks it.
+STATE_RANKS = {"here": 0, "silent": 1, "vanished": 2, "left": 3, "over": 4}
+FIRST_FINAL_STATE = 3
+
+
 class Member(Struct, omit_defaults=True, frozen=True):
-    """A statement of one life of one gateway: where peers reach it, its site, and what is held of it."""
+    """A statement about one incarnation of one gateway.
+
+    Attributes:
+        name: The gateway's name.
+        incarnation: Rises with each start of a process of that name.
+        at: The address at which peers reach it.
+        site: Its zone.
+        keeper: Whether it is a voter of leader elections.
+        state: What is held of it: alive ("here"), suspected ("silent"), disconnected ("vanished"),
+            left, or "over".
+        refutation: Raised by the gateway itself to refute a suspicion, as the incarnation of SWIM
+            is.
+    """
 
     name: Name
     incarnation: Id = field(name="life")
     at: Name = ""
     site: Name = ""
     keeper: bool = False
-    state: Literal["here", "silent", "vanished", "left", "over"] = "here"
-    word: Id = 0
+    state: MemberState = "here"
+    refutation: Id = field(default=0, name="word")
+
+    def rank(self) -> tuple[int, int, int, int, str, str]:
+        """Returns what statements are compared by, alike in whatever order they are merged.
 
-    def rank(self):
-        """What outranks what, alike at whoever merges and in whatever order: a later life, then a final state, a later
-        word, a worse state. Of one rank the two differ in address alone, and the greater is taken."""
-        worse = ("here", "silent", "vanished", "left", "over").index(self.state)
-        return self.incarnation, worse if worse > 2 else 0, self.word, worse, self.at, self.site
+        A later incarnation comes first, then a final state, a higher refutation, a worse state. Of
+        one rank two statements differ in address alone, and the greater is taken.
+        """
+        state_rank = STATE_RANKS[self.state]
+        final_rank = state_rank if state_rank >= FIRST_FINAL_STATE else 0
+        return self.incarnation, final_rank, self.refutation, state_rank, self.at, self.site
 
 
 class MembershipUpdate(Message, tag="members"):
-    """What is new since the last word on this link; whole at its start."""
+    """Statements new since the last update on this link; all of them at its start."""
 
     rows: list[Member] = []
 
 
 class Heartbeat(Message, tag="beat"):
-    """A sign of life where nothing else is said."""
+    """Sent on a link that has nothing else to send, so that its gateway is not suspected."""
 
 
-# ---- tenures
+# ---- leader election
 class LeaseRequest(Message, tag="seek"):
-    """Asks for a task under a number, or goes on with it under the number that it has. `round` comes back with the
-    answer: one that was given in an earlier round says nothing of how long this one may be believed in."""
+    """Asks for the lease of a task under a fencing token, or renews it under the token that it has.
+
+    Attributes:
+        task: The task whose lease is wanted.
+        fencing_token: The token under which it would be held.
+        term_ms: How long the lease runs.
+        round: Comes back with the answer: one to an earlier round says nothing of how long this
+            one's lease holds.
+    """
 
     task: Name
-    number: Id
-    term: DurationMs
+    fencing_token: Id = field(name="number")
+    term_ms: DurationMs = field(name="term")
     round: Id = 0
 
 
 class LeaseRelease(Message, tag="yield"):
-    """Gives back what was granted, or was asked for in vain."""
+    """Gives back a lease that was granted, or was asked for in vain."""
 
     task: Name
-    number: Id
+    fencing_token: Id = field(name="number")
 
 
 class LeaseGranted(Message, tag="granted"):
+    """A voter's grant, for the round that asked for it."""
+
     task: Name
-    number: Id
+    fencing_token: Id = field(name="number")
     round: Id = 0
 
 
 class LeaseRefused(Message, tag="refused"):
-    """highest: the highest number promised for the task; wait: ms after which it may be free, 0 where not known."""
+    """A voter's refusal.
+
+    Attributes:
+        task: The task whose lease was asked for.
+        fencing_token: The token of the request.
+        highest_token: The highest token granted for the task.
+        wait_ms: After which the task may be free, 0 where that is not known.
+        reason: Of a veto, "" where the task is held or the token too low.
+        round: Of the request.
+    """
 
     task: Name
-    number: Id
-    highest: Id
-    wait: DurationMs = 0.0
-    why: Text = ""
+    fencing_token: Id = field(name="number")
+    highest_token: Id = field(name="highest")
+    wait_ms: DurationMs = field(default=0.0, name="wait")
+    reason: Text = field(default="", name="why")
     round: Id = 0
 
 
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -11,7 +11,9 @@
 from plain import Transcript, values_of
 
 from cherrydoor.admission import decide as admission
-from cherrydoor.leader_election import decide as tenure
+from cherrydoor.leader_election import messages as election
+from cherrydoor.leader_election.candidate import Candidate
+from cherrydoor.leader_election.voter import Voter
 from cherrydoor.membership import decide as peers
 from cherrydoor.platform.configuration import IDLE, SILENT
 from cherrydoor.protocol import peers as frames
@@ -708,7 +710,7 @@
     assert transcript.digest() == expected
 
 
-# ---- peers and tenures: names of the code under test
+# ---- membership and leader election: names of the code under test
 
 MEMBER_CONSTANTS = {
     state: number
@@ -717,22 +719,22 @@
     )
 }
 MEMBER_KINDS = {frames.Member: 0}
-TENURE_ACTIONS = (
-    tenure.Save,
-    tenure.Say,
-    tenure.Held,
-    tenure.Ended,
+ELECTION_ACTIONS = (
+    election.SaveVotes,
+    election.SendMessage,
+    election.LeaseAcquired,
+    election.LeaseEnded,
 )
-TENURE_MESSAGES = (
+ELECTION_MESSAGES = (
     frames.LeaseRequest,
     frames.LeaseRelease,
     frames.LeaseGranted,
     frames.LeaseRefused,
 )
-TENURE_KINDS = {
+ELECTION_KINDS = {
     kind: number
     for number, kind in enumerate(
-        (*TENURE_ACTIONS, *TENURE_MESSAGES, tenure.Promises, tenure.Promise)
+        (*ELECTION_ACTIONS, *ELECTION_MESSAGES, election.Votes, election.Vote)
     )
 }
 
@@ -803,38 +805,38 @@
 MEMBERS_DIGEST = "9ec0882a537871ea110319482429e2bf4d1213a0a9ec14ea7b640baa09941365"
 
 
-# ---- tenures: the history
+# ---- leader election: the history
 
 
-class TenureHistory:
-    """Three keepers and three contenders for two tasks; messages are late or lost, keepers start anew."""
+class ElectionHistory:
+    """Three voters and three candidates for two tasks; messages are late or lost, voters start anew."""
 
-    KEEPERS = ("keeper-0", "keeper-1", "keeper-2")
+    VOTERS = ("keeper-0", "keeper-1", "keeper-2")
     TASKS = ("task-0", "task-1")
 
     def __init__(self, seed):
         self.random = Random(seed)
         self.now = 1000.0
-        self.terms = tenure.Terms(3000.0, 0.01, 100.0, 10000.0)
-        self.transcript = Transcript(TENURE_KINDS)
-        self.saved = dict.fromkeys(self.KEEPERS)
-        self.keepers = {name: self.new_keeper(name) for name in self.KEEPERS}
-        self.contenders = {}
+        self.terms = election.LeaseTerms(3000.0, 0.01, 100.0, 10000.0)
+        self.transcript = Transcript(ELECTION_KINDS)
+        self.saved = dict.fromkeys(self.VOTERS)
+        self.voters = {name: self.new_voter(name) for name in self.VOTERS}
+        self.candidates = {}
         for number in range(3):
             for task in self.TASKS:
-                self.add_contender(f"gateway-{number}", task)
+                self.add_candidate(f"gateway-{number}", task)
         self.messages = []
 
-    def new_keeper(self, name):
-        return tenure.Keeper(self.terms, self.now, self.saved[name], self.refuses)
+    def new_voter(self, name):
+        return Voter(self.terms, self.now, self.saved[name], self.refuses)
 
     def refuses(self, task):
         return "heard here" if task == self.TASKS[1] and self.now % 50000.0 < 2000.0 else ""
 
-    def add_contender(self, name, task):
+    def add_candidate(self, name, task):
         delay = self.random.choice((0.0, 400.0))
-        self.contenders[name, task] = tenure.Contender(
-            task, name, self.KEEPERS, self.terms, 5, self.now, lambda: int(name[-1]), delay
+        self.candidates[name, task] = Candidate(
+            task, name, self.VOTERS, self.terms, 5, self.now, lambda: int(name[-1]), delay
         )
 
     def run(self, steps):
@@ -843,8 +845,8 @@
             for message in [one for one in self.messages if one[0] <= self.now]:
                 self.messages.remove(message)
                 self.deliver(*message[1:])
-            for (name, task), contender in self.contenders.items():
-                self.carry_out(name, task, contender.tick(self.now))
+            for (name, task), candidate in self.candidates.items():
+                self.carry_out(name, task, candidate.tick(self.now))
             self.disturb()
         return self.transcript
 
@@ -852,41 +854,41 @@
         if actions:
             self.transcript.add(self.now, sender, *actions)
         for action in actions:
-            if isinstance(action, tenure.Say):
+            if isinstance(action, election.SendMessage):
                 to, what = values_of(action)
                 if self.random.random() >= 0.08:
                     at = self.now + self.random.choice((5.0, 30.0, 60.0, 900.0))
                     self.messages.append((at, sender, to, task, what))
 
     def deliver(self, sender, to, task, what):
-        if to in self.keepers:
-            actions = self.keepers[to].take(self.now, sender, what)
+        if to in self.voters:
+            actions = self.voters[to].receive(self.now, sender, what)
         else:
-            actions = self.contenders[to, task].take(self.now, sender, what)
+            actions = self.candidates[to, task].receive(self.now, sender, what)
         self.carry_out(to, task, actions)
 
     def disturb(self):
         chosen = self.random.random()
-        name, task = self.random.choice(list(self.contenders))
+        name, task = self.random.choice(list(self.candidates))
         if chosen < 0.004:
             self.carry_out(
                 name,
                 task,
-                self.contenders[name, task].outdone(self.now, self.random.randrange(1, 40)),
+                self.candidates[name, task].on_higher_token(self.now, self.random.randrange(1, 40)),
             )
         elif chosen < 0.008:
-            self.carry_out(name, task, self.contenders[name, task].leave(self.now))
-            self.add_contender(name, task)
+            self.carry_out(name, task, self.candidates[name, task].leave(self.now))
+            self.add_candidate(name, task)
         elif chosen < 0.010:
-            keeper = self.random.choice(self.KEEPERS)
-            self.saved[keeper] = self.keepers[keeper].kept if self.random.random() < 0.6 else None
-            self.keepers[keeper] = self.new_keeper(keeper)
+            voter = self.random.choice(self.VOTERS)
+            self.saved[voter] = self.voters[voter].votes if self.random.random() < 0.6 else None
+            self.voters[voter] = self.new_voter(voter)
 
 
-def test_tenures_are_granted_as_recorded():
-    transcript = TenureHistory(51).run(8000)
-    assert not transcript.missing(TENURE_KINDS)
-    assert transcript.digest() == TENURES_DIGEST
+def test_leases_are_granted_as_recorded():
+    transcript = ElectionHistory(51).run(8000)
+    assert not transcript.missing(ELECTION_KINDS)
+    assert transcript.digest() == ELECTION_DIGEST
 
 
-TENURES_DIGEST = "57cdc329ee2e13d30a160af73c52abcd38dbd85449c6ac70b6d10958cff2ba59"
+ELECTION_DIGEST = "57cdc329ee2e13d30a160af73c52abcd38dbd85449c6ac70b6d10958cff2ba59"
--- a/tests/membership/test_statements.py
+++ b/tests/membership/test_statements.py
@@ -41,7 +41,7 @@
     one = members()
     one.hear(1.0, [Member("a", 7, "x")])
     for state in ("silent", "vanished", "left", "over"):
-        one.hear(2.0, [Member("a", 6, "x", state=state, word=99)])
+        one.hear(2.0, [Member("a", 6, "x", state=state, refutation=99)])
     assert one.members["a"] == Member("a", 7, "x") and merged(None, None) is None
 
 
