--- /dev/null
+++ b/cherrydoor/membership/service.py
@@ -0,0 +1,294 @@
+"""Links to peers on sockets: bytes to messages, and actions to bytes.
+
+Who is linked to whom is decided in `peer_links.py`.
+"""
+
+import asyncio
+from collections.abc import Callable, Iterable
+from typing import Any
+
+import structlog
+
+from cherrydoor.membership.handshake import rejection_reason
+from cherrydoor.membership.link_state import CloseLink, Dial, LinkAction
+from cherrydoor.membership.member_table import LocalMember, MemberTable
+from cherrydoor.membership.peer_connection import PeerConnection, parse_address
+from cherrydoor.membership.peer_links import PeerLinks
+from cherrydoor.protocol import codec
+from cherrydoor.protocol.basics import VERSION, Hello
+from cherrydoor.protocol.peers import Member, MembershipUpdate
+
+log = structlog.get_logger()
+TICK_INTERVAL_S = 0.1  # between two ticks of all links; well below the shortest heartbeat
+CONNECT_TIMEOUT_S = 1.0  # for a connection to come up, and as long again for its hello
+NO_HELLO_REASON = "no hello in time"
+
+MessageHandler = Callable[[str, Any], None]
+
+
+class MembershipService:
+    """The links of one gateway.
+
+    Others subscribe to kinds of messages, and are called by `change_listeners` after each tick and
+    by `link_listeners` with the name of each peer that has just been linked.
+
+    Invariant: `connections` holds, by name, the one kept connection to each peer that is linked.
+    """
+
+    def __init__(self, service: Any, settings: Any, incarnation: int | None = None) -> None:
+        """Prepares the links; `start` begins.
+
+        Args:
+            service: The gateway's service: clock, loop, configuration and TLS.
+            settings: The configuration's record of peers.
+            incarnation: Of this gateway; the time now where it is not given.
+        """
+        self.service = service
+        self.settings = settings
+        self.loop: asyncio.AbstractEventLoop = service.loop
+        name = service.config.name
+        voters = {one["name"]: one["at"] for one in settings["keepers"]}
+        self.local = LocalMember(
+            name,
+            incarnation or int(service.clock.now()),
+            settings["at"] or settings["door"],
+            service.config.lease.zone,
+            name in voters,
+        )
+        now_ms = self.now()
+        self.members = MemberTable(self.local, now_ms)
+        other_voters = [
+            Member(voter, 0, at, keeper=True) for voter, at in voters.items() if voter != name
+        ]
+        self.members.merge_all(now_ms, other_voters)
+        self.links = PeerLinks(
+            self.members,
+            now_ms,
+            settings["beat"],
+            settings["silent"],
+            settings["next"],
+            service.config.seed,
+        )
+        self.connections: dict[str, PeerConnection] = {}
+        self.handlers: dict[type, MessageHandler] = {}
+        self.change_listeners: list[Callable[[], None]] = []
+        self.link_listeners: list[Callable[[str], None]] = []
+        self.server: asyncio.Server | None = None
+        self.dial_tasks: set[asyncio.Task[None]] = set()
+        self.timer: asyncio.TimerHandle | None = None
+        self.is_closed = False
+        self.duplicate_was_logged = False
+        self.frames_sent = 0
+        self.bytes_sent = 0
+        # Names that the failover, zone drain and emulator packages still use.
+        self.me = self.local
+        self.said = self.settings
+        self.ends = self.connections
+        self.changed = self.change_listeners
+        self.linked = self.link_listeners
+
+    def now(self) -> float:
+        """Returns the time in ms, of the gateway's clock."""
+        now_ms: float = self.service.clock.now()
+        return now_ms
+
+    def hello(self) -> Hello:
+        """Returns the hello of this gateway to a peer."""
+        return Hello(
+            VERSION,
+            "peer",
+            self.local.name,
+            self.now(),
+            incarnation=self.local.incarnation,
+        )
+
+    async def start(self) -> None:
+        """Listens for peers, and begins to tick.
+
+        Raises:
+            OSError: Where the address cannot be listened on.
+        """
+        host, port = parse_address(self.settings["door"])
+        self.server = await self.loop.create_server(
+            lambda: PeerConnection(self), host, port, ssl=self.service.tls.server
+        )
+        self.tick()
+
+    def close(self) -> None:
+        """Leaves: everybody linked is told so, and takes this for no loss."""
+        if self.is_closed:
+            return
+        self.members.leave()
+        self.carry_out(self.links.gossip())
+        self.stop()
+        for connection in list(self.connections.values()):
+            connection.close()
+
+    def abort(self) -> None:
+        """Cuts all links without a message, as the loss of the process would."""
+        self.stop()
+        for connection in list(self.connections.values()):
+            connection.abort()
+
+    def stop(self) -> None:
+        """Ends the timer, the listening socket and the dials."""
+        self.is_closed = True
+        if self.timer:
+            self.timer.cancel()
+        if self.server:
+            self.server.close()
+        for task in self.dial_tasks:
+            task.cancel()
+
+    # ---- decisions
+    def tick(self) -> None:
+        """Lets the link policy see the time, and calls the change listeners."""
+        if self.is_closed:
+            return
+        self.timer = self.loop.call_later(TICK_INTERVAL_S, self.tick)
+        self.carry_out(self.links.tick(self.now()))
+        if self.members.is_duplicated and not self.duplicate_was_logged:
+            self.duplicate_was_logged = True
+            log.error(
+                "another process has this gateway's name and incarnation", gateway=self.local.name
+            )
+        for on_change in self.change_listeners:
+            on_change()
+
+    def carry_out(self, actions: list[LinkAction]) -> None:
+        """Carries out what the link policy decided, in its order."""
+        for action in actions:
+            if isinstance(action, Dial):
+                task = self.loop.create_task(self.dial(action))
+                self.dial_tasks.add(task)
+                task.add_done_callback(self.dial_tasks.discard)
+            elif isinstance(action, CloseLink):
+                connection = self.connections.pop(action.name, None)
+                if connection is not None:
+                    connection.is_kept = False
+                    connection.close(action.reason)
+            else:
+                self.send(action.to, action.message)
+
+    def send(self, to: str, message: Any) -> bool:
+        """Sends to a peer that is linked; returns whether it is, the message is lost where not."""
+        connection = self.connections.get(to)
+        if connection is None:
+            return False
+        connection.write(message)
+        return True
+
+    def send_to_all(self, names: Iterable[str], message: Any) -> None:
+        """Sends the same to several peers, encoded once; lost for those that are not linked."""
+        data = codec.encode(message)
+        for name in names:
+            if name in self.connections:
+                self.connections[name].write_bytes(data)
+
+    def want_link(self, name: str) -> None:
+        """Asks for a link to this name for a while."""
+        self.carry_out(self.links.want(self.now(), name))
+
+    def subscribe(self, message_type: type, handler: MessageHandler) -> None:
+        """Calls `handler(name, message)` for each message of that type."""
+        self.handlers[message_type] = handler
+
+    # ---- sockets
+    async def dial(self, action: Dial) -> None:
+        """Connects to a peer; its hello is waited for once the connection is up."""
+        is_refused = False
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, connection = await self.loop.create_connection(
+                    lambda: PeerConnection(self, action.name),
+                    *parse_address(action.at),
+                    ssl=self.service.tls.peer,
+                )
+            self.loop.call_later(CONNECT_TIMEOUT_S, self.on_hello_timeout, connection)
+            return
+        except ConnectionRefusedError:
+            is_refused = True
+        except (TimeoutError, OSError, ValueError):
+            pass
+        self.carry_out(self.links.on_dial_failed(self.now(), action.name, is_refused))
+
+    def on_hello_timeout(self, connection: PeerConnection) -> None:
+        """Cuts a connection whose peer has not sent its hello."""
+        if connection.reader.hello is None and not self.is_closed:
+            connection.abort(NO_HELLO_REASON)
+
+    def greeted(self, connection: PeerConnection, hello: Hello) -> None:
+        """Takes a peer's hello; called by `FramedConnection`."""
+        reason = rejection_reason(connection, hello, self.local.name, self.service.tls)
+        if reason:
+            connection.close(reason)
+            return
+        if hello.name == self.local.name:
+            if hello.incarnation == self.local.incarnation:
+                self.members.is_duplicated = True
+            connection.close("this is the gateway of that name")
+            return
+        connection.name = hello.name
+        is_dialled_by_us = bool(connection.dialled_name)
+        is_kept, actions = self.links.on_up(
+            self.now(), hello.name, hello.incarnation, is_dialled_by_us
+        )
+        if not is_kept:
+            connection.close("linked already")
+            return
+        other = self.connections.get(hello.name)
+        if other is not None:
+            other.is_kept = False
+            other.close("linked anew")
+        connection.is_kept = True
+        self.connections[hello.name] = connection
+        self.carry_out(actions)
+        for on_linked in self.link_listeners:
+            on_linked(hello.name)
+
+    def heard(self, connection: PeerConnection, message: Any) -> None:
+        """Takes a peer's message; called by `FramedConnection`."""
+        if not connection.is_kept or self.is_closed:
+            return
+        self.links.on_message(self.now(), connection.name)
+        message_type = type(message)
+        if message_type is MembershipUpdate:
+            self.carry_out(self.links.on_membership_update(self.now(), message.rows))
+        elif message_type in self.handlers:
+            self.handlers[message_type](connection.name, message)
+
+    def lost(self, connection: PeerConnection) -> None:
+        """Takes the end of a connection; called by `FramedConnection`."""
+        if self.is_closed:
+            return
+        if connection.is_kept:
+            del self.connections[connection.name]
+            self.carry_out(self.links.on_down(self.now(), connection.name))
+        elif connection.dialled_name:
+            # Who closes before its hello is no gateway any more: a proxy in front of it has nobody
+            # to forward us to. That counts as refused, unless it was we who gave up.
+            is_refused = connection.reader.hello is None and connection.why != NO_HELLO_REASON
+            self.carry_out(
+                self.links.on_dial_failed(self.now(), connection.dialled_name, is_refused)
+            )
+
+    # ---- names that the failover, zone drain and emulator packages still use
+    say = send
+    say_all = send_to_all
+    ask = want_link
+    follow = subscribe
+
+    @property
+    def frames(self) -> int:
+        """`frames_sent`, as the failover package calls it."""
+        return self.frames_sent
+
+    @property
+    def bytes(self) -> int:
+        """`bytes_sent`, as the failover package calls it."""
+        return self.bytes_sent
+
+    @property
+    def closed(self) -> bool:
+        """`is_closed`, as the failover and zone drain packages call it."""
+        return self.is_closed
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -14,7 +14,7 @@
 from cherrydoor.leader_election import messages as election
 from cherrydoor.leader_election.candidate import Candidate
 from cherrydoor.leader_election.voter import Voter
-from cherrydoor.membership import decide as peers
+from cherrydoor.membership import member_table as membership
 from cherrydoor.platform.configuration import IDLE, SILENT
 from cherrydoor.protocol import peers as frames
 from cherrydoor.releases import decide as versions
@@ -715,7 +715,13 @@
 MEMBER_CONSTANTS = {
     state: number
     for number, state in enumerate(
-        (peers.HERE, peers.SILENT, peers.VANISHED, peers.LEFT, peers.OVER)
+        (
+            membership.ALIVE,
+            membership.SUSPECTED,
+            membership.DISCONNECTED,
+            membership.LEFT,
+            membership.OVER,
+        )
     )
 }
 MEMBER_KINDS = {frames.Member: 0}
@@ -739,11 +745,11 @@
 }
 
 
-# ---- peers: the history
+# ---- membership: the history
 
 
 def run_members(seed, steps):
-    """Some gateways that tell each other rows, lose sight of each other, leave and start anew."""
+    """Some gateways that gossip rows, suspect each other, leave and start anew."""
     random = Random(seed)
     transcript = Transcript(MEMBER_KINDS, MEMBER_CONSTANTS)
     now = 1000.0
@@ -752,8 +758,11 @@
 
     def start(name, incarnation):
         site = f"site-{int(name[-1]) % 3}"
-        return peers.Members(
-            peers.Me(name, incarnation, f"{name}:{incarnation}", site, name < "gateway-3"), now
+        return membership.MemberTable(
+            membership.LocalMember(
+                name, incarnation, f"{name}:{incarnation}", site, name < "gateway-3"
+            ),
+            now,
         )
 
     views = [start(name, 1) for name in names]
@@ -763,7 +772,7 @@
         if long:
             # A life that is over ends its process; its own row must not be forgotten while it still runs.
             for number, one in enumerate(views):
-                if one.ended:
+                if one.has_ended:
                     views[number] = start(names[number], random.randint(2, 6))
         at = random.randrange(len(views))
         view = views[at]
@@ -771,27 +780,39 @@
         name = random.choice(names)
         incarnation = random.randint(1, 3)
         if chosen < 0.40:
-            transcript.add(now, view.hear(now, random.choice(views).whole()))
+            transcript.add(now, view.merge_all(now, random.choice(views).all_rows()))
         elif chosen < 0.65:
-            rows = view.round(now)
+            rows = view.take_updates(now)
             transcript.add(now, rows)
             for other in random.sample(views, 3):
-                transcript.add(now, other.hear(now, rows))
+                transcript.add(now, other.merge_all(now, rows))
         elif chosen < 0.80:
-            state = random.choice((peers.HERE, peers.SILENT, peers.SILENT, peers.VANISHED))
-            transcript.add(now, view.state(now, name, incarnation, state))
+            state = random.choice(
+                (
+                    membership.ALIVE,
+                    membership.SUSPECTED,
+                    membership.SUSPECTED,
+                    membership.DISCONNECTED,
+                )
+            )
+            transcript.add(now, view.observe(now, name, incarnation, state))
         elif chosen < 0.82:
-            transcript.add(now, view.over(now, name, incarnation))
+            transcript.add(now, view.mark_over(now, name, incarnation))
         elif chosen < 0.83:
             view.leave()
-        elif chosen < 0.86 and view.ended:
+        elif chosen < 0.86 and view.has_ended:
             views[at] = start(names[at], random.randint(2, 6))
         else:
             transcript.add(
-                now, view.living(), view.next(3), view.keepers(), view.ended, view.doubled
+                now,
+                view.alive_names(),
+                view.choose_replicas(3),
+                view.voters(),
+                view.has_ended,
+                view.is_duplicated,
             )
     for view in views:
-        transcript.add(now, view.whole(), list(view.counters.values()))
+        transcript.add(now, view.all_rows(), list(view.counters.values()))
     return transcript
 
 
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of `cherrydoor gateway` processes with a relay of ours on every link between them."""
+"""A fleet of `cherrydoor gateway` processes, with a fault-injecting proxy on every link."""
 
 import asyncio
 import json
@@ -12,59 +12,64 @@
 from cherrydoor.rehearsal.fault_injecting_proxy import Relay
 from cherrydoor.rehearsal.parts import Ports
 
-LONGEST = 20.0  # s that any story may wait for what must come
+LONGEST = 20.0  # s that any test waits for what must come
+ASK_TIMEOUT_S = 1.0  # for an answer over a control socket
+POLL_INTERVAL_S = 0.03
+RELAY_SEED = 5
+FIRST_GATEWAY_SEED = 7
+ZONES = 3
+
+REQUEST_CLASSES = [
+    {"name": "draft", "target": Duration(800.0), "max_age": Duration(3000.0)},
+    {
+        "name": "sign",
+        "target": Duration(800.0),
+        "max_age": Duration(3000.0),
+        "kind": "keyed",
+        "memory": Duration(5000.0),
+    },
+    {
+        "name": "file",
+        "target": Duration(800.0),
+        "max_age": Duration(4000.0),
+        "kind": "at-most-once",
+    },
+]
 
 
 class Gate:
-    """One gateway: its lease, its process, what it logs."""
-
-    def __init__(self, fleet, number, more):
-        self.fleet, self.number, self.name, self.more = fleet, number, f"g{number}", more
-        self.process, self.lines, self.folder, self.up = None, [], fleet.folder, 0
-        self.door, self.real = fleet.ports.take(), fleet.ports.take()
+    """One gateway: its configuration, its process, what it logs."""
+
+    def __init__(self, fleet, number, settings):
+        """settings: further ones of its configuration."""
+        self.fleet = fleet
+        self.number = number
+        self.name = f"g{number}"
+        self.more = settings
+        self.process = None
+        self.lines = []
+        self.folder = fleet.folder
+        self.door = fleet.ports.take()
+        self.real = fleet.ports.take()  # the port for peers, behind the proxy's at `at`
         self.control = str(fleet.folder / f"{self.name}.sock")
 
     def lease(self):
+        """Writes its configuration file; returns its path."""
         fleet = self.fleet
-        keepers = [{"name": g.name, "at": g.at} for g in fleet.gates[: fleet.keepers]]
-        said = {
+        settings = {
             "name": self.name,
             "number": self.number,
             "gateways": len(fleet.gates),
-            "seed": 7 + self.number,
-            "zone": f"floor-{self.number % 3}",
+            "seed": FIRST_GATEWAY_SEED + self.number,
+            "zone": f"floor-{self.number % ZONES}",
             "door": self.door,
             "list": fleet.list_at,
-            "clauses": [
-                {"name": "draft", "target": Duration(800.0), "max_age": Duration(3000.0)},
-                {
-                    "name": "sign",
-                    "target": Duration(800.0),
-                    "max_age": Duration(3000.0),
-                    "kind": "keyed",
-                    "memory": Duration(5000.0),
-                },
-                {
-                    "name": "file",
-                    "target": Duration(800.0),
-                    "max_age": Duration(4000.0),
-                    "kind": "at-most-once",
-                },
-            ],
+            "clauses": REQUEST_CLASSES,
             "may": {"launches": 3, "recall": True, "order": True},
             "cold": {},
             "ration": {},
             "bounds": {},
-            "peers": {
-                "door": self.real,
-                "at": self.at,
-                "keepers": keepers,
-                "next": 2,
-                "control": self.control,
-                "beat": Duration(100.0),
-                "silent": Duration(700.0),
-                **fleet.peers,
-            },
+            "peers": self.peer_settings(),
             "tenures": {
                 "promises": str(self.folder / f"{self.name}.promises"),
                 "term": Duration(800.0),
@@ -74,9 +79,22 @@
             **self.more,
         }
         path = self.folder / f"{self.name}.lease"
-        path.write_text(show(said) + "\n")
+        path.write_text(show(settings) + "\n")
         return path
 
+    def peer_settings(self):
+        voters = self.fleet.gates[: self.fleet.keepers]
+        return {
+            "door": self.real,
+            "at": self.at,
+            "keepers": [{"name": voter.name, "at": voter.at} for voter in voters],
+            "next": 2,
+            "control": self.control,
+            "beat": Duration(100.0),
+            "silent": Duration(700.0),
+            **self.fleet.peers,
+        }
+
     async def start(self):
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -92,11 +110,11 @@
             stderr=asyncio.subprocess.PIPE,
             env=os.environ | {"PYTHONPATH": os.getcwd()},
         )
-        self.task = asyncio.ensure_future(self.listen())
+        self.task = asyncio.ensure_future(self.read_log())
         assert await asyncio.wait_for(self.process.stdout.readline(), LONGEST), self.lines
         return self
 
-    async def listen(self):
+    async def read_log(self):
         async for line in self.process.stderr:
             self.lines.append(line.decode())
 
@@ -110,39 +128,46 @@
         self.signal(signal.SIGKILL)
         await self.process.wait()
 
-    async def ask(self, **said):
-        """An answer over its control socket; None where nobody answers."""
+    async def ask(self, **request):
+        """Returns an answer over its control socket; None where nobody answers."""
         try:
-            reader, writer = await asyncio.wait_for(asyncio.open_unix_connection(self.control), 1.0)
-            writer.write(json.dumps(said).encode() + b"\n")
-            line = await asyncio.wait_for(reader.readline(), 1.0)
+            reader, writer = await asyncio.wait_for(
+                asyncio.open_unix_connection(self.control), ASK_TIMEOUT_S
+            )
+            writer.write(json.dumps(request).encode() + b"\n")
+            line = await asyncio.wait_for(reader.readline(), ASK_TIMEOUT_S)
             writer.close()
             return json.loads(line) if line else None
         except (OSError, TimeoutError):
             return None
 
     async def sees(self):
-        """name -> state"""
-        said = await self.ask(do="peers")
-        return {row["name"]: row["state"] for row in said["members"]} if said else {}
+        """Returns the state of each member by name, as this gateway holds it."""
+        answer = await self.ask(do="peers")
+        return {row["name"]: row["state"] for row in answer["members"]} if answer else {}
 
     async def held(self, task):
-        """The number under which it holds the task, or None."""
-        said = await self.ask(do="tenures")
-        return (
-            next(
-                (row["number"] for row in said["held"] if row["task"] == task and row["left"] > 0),
-                None,
-            )
-            if said
-            else None
-        )
+        """Returns the fencing token under which it holds the lease of the task, or None."""
+        answer = await self.ask(do="tenures")
+        if not answer:
+            return None
+        for row in answer["held"]:
+            if row["task"] == task and row["left"] > 0:
+                return row["number"]
+        return None
 
 
 class Fleet:
+    """Gateways, the first `keepers` of them voters; an async context starts and kills them."""
+
     def __init__(self, folder, count, keepers=3, list_at="127.0.0.1:9", peers=None, more=None):
-        self.folder, self.keepers, self.list_at, self.peers = folder, keepers, list_at, peers or {}
-        self.ports, self.relay = Ports(os.getpid()), Relay(5)
+        """peers, more: further settings of every gateway's peers, and of its configuration."""
+        self.folder = folder
+        self.keepers = keepers
+        self.list_at = list_at
+        self.peers = peers or {}
+        self.ports = Ports(os.getpid())
+        self.relay = Relay(RELAY_SEED)
         self.gates = [Gate(self, number, more or {}) for number in range(count)]
 
     async def __aenter__(self):
@@ -159,11 +184,11 @@
                 await gate.process.wait()
         for server in self.relay.servers:
             server.close()
-        for one in asyncio.all_tasks() - {asyncio.current_task()}:
-            one.cancel()
+        for task in asyncio.all_tasks() - {asyncio.current_task()}:
+            task.cancel()
 
     async def together(self):
-        """Until each sees all others."""
+        """Waits until each gateway sees all others alive; returns the gateways."""
         for gate in self.gates:
             await until(
                 lambda gate=gate: gate.sees(),
@@ -172,38 +197,39 @@
         return self.gates
 
     async def holder(self, task, above=0, among=None):
-        """(gateway, number) once one of them holds the task under a number above that."""
-        found = []
-
-        async def look():
-            found[:] = [
-                (gate, number)
-                for gate in among or self.gates
-                if gate.process.returncode is None
-                and (number := await gate.held(task) or 0) > above
-            ]
+        """Waits until one holds the lease under a token above that; returns (gateway, token)."""
+
+        async def leaseholders():
+            found = []
+            for gate in among or self.gates:
+                if gate.process.returncode is not None:
+                    continue
+                token = await gate.held(task) or 0
+                if token > above:
+                    found.append((gate, token))
             return found
 
-        await until(look, bool)
-        return found[0]
+        return (await until(leaseholders, bool))[0]
 
 
-async def until(ask, good):
-    """Asks again and again until the answer is good; what it was last is told where that never comes."""
-    end, last = time.monotonic() + LONGEST, None
+async def until(ask, is_good):
+    """Asks again and again; returns the first good answer, or fails with the last one."""
+    end = time.monotonic() + LONGEST
+    answer = None
     while time.monotonic() < end:
-        last = await ask()
-        if good(last):
-            return last
-        await asyncio.sleep(0.03)
-    raise AssertionError(f"never came: {last}")
+        answer = await ask()
+        if is_good(answer):
+            return answer
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f"never came: {answer}")
 
 
 def story(test):
-    """A test that is a coroutine, given a folder."""
+    """Runs a test that is a coroutine, given a folder."""
 
     def run(tmp_path):
         asyncio.run(test(tmp_path))
 
-    run.__name__, run.__doc__ = test.__name__, test.__doc__
+    run.__name__ = test.__name__
+    run.__doc__ = test.__doc__
     return run
