--- /dev/null
+++ b/bench/leader_election.py
@@ -0,0 +1,86 @@
+"""How long a task is without a leaseholder: `python -m bench.leader_election [ROUNDS]`.
+
+Six gateways as processes, three voters, a term of 800 ms, suspected after 700 ms; asked over
+control sockets every 30 ms, so figures are that coarse.
+"""
+
+import asyncio
+import json
+import signal
+import sys
+import tempfile
+import time
+from pathlib import Path
+from typing import Any
+
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests" / "membership"))
+
+from fleet import Fleet  # noqa: E402
+
+TASK = "bench"
+GATEWAYS = 6
+VOTERS = 3
+SETTLE_S = 1.0  # for a gateway that goes on to learn that its lease has ended
+DEFAULT_ROUNDS = 5
+
+
+class Round:
+    """One round on one fleet; `found_ms` holds the time without a leaseholder after each fault."""
+
+    def __init__(self, fleet: Any) -> None:
+        """Measures on a fleet that has started."""
+        self.fleet = fleet
+        self.leaseholder: Any = None
+        self.token = 0
+        self.found_ms: dict[str, int] = {}
+
+    def others(self) -> list[Any]:
+        """Returns the gateways but the leaseholder."""
+        return [gate for gate in self.fleet.gates if gate is not self.leaseholder]
+
+    async def measure(self, name: str, among: list[Any] | None = None) -> None:
+        """Waits for the next leaseholder, and notes how long that took."""
+        begun = time.monotonic()
+        self.leaseholder, self.token = await self.fleet.holder(TASK, self.token, among)
+        self.found_ms[name] = round(1000 * (time.monotonic() - begun))
+
+    async def play(self) -> dict[str, int]:
+        """Lets the leaseholder stop, be cut off, be killed and leave in turn."""
+        await self.fleet.together()
+        begun = time.monotonic()
+        for gate in self.fleet.gates[VOTERS:]:
+            await gate.ask(do="hold", task=TASK)
+        self.leaseholder, self.token = await self.fleet.holder(TASK)
+        self.found_ms["first"] = round(1000 * (time.monotonic() - begun))
+        stopped = self.leaseholder
+        stopped.signal(signal.SIGSTOP)
+        await self.measure("stopped", self.others())
+        stopped.signal(signal.SIGCONT)
+        await asyncio.sleep(SETTLE_S)
+        self.fleet.relay.cut([self.leaseholder.name], [gate.name for gate in self.others()])
+        await self.measure("cut off", self.others())
+        self.fleet.relay.calm()
+        await self.fleet.together()
+        self.leaseholder, self.token = await self.fleet.holder(TASK)
+        await self.leaseholder.kill()
+        await self.measure("killed")
+        self.leaseholder.signal(signal.SIGTERM)
+        await self.measure("leaving", self.others())
+        return self.found_ms
+
+
+async def play() -> dict[str, int]:
+    """Plays one round on a fleet of its own."""
+    with tempfile.TemporaryDirectory() as folder:
+        async with Fleet(Path(folder), GATEWAYS, VOTERS) as fleet:
+            return await Round(fleet).play()
+
+
+def main(rounds: int) -> None:
+    """Prints the figures of each round, in ms, as a line of JSON."""
+    for _ in range(rounds):
+        print(json.dumps(asyncio.run(play())), flush=True)
+
+
+if __name__ == "__main__":
+    main(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_ROUNDS)
--- a/bench/links.py
+++ b/bench/links.py
@@ -1,6 +1,7 @@
-"""Frames and bytes that a gateway sends to peers, by the size of the fleet, emulated: `python -m bench.links [N ...]`.
+"""Frames and bytes sent to peers, by the size of the fleet: `python -m bench.links [N ...]`.
 
-A calm day with three keepers and two witnesses each, two events a second and gateway; counted over the last seconds.
+Emulated: a calm day with three voters and two replicas each, two requests a second and gateway;
+counted over the last seconds.
 """
 
 import asyncio
@@ -9,6 +10,7 @@
 import tempfile
 import time
 from pathlib import Path
+from typing import Any, NamedTuple
 
 from cherrydoor.cli import logs
 from cherrydoor.emulator.play import Emulation
@@ -34,66 +36,105 @@
 ration: {}
 """
 
+WARM_UP_S = 2.0  # before counting begins
+REQUESTS_PER_GATEWAY = 2
+VOTERS = 3  # as in DAY
+FEWEST_HOSTS = 8
+DEFAULT_FLEETS = ("8", "50", "200")
 
-class Counted(Emulation):
-    """Sums at the beginning and at the end."""
 
-    def sums(self):
+class Sent(NamedTuple):
+    """What one gateway has sent to peers so far, and how many it is linked to."""
+
+    frames: int
+    bytes: int
+    links: int
+
+
+class Rate(NamedTuple):
+    """What one gateway sends to peers in a second."""
+
+    frames: float
+    bytes: float
+
+
+class CountingEmulation(Emulation):
+    """Counts what each gateway has sent, after the warm-up and at the end."""
+
+    first: dict[int, Sent]
+    last: dict[int, Sent]
+    counted_s: float
+
+    def sent(self) -> dict[int, Sent]:
+        """Returns what each gateway has sent so far, by its number."""
         found = {}
         for number, service in self.shells.items():
-            found[number] = (
-                service.peer_services.peers.frames,
-                service.peer_services.peers.bytes,
-                len(service.peer_services.peers.ends),
-            )
+            peers = service.peer_services.peers
+            found[number] = Sent(peers.frames, peers.bytes, len(peers.ends))
         return found
 
-    async def follow(self):
-        await asyncio.sleep(2.0)
-        before, at = self.sums(), self.world.time()
+    async def follow(self) -> None:
+        """Counts around what is left of the scenario."""
+        await asyncio.sleep(WARM_UP_S)
+        self.first = self.sent()
+        begun_s = self.world.time()
         await super().follow()
-        self.found = before, self.sums(), self.world.time() - at
+        self.last = self.sent()
+        self.counted_s = self.world.time() - begun_s
+
+
+def emulate(world: World, path: Path, output: Path) -> CountingEmulation:
+    """Runs the scenario on the emulated clock; returns the emulation with its counts."""
+
+    async def run() -> CountingEmulation:
+        emulation = CountingEmulation(read_day(path), output)
+        await emulation.play()
+        return emulation
+
+    real_clocks = Clocks.steady, Clocks.wall
+    Clocks.steady, Clocks.wall = world.time, world.wall
+    asyncio.set_event_loop(world)
+    try:
+        return world.run_until_complete(run())
+    finally:
+        Clocks.steady, Clocks.wall = real_clocks
+        unfinished = asyncio.all_tasks(world)
+        for task in unfinished:
+            task.cancel()
+        world.run_until_complete(asyncio.gather(*unfinished, return_exceptions=True))
 
 
-def play(count):
+def measure(gateways: int) -> dict[str, Any]:
+    """Returns the figures of one size: means of the other gateways, and the busiest voter's."""
+    begun = time.time()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "links.day"
-        path.write_text(DAY % {"count": count, "rate": 2 * count, "hosts": max(8, count // 2)})
-        world = World(1)
-        before = Clocks.steady, Clocks.wall
-        Clocks.steady, Clocks.wall = world.time, world.wall
-        asyncio.set_event_loop(world)
-        begun = time.time()
-
-        async def run():
-            one = Counted(read_day(path), Path(folder) / "out")
-            await one.play()
-            return one.found
-
-        try:
-            first, last, span = world.run_until_complete(run())
-        finally:
-            Clocks.steady, Clocks.wall = before
-            for task in (left := asyncio.all_tasks(world)):
-                task.cancel()
-            world.run_until_complete(asyncio.gather(*left, return_exceptions=True))
-        rates = {
-            n: [(b - a) / span for a, b in zip(first[n][:2], last[n][:2], strict=True)]
-            for n in last
-        }
-        others = [rate for n, rate in rates.items() if n > 2]
-        return {
-            "gateways": count,
-            "frames/s": round(sum(r[0] for r in others) / len(others), 1),
-            "bytes/s": round(sum(r[1] for r in others) / len(others)),
-            "keeper frames/s": round(max(rates[n][0] for n in range(3)), 1),
-            "keeper bytes/s": round(max(rates[n][1] for n in range(3))),
-            "links": round(sum(last[n][2] for n in last if n > 2) / len(others), 1),
-            "real s": round(time.time() - begun),
-        }
+        hosts = max(FEWEST_HOSTS, gateways // 2)
+        rate = REQUESTS_PER_GATEWAY * gateways
+        path.write_text(DAY % {"count": gateways, "rate": rate, "hosts": hosts})
+        emulation = emulate(World(1), path, Path(folder) / "out")
+    rates = {}
+    for number, last in emulation.last.items():
+        first = emulation.first[number]
+        rates[number] = Rate(
+            (last.frames - first.frames) / emulation.counted_s,
+            (last.bytes - first.bytes) / emulation.counted_s,
+        )
+    voters = [rate for number, rate in rates.items() if number < VOTERS]
+    others = [rate for number, rate in rates.items() if number >= VOTERS]
+    links = [sent.links for number, sent in emulation.last.items() if number >= VOTERS]
+    return {
+        "gateways": gateways,
+        "frames/s": round(sum(rate.frames for rate in others) / len(others), 1),
+        "bytes/s": round(sum(rate.bytes for rate in others) / len(others)),
+        "voter frames/s": round(max(rate.frames for rate in voters), 1),
+        "voter bytes/s": round(max(rate.bytes for rate in voters)),
+        "links": round(sum(links) / len(others), 1),
+        "real s": round(time.time() - begun),
+    }
 
 
 if __name__ == "__main__":
     logs.set_up("error")
-    for number in map(int, sys.argv[1:] or ("8", "50", "200")):
-        print(json.dumps(play(number)), flush=True)
+    for fleet_size in sys.argv[1:] or DEFAULT_FLEETS:
+        print(json.dumps(measure(int(fleet_size))), flush=True)
