--- a/cherrydoor/leader_election/service.py
+++ b/cherrydoor/leader_election/service.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, NamedTuple, Protocol
+from typing import Any, NamedTuple
 
 import structlog
 
@@ -18,10 +18,11 @@
     SendMessage,
     VoterAction,
     VoterMessage,
-    Votes,
 )
-from cherrydoor.leader_election.vote_store import VoteStore
+from cherrydoor.leader_election.status import HeldLease, held_rows, voter_table
+from cherrydoor.leader_election.vote_store import VoteStorage, VoteStore
 from cherrydoor.leader_election.voter import Voter
+from cherrydoor.membership.service import MembershipService
 from cherrydoor.protocol.peers import LeaseGranted, LeaseRefused, LeaseRelease, LeaseRequest
 
 log = structlog.get_logger()
@@ -32,19 +33,6 @@
 TokenCallback = Callable[[int], None]
 
 
-class VoteStorage(Protocol):
-    """What keeps a voter's votes: a `VoteStore`, or a stand-in of it."""
-
-    def read(self) -> Votes | None:
-        """Returns the stored votes, None where they are lost."""
-
-    def save(self, promises: Votes, then: Callable[[], None], /) -> None:
-        """Calls `then` once the votes are stored."""
-
-    def close(self) -> None:
-        """Ends the storage."""
-
-
 class WantedLease(NamedTuple):
     """A lease that this gateway asks for or holds, and whom to call with its fencing token."""
 
@@ -53,13 +41,6 @@
     on_ended: TokenCallback
 
 
-class HeldLease(NamedTuple):
-    """The fencing token of a lease held here, and until when (ms)."""
-
-    fencing_token: int
-    until_ms: float
-
-
 class LeaseService:
     """The leases of one gateway.
 
@@ -71,7 +52,7 @@
 
     def __init__(
         self,
-        peers: Any,
+        peers: MembershipService,
         settings: Any,
         vote_storage: Callable[[str, str], VoteStorage] = VoteStore,
     ) -> None:
@@ -83,13 +64,13 @@
             vote_storage: Makes what keeps the voter's votes, of a path and the voter's name.
         """
         self.peers = peers
-        self.loop: asyncio.AbstractEventLoop = peers.loop
-        self.gateway: str = peers.me.name
+        self.loop = peers.loop
+        self.gateway: str = peers.local.name
         self.now_ms: Callable[[], float] = peers.now
         self.terms = LeaseTerms(
             settings["term"], settings["drift"], settings["margin"], settings["longest"]
         )
-        self.voters: list[str] = [one["name"] for one in peers.said["keepers"]]
+        self.voters: list[str] = [one["name"] for one in peers.settings["keepers"]]
         self.wanted: dict[str, WantedLease] = {}
         self.holding: dict[str, HeldLease] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -100,10 +81,10 @@
         if self.gateway in self.voters:
             self.storage = vote_storage(settings["promises"], self.gateway)
             self.voter = Voter(self.terms, self.now_ms(), self.storage.read(), self.veto)
-        peers.follow(LeaseRequest, self.on_voter_message)
-        peers.follow(LeaseRelease, self.on_voter_message)
-        peers.follow(LeaseGranted, self.on_candidate_message)
-        peers.follow(LeaseRefused, self.on_candidate_message)
+        peers.subscribe(LeaseRequest, self.on_voter_message)
+        peers.subscribe(LeaseRelease, self.on_voter_message)
+        peers.subscribe(LeaseGranted, self.on_candidate_message)
+        peers.subscribe(LeaseRefused, self.on_candidate_message)
 
     def veto(self, task: str) -> str:
         """Returns the first reason of `vetoes` not to grant the task now, "" for none."""
@@ -116,7 +97,7 @@
     def send(self, to: str, message: ElectionMessage) -> None:
         """Sends to a peer; to this gateway itself by way of the event loop."""
         if to != self.gateway:
-            self.peers.say(to, message)
+            self.peers.send(to, message)
         elif isinstance(message, LeaseRequest | LeaseRelease):
             self.loop.call_soon(self.on_voter_message, self.gateway, message)
         else:
@@ -265,19 +246,11 @@
     def table(self) -> dict[str, Any]:
         """Returns, for the control socket, the leases held here and the votes of this voter."""
         now_ms = self.now_ms()
-        held = [
-            {
-                "task": task,
-                "number": lease.fencing_token,
-                "left": round(lease.until_ms - now_ms, 1),
-            }
-            for task, lease in sorted(self.holding.items())
-        ]
         return {
             "gateway": self.gateway,
-            "life": self.peers.me.incarnation,
+            "life": self.peers.local.incarnation,
             "keepers": self.voters,
-            "held": held,
+            "held": held_rows(self.holding, now_ms),
             "asked for": sorted(task for task in self.wanted if task not in self.holding),
             "keeper": voter_table(self.voter, now_ms) if self.voter else None,
         }
@@ -300,23 +273,3 @@
     def outdone(self, task: str, highest_token: int) -> None:
         """`on_higher_token`, as the failover and zone drain packages call it."""
         self.on_higher_token(task, highest_token)
-
-
-def voter_table(voter: Voter, now_ms: float) -> dict[str, Any]:
-    """Returns, for the control socket, what a voter has granted."""
-    votes = voter.votes
-    rows = [
-        {
-            "task": task,
-            "number": vote.fencing_token,
-            "holder": vote.leaseholder,
-            "left": max(0.0, round(vote.until_ms - now_ms, 1)) if vote.leaseholder else 0.0,
-        }
-        for task, vote in sorted(votes.tasks.items())
-    ]
-    return {
-        "silent": max(0.0, round(voter.silent_until_ms - now_ms, 1)),
-        "floor": votes.highest_forgotten_token,
-        "promises": rows,
-        **voter.counters,
-    }
--- a/cherrydoor/leader_election/vote_store.py
+++ b/cherrydoor/leader_election/vote_store.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from hashlib import blake2b
 from pathlib import Path
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 import msgspec
 import structlog
@@ -91,6 +91,19 @@
     on_saved: Callable[[], None]
 
 
+class VoteStorage(Protocol):
+    """What keeps a voter's votes: a `VoteStore`, or a stand-in of it."""
+
+    def read(self) -> Votes | None:
+        """Returns the stored votes, None where they are lost."""
+
+    def save(self, votes: Votes, on_saved: Callable[[], None], /) -> None:
+        """Calls `on_saved` once the votes are stored."""
+
+    def close(self) -> None:
+        """Ends the storage."""
+
+
 class VoteStore:
     """The file of one voter, read once and then written on a thread of its own.
 
--- a/cherrydoor/membership/link_state.py
+++ b/cherrydoor/membership/link_state.py
@@ -11,7 +11,7 @@
     """A connection to that gateway is to be made."""
 
     name: str
-    at: str
+    address: str
 
 
 class CloseLink(Struct, frozen=True):
--- a/cherrydoor/membership/member_table.py
+++ b/cherrydoor/membership/member_table.py
@@ -63,20 +63,20 @@
     """This gateway as it describes itself."""
 
     def __init__(
-        self, name: str, incarnation: int, at: str, zone: str = "", is_voter: bool = False
+        self, name: str, incarnation: int, address: str, zone: str = "", is_voter: bool = False
     ) -> None:
         """Describes an incarnation that has refuted nothing yet.
 
         Args:
             name: The gateway's name.
             incarnation: Of this process.
-            at: The address at which peers reach it.
+            address: The address at which peers reach it.
             zone: Where it is.
             is_voter: Whether it is a voter of leader elections.
         """
         self.name = name
         self.incarnation = incarnation
-        self.at = at
+        self.address = address
         self.zone = zone
         self.is_voter = is_voter
         self.refutation = 0
@@ -86,7 +86,7 @@
         return Member(
             self.name,
             self.incarnation,
-            self.at,
+            self.address,
             self.zone,
             self.is_voter,
             state,
@@ -135,7 +135,7 @@
         """
         local = self.local
         is_same_or_later = statement.incarnation >= local.incarnation
-        if is_same_or_later and statement.at != local.at and statement.state == ALIVE:
+        if is_same_or_later and statement.address != local.address and statement.state == ALIVE:
             self.is_duplicated = True
             self.counters["duplicate processes"] += 1
         if statement.incarnation > local.incarnation:
@@ -242,16 +242,16 @@
         chosen_in_zone = Counter([self.local.zone])
         found: list[str] = []
         while ring and len(found) < count:
-            least = min(chosen_in_zone[row.site] for row in ring)
-            chosen = next(row for row in ring if chosen_in_zone[row.site] == least)
+            least = min(chosen_in_zone[row.zone] for row in ring)
+            chosen = next(row for row in ring if chosen_in_zone[row.zone] == least)
             ring.remove(chosen)
-            chosen_in_zone[chosen.site] += 1
+            chosen_in_zone[chosen.zone] += 1
             found.append(chosen.name)
         return found
 
     def voters(self) -> list[str]:
         """Returns the names of the other gateways that are voters of leader elections."""
-        return [name for name, row in self.rows.items() if row.keeper and name != self.local.name]
+        return [name for name, row in self.rows.items() if row.is_voter and name != self.local.name]
 
     # ---- names that the failover, zone drain and gateway packages still use
     over = mark_over
--- a/cherrydoor/membership/peer_links.py
+++ b/cherrydoor/membership/peer_links.py
@@ -139,7 +139,7 @@
         """
         rows = self.table.rows
         row = rows.get(name)
-        has_voter = self.table.local.is_voter or (row is not None and row.keeper)
+        has_voter = self.table.local.is_voter or (row is not None and row.is_voter)
         if not has_voter:
             return self.heartbeat_ms
         longest_ms = self.suspect_after_ms / HEARTBEATS_UNTIL_SUSPECTED
@@ -160,12 +160,12 @@
         """Returns a dial of that name, where one is due and its address known."""
         row = self.table.rows.get(name)
         link = self.link(name)
-        if row is None or not row.at or row.state in FINAL_STATES:
+        if row is None or not row.address or row.state in FINAL_STATES:
             return []
         if link.is_up or link.is_dialling or link.next_dial_ms > self.now_ms:
             return []
         link.is_dialling = True
-        return [Dial(name, row.at)]
+        return [Dial(name, row.address)]
 
     def on_up(
         self, now_ms: float, name: str, incarnation: int, is_dialled_by_us: bool
--- a/cherrydoor/membership/service.py
+++ b/cherrydoor/membership/service.py
@@ -58,7 +58,9 @@
         now_ms = self.now()
         self.members = MemberTable(self.local, now_ms)
         other_voters = [
-            Member(voter, 0, at, keeper=True) for voter, at in voters.items() if voter != name
+            Member(voter, 0, address, is_voter=True)
+            for voter, address in voters.items()
+            if voter != name
         ]
         self.members.merge_all(now_ms, other_voters)
         self.links = PeerLinks(
@@ -115,7 +117,7 @@
         self.tick()
 
     def close(self) -> None:
-        """Leaves: everybody linked is told so, and takes this for no loss."""
+        """Leaves: everybody linked is notified, and suspects nobody."""
         if self.is_closed:
             return
         self.members.leave()
@@ -201,7 +203,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.loop.create_connection(
                     lambda: PeerConnection(self, action.name),
-                    *parse_address(action.at),
+                    *parse_address(action.address),
                     ssl=self.service.tls.peer,
                 )
             self.loop.call_later(CONNECT_TIMEOUT_S, self.on_hello_timeout, connection)
--- a/cherrydoor/protocol/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -31,9 +31,9 @@
     Attributes:
         name: The gateway's name.
         incarnation: Rises with each start of a process of that name.
-        at: The address at which peers reach it.
-        site: Its zone.
-        keeper: Whether it is a voter of leader elections.
+        address: The address at which peers reach it.
+        zone: Where it is.
+        is_voter: Whether it is a voter of leader elections.
         state: What is held of it: alive ("here"), suspected ("silent"), disconnected ("vanished"),
             left, or "over".
         refutation: Raised by the gateway itself to refute a suspicion, as the incarnation of SWIM
@@ -42,9 +42,9 @@
 
     name: Name
     incarnation: Id = field(name="life")
-    at: Name = ""
-    site: Name = ""
-    keeper: bool = False
+    address: Name = field(default="", name="at")
+    zone: Name = field(default="", name="site")
+    is_voter: bool = field(default=False, name="keeper")
     state: MemberState = "here"
     refutation: Id = field(default=0, name="word")
 
@@ -56,7 +56,23 @@
         """
         state_rank = STATE_RANKS[self.state]
         final_rank = state_rank if state_rank >= FIRST_FINAL_STATE else 0
-        return self.incarnation, final_rank, self.refutation, state_rank, self.at, self.site
+        return self.incarnation, final_rank, self.refutation, state_rank, self.address, self.zone
+
+    # ---- names that the failover package still uses
+    @property
+    def at(self) -> str:
+        """`address`, as the failover package calls it."""
+        return self.address
+
+    @property
+    def site(self) -> str:
+        """`zone`, as the failover package calls it."""
+        return self.zone
+
+    @property
+    def keeper(self) -> bool:
+        """`is_voter`, as the failover package calls it."""
+        return self.is_voter
 
 
 class MembershipUpdate(Message, tag="members"):
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -7,8 +7,13 @@
 from hypothesis import strategies as st
 
 from cherrydoor.membership.member_table import (
+    ALIVE,
+    DISCONNECTED,
     FORGET_AFTER_MS,
+    LEFT,
     MAX_MEMBERS,
+    OVER,
+    SUSPECTED,
     LocalMember,
     MemberTable,
     merged,
@@ -24,7 +29,7 @@
     st.sampled_from(("x", "y")),
     st.just("s"),
     st.just(False),
-    st.sampled_from(("here", "silent", "vanished", "left", "over")),
+    st.sampled_from((ALIVE, SUSPECTED, DISCONNECTED, LEFT, OVER)),
     st.integers(0, 2),
 )
 
@@ -45,7 +50,7 @@
     assert len(results) <= 1
 
 
-@pytest.mark.parametrize("state", ["silent", "vanished", "left", "over"])
+@pytest.mark.parametrize("state", [SUSPECTED, DISCONNECTED, LEFT, OVER])
 def test_a_statement_about_an_earlier_incarnation_changes_nothing(state):
     table = table_of()
     table.merge_all(1.0, [Member("a", 7, "x")])
@@ -61,16 +66,16 @@
     own = table_of("a")
     other = table_of("b")
     other.merge_all(1.0, own.all_rows())
-    other.observe(2.0, "a", 5, "silent")
+    other.observe(2.0, "a", 5, SUSPECTED)
     own.merge_all(3.0, other.take_updates(3.0))
     other.merge_all(4.0, own.take_updates(4.0))
-    assert other.rows["a"].state == "here"
+    assert other.rows["a"].state == ALIVE
     assert own.counters["suspicions refuted"] == 1
     assert not own.has_ended
     assert other.mark_over(5.0, "a", 5)
     own.merge_all(6.0, other.take_updates(6.0))
     assert own.has_ended
-    assert own.rows["a"].state == "over"
+    assert own.rows["a"].state == OVER
 
 
 def test_a_later_incarnation_elsewhere_is_a_duplicate_process_and_an_earlier_one_is_not():
@@ -91,7 +96,7 @@
 
 def test_replicas_are_of_other_zones_first(table_of_three_zones):
     table = table_of_three_zones
-    zones = {row.name: row.site for row in table.all_rows()}
+    zones = {row.name: row.zone for row in table.all_rows()}
     assert sorted(zones[name] for name in table.choose_replicas(2)) == ["s1", "s2"]
     assert len(set(table.choose_replicas(8))) == 8
     assert "g0" not in table.choose_replicas(8)
@@ -100,7 +105,7 @@
 def test_disconnected_members_are_no_replicas_and_not_alive(table_of_three_zones):
     table = table_of_three_zones
     for name in table.choose_replicas(8):
-        table.observe(1.0, name, 1, "vanished")
+        table.observe(1.0, name, 1, DISCONNECTED)
     assert table.choose_replicas(2) == []
     assert table.alive_names() == ["g0"]
 
@@ -108,7 +113,7 @@
 def test_the_table_is_bounded_and_forgets_members_that_are_long_gone(table_of_three_zones):
     table = table_of_three_zones
     for name in table.choose_replicas(8):
-        table.observe(1.0, name, 1, "vanished")
+        table.observe(1.0, name, 1, DISCONNECTED)
     table.merge_all(2.0, [Member(f"h{i}", 1) for i in range(MAX_MEMBERS)])
     assert len(table.rows) == MAX_MEMBERS
     assert table.counters["members beyond the bound"]
--- a/tests/membership/test_membership_of_processes.py
+++ b/tests/membership/test_membership_of_processes.py
@@ -5,6 +5,7 @@
 
 from fleet import Fleet, story, until
 
+from cherrydoor.membership.member_table import ALIVE, DISCONNECTED, LEFT, SUSPECTED
 from cherrydoor.tls.make import Folder
 
 
@@ -30,9 +31,9 @@
         first, *others = reversed(await fleet.together())
         incarnation = await incarnation_of(first)
         await first.kill()
-        await until_seen(others, first.name, "vanished")
+        await until_seen(others, first.name, DISCONNECTED)
         await first.start()
-        await until_seen(others, first.name, "here")
+        await until_seen(others, first.name, ALIVE)
         assert await incarnation_of(first) > incarnation
 
 
@@ -45,9 +46,9 @@
         first, *others = reversed(await fleet.together())
         incarnation = await incarnation_of(first)
         first.signal(signal.SIGSTOP)
-        await until_seen(others, first.name, "silent")
+        await until_seen(others, first.name, SUSPECTED)
         first.signal(signal.SIGCONT)
-        await until_seen(others, first.name, "here")
+        await until_seen(others, first.name, ALIVE)
         assert await incarnation_of(first) == incarnation
 
 
@@ -57,7 +58,7 @@
         first, *others = reversed(await fleet.together())
         first.signal(signal.SIGTERM)
         assert await asyncio.wait_for(first.process.wait(), 30) == 0
-        await until_seen(others, first.name, "left")
+        await until_seen(others, first.name, LEFT)
 
 
 @story
@@ -68,7 +69,7 @@
             fleet.relay.reset("*", "*")
             await fleet.together()
         answers = [await gate.ask(do="peers") for gate in gates]
-        assert all(row["state"] == "here" for answer in answers for row in answer["members"])
+        assert all(row["state"] == ALIVE for answer in answers for row in answer["members"])
 
 
 @story
@@ -78,9 +79,9 @@
         first, *others = reversed(await fleet.together())
         for _ in range(2):
             await first.kill()
-            await until_seen(others, first.name, "vanished")
+            await until_seen(others, first.name, DISCONNECTED)
             await first.start()
-            await until_seen(others, first.name, "here")
+            await until_seen(others, first.name, ALIVE)
 
 
 @story
--- a/tests/membership/test_peer_links.py
+++ b/tests/membership/test_peer_links.py
@@ -3,7 +3,13 @@
 import pytest
 
 from cherrydoor.membership.link_state import CloseLink, Dial, SendMessage
-from cherrydoor.membership.member_table import LocalMember, MemberTable
+from cherrydoor.membership.member_table import (
+    ALIVE,
+    DISCONNECTED,
+    SUSPECTED,
+    LocalMember,
+    MemberTable,
+)
 from cherrydoor.membership.peer_links import PeerLinks
 from cherrydoor.protocol.peers import Heartbeat, Member
 
@@ -14,7 +20,7 @@
 def links_of(*names, voter="k"):
     """The links of `m`, with one replica, in a fleet of those names."""
     table = MemberTable(LocalMember("m", 5, "at-m", "s0"), 0.0)
-    table.merge_all(0.0, [Member(name, 1, "at-" + name, keeper=name == voter) for name in names])
+    table.merge_all(0.0, [Member(name, 1, "at-" + name, is_voter=name == voter) for name in names])
     return PeerLinks(table, 0.0, HEARTBEAT_MS, SUSPECT_AFTER_MS, 1)
 
 
@@ -48,11 +54,11 @@
     links.on_up(1.0, "k", 1, True)
     links.on_message(1.5, "k")
     assert [action.name for action in of_type(links.on_down(2.0, "k"), Dial)] == ["k"]
-    assert rows["k"].state == "here"
+    assert rows["k"].state == ALIVE
     links.on_dial_failed(3.0, "k", False)
-    assert rows["k"].state == "here"
+    assert rows["k"].state == ALIVE
     links.on_dial_failed(4.0, "k", True)
-    assert rows["k"].state == "vanished"
+    assert rows["k"].state == DISCONNECTED
 
 
 def test_a_link_sends_heartbeats_and_a_silent_peer_is_suspected_and_its_link_closed():
@@ -62,7 +68,7 @@
     assert links.is_recent("k", 1)
     assert not links.is_recent("k", 2)
     assert of_type(links.tick(1100.0), CloseLink)[0].name == "k"
-    assert links.table.rows["k"].state == "silent"
+    assert links.table.rows["k"].state == SUSPECTED
 
 
 def test_a_peer_that_rejects_us_after_its_hello_is_redialled_seldom_and_a_lost_link_at_once():
@@ -75,7 +81,7 @@
             dials += len(of_type(links.on_down(float(now_ms), "k"), Dial))
         dials += len(of_type(links.tick(float(now_ms)), Dial))
     assert 5 <= dials <= 15
-    assert links.table.rows["k"].state == "here"
+    assert links.table.rows["k"].state == ALIVE
     while not links.link("k").is_dialling:
         now_ms += 1
         links.tick(float(now_ms))
