--- a/cherrydoor/membership/service.py
+++ b/cherrydoor/membership/service.py
@@ -9,14 +9,14 @@
 
 import structlog
 
+from cherrydoor.membership.bootstrap import configured_table
 from cherrydoor.membership.handshake import rejection_reason
 from cherrydoor.membership.link_state import CloseLink, Dial, LinkAction
-from cherrydoor.membership.member_table import LocalMember, MemberTable
 from cherrydoor.membership.peer_connection import PeerConnection, parse_address
 from cherrydoor.membership.peer_links import PeerLinks
 from cherrydoor.protocol import codec
 from cherrydoor.protocol.basics import VERSION, Hello
-from cherrydoor.protocol.peers import Member, MembershipUpdate
+from cherrydoor.protocol.peers import MembershipUpdate
 
 log = structlog.get_logger()
 TICK_INTERVAL_S = 0.1  # between two ticks of all links; well below the shortest heartbeat
@@ -46,23 +46,10 @@
         self.service = service
         self.settings = settings
         self.loop: asyncio.AbstractEventLoop = service.loop
-        name = service.config.name
-        voters = {one["name"]: one["at"] for one in settings["keepers"]}
-        self.local = LocalMember(
-            name,
-            incarnation or int(service.clock.now()),
-            settings["at"] or settings["door"],
-            service.config.lease.zone,
-            name in voters,
-        )
+        incarnation = incarnation or int(self.now())
         now_ms = self.now()
-        self.members = MemberTable(self.local, now_ms)
-        other_voters = [
-            Member(voter, 0, address, is_voter=True)
-            for voter, address in voters.items()
-            if voter != name
-        ]
-        self.members.merge_all(now_ms, other_voters)
+        self.members = configured_table(service.config, settings, incarnation, now_ms)
+        self.local = self.members.local
         self.links = PeerLinks(
             self.members,
             now_ms,
