--- a/cherrydoor/failover/claim_forwarding.py
+++ b/cherrydoor/failover/claim_forwarding.py
@@ -86,10 +86,10 @@
 
     def _forward(self, request: ClaimRequest) -> None:
         successor = self.successors.successor_of(request.owner, request.incarnation)
-        if successor == self.peers.me.name:
+        if successor == self.peers.local.name:
             self.loop.call_soon(self.claim_received, successor, request)
-        elif successor is not None and not self.peers.say(successor, request):
-            self.peers.ask(successor)
+        elif successor is not None and not self.peers.send(successor, request):
+            self.peers.want_link(successor)
 
     def successor_known(self, owner: str, incarnation: int) -> None:
         """Pass on the claims that wait for the successor of this incarnation."""
@@ -132,10 +132,10 @@
             reply(response)
 
     def _send_reply(self, to: str, reply: ClaimReply) -> None:
-        if to == self.peers.me.name:
+        if to == self.peers.local.name:
             self.loop.call_soon(self.reply_received, to, reply)
         else:
-            self.peers.say(to, reply)
+            self.peers.send(to, reply)
 
     def reply_received(self, sender: str, reply: ClaimReply) -> None:
         """Handle a successor's reply to a claim."""
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -8,9 +8,9 @@
 from cherrydoor.failover.incarnation_end import reconnect_delay_ms
 from cherrydoor.failover.service import FailoverService
 from cherrydoor.gateway.control import ControlSocket
-from cherrydoor.leader_election.promises import File
-from cherrydoor.leader_election.shell import Tenures
-from cherrydoor.membership.shell import Peers
+from cherrydoor.leader_election.service import LeaseService
+from cherrydoor.leader_election.vote_store import VoteStore
+from cherrydoor.membership.service import MembershipService
 from cherrydoor.zone_drain.shell import Sites
 
 log = structlog.get_logger()
@@ -24,30 +24,32 @@
     Args:
         service: The gateway's service, which calls this one.
         incarnation: Above that of an earlier start of the same process; 0 to choose one.
-        promise_store: Makes what keeps a voter's promises, of a path and a name; on disk unless
+        vote_store: Makes what keeps a voter's promises, of a path and a name; on disk unless
             given.
     """
 
     def __init__(
-        self, service: Any, incarnation: int = 0, promise_store: Callable[..., Any] | None = None
+        self, service: Any, incarnation: int = 0, vote_store: Callable[..., Any] | None = None
     ) -> None:
         settings = service.config.peers
         self.service = service
-        self.peers: Any = Peers(service, settings, incarnation)
-        self.tenures: Any = Tenures(self.peers, service.config.tenures, promise_store or File)
+        self.peers: Any = MembershipService(service, settings, incarnation)
+        self.tenures: Any = LeaseService(
+            self.peers, service.config.tenures, vote_store or VoteStore
+        )
         self.failover = FailoverService(self.peers, self.tenures)
         self.zone_drains: Any = Sites(self.peers, self.tenures)
         self.control: Any = None
         if settings["control"]:
             self.control = ControlSocket(settings["control"], self.obey)
-        self.peers.changed.append(self._connections_checked)
+        self.peers.change_listeners.append(self._connections_checked)
         self.last_check_ms: float = self.peers.now()
         self.suspect_after_ms: float = settings["silent"]
 
     @property
     def incarnation(self) -> int:
         """Which start of the gateway this is."""
-        incarnation: int = self.peers.me.incarnation
+        incarnation: int = self.peers.local.incarnation
         return incarnation
 
     def goes_on_from(self, before: "PeerServices") -> None:
@@ -63,10 +65,10 @@
             await self.control.start()
         log.info(
             "peers may connect",
-            gateway=self.peers.me.name,
-            address=self.peers.said["door"],
+            gateway=self.peers.local.name,
+            address=self.peers.settings["door"],
             incarnation=self.incarnation,
-            voters=len(self.tenures.keepers),
+            voters=len(self.tenures.voters),
         )
 
     def after_tick(self) -> None:
@@ -85,7 +87,7 @@
             self.service.life_over(STOOD_STILL)
             return
         self.failover.connections_changed()
-        if self.peers.members.ended:
+        if self.peers.members.has_ended:
             self.service.life_over(DECLARED_OVER)
 
     def stood_still(self) -> bool:
@@ -150,14 +152,14 @@
 
     def table(self) -> dict[str, Any]:
         """Return the members and connections, as the control socket shows them."""
-        members = sorted(self.peers.members.whole(), key=lambda member: member.name)
+        members = sorted(self.peers.members.all_rows(), key=lambda member: member.name)
         now = self.peers.now()
         return {
-            "gateway": self.peers.me.name,
+            "gateway": self.peers.local.name,
             "life": self.incarnation,
-            "witnesses": self.peers.links.witnesses,
-            "frames": self.peers.frames,
-            "bytes": self.peers.bytes,
+            "witnesses": self.peers.links.replicas,
+            "frames": self.peers.frames_sent,
+            "bytes": self.peers.bytes_sent,
             "members": [self._member_row(member, now) for member in members],
         }
 
@@ -170,7 +172,7 @@
             "state": member.state,
             "keeper": member.keeper,
             "linked": self.peers.links.is_up(member.name),
-            "since": round(now - self.peers.members.since[member.name], 1),
+            "since": round(now - self.peers.members.changed_ms[member.name], 1),
         }
 
 
--- a/cherrydoor/failover/service.py
+++ b/cherrydoor/failover/service.py
@@ -59,7 +59,7 @@
             )
             for one in self.service.config.lease.request_classes
         }
-        self.owner = OwnerReplication(peers.me.incarnation, self.policies)
+        self.owner = OwnerReplication(peers.local.incarnation, self.policies)
         self.replicas = ReplicaStore()
         self.claims = ResponseClaims()
         self.successor = Successor(
@@ -72,13 +72,13 @@
 
     def _subscribe(self) -> None:
         peers = self.peers
-        peers.follow(ReplicationUpdate, self._update_received)
-        peers.follow(SuccessorAnnounced, self.successor.announced)
-        peers.follow(ClaimRequest, self.forwarder.claim_received)
-        peers.follow(ClaimReply, self.forwarder.reply_received)
-        self.tenures.refusing.append(self.reason_to_refuse)
+        peers.subscribe(ReplicationUpdate, self._update_received)
+        peers.subscribe(SuccessorAnnounced, self.successor.announced)
+        peers.subscribe(ClaimRequest, self.forwarder.claim_received)
+        peers.subscribe(ClaimReply, self.forwarder.reply_received)
+        self.tenures.vetoes.append(self.reason_to_refuse)
         # What was under way on the connection before is lost: all is sent on each that comes up.
-        peers.linked += [self.successor.peer_connected, self.owner.forget_replica]
+        peers.link_listeners += [self.successor.peer_connected, self.owner.forget_replica]
 
     def start(self) -> None:
         """Begin the periodic check."""
@@ -95,8 +95,8 @@
         if parsed is None:
             return ""
         owner, incarnation = parsed
-        member = self.peers.members.members.get(owner)
-        connected = self.peers.links.recent(owner, incarnation)
+        member = self.peers.members.rows.get(owner)
+        connected = self.peers.links.is_recent(owner, incarnation)
         return reason_to_refuse_lease(connected, member.state if member else "")
 
     # ---- called by the dispatcher
@@ -196,12 +196,14 @@
         if owner.unsent_since_ms is not None and replicas:
             self.delays.add(now - owner.unsent_since_ms)
         for names, update in owner.updates(now, replicas):
-            self.peers.say_all(names, update)
+            self.peers.send_to_all(names, update)
 
     def _connected_replicas(self) -> list[str]:
         """Return the replicas that can be told now, in the order of their rank."""
         links = self.peers.links
-        return [name for name in links.witnesses if links.is_up(name) and name in self.peers.ends]
+        return [
+            name for name in links.replicas if links.is_up(name) and name in self.peers.connections
+        ]
 
     # ---- in-flight sets of others
     def _update_received(self, sender: str, update: ReplicationUpdate) -> None:
@@ -216,7 +218,7 @@
 
     def check(self) -> None:
         """Apply for takeovers, carry on those that run, and end what is out of date."""
-        if self.peers.closed:
+        if self.peers.is_closed:
             return
         now = self.now()
         self.timer = self.loop.call_later(CHECK_INTERVAL_S, self.check)
@@ -225,7 +227,7 @@
         self.claims.tick(now)
         for name in list(self.owner.replicas):
             # Who is connected and a replica no longer is sent an empty snapshot by the next update.
-            if name not in self.peers.ends:
+            if name not in self.peers.connections:
                 self.owner.forget_replica(name)
         self.after_tick(check_replicas=True)
         self.forwarder.expire(now)
@@ -233,9 +235,11 @@
     def _apply_for_takeovers(self, now: float) -> None:
         members = {
             row.name: MemberStatus(row.incarnation, row.state)
-            for row in self.peers.members.members.values()
+            for row in self.peers.members.rows.values()
         }
-        candidates = self.replicas.tick(now, members, self.peers.ends, self.peers.links.silent)
+        candidates = self.replicas.tick(
+            now, members, self.peers.connections, self.peers.links.suspect_after_ms
+        )
         for in_flight in candidates.wanted:
             self.tenures.hold(
                 in_flight.task,
@@ -266,8 +270,8 @@
         if owner.unsent_since_ms is not None:
             unsent_ms = round(self.now() - owner.unsent_since_ms, 2)
         return {
-            "gateway": self.peers.me.name,
-            "life": self.peers.me.incarnation,
+            "gateway": self.peers.local.name,
+            "life": self.peers.local.incarnation,
             "in hand": len(owner.requests),
             "bytes": owner.body_bytes,
             "witnesses": owner.replicas,
--- a/cherrydoor/failover/successor.py
+++ b/cherrydoor/failover/successor.py
@@ -72,7 +72,7 @@
     def peer_connected(self, name: str) -> None:
         """Tell a peer that has connected who is successor to whom."""
         for announced in self.table.announcements():
-            self.peers.say(name, announced)
+            self.peers.send(name, announced)
 
     def announced(self, sender: str, announced: SuccessorAnnounced) -> None:
         """Take in an announcement, and pass it on along every other connection, once."""
@@ -80,10 +80,10 @@
         if not self.table.accept(now, announced):
             return
         owner, incarnation = announced.owner, announced.incarnation
-        self.peers.members.over(now, owner, incarnation)
-        for name in list(self.peers.ends):
+        self.peers.members.mark_over(now, owner, incarnation)
+        for name in list(self.peers.connections):
             if name != sender:
-                self.peers.say(name, announced)
+                self.peers.send(name, announced)
         if announced.completed:
             self.replicas.complete(now, owner, incarnation)
             task = takeover_task(owner, incarnation)
@@ -100,7 +100,7 @@
             in_flight.owner,
             in_flight.incarnation,
             takeover.fencing_token,
-            self.peers.me.name,
+            self.peers.local.name,
             completed,
             key_digests or [],
         )
@@ -122,7 +122,7 @@
         key_digests = self._expect_responses(in_flight)
         log.info(
             "takeover started",
-            gateway=self.peers.me.name,
+            gateway=self.peers.local.name,
             owner=in_flight.owner,
             incarnation=in_flight.incarnation,
             fencing_token=fencing_token,
@@ -171,13 +171,13 @@
         self._query_hosts(running, running.takeover.host_reported(host, report))
         higher_fencing_token = running.takeover.higher_fencing_token
         if higher_fencing_token:
-            self.tenures.outdone(running.in_flight.task, higher_fencing_token)
+            self.tenures.on_higher_token(running.in_flight.task, higher_fencing_token)
 
     def tick(self, now: float) -> None:
         """Decide where hosts have reported, start retries within the bounds, end what completed."""
         for task, running in list(self.running.items()):
             takeover = running.takeover
-            if self.tenures.number(task) != takeover.fencing_token:
+            if self.tenures.fencing_token(task) != takeover.fencing_token:
                 continue
             if takeover.can_decide(now):
                 running.first_decision_at_ms = now
@@ -251,7 +251,7 @@
         del self.finished_rows[:-MAX_FINISHED_ROWS]
         log.info(
             "takeover completed",
-            gateway=self.peers.me.name,
+            gateway=self.peers.local.name,
             owner=in_flight.owner,
             incarnation=in_flight.incarnation,
             fencing_token=takeover.fencing_token,
@@ -270,7 +270,7 @@
         if running is not None:
             log.warning(
                 "takeover abandoned: its lease is lost",
-                gateway=self.peers.me.name,
+                gateway=self.peers.local.name,
                 owner=in_flight.owner,
                 incarnation=in_flight.incarnation,
                 fencing_token=running.takeover.fencing_token,
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -24,8 +24,8 @@
 from cherrydoor.config import figures as configuration
 from cherrydoor.fakes import record
 from cherrydoor.gateway.endpoint_watch import EndpointWatch
-from cherrydoor.leader_election import decide as election
-from cherrydoor.leader_election import promises as vote_file
+from cherrydoor.leader_election import messages as election
+from cherrydoor.leader_election import vote_store
 from cherrydoor.protocol import messages
 from cherrydoor.rehearsal import day as rehearsal_day
 from cherrydoor.rehearsal import seen
@@ -38,11 +38,11 @@
 STORED = Path(__file__).with_name("stored")
 NOW = 1_700_000_000_000.0
 
-VOTES = election.Promises(
+VOTES = election.Votes(
     7,
     {
-        "drain zone-1": election.Promise(12, "g1", 3000.5, 2500.0),
-        "in hand of g2": election.Promise(13),
+        "drain zone-1": election.Vote(12, "g1", 3000.5, 2500.0),
+        "in hand of g2": election.Vote(13),
     },
 )
 HOSTS = [
@@ -137,20 +137,20 @@
 
 # ---- leader election
 def test_stored_votes_are_read():
-    found = vote_file.unseal("g0", (STORED / "votes").read_bytes())
+    found = vote_store.decode_votes("g0", (STORED / "votes").read_bytes())
     assert msgspec.structs.astuple(found)[0] == 7
     assert found == VOTES
 
 
 def test_votes_are_written_as_before(tmp_path):
     path = tmp_path / "votes"
-    vote_file.sync(path, vote_file.seal("g0", VOTES))
+    vote_store.write_synced(path, vote_store.encode_votes("g0", VOTES))
     assert path.read_bytes() == (STORED / "votes").read_bytes()
 
 
 def test_stored_votes_of_another_voter_are_refused():
-    with pytest.raises(vote_file.Unsound):
-        vote_file.unseal("g1", (STORED / "votes").read_bytes())
+    with pytest.raises(vote_store.InvalidVoteFileError):
+        vote_store.decode_votes("g1", (STORED / "votes").read_bytes())
 
 
 # ---- releases
