--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -1,74 +1,124 @@
-"""One end of a connection on asyncio: a Reader, a bound on what waits to be written, and three things to call.
+"""One end of a framed connection on asyncio, which decodes messages and hands them to its owner.
 
-Used by the gateway and by every stand-in; it knows frames and nothing else.
+The gateway and all test doubles use it. It knows frames, the opening hello and the closing notice,
+and nothing of what the messages mean.
 """
 
 import asyncio
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Protocol, TypeVar
 
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import messages as protocol
 
-MOST_WAITING = (
-    32 * 2**20
-)  # bytes that may wait for a slow peer before the connection is the casualty
-HELLO_WAIT = 5.0  # s that a peer may take to say who it is
+# Bytes that may wait for a slow peer before its connection is aborted: no peer may fill the memory
+# of all.
+MAX_WRITE_BUFFER_BYTES = 32 * 2**20
+# Time that a peer has for its hello; a connection without one is of no use and holds a descriptor.
+HELLO_TIMEOUT_S = 5.0
+# Characters of a reason that are sent to the peer.
+MAX_REASON_CHARACTERS = 1000
 
+Element = TypeVar("Element")
 
-class OrderedSet(dict):
-    """A set that is gone through in the order of arrival, so that no order of addresses shows."""
 
-    def add(self, one):
-        self[one] = None
+class OrderedSet(dict[Element, None]):
+    """A set that iterates in order of insertion: no behaviour depends on memory addresses."""
 
-    def discard(self, one):
-        self.pop(one, None)
+    def add(self, element: Element) -> None:
+        """Adds an element; one that is present keeps its position."""
+        self[element] = None
+
+    def discard(self, element: Element) -> None:
+        """Removes an element if it is present."""
+        self.pop(element, None)
+
+
+class ConnectionOwner(Protocol):
+    """What a `FramedConnection` calls on the object that it belongs to."""
+
+    def greeted(self, end: Any, hello: Any) -> None:
+        """The peer's hello, which is always its first message."""
+
+    def heard(self, end: Any, message: Any) -> None:
+        """A message after the hello."""
+
+    def lost(self, end: Any) -> None:
+        """The connection has ended; `end.why` holds the reason."""
 
 
 class FramedConnection(asyncio.BaseProtocol):
-    """kinds: what is taken; hello: a callable that makes ours; the owner has greeted(end, hello), heard(end, message)
-    and lost(end). `why` says why it ended, '' where the peer closed."""
+    """An asyncio protocol that reads and writes frames.
+
+    Attributes:
+        owner: Receives the hello, the messages and the end of the connection.
+        reader: Decodes input; holds the peer's hello.
+        transport: The asyncio transport, None until the connection is made.
+        why: Why the connection ended; empty where the peer simply closed it.
+        peer_max_frame_bytes: Longest frame body that the peer accepts, by its hello.
+    """
 
     transport: Any
+    reader: Any
 
     def __init__(
         self,
-        owner,
-        kinds,
-        hello,
-        most_waiting=MOST_WAITING,
-        largest=protocol.DEFAULT_MAX_FRAME_BYTES,
-    ):
-        self.owner, self.hello, self.most_waiting = owner, hello, most_waiting
-        self.reader, self.transport, self.why, self.largest = (
-            codec.FrameReader(kinds, largest),
-            None,
-            "",
-            protocol.DEFAULT_MAX_FRAME_BYTES,
-        )
-
-    def connection_made(self, transport):
+        owner: Any,
+        message_types: Any,
+        make_hello: Callable[[], Any],
+        max_write_buffer_bytes: int = MAX_WRITE_BUFFER_BYTES,
+        max_frame_bytes: int = protocol.DEFAULT_MAX_FRAME_BYTES,
+    ) -> None:
+        """Prepares a connection that is not yet open.
+
+        Args:
+            owner: See `ConnectionOwner`.
+            message_types: The message types that are accepted.
+            make_hello: Makes our hello as the connection opens.
+            max_write_buffer_bytes: Unsent output beyond which the connection is aborted.
+            max_frame_bytes: Longest frame body that is accepted.
+        """
+        self.owner = owner
+        self.make_hello = make_hello
+        self.max_write_buffer_bytes = max_write_buffer_bytes
+        self.reader = codec.FrameReader(message_types, max_frame_bytes)
+        self.transport = None
+        self.why = ""
+        self.peer_max_frame_bytes = protocol.DEFAULT_MAX_FRAME_BYTES
+
+    def connection_made(self, transport: Any) -> None:
+        """Sends our hello and starts the timeout for the peer's."""
         self.transport = transport
-        self.write(self.hello())
-        self.timer = asyncio.get_running_loop().call_later(HELLO_WAIT, self.hello_late)
+        self.write(self.make_hello())
+        self.hello_timer = asyncio.get_running_loop().call_later(
+            HELLO_TIMEOUT_S, self.hello_timed_out
+        )
 
-    def hello_late(self):
+    def hello_timed_out(self) -> None:
+        """Closes a connection whose peer has not sent its hello."""
         if self.reader.hello is None:
-            self.close(f"no hello within {HELLO_WAIT:g} s")
+            self.close(f"no hello within {HELLO_TIMEOUT_S:g} s")
+
+    def data_received(self, data: bytes) -> None:
+        """Decodes input and hands its messages to the owner."""
+        self.process_data(data)
 
-    def data_received(self, data):
-        self.take(data)
+    def process_data(self, data: bytes) -> int:
+        """Decodes input and hands its messages to the owner; returns how many there were.
 
-    def take(self, data):
-        """The number of messages in it."""
-        owner, messages = self.owner, self.reader.feed(data)
+        A closing notice of the peer ends the connection, and counts as no message.
+        """
+        owner = self.owner
+        messages = self.reader.feed(data)
         for message in messages:
-            kind = type(message)
-            if kind is protocol.Hello:
-                self.timer.cancel()
-                self.largest = message.max_frame_bytes or protocol.DEFAULT_MAX_FRAME_BYTES
+            message_type = type(message)
+            if message_type is protocol.Hello:
+                self.hello_timer.cancel()
+                self.peer_max_frame_bytes = (
+                    message.max_frame_bytes or protocol.DEFAULT_MAX_FRAME_BYTES
+                )
                 owner.greeted(self, message)
-            elif kind is protocol.GoAway:
+            elif message_type is protocol.GoAway:
                 self.why = self.why or f"peer: {message.reason}"
                 self.transport.close()
                 return 0
@@ -78,36 +128,55 @@
             self.close(self.reader.fault)
         return len(messages)
 
-    def write(self, message):
-        """A frame too large for the peer is left out, and the caller told by BadFrame."""
-        self.write_bytes(codec.encode(message, self.largest))
+    def write(self, message: Any) -> None:
+        """Sends a message.
 
-    def write_bytes(self, data):
+        Raises:
+            codec.FrameTooLarge: The peer accepts no frame of this size; nothing was sent.
+        """
+        self.write_bytes(codec.encode(message, self.peer_max_frame_bytes))
+
+    def write_bytes(self, data: bytes) -> None:
+        """Sends encoded frames; ignored on a connection that is closing.
+
+        Aborts the connection once more than `max_write_buffer_bytes` wait. Guards the memory of the
+        process against a peer that does not read; harms a peer that is merely slow under a burst of
+        large messages.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
         transport.write(data)
-        if transport.get_write_buffer_size() > self.most_waiting:
+        if transport.get_write_buffer_size() > self.max_write_buffer_bytes:
             self.abort("the peer reads too slowly")
 
-    def close(self, reason="", stay_away=0.0):
-        """With a reason the peer is told it first, and how long to stay away."""
+    def close(self, reason: str = "", retry_after_ms: float = 0.0) -> None:
+        """Closes after all output has been sent.
+
+        Args:
+            reason: Sent to the peer first; empty sends nothing.
+            retry_after_ms: When the peer may come back, sent with the reason.
+        """
         if self.transport is not None and not self.transport.is_closing():
             if reason:
                 self.why = self.why or reason
-                self.transport.write(codec.encode(protocol.GoAway(reason[:1000], stay_away)))
+                notice = protocol.GoAway(reason[:MAX_REASON_CHARACTERS], retry_after_ms)
+                self.transport.write(codec.encode(notice))
             self.transport.close()
 
-    def abort(self, why=""):
+    def abort(self, why: str = "") -> None:
+        """Closes at once and drops unsent output; the peer is told nothing."""
         self.why = self.why or why
         if self.transport is not None:
             self.transport.abort()
 
-    def eof_received(self):
-        return False  # the peer has closed, and so do we
+    def eof_received(self) -> bool:
+        """The peer has closed its side; asyncio then closes ours."""
+        return False
 
-    def connection_lost(self, error):
-        self.timer.cancel()
+    def connection_lost(self, error: Exception | None) -> None:
+        """Records why the connection ended and notifies the owner."""
+        self.hello_timer.cancel()
         if error is not None:
             self.why = self.why or str(error)
         if fault := self.reader.end():
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -1,181 +1,235 @@
-"""`cherrydoor gateway`: one process, one or more gateways, until a signal ends it. Exit codes: docs/commands.md."""
+"""`cherrydoor gateway`: one process with one or more gateways, until a signal ends it."""
 
 import asyncio
 import errno
 import gc
 import signal
 import sys
+from collections.abc import Callable, Sequence
 from functools import partial
+from typing import Any
 
 import structlog
 import uvloop
-from prometheus_client import CollectorRegistry, generate_latest
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from cherrydoor.admission.decide import divide_descriptors
-from cherrydoor.admission.listener import Listener
 from cherrydoor.admission.usage import ProcessUsage
 from cherrydoor.config.figures import read_config
 from cherrydoor.config.records import Problems
-from cherrydoor.gateway.metrics import MetricsRequest
-from cherrydoor.gateway.service import GatewayService, address
+from cherrydoor.gateway.event_loop import address
+from cherrydoor.gateway.exit_codes import BAD_CONFIGURATION, PORT_TAKEN
+from cherrydoor.gateway.metrics import serve_metrics
+from cherrydoor.gateway.service import GatewayService
 from cherrydoor.tls.files import BadKeys
 
 log = structlog.get_logger()
-DONE, LATE, BAD_CONFIGURATION, PORT_TAKEN, BROKEN = 0, 3, 64, 69, 70
 
+DESCRIPTORS_PER_GATEWAY = 2  # client listener and endpoint list
+MAX_HOSTS = 256  # hosts for whose connections a gateway asks descriptors
+LAST_OUTPUT_S = (
+    0.05  # between the close of all sockets and the end of the process: what was written is sent
+)
+STDIN_CHUNK_BYTES = 4096
 
-class MetricsCollector:
-    """Plain metrics, read off the desks when they are asked for."""
 
-    def __init__(self, shells):
-        self.shells = shells
+class StartError(Exception):
+    """The process cannot start; the reason has been logged.
 
-    def collect(self):
-        told = CounterMetricFamily(
-            "cherrydoor_total", "What a gateway counted", labels=["gateway", "what"]
-        )
-        now = GaugeMetricFamily(
-            "cherrydoor_now", "What a gateway holds", labels=["gateway", "what"]
-        )
-        for service in self.shells:
-            name, dispatcher = service.config.name, service.dispatcher
-            for what, count in [
-                *dispatcher.counters.items(),
-                *service.listeners.controller.counters.items(),
-            ]:
-                told.add_metric([name, what], count)
-            for what, count in (
-                ("events", len(dispatcher.requests)),
-                ("hosts", len(dispatcher.hosts)),
-                ("clients", len(dispatcher.clients)),
-                ("alarms", len(dispatcher.timers)),
-                *service.listeners.controller.config(),
-            ):
-                now.add_metric([name, what], count)
-        yield told
-        yield now
+    Attributes:
+        exit_code: What the process ends with.
+    """
 
+    def __init__(self, exit_code: int) -> None:
+        """Names the exit code."""
+        super().__init__(f"the gateway cannot start, exit code {exit_code}")
+        self.exit_code = exit_code
 
-class Daemon:
-    def __init__(self, paths, make_router, tied=False, announce=None, join=None):
-        self.paths, self.make_router, self.tied, self.announce, self.join = (
-            paths,
-            make_router,
-            tied,
-            announce,
-            join,
-        )
-        self.shells, self.terms = [], 0
 
-    async def run(self, config):
-        loop = asyncio.get_running_loop()
-        uses = ProcessUsage(min(one.memory for one in config))
-        hosts, places, spare = divide_descriptors(
-            uses.limit,
-            uses.used() + 2 * len(config),
-            len(config),
-            sum(one.limits.links * 256 for one in config),
+class Daemon:
+    """The gateways of one process, and the signals that it obeys.
+
+    Attributes:
+        services: The gateways, in the order of their configuration files.
+    """
+
+    def __init__(
+        self,
+        paths: Sequence[str],
+        make_router: Callable[[Any], Any],
+        ends_with_stdin: bool = False,
+        announce: Callable[[str, int], None] | None = None,
+        join_peers: Callable[..., Any] | None = None,
+    ) -> None:
+        """Prepares a process that `run` runs.
+
+        Args:
+            paths: The configuration files, read again on SIGHUP.
+            make_router: Makes the routing decisions of a gateway, of their settings.
+            ends_with_stdin: Whether the end of standard input ends the process at once.
+            announce: Called with name and port of each gateway that clients can connect to.
+            join_peers: Makes the peer services of a gateway.
+        """
+        self.paths = paths
+        self.make_router = make_router
+        self.ends_with_stdin = ends_with_stdin
+        self.announce = announce
+        self.join_peers = join_peers
+        self.services: list[GatewayService] = []
+        self.termination_count = 0
+
+    async def run(self, configs: Sequence[Any]) -> int:
+        """Runs one gateway per configuration until all have ended; returns the exit code."""
+        usage = ProcessUsage(min(config.memory for config in configs))
+        connection_slots = self.divide_descriptors(usage, configs)
+        try:
+            for config in configs:
+                await self.start_service(config, usage, connection_slots)
+            if configs[0].metrics:
+                self.start_metrics(configs[0].metrics)
+        except StartError as error:
+            return error.exit_code
+        self.handle_signals()
+        gc.collect()
+        gc.freeze()  # what lives as long as the process is not looked through again
+        exit_codes = await asyncio.gather(*(service.done for service in self.services))
+        for service in self.services:
+            await service.stop()
+        await asyncio.sleep(LAST_OUTPUT_S)
+        log.info("process ended", exit_code=max(exit_codes))
+        return max(exit_codes)
+
+    # ---- start
+    def divide_descriptors(self, usage: ProcessUsage, configs: Sequence[Any]) -> int:
+        """Divides the process's descriptors; returns the connection slots of each gateway."""
+        hosts, connection_slots, spare = divide_descriptors(
+            usage.limit,
+            usage.used() + DESCRIPTORS_PER_GATEWAY * len(configs),
+            len(configs),
+            sum(config.limits.links * MAX_HOSTS for config in configs),
         )
         log.info(
-            "descriptors are divided",
-            limit=uses.limit,
-            used=uses.used(),
+            "file descriptors divided",
+            limit=usage.limit,
+            used=usage.used(),
             hosts=hosts,
-            places_of_each=places,
+            connection_slots_per_gateway=connection_slots,
             spare=spare,
         )
-        for one in config:
-            service = GatewayService(one, self.make_router, uses, places, join=self.join)
-            self.shells.append(service)
-            try:
-                await service.start()
-            except BadKeys as error:
-                log.error("the keys are not good", gateway=one.name, why=str(error))
-                return BAD_CONFIGURATION
-            except OSError as error:
-                pending = error.errno == errno.EADDRINUSE
-                log.error(
-                    "the door's port is taken" if pending else "the door cannot be opened",
-                    door=one.door,
-                    error=str(error),
-                )
-                return PORT_TAKEN
-            log.info(
-                "the door is open", gateway=one.name, door=f"{address(one.door)[0]}:{service.port}"
+        return int(connection_slots)
+
+    async def start_service(self, config: Any, usage: ProcessUsage, connection_slots: int) -> None:
+        """Starts one gateway.
+
+        Raises:
+            StartError: Keys are not valid, or an address cannot be bound.
+        """
+        service = GatewayService(
+            config, self.make_router, usage, connection_slots, join_peers=self.join_peers
+        )
+        self.services.append(service)
+        try:
+            await service.start()
+        except BadKeys as error:
+            log.error("invalid keys or tokens", gateway=config.name, why=str(error))
+            raise StartError(BAD_CONFIGURATION) from error
+        except OSError as error:
+            log.error(
+                "listener port already in use"
+                if error.errno == errno.EADDRINUSE
+                else "listener cannot be opened",
+                address=config.door,
+                error=str(error),
             )
-            if self.announce:
-                self.announce(one.name, service.port)
-        if config[0].metrics:
-            registry = CollectorRegistry()
-            registry.register(MetricsCollector(self.shells))
-            try:
-                Listener(
-                    self.shells[0].listeners,
-                    address(config[0].metrics),
-                    lambda arrival: MetricsRequest(arrival, lambda: generate_latest(registry)),
-                )
-            except OSError as error:
-                log.error("the metrics' port is taken", metrics=config[0].metrics, error=str(error))
-                return PORT_TAKEN
+            raise StartError(PORT_TAKEN) from error
+        host, _ = address(config.door)
+        log.info("listener open", gateway=config.name, address=f"{host}:{service.port}")
+        if self.announce:
+            self.announce(config.name, service.port)
+
+    def start_metrics(self, where: str) -> None:
+        """Serves metrics of all gateways.
+
+        Raises:
+            StartError: The address cannot be bound.
+        """
+        try:
+            serve_metrics(self.services, address(where))
+        except OSError as error:
+            log.error("metrics listener cannot be opened", address=where, error=str(error))
+            raise StartError(PORT_TAKEN) from error
+
+    def handle_signals(self) -> None:
+        """Handles signals and, if the process ends with it, standard input."""
+        loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.terminate)
-        loop.add_signal_handler(signal.SIGHUP, self.check)
-        if self.tied:
-            loop.add_reader(sys.stdin.fileno(), self.untied)
-        gc.collect()
-        gc.freeze()
-        codes = await asyncio.gather(*(service.done for service in self.shells))
-        for service in self.shells:
-            await service.stop()
-        await asyncio.sleep(0.05)
-        log.info("ended", code=max(codes))
-        return max(codes)
-
-    def terminate(self):
-        self.terms += 1
-        for service in self.shells:
-            if self.terms == 1:
+        loop.add_signal_handler(signal.SIGHUP, self.reload_configuration)
+        if self.ends_with_stdin:
+            loop.add_reader(sys.stdin.fileno(), self.stdin_readable)
+
+    # ---- signals
+    def terminate(self) -> None:
+        """Drains all gateways at the first call, and ends them at once at a further one."""
+        self.termination_count += 1
+        for service in self.services:
+            if self.termination_count == 1:
                 service.drain("the gateway is leaving")
             else:
-                service.drained_out()
+                service.drain_timed_out()
 
-    def untied(self):
-        if not sys.stdin.buffer.read1(4096):
+    def stdin_readable(self) -> None:
+        """Ends the process at once where standard input has ended; ignores what is read."""
+        if not sys.stdin.buffer.read1(STDIN_CHUNK_BYTES):
             asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
             self.terminate()
             self.terminate()
 
-    def check(self):
-        """SIGHUP: the leases are read anew; bounds change at once, the rest is told to need a start."""
+    def reload_configuration(self) -> None:
+        """Reads all configuration files again, and applies what can change without a restart.
+
+        These are limits and keys; a change of other settings is logged as one that needs a restart.
+        One file that is invalid leaves all gateways as they are.
+        """
         try:
-            read = [read_config(path) for path in self.paths]
+            configs = [read_config(path) for path in self.paths]
         except Problems as error:
-            return log.error("the new lease is wrong, the old one is kept", problems=str(error))
-        for service, new in zip(self.shells, read, strict=True):
-            service.tls.look(True)
-            if (new.lease, new.door, new.keys) != (
-                service.config.lease,
-                service.config.door,
-                service.config.keys,
-            ):
-                log.warning(
-                    "the lease has changed where only a start takes it up", gateway=new.name
-                )
-            service.bounds = service.config.bounds = new.bounds
-            service.dispatcher.limits = service.config.limits = new.limits
-            log.info("the lease is read anew", gateway=new.name)
-
-
-def main(paths, make_router, tied=False, announce=None, join=None):
-    """Runs until a signal; returns the exit code."""
-    config, wrong = [], []
+            log.error("new configuration is invalid, keeping the old one", problems=str(error))
+            return
+        for service, config in zip(self.services, configs, strict=True):
+            self.apply_configuration(service, config)
+
+    def apply_configuration(self, service: GatewayService, config: Any) -> None:
+        """Applies the limits of a configuration that has been read again, and looks at its keys."""
+        service.tls.look(True)
+        old = service.config
+        if (config.lease, config.door, config.keys) != (old.lease, old.door, old.keys):
+            log.warning(
+                "configuration changed in settings that need a restart", gateway=config.name
+            )
+        service.bounds = old.bounds = config.bounds
+        service.dispatcher.limits = old.limits = config.limits
+        log.info("configuration reloaded", gateway=config.name)
+
+
+def main(
+    paths: Sequence[str],
+    make_router: Callable[[Any], Any],
+    ends_with_stdin: bool = False,
+    announce: Callable[[str, int], None] | None = None,
+    join_peers: Callable[..., Any] | None = None,
+) -> int:
+    """Runs a gateway for each configuration file until a signal ends it; returns the exit code.
+
+    See `Daemon` for the parameters. Problems of all files are printed to standard error.
+    """
+    configs, problems = [], []
     for path in paths:
         try:
-            config.append(read_config(path))
+            configs.append(read_config(path))
         except Problems as error:
-            wrong.append(str(error))
-    if wrong:
-        print("\n".join(wrong), file=sys.stderr)
+            problems.append(str(error))
+    if problems:
+        print("\n".join(problems), file=sys.stderr)
         return BAD_CONFIGURATION
-    return uvloop.run(partial(Daemon(paths, make_router, tied, announce, join).run, config)())
+    daemon = Daemon(paths, make_router, ends_with_stdin, announce, join_peers)
+    return uvloop.run(partial(daemon.run, configs)())
--- /dev/null
+++ b/cherrydoor/gateway/exit_codes.py
@@ -0,0 +1,9 @@
+"""Exit codes of `cherrydoor gateway` (docs/commands.md)."""
+
+from typing import Final
+
+DRAINED: Final = 0  # all requests were answered
+DRAIN_TIMED_OUT: Final = 3  # requests were left when the time to drain was over
+BAD_CONFIGURATION: Final = 64
+PORT_TAKEN: Final = 69  # an address could not be bound
+ROUTING_BROKEN: Final = 70  # the routing decisions failed again and again
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -1,49 +1,126 @@
-"""Plain metrics over HTTP/1.1 on the gateway's own loop, through the same admission as every door."""
+"""Metrics of the gateways of one process, in Prometheus text over HTTP/1.1.
+
+Scrapes are served on the gateways' own loop and pass the same admission control as clients.
+"""
+
+from collections.abc import Callable, Iterator, Sequence
+from typing import Any
 
 import h11
+from prometheus_client import CollectorRegistry, generate_latest
+from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from cherrydoor.admission import decide as d
+from cherrydoor.admission import decide as admission
 from cherrydoor.admission.chunked_reading import ChunkedReading
+from cherrydoor.admission.listener import Listener
+
+MAX_REQUEST_BYTES = 8192  # longest head of a request that is read
+METRICS_TARGETS = (b"/", b"/metrics")
+
+
+class MetricsCollector:
+    """Reads counters and gauges off the services of a process when they are scraped."""
+
+    def __init__(self, services: Sequence[Any]) -> None:
+        """Keeps a reference to the list of services, which may still grow."""
+        self.services = services
 
-LONGEST = 8192  # bytes of a request that are read
+    def collect(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
+        """Yields the two metric families, labelled by gateway and by what is counted."""
+        counters = CounterMetricFamily(
+            "cherrydoor_total", "Cumulative counters of a gateway", labels=["gateway", "what"]
+        )
+        gauges = GaugeMetricFamily(
+            "cherrydoor_now", "Current values of a gateway", labels=["gateway", "what"]
+        )
+        for service in self.services:
+            name, dispatcher = service.config.name, service.dispatcher
+            controller = service.listeners.controller
+            for what, value in [*dispatcher.counters.items(), *controller.counters.items()]:
+                counters.add_metric([name, what], value)
+            for what, value in (
+                ("requests", len(dispatcher.requests)),
+                ("hosts", len(dispatcher.hosts)),
+                ("clients", len(dispatcher.clients)),
+                ("timers", len(dispatcher.timers)),
+                *controller.config(),
+            ):
+                gauges.add_metric([name, what], value)
+        yield counters
+        yield gauges
+
+
+def serve_metrics(services: Sequence[Any], where: tuple[str, int]) -> None:
+    """Opens the listener for scrapes; the first service admits them, and closes the listener.
+
+    Raises:
+        OSError: The address cannot be bound.
+    """
+    registry = CollectorRegistry()
+    registry.register(MetricsCollector(services))
+    Listener(
+        services[0].listeners,
+        where,
+        lambda arrival: MetricsRequest(arrival, lambda: generate_latest(registry)),
+    )
 
 
 class MetricsRequest(ChunkedReading):
-    """One scrape: GET /metrics, and the connection closes."""
+    """The connection of one scrape: one request, one response, and it closes."""
+
+    def __init__(self, arrival: Any, render_metrics: Callable[[], bytes]) -> None:
+        """Prepares a connection that admission control has accepted.
 
-    def __init__(self, arrival, text):
-        self.arrival, self.text, self.chunk = arrival, text, bytearray(LONGEST)
-        self.http, self.transport, self.read = h11.Connection(h11.SERVER, LONGEST), None, 0
+        Args:
+            arrival: The incoming connection.
+            render_metrics: Gives the body of a successful response.
+        """
+        self.arrival = arrival
+        self.render_metrics = render_metrics
+        self.chunk = bytearray(MAX_REQUEST_BYTES)
+        self.http = h11.Connection(h11.SERVER, MAX_REQUEST_BYTES)
+        self.transport = None
+        self.read_bytes = 0
+        self.request: Any = None
 
-    def connection_made(self, transport):
-        self.transport, self.arrival.end = transport, self
+    def connection_made(self, transport: Any) -> None:
+        """Makes the connection known to admission control."""
+        self.transport = transport
+        self.arrival.end = self
 
-    def data_received(self, data):
-        self.read += len(data)
-        self.holds(self.read, 0)
+    def data_received(self, data: bytes) -> None:
+        """Reads the request; once it is complete, admission control decides on it."""
+        self.read_bytes += len(data)
+        self.holds(self.read_bytes, 0)
         try:
             self.http.receive_data(data)
             event = self.http.next_event()
         except h11.RemoteProtocolError as error:
-            return self.answer(error.error_status_hint, b"this is no request\n")
+            self.respond(error.error_status_hint, b"this is no request\n")
+            return
         if isinstance(event, h11.Request):
-            self.asked = event
-            self.arrival.listeners.post(d.ClientIdentified(self.arrival.connection, ""))
+            self.request = event
+            self.arrival.listeners.post(admission.ClientIdentified(self.arrival.connection, ""))
 
-    def seated(self, largest):
-        if self.asked.method == b"GET" and self.asked.target.split(b"?")[0] in (b"/", b"/metrics"):
-            self.answer(200, self.text())
+    def seated(self, max_frame_bytes: int) -> None:
+        """Admission control has admitted the scrape: responds."""
+        target = self.request.target.split(b"?")[0]
+        if self.request.method == b"GET" and target in METRICS_TARGETS:
+            self.respond(200, self.render_metrics())
         else:
-            self.answer(404, b"GET /metrics is what there is here\n")
+            self.respond(404, b"GET /metrics is what there is here\n")
 
-    def answer(self, status, body, more=()):
+    def respond(
+        self, status: int, body: bytes, extra_headers: Sequence[tuple[str, str]] = ()
+    ) -> None:
+        """Sends the response and closes; ignored on a connection that is closing."""
         if self.transport.is_closing():
             return
         headers = [
             ("content-type", "text/plain; version=0.0.4; charset=utf-8"),
             ("content-length", str(len(body))),
             ("connection", "close"),
-            *more,
+            *extra_headers,
         ]
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             for part in (
@@ -54,12 +131,15 @@
                 self.transport.write(self.http.send(part) or b"")
         self.transport.close()
 
-    def close(self, word="", stay_away=0.0):
-        """Refused: the field that says when to come back is whole seconds, upwards."""
-        self.answer(503, word.encode() + b"\n", [("retry-after", str(int(-(-stay_away // 1000))))])
+    def close(self, reason: str = "", retry_after_ms: float = 0.0) -> None:
+        """Rejects the scrape with 503; Retry-After is in whole seconds, rounded up."""
+        retry_after_s = int(-(-retry_after_ms // 1000))
+        self.respond(503, reason.encode() + b"\n", [("retry-after", str(retry_after_s))])
 
-    def eof_received(self):
+    def eof_received(self) -> bool:
+        """The peer has closed its side; asyncio then closes ours."""
         return False
 
-    def connection_lost(self, error):
-        self.arrival.listeners.post(d.ConnectionClosed(self.arrival.connection))
+    def connection_lost(self, error: Exception | None) -> None:
+        """Frees the connection's slot in admission control."""
+        self.arrival.listeners.post(admission.ConnectionClosed(self.arrival.connection))
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -1,7 +1,9 @@
-"""One gateway around its desk: its door, floor and list, its keys and releases, and what becomes of a fault."""
+"""One gateway on its sockets: starts, drains and stops the dispatcher and what is around it."""
 
 import asyncio
+from collections.abc import Callable
 from dataclasses import replace
+from typing import Any
 
 import structlog
 
@@ -12,8 +14,10 @@
 from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.gateway.endpoint_watch import EndpointWatch
 from cherrydoor.gateway.event_loop import Clock, TickingService, address
-from cherrydoor.gateway.tables import CLOSED
+from cherrydoor.gateway.exit_codes import DRAIN_TIMED_OUT, DRAINED, ROUTING_BROKEN
+from cherrydoor.gateway.incarnations import Incarnations
 from cherrydoor.gateway.upstream import Upstream
+from cherrydoor.peer_services import PeerServices
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.releases.feed import Releases
 from cherrydoor.routing import messages as routing
@@ -21,49 +25,117 @@
 from cherrydoor.tls.keeper import Keeper, Where
 
 log = structlog.get_logger()
-INCARNATION_ENDED = "this gateway's life is over"
+
+# Faults of the routing decisions after which the process gives up: each cuts off all clients.
+MAX_RESTARTS = 5
+KEY_EXPIRY_SETTINGS = ("standing", "warn")  # those of `keys` that are no files
+
+
+def no_peers(service: Any, incarnation: int = 0) -> None:
+    """Joins no fleet: the gateway is alone."""
 
 
 class GatewayService(TickingService):
-    """One gateway: its sockets and what goes on between them."""
+    """One gateway: its sockets and what goes on between them.
+
+    Attributes:
+        config: The gateway's configuration.
+        bounds: Limits of the sockets; exchanged as the configuration is reloaded.
+        dispatcher: Of the current incarnation.
+        peer_services: Of the current incarnation; None for a gateway alone.
+        client_listener: Client connections.
+        upstream: Connections to hosts.
+        endpoint_watch: The endpoint list.
+        listeners: Admission control with its listening sockets.
+        tls: Keys and tokens in service.
+        releases: Gradual releases; None where they are not configured.
+        done: Gets the exit code once the gateway has ended.
+        port: Port of the client listener, set by `start`.
+    """
+
+    def __init__(
+        self,
+        config: Any,
+        make_router: Callable[[Any], Any],
+        usage: Any = None,
+        connection_slots: int | None = None,
+        clock: Any = None,
+        join_peers: Callable[..., Any] | None = None,
+    ) -> None:
+        """Prepares a gateway that `start` opens.
 
-    def __init__(self, config, router, uses=None, places=None, clock=None, join=None):
-        """uses: what the process has in use, shared by its gateways; places: connections that there are descriptors
-        for; join: makes its fellows (cherrydoor/peer_services.py), None for a gateway alone."""
+        Args:
+            config: The gateway's configuration.
+            make_router: Makes the routing decisions of one incarnation, of their settings.
+            usage: What the process has in use, shared by its gateways; its own where None.
+            connection_slots: Client connections that there are descriptors for; None sets no limit
+                of its own.
+            clock: Gives the time; the system's where None.
+            join_peers: Makes the peer services (`cherrydoor.peer_services.join`); None for a
+                gateway alone.
+        """
         super().__init__(clock or Clock())
-        self.config, self.bounds = config, config.bounds
-        self.client_listener, self.upstream = ClientListener(self), Upstream(self)
+        self.config = config
+        self.bounds = config.bounds
+        self.make_router = make_router
+        self.restart_count = 0
+        self.port = 0
+        self.client_listener = ClientListener(self)
+        self.upstream = Upstream(self)
         self.endpoint_watch = EndpointWatch(
             self, config.list_at, config.saved, config.lease.polls_endpoints
         )
-        self.make_router, self.broken = router, 0
-        self.uses, self.own_uses = uses or ProcessUsage(config.memory), uses is None
-        manners = client_limits_of(config)
-        if places is not None:
-            manners = replace(manners, connection_slots=min(places, manners.connection_slots))
-        self.listeners = ListenerSet(manners, self.clock, self.uses)
-        said = {
-            name: value for name, value in config.keys.items() if name not in ("standing", "warn")
-        }
-        usage = Usage(config.keys["standing"], config.keys["warn"], config.seed)
-        self.tls = Keeper(Where(**said, usage=usage), self.client_listener.put_out)
-        self.done = self.loop.create_future()
-        self.join, self.peer_services = join or (lambda service, incarnation=0: None), None
+        self.usage = usage or ProcessUsage(config.memory)
+        self.owns_usage = usage is None
+        self.listeners = self.make_listeners(connection_slots)
+        self.tls = self.make_keys()
+        self.done: asyncio.Future[int] = self.loop.create_future()
+        self.join_peers = join_peers or no_peers
+        self.peer_services: PeerServices | None = None
+        self.incarnations = Incarnations(self)
         self.releases = Releases(self, config.releases) if config.releases["feed"] else None
-        self.dispatcher = self.new_desk()
+        self.dispatcher = self.make_dispatcher()
 
-    def new_desk(self):
-        more = (self.releases.versions, self.releases.post) if self.releases else (None, None)
+    # ---- parts
+    def make_listeners(self, connection_slots: int | None) -> ListenerSet:
+        """Makes admission control, with no more connection slots than there are descriptors for."""
+        limits = client_limits_of(self.config)
+        if connection_slots is not None:
+            limits = replace(
+                limits, connection_slots=min(connection_slots, limits.connection_slots)
+            )
+        return ListenerSet(limits, self.clock, self.usage)
+
+    def make_keys(self) -> Keeper:
+        """Makes the keys in service; the client listener ends connections with withdrawn keys."""
+        settings = self.config.keys
+        files = {name: value for name, value in settings.items() if name not in KEY_EXPIRY_SETTINGS}
+        usage = Usage(settings["standing"], settings["warn"], self.config.seed)
+        return Keeper(Where(**files, usage=usage), self.client_listener.withdraw)
+
+    def make_dispatcher(self) -> Dispatcher:
+        """Makes the dispatcher of one incarnation."""
+        router = self.make_router(self.config.lease)
+        versions, attempt_ended = None, None
+        if self.releases:
+            versions, attempt_ended = self.releases.versions, self.releases.post
         return Dispatcher(
-            self.make_router(self.config.lease),
+            router,
             self.config.limits,
             self.upstream.dial,
             self.clock.now(),
-            self.endpoint_watch.hear,
-            *more,
+            self.endpoint_watch.poll,
+            versions,
+            attempt_ended,
         )
 
-    def hello(self):
+    @property
+    def incarnation(self) -> int:
+        """Which of its starts this is among its peers; 0 for a gateway alone."""
+        return self.peer_services.incarnation if self.peer_services else 0
+
+    def hello(self) -> protocol.Hello:
+        """The gateway's hello on any connection."""
         return protocol.Hello(
             protocol.VERSION,
             "gateway",
@@ -72,12 +144,19 @@
             0.0,
             self.bounds.frame,
             self.config.limits.most_open,
-            incarnation=self.peer_services.incarnation if self.peer_services else 0,
+            incarnation=self.incarnation,
         )
 
-    async def start(self):
+    # ---- start
+    async def start(self) -> None:
+        """Opens the gateway; clients can connect once this returns.
+
+        Raises:
+            cherrydoor.tls.files.BadKeys: Keys or tokens are not valid.
+            OSError: An address cannot be bound.
+        """
         await self.tls.start()
-        await self.meet(self.join(self))
+        await self.start_peer_services(self.join_peers(self))
         saved = self.endpoint_watch.read_saved()
         if saved is not None:
             self.post(self.dispatcher.endpoints_updated, routing.UpdateKind.CACHED, saved)
@@ -91,149 +170,117 @@
         )
         self.set_timer()
 
-    async def meet(self, peer_services):
-        """From here on what is in hand outlives this gateway, where it has fellows."""
+    async def start_peer_services(self, peer_services: PeerServices | None) -> None:
+        """Joins the fleet: requests accepted from here on outlive this gateway.
+
+        Args:
+            peer_services: Those of the incarnation that begins; None leaves the gateway alone.
+        """
         self.peer_services = peer_services
         if peer_services:
-            self.dispatcher.failover, self.dispatcher.zone_drain = (
-                peer_services.failover,
-                peer_services.zone_drains,
-            )
+            self.dispatcher.failover = peer_services.failover
+            self.dispatcher.zone_drain = peer_services.zone_drains
             await peer_services.start()
 
-    def tick(self):
+    def listen(
+        self,
+        where: tuple[str, int],
+        make_protocol: Callable[[Any], Any],
+        tls_context: Callable[[], Any] | None,
+    ) -> int:
+        """Opens the client listener and returns its port.
+
+        Args:
+            where: Host and port to bind; port 0 takes a free one.
+            make_protocol: Makes the protocol of an incoming connection.
+            tls_context: Gives the SSL context to use now; None for plain TCP.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        port: int = Listener(self.listeners, where, make_protocol, tls_context).port
+        return port
+
+    # ---- ticks
+    def tick(self) -> None:
+        """Runs the dispatcher once, unless peers may have taken over during a suspension."""
         if self.peer_services and self.peer_services.stood_still():
-            self.asked = False
-            return self.life_over("it stood still")
+            self.tick_scheduled = False
+            self.life_over("the process was suspended")
+            return
         super().tick()
 
-    def listen(self, where, make, context):
-        """Opens the door; its port."""
-        return Listener(self.listeners, where, make, context).port
-
-    def after_tick(self):
+    def after_tick(self) -> None:
+        """Runs what the peer services do per tick; ends a gateway that has drained."""
         if self.peer_services:
             self.peer_services.after_tick()
-        if (
-            self.dispatcher.draining is not None
-            and not self.dispatcher.requests
-            and not self.done.done()
-        ):
-            self.done.set_result(0)
-
-    def restart(self):
-        """A fault in the decisions ends this gateway's life and begins another: clients are cut off, as they would
-        be if the process had died, and the list is all that is kept."""
-        self.broken += 1
-        log.critical(
-            "a fault in the decisions; starting anew", gateway=self.config.name, exc_info=True
-        )
-        self.begin_again(lambda end: end.abort("the gateway starts anew"))
-        if self.broken > 5 and not self.done.done():
-            self.done.set_result(70)
+        if self.dispatcher.draining is not None and not self.dispatcher.requests:
+            self.finish(DRAINED)
 
-    def begin_again(self, cut):
-        old, rows, peer_services = self.dispatcher, self.dispatcher.endpoints(), self.peer_services
-        for end in list(self.client_listener.ends):
-            end.client.open.clear()  # what is told of it from here on is told to the next desk, which has none of it
-            cut(end)
-        for host in old.hosts.values():
-            for link in host.links:
-                link.state, link.out = CLOSED, {}
-                if link.wire is not None:
-                    link.wire.abort()
-        self.dispatcher = self.new_desk()
-        self.post(self.dispatcher.endpoints_updated, routing.UpdateKind.CACHED, rows)
-        if peer_services:
-            peer_services.abort()
-            self.peer_services = None
-            doubled = peer_services.peers.members.doubled
-            anew = (
-                None
-                if doubled
-                else self.join(self, max(peer_services.incarnation + 1, int(self.clock.now())))
-            )
-            if anew:
-                anew.goes_on_from(peer_services)
-            self.loop.create_task(self.meet(anew))
-        if old.draining is not None:
-            self.post(self.dispatcher.drain, old.draining)
-
-    def life_over(self, why):
-        """Others have taken over what this gateway had in hand, or may have: it answers none of it, tells its clients
-        to come back one after the other, and goes on as a new life. A name that another process goes by is left to
-        that one: this gateway is then alone."""
-        peer_services = self.peer_services
-        if not peer_services:
-            return
-        log.error(
-            "this life is over; beginning another",
-            gateway=self.config.name,
-            incarnation=peer_services.incarnation,
-            why=why,
-            events=len(self.dispatcher.requests),
-        )
-        stays = {
-            end: peer_services.stay_away(number)
-            for number, end in enumerate(self.client_listener.ends)
-        }
-        for pending in list(self.dispatcher.requests.values()):
-            said = None if pending.finished else peer_services.failover.answer_at_end(pending)
-            if said is not None:
-                pending.client.wire.write(
-                    protocol.Response(
-                        pending.request.id, said[0], stays.get(pending.client.wire, 0.0), said[1]
-                    )
-                )
-        for what, args in self.dispatcher.inputs:
-            if what == self.dispatcher.request_received:
-                client, event = args
-                self.unread(client, event, stays.get(client.wire, 0.0))
-        self.begin_again(
-            lambda end: self.client_listener.let_go(end, INCARNATION_ENDED, stays[end])
+    def restart(self) -> None:
+        """Begins a new incarnation after a fault in routing decisions; gives up after several."""
+        self.restart_count += 1
+        log.critical(
+            "fault in the routing decisions, restarting", gateway=self.config.name, exc_info=True
         )
+        self.incarnations.abandon()
+        if self.restart_count > MAX_RESTARTS:
+            self.finish(ROUTING_BROKEN)
 
-    def unread(self, client, event, stay):
-        """What a life that is over had not read or not taken: deferred, unless its time is over as well."""
-        if event.timeout_ms > client.late(event.sent_at_ms, self.clock.now()):
-            client.wire.write(protocol.Response(event.id, "deferred", stay, INCARNATION_ENDED))
+    def life_over(self, why: str) -> None:
+        """Ends this incarnation, whose requests peers may have taken over: `Incarnations.end`."""
+        self.incarnations.end(why)
 
-    def drain(self, reason):
+    # ---- end
+    def drain(self, reason: str) -> None:
+        """Accepts no more requests; ends once all are answered, or after the drain timeout."""
         if self.dispatcher.draining is None:
             log.info(
                 "draining",
                 gateway=self.config.name,
-                events=len(self.dispatcher.requests),
+                requests=len(self.dispatcher.requests),
                 reason=reason,
             )
             self.post(self.dispatcher.drain, reason)
-            self.loop.call_later(self.bounds.drain / 1000, self.drained_out)
+            self.loop.call_later(self.bounds.drain / 1000, self.drain_timed_out)
 
-    def drained_out(self):
+    def drain_timed_out(self) -> None:
+        """Ends the gateway with requests still unanswered."""
         if not self.done.done():
             log.warning(
-                "the time to drain is over",
+                "drain timed out",
                 gateway=self.config.name,
-                events=len(self.dispatcher.requests),
+                requests=len(self.dispatcher.requests),
             )
-            self.done.set_result(3)
+            self.finish(DRAIN_TIMED_OUT)
+
+    def finish(self, exit_code: int) -> None:
+        """Sets the gateway's exit code; the first one counts."""
+        if not self.done.done():
+            self.done.set_result(exit_code)
 
-    async def stop(self):
+    async def stop(self) -> None:
+        """Closes all sockets and files, and caches the endpoint list."""
         self.listeners.close()
         self.tls.close()
         if self.releases:
             self.releases.close()
-        self.endpoint_watch.task.cancel()
+        if self.endpoint_watch.task is not None:
+            self.endpoint_watch.task.cancel()
         if self.peer_services:
             self.peer_services.close()
+        self.close_connections()
+        self.stop_timer()
+        self.endpoint_watch.save()
+        if self.owns_usage:
+            self.usage.close()
+        await asyncio.sleep(0)  # connections that were closed end in the loop's next pass
+
+    def close_connections(self) -> None:
+        """Closes all connections to clients and hosts, once their output has been sent."""
         for end in list(self.client_listener.ends):
             end.close()
         for host in self.dispatcher.hosts.values():
             for link in host.links:
                 if link.wire is not None:
                     link.wire.close()
-        self.stop_timer()
-        self.endpoint_watch.save()
-        if self.own_uses:
-            self.uses.close()
-        await asyncio.sleep(0)
--- a/cherrydoor/peer_services.py
+++ b/cherrydoor/peer_services.py
@@ -1,12 +1,64 @@
-"""What the gateways of a fleet do together, behind one port of a gateway's shell: links, tenures, custody.
+"""What the gateways of a fleet do together: membership, leader election, failover, zone drains.
 
-Without a door for peers in its lease a gateway has none of this, and none of it is imported.
+A gateway whose configuration names no listener for peers has none of this, and imports none of it.
 """
 
+from typing import Any, Protocol
 
-def join(service, incarnation=0):
-    """The gateway's fellows, not yet started; None where it is alone. life: a number above that of an earlier start of
-    the same process."""
+
+class PeerServices(Protocol):
+    """One incarnation of a gateway among its peers, as `GatewayService` uses it.
+
+    Attributes:
+        incarnation: Greater than that of every earlier start of this gateway.
+        peers: Connections to the other gateways, and who is a member.
+        failover: Replicates requests in flight, and takes over those of gateways that fail.
+        zone_drains: Which zones are draining.
+    """
+
+    peers: Any
+    failover: Any
+    zone_drains: Any
+
+    @property
+    def incarnation(self) -> int:
+        """Greater than that of every earlier start of this gateway."""
+
+    async def start(self) -> None:
+        """Opens the listener for peers and joins the fleet."""
+
+    def after_tick(self) -> None:
+        """Called at the end of each tick of the event loop."""
+
+    def reclaim(self, end: Any, message: Any) -> None:
+        """Answers a client that asks what became of a request which another gateway had taken."""
+
+    def stood_still(self) -> bool:
+        """Whether the process was suspended so long that peers may have taken over its requests."""
+
+    def goes_on_from(self, before: Any) -> None:
+        """Takes over the drains that the gateway's previous incarnation knew."""
+
+    def stay_away(self, number: int) -> float:
+        """Time in ms after which the client of that number may reconnect.
+
+        The times are spread so that not all clients come back at once.
+        """
+
+    def close(self) -> None:
+        """Leaves the fleet in order."""
+
+    def abort(self) -> None:
+        """Ends at once, and tells the peers nothing."""
+
+
+def join(service: Any, incarnation: int = 0) -> Any:
+    """Makes the gateway's peer services, not yet started; None without a listener for peers.
+
+    Args:
+        service: The gateway service.
+        incarnation: Greater than that of an earlier incarnation in this process; 0 at the first.
+    """
     if not service.config.peers["door"]:
         return None
     from cherrydoor.failover.fellows import Fellows
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -125,7 +125,7 @@
     stack.opened.append(pending)
     lease = await given(stack, tmp, port=int(pending.id.rpartition(":")[2]))
     code, errors = await (await Daemon.start(stack, lease)).end()
-    assert code == 69 and "taken" in errors
+    assert code == 69 and "listener port already in use" in errors
 
 
 @with_folder
@@ -159,7 +159,7 @@
     await client.got(protocol.Draining)
     daemon.process.send_signal(signal.SIGTERM)
     code, errors = await daemon.end()
-    assert code == 3 and "the time to drain is over" in errors
+    assert code == 3 and "drain timed out" in errors
 
 
 @with_folder
@@ -184,7 +184,7 @@
     assert (await second.answer(second.send(lasts=4500.0))).outcome == "handled"
     again.process.send_signal(signal.SIGTERM)
     code, errors = await again.end()
-    assert code == 0 and "the list cannot be reached" in errors
+    assert code == 0 and "endpoint list unreachable" in errors
 
 
 @with_folder
@@ -225,10 +225,10 @@
     good = lease.read_text()
     lease.write_text(good + "\nnonsense: 3")
     daemon.process.send_signal(signal.SIGHUP)
-    await logged("the old one is kept")
+    await logged("keeping the old one")
     lease.write_text(good.replace("bounds: {}", "bounds: {open_events: 1}"))
     daemon.process.send_signal(signal.SIGHUP)
-    await logged("read anew")
+    await logged("configuration reloaded")
     client.send("a", lasts=4500.0)
     assert (await client.answer(client.send("b", lasts=4500.0))).outcome == "deferred"
     [launch] = await host.got(protocol.Attempt)
