--- /dev/null
+++ b/tests/gateway/gateway_process.py
@@ -0,0 +1,100 @@
+"""`cherrydoor gateway` as a process of its own, beside hosts and a list that a test plays."""
+
+import asyncio
+import json
+import sys
+from functools import wraps
+
+from stack import LEASE, Listing, environment, story
+
+from cherrydoor.protocol import messages as protocol
+
+
+class GatewayProcess:
+    """A running gateway.
+
+    `port` is that of its client listener, None where it did not start; `errors` are the lines of
+    its log that a test has read.
+    """
+
+    def __init__(self, process, errors=None):
+        self.process = process
+        self.errors = [] if errors is None else errors
+        self.port = None
+
+    @classmethod
+    async def start(cls, stack, configuration):
+        """Starts the process and waits until clients can connect, or until it has ended."""
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "cherrydoor",
+            "gateway",
+            "--lease",
+            str(configuration),
+            "--announce",
+            "--tied",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            env=environment(),
+        )
+        stack.opened.append(KilledAtEnd(process))
+        gateway = cls(process)
+        line = await process.stdout.readline()
+        if line:
+            gateway.port = json.loads(line)["port"]
+        return gateway
+
+    async def end(self):
+        """Waits for the end of the process; its exit code and what it logged."""
+        _, errors = await self.process.communicate()
+        return self.process.returncode, errors.decode()
+
+    async def logged(self, text):
+        """Waits for a line of the log with this text."""
+        while text not in (line := (await self.process.stderr.readline()).decode()):
+            assert line, f"the process ended before it logged {text!r}"
+
+
+class KilledAtEnd:
+    """Stands in `Stack.opened` for a process, so that a failed test leaves none behind."""
+
+    server = None
+
+    def __init__(self, process):
+        self.process = process
+
+    @property
+    def ends(self):
+        """Kills the process; there are no connections to close."""
+        if self.process.returncode is None:
+            self.process.kill()
+        return ()
+
+
+async def configuration_file(stack, folder, *hosts, more="", port=0):
+    """Starts an endpoint list and hosts; the file of a gateway that watches that list."""
+    stack.list = await Listing().start()
+    stack.opened.append(stack.list)
+    for host in hosts:
+        await stack.host(host, tell=False)
+    stack.list.rows = {host.id: protocol.Endpoint(host.id, "ready", 0.0, "z", 0) for host in hosts}
+    path = folder / "g.lease"
+    path.write_text(
+        LEASE % stack.list.port + f'saved: "{folder}/saved"\ndoor: "127.0.0.1:{port}"\n'
+        "may: {launches: 3, recall: true, probe: true, advice: 1s}\ncold: {}\nration: {}\n"
+        + (more or "bounds: {}")
+    )
+    return path
+
+
+def with_folder(test):
+    """Runs an async test of a stack and a temporary folder (see `stack.story`)."""
+
+    @wraps(test)
+    def run(tmp_path):
+        story(lambda stack: test(stack, tmp_path))()
+
+    del run.__wrapped__  # so that pytest looks for the fixture tmp_path alone
+    return run
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -1,4 +1,7 @@
-"""A gateway on real sockets between hosts, a list and clients that a test plays by hand, all on one loop."""
+"""A gateway on real sockets between hosts, an endpoint list and clients that a test plays.
+
+All of them run on one event loop; `Stack` is where a test begins.
+"""
 
 import asyncio
 import os
@@ -25,36 +28,44 @@
 """
 MAY = "may: {launches: 3, recall: true, probe: true, order: true, advice: 1s}\n"
 REST = {"cold": "cold: {}", "ration": "ration: {}", "bounds": "bounds: {}", "may": MAY}
-LONG = 20.0  # s after which a test that waits for something has failed
+WAIT_LIMIT_S = 20.0  # a test that waits longer for something has failed
+TEST_LIMIT_S = 60.0  # a test that runs longer has failed
 
 
 def now():
+    """Monotonic time in ms."""
     return time.monotonic() * 1000
 
 
 def story(test):
-    """Runs an async test on uvloop and cleans up whatever the stack opened."""
+    """Runs an async test of a stack on uvloop, and closes what the stack has opened."""
 
     @wraps(test)
     def run():
-        async def whole():
+        async def run_and_close():
             stack = Stack()
             try:
-                await asyncio.wait_for(test(stack), 60)
+                await asyncio.wait_for(test(stack), TEST_LIMIT_S)
             finally:
                 await stack.stop()
 
-        uvloop.run(whole())
+        uvloop.run(run_and_close())
 
     del run.__wrapped__  # so that pytest does not look for a fixture named stack
     return run
 
 
-class Played:
-    """One end that a test plays: what it hears is kept, and can be waited for."""
+class ScriptedPeer:
+    """A peer that a test plays: what it receives is kept, and can be waited for.
+
+    `heard_all` are connection and message of all that was received, `ends` the connections.
+    """
 
     def __init__(self):
-        self.heard_all, self.waiting, self.ends, self.lost_ends = [], [], [], 0
+        self.heard_all = []
+        self.waiters = []
+        self.ends = []
+        self.lost_ends = 0
 
     def greeted(self, end, hello):
         self.ends.append(end)
@@ -69,43 +80,44 @@
         self.stir()
 
     def stir(self):
-        for future in self.waiting:
+        """Lets all that wait look again whether they have what they wait for."""
+        for future in self.waiters:
             if not future.done():
                 future.set_result(None)
-        self.waiting.clear()
+        self.waiters.clear()
 
-    def all(self, kind):
-        return [message for _, message in self.heard_all if isinstance(message, kind)]
+    def all(self, message_type):
+        """The messages of this type, oldest first."""
+        return [message for _, message in self.heard_all if isinstance(message, message_type)]
 
-    async def until(self, met):
-        """Waits until met() gives something true and returns it."""
+    async def until(self, condition):
+        """Waits until condition() gives something true, and returns that."""
 
         async def wait():
-            while not (result := met()):
+            while not (result := condition()):
                 future = asyncio.get_running_loop().create_future()
-                self.waiting.append(future)
+                self.waiters.append(future)
                 await future
             return result
 
-        return await asyncio.wait_for(wait(), LONG)
+        return await asyncio.wait_for(wait(), WAIT_LIMIT_S)
 
-    async def got(self, kind, count=1):
-        await self.until(lambda: len(self.all(kind)) >= count)
-        return self.all(kind)
+    async def got(self, message_type, count=1):
+        """Waits for so many messages of this type, and returns all of them."""
+        await self.until(lambda: len(self.all(message_type)) >= count)
+        return self.all(message_type)
 
 
-class Host(Played):
-    """A host that answers only when told to, or at once with `answers`."""
+class Host(ScriptedPeer):
+    """A host that answers at once with the outcome `answers`, or only as the test does."""
 
     def __init__(self, answers=None, since=0.0):
         super().__init__()
-        self.answers, self.since, self.server, self.largest, self.tls = (
-            answers,
-            since,
-            None,
-            protocol.DEFAULT_MAX_FRAME_BYTES,
-            None,
-        )
+        self.answers = answers
+        self.since = since
+        self.server = None
+        self.largest = protocol.DEFAULT_MAX_FRAME_BYTES
+        self.tls = None
 
     async def start(self, port=0):
         loop = asyncio.get_running_loop()
@@ -134,23 +146,29 @@
         elif type(message) is protocol.LoadOrder and self.answers:
             end.write(protocol.LoadOrderResult(message.id, "handled", message.copies))
 
-    def outcome(self, launch, fate="handled", copy=1, end=None, body=b""):
-        end = end or next(e for e, message in self.heard_all if message is launch)
-        end.write(protocol.AttemptResult(launch.id, fate, copy, 0, None, body))
+    def outcome(self, attempt, outcome="handled", copy=1, end=None, body=b""):
+        """Answers an attempt, on the connection that it came on unless another is named."""
+        end = end or next(e for e, message in self.heard_all if message is attempt)
+        end.write(protocol.AttemptResult(attempt.id, outcome, copy, 0, None, body))
 
     def reset(self):
+        """Aborts all connections."""
         for end in self.ends:
             end.abort()
 
     def die(self):
+        """Accepts no more connections and aborts those there are."""
         self.server.close()
         self.reset()
 
 
-class Listing(Played):
+class Listing(ScriptedPeer):
+    """An endpoint list."""
+
     async def start(self):
         loop = asyncio.get_running_loop()
-        self.rows, self.revision = {}, 0
+        self.rows = {}
+        self.revision = 0
         self.server = await loop.create_server(
             lambda: FramedConnection(
                 self,
@@ -169,29 +187,35 @@
             end.write(protocol.EndpointUpdate(self.revision, "whole", list(self.rows.values())))
 
     async def tell(self, *rows, how="changes"):
-        """Pushes rows and waits until every follower has read them."""
+        """Pushes rows and waits until every gateway has acknowledged them."""
         self.revision += 1
         for row in rows:
             self.rows[row.host] = row
         if how == "whole":
             self.rows = {row.host: row for row in rows}
-        live = [e for e in self.ends if not e.transport.is_closing()]
-        for end in live:
+        open_ends = [end for end in self.ends if not end.transport.is_closing()]
+        for end in open_ends:
             end.write(protocol.EndpointUpdate(self.revision, how, list(rows)))
         await self.until(
             lambda: (
-                sum(h.revision == self.revision for h in self.all(protocol.UpdateAcknowledged))
-                >= len(live)
+                sum(
+                    update.revision == self.revision
+                    for update in self.all(protocol.UpdateAcknowledged)
+                )
+                >= len(open_ends)
             )
         )
 
 
-class Client(Played):
+class Client(ScriptedPeer):
+    """A client on one connection."""
+
     def __init__(self):
         super().__init__()
         self.ids = 0
 
     async def connect(self, port):
+        """Connects and waits for the gateway's hello."""
         _, self.end = await asyncio.get_running_loop().create_connection(
             lambda: FramedConnection(
                 self,
@@ -214,6 +238,11 @@
         number=None,
         sent=None,
     ):
+        """Sends a request and returns its id, `number` or the next one.
+
+        `clause` is the request class, `lasts` the time in ms until the deadline, `mark` the
+        idempotency key and `sent` the client's clock in ms.
+        """
         self.ids += 1
         number = self.ids if number is None else number
         self.end.write(
@@ -233,26 +262,34 @@
         return number
 
     async def answer(self, number):
-        """The answer to that event; more than one would show in answers()."""
+        """Waits for the response to a request; more than one would show in answers()."""
         await self.until(lambda: self.answers(number))
         return self.answers(number)[0]
 
     def answers(self, number):
-        return [a for a in self.all(protocol.Response) if a.id == number]
+        """All responses to a request."""
+        return [response for response in self.all(protocol.Response) if response.id == number]
 
 
 class Stack:
+    """A gateway in this process, `service`, and all that was opened around it."""
+
     def __init__(self):
-        self.opened, self.service = [], None
+        self.opened = []
+        self.service = None
 
     async def start(self, *hosts, saved=None, plain=True, **parts):
-        """A gateway that knows these hosts, with one client on it unless it is not plain TCP that is spoken there.
-        `parts` replace parts of the lease."""
+        """Starts a gateway that knows these hosts; returns a client of it if it speaks plain TCP.
+
+        `parts` replace parts of the configuration, `saved` is the file of its cached list.
+        """
         self.list = await Listing().start()
         self.opened.append(self.list)
         for host in hosts:
             await self.host(host, tell=False)
-        self.list.rows = {h.id: protocol.Endpoint(h.id, "ready", h.since, "z", 0) for h in hosts}
+        self.list.rows = {
+            host.id: protocol.Endpoint(host.id, "ready", host.since, "z", 0) for host in hosts
+        }
         text = LEASE % self.list.port + "\n".join({**REST, **parts}.values())
         if saved:
             text += f'\nsaved: "{saved}"'
@@ -264,40 +301,45 @@
         return await self.client() if plain else None
 
     async def client(self):
+        """A client of the gateway."""
         client = await Client().connect(self.service.port)
         self.opened.append(client)
         return client
 
     async def host(self, host, tell=True, zone="z", port=0):
+        """Starts a host and, with `tell`, puts it on the endpoint list."""
         await host.start(port)
         self.opened.append(host)
         if tell:
             await self.list.tell(protocol.Endpoint(host.id, "ready", host.since, zone, 0))
         return host
 
-    async def settled(self, met):
-        """Waits for something inside the gateway that no end can see, turn by turn."""
+    async def settled(self, condition):
+        """Waits for something inside the gateway that no peer can see, tick by tick."""
 
         async def wait():
-            while not met():
+            while not condition():
                 await asyncio.sleep(0)
 
-        await asyncio.wait_for(wait(), LONG)
+        await asyncio.wait_for(wait(), WAIT_LIMIT_S)
 
     @property
     def counters(self):
+        """The counters of the gateway's dispatcher."""
         return self.service.dispatcher.counters
 
     async def stop(self):
+        """Stops the gateway and closes what was opened around it."""
         if self.service:
             await self.service.stop()
-        for one in self.opened:
-            if getattr(one, "server", None):
-                one.server.close()
-            for end in one.ends:
+        for peer in self.opened:
+            if getattr(peer, "server", None):
+                peer.server.close()
+            for end in peer.ends:
                 end.abort()
         await asyncio.sleep(0)
 
 
 def environment():
+    """Environment variables of a process that runs the project from this directory."""
     return os.environ | {"PYTHONPATH": os.getcwd()}
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,237 +1,246 @@
-"""The daemon as a process: how it starts, what signals do to it, and what a crash leaves behind."""
+"""The gateway as a process: its start, signals, crashes, suspensions and metrics."""
 
 import asyncio
 import json
 import signal
+import socket
+import subprocess
 import sys
 
-from stack import LEASE, Host, Listing, environment, now, story
+import pytest
+from gateway_process import GatewayProcess, KilledAtEnd, configuration_file, with_folder
+from stack import Client, Host, environment, now
 
 from cherrydoor.protocol import messages as protocol
 
+Daemon, Ended, given = GatewayProcess, KilledAtEnd, configuration_file  # as other tests import them
 
-class Daemon:
-    def __init__(self, process, errors):
-        self.process, self.errors = process, errors
-
-    @classmethod
-    async def start(cls, stack, lease):
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "cherrydoor",
-            "gateway",
-            "--lease",
-            str(lease),
-            "--announce",
-            "--tied",
-            stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.PIPE,
-            env=environment(),
-        )
-        stack.opened.append(Ended(process))
-        daemon = cls(process, [])
-        line = await process.stdout.readline()
-        daemon.port = json.loads(line)["port"] if line else None
-        return daemon
-
-    async def end(self):
-        """Exit code and what was logged."""
-        _, errors = await self.process.communicate()
-        return self.process.returncode, errors.decode()
-
-
-class Ended:
-    """So that a test which fails leaves no process."""
-
-    server = None
-
-    def __init__(self, process):
-        self.process = process
-
-    @property
-    def ends(self):
-        if self.process.returncode is None:
-            self.process.kill()
-        return ()
-
-
-async def given(stack, tmp, *hosts, more="", port=0):
-    """A list, hosts on it, and a lease file of a gateway that follows them."""
-    stack.list = await Listing().start()
-    stack.opened.append(stack.list)
-    for host in hosts:
-        await stack.host(host, tell=False)
-    stack.list.rows = {h.id: protocol.Endpoint(h.id, "ready", 0.0, "z", 0) for h in hosts}
-    lease = tmp / "g.lease"
-    lease.write_text(
-        LEASE % stack.list.port + f'saved: "{tmp}/saved"\ndoor: "127.0.0.1:{port}"\n'
-        "may: {launches: 3, recall: true, probe: true, advice: 1s}\ncold: {}\nration: {}\n"
-        + (more or "bounds: {}")
-    )
-    return lease
-
+MISSING_LATENCY_OBJECTIVE = """
+name: "g", number: 3, gateways: 2, list: "nowhere"
+clauses: []
+"""
+DEADLINE_BELOW_LATENCY_OBJECTIVE = """
+name: "g", number: 3, gateways: 2, list: "nowhere"
+clauses: [{name: "a", target: 2s, max_age: 1s}]
+cold: {}
+ration: {}
+may: {}
+bounds: {}
+"""
 
-async def client_of(stack, port):
-    from stack import Client
 
-    await stack.list.got(protocol.UpdateAcknowledged)  # before it knows a host, it defers
+async def connected_client(stack, port):
+    """A client of a gateway that knows its hosts: before that it rejects requests."""
+    await stack.list.got(protocol.UpdateAcknowledged)
     client = await Client().connect(port)
     stack.opened.append(client)
     return client
 
 
-def with_folder(test):
-    def run(tmp_path):
-        story(lambda stack: test(stack, tmp_path))()
-
-    run.__name__ = test.__name__
-    return run
-
-
-def test_a_wrong_lease_is_told_whole(tmp_path):
-    import subprocess
-
-    bad = tmp_path / "bad.lease"
-    bad.write_text('name: "g"\nnumber: 3\ngateways: 2\nlist: "nowhere"\nclauses: []\n')
-    done = subprocess.run(
-        [sys.executable, "-m", "cherrydoor", "gateway", "--lease", str(bad)],
+def run_command(*arguments):
+    return subprocess.run(
+        [sys.executable, "-m", "cherrydoor", *map(str, arguments)],
         capture_output=True,
         text=True,
         env=environment(),
         timeout=60,
     )
-    assert done.returncode == 64 and "clauses" in done.stderr and "Traceback" not in done.stderr
-    bad.write_text(
-        'name: "g"\nnumber: 3\ngateways: 2\nlist: "nowhere"\n\n'
-        'clauses: [{name: "a", target: 2s, max_age: 1s}]\n'
-        "cold: {}\nration: {}\nmay: {}\nbounds: {}\n"
-    )
-    done = subprocess.run(
-        [sys.executable, "-m", "cherrydoor", "lease", "check", str(bad), "--json"],
-        capture_output=True,
-        text=True,
-        env=environment(),
-        timeout=60,
-    )
-    assert done.returncode == 64
-    assert {p["path"] for p in json.loads(done.stdout)} == {"list", "number", "clauses.0.target"}
+
+
+# ---- start
+def test_an_invalid_configuration_ends_the_start_and_is_explained(tmp_path):
+    path = tmp_path / "bad.lease"
+    path.write_text(MISSING_LATENCY_OBJECTIVE)
+    ended = run_command("gateway", "--lease", path)
+    assert ended.returncode == 64
+    assert "clauses" in ended.stderr
+    assert "Traceback" not in ended.stderr
+
+
+def test_a_check_reports_all_problems_of_a_configuration(tmp_path):
+    path = tmp_path / "bad.lease"
+    path.write_text(DEADLINE_BELOW_LATENCY_OBJECTIVE)
+    ended = run_command("lease", "check", path, "--json")
+    assert ended.returncode == 64
+    problems = json.loads(ended.stdout)
+    assert {problem["path"] for problem in problems} == {"list", "number", "clauses.0.target"}
 
 
 @with_folder
-async def test_a_port_that_is_taken(stack, tmp):
-    pending = await Host().start()
-    stack.opened.append(pending)
-    lease = await given(stack, tmp, port=int(pending.id.rpartition(":")[2]))
-    code, errors = await (await Daemon.start(stack, lease)).end()
-    assert code == 69 and "listener port already in use" in errors
+async def test_a_listener_port_that_is_in_use_ends_the_start(stack, folder):
+    other = await Host().start()
+    stack.opened.append(other)
+    port = int(other.id.rpartition(":")[2])
+    configuration = await configuration_file(stack, folder, port=port)
+    code, errors = await (await GatewayProcess.start(stack, configuration)).end()
+    assert code == 69
+    assert "listener port already in use" in errors
 
 
+# ---- signals
 @with_folder
-async def test_sigterm_answers_all_it_holds_and_exits_with_0(stack, tmp):
+async def test_sigterm_answers_accepted_requests_and_exits_with_0(stack, folder):
     host = Host()
-    daemon = await Daemon.start(stack, await given(stack, tmp, host))
-    client = await client_of(stack, daemon.port)
-    await stack.list.got(protocol.UpdateAcknowledged)
-    numbers = [client.send(f"deed {i}", lasts=4500.0) for i in range(2)]
-    launches = await host.got(protocol.Attempt, 2)
-    daemon.process.send_signal(signal.SIGTERM)
+    configuration = await configuration_file(stack, folder, host)
+    gateway = await GatewayProcess.start(stack, configuration)
+    client = await connected_client(stack, gateway.port)
+    accepted = [client.send(f"function {i}", lasts=4500.0) for i in range(2)]
+    attempts = await host.got(protocol.Attempt, 2)
+    gateway.process.send_signal(signal.SIGTERM)
     await client.got(protocol.Draining)
-    refused = await client.answer(client.send(lasts=4500.0))
-    assert refused.outcome == "deferred" and "leaving" in refused.reason
-    for launch in launches:
-        host.outcome(launch)
-    assert [(await client.answer(n)).outcome for n in numbers] == ["handled", "handled"]
-    code, _ = await daemon.end()
-    assert code == 0 and len(host.all(protocol.Attempt)) == 2
+    rejected = await client.answer(client.send(lasts=4500.0))
+    assert rejected.outcome == "deferred"
+    assert "leaving" in rejected.reason
+    for attempt in attempts:
+        host.outcome(attempt)
+    outcomes = [(await client.answer(number)).outcome for number in accepted]
+    assert outcomes == ["handled", "handled"]
+    code, _ = await gateway.end()
+    assert code == 0
+    assert len(host.all(protocol.Attempt)) == 2
 
 
 @with_folder
-async def test_a_second_sigterm_ends_it_at_once(stack, tmp):
+async def test_a_second_sigterm_ends_the_process_at_once(stack, folder):
     host = Host()
-    daemon = await Daemon.start(stack, await given(stack, tmp, host))
-    client = await client_of(stack, daemon.port)
-    await stack.list.got(protocol.UpdateAcknowledged)
+    configuration = await configuration_file(stack, folder, host)
+    gateway = await GatewayProcess.start(stack, configuration)
+    client = await connected_client(stack, gateway.port)
     client.send(lasts=4500.0)
     await host.got(protocol.Attempt)
-    daemon.process.send_signal(signal.SIGTERM)
+    gateway.process.send_signal(signal.SIGTERM)
     await client.got(protocol.Draining)
-    daemon.process.send_signal(signal.SIGTERM)
-    code, errors = await daemon.end()
-    assert code == 3 and "drain timed out" in errors
+    gateway.process.send_signal(signal.SIGTERM)
+    code, errors = await gateway.end()
+    assert code == 3
+    assert "drain timed out" in errors
 
 
 @with_folder
-async def test_killed_under_load_it_starts_again_with_only_its_last_list(stack, tmp):
+async def test_sighup_applies_a_valid_configuration_and_keeps_the_old_one_on_error(stack, folder):
     host = Host()
-    lease = await given(stack, tmp, host)
-    daemon = await Daemon.start(stack, lease)
-    client = await client_of(stack, daemon.port)
+    configuration = await configuration_file(stack, folder, host)
+    gateway = await GatewayProcess.start(stack, configuration)
+    client = await connected_client(stack, gateway.port)
+    valid = configuration.read_text()
+    configuration.write_text(valid + "\nnonsense: 3")
+    gateway.process.send_signal(signal.SIGHUP)
+    await gateway.logged("keeping the old one")
+    configuration.write_text(valid.replace("bounds: {}", "bounds: {open_events: 1}"))
+    gateway.process.send_signal(signal.SIGHUP)
+    await gateway.logged("configuration reloaded")
+    client.send("a", lasts=4500.0)
+    assert (await client.answer(client.send("b", lasts=4500.0))).outcome == "deferred"
+    [attempt] = await host.got(protocol.Attempt)
+    host.outcome(attempt)
+    gateway.process.send_signal(signal.SIGTERM)
+    assert (await gateway.end())[0] == 0
+
+
+# ---- crash and suspension
+@with_folder
+async def test_after_a_kill_under_load_it_starts_again_with_the_cached_endpoint_list(stack, folder):
+    host = Host()
+    configuration = await configuration_file(stack, folder, host)
+    gateway = await GatewayProcess.start(stack, configuration)
+    client = await connected_client(stack, gateway.port)
     client.send(lasts=4500.0)
     await host.got(protocol.Attempt)
-    while not (tmp / "saved").exists():
+    while not (folder / "saved").exists():
         await asyncio.sleep(0.01)
-    daemon.process.kill()
+    gateway.process.kill()
     await client.until(lambda: client.lost_ends)
     await host.until(lambda: host.lost_ends)
     stack.list.server.close()
     for end in stack.list.ends:
         end.abort()
     host.answers = "handled"
-    again = await Daemon.start(stack, lease)
-    second = await client_of(stack, again.port)
+    restarted = await GatewayProcess.start(stack, configuration)
+    second = await connected_client(stack, restarted.port)
     assert (await second.answer(second.send(lasts=4500.0))).outcome == "handled"
-    again.process.send_signal(signal.SIGTERM)
-    code, errors = await again.end()
-    assert code == 0 and "endpoint list unreachable" in errors
+    restarted.process.send_signal(signal.SIGTERM)
+    code, errors = await restarted.end()
+    assert code == 0
+    assert "endpoint list unreachable" in errors
 
 
 @with_folder
-async def test_stopped_for_a_while_it_wakes_to_a_backlog(stack, tmp):
+async def test_after_a_suspension_expired_requests_reach_no_host(stack, folder):
     host = Host("handled")
-    daemon = await Daemon.start(stack, await given(stack, tmp, host))
-    client = await client_of(stack, daemon.port)
+    configuration = await configuration_file(stack, folder, host)
+    gateway = await GatewayProcess.start(stack, configuration)
+    client = await connected_client(stack, gateway.port)
     await client.answer(client.send(lasts=4500.0))
-    daemon.process.send_signal(signal.SIGSTOP)
-    begun = now()
-    short = [client.send(f"deed {i}", lasts=300.0) for i in range(10)]
-    while now() < begun + 600:  # what is provoked here is that their time runs out meanwhile
+    gateway.process.send_signal(signal.SIGSTOP)
+    suspended_at_ms = now()
+    expired = [client.send(f"function {i}", lasts=300.0) for i in range(10)]
+    while now() < suspended_at_ms + 600:  # what is provoked: their deadlines pass meanwhile
         await asyncio.sleep(0.05)
-    long = [client.send(f"deed {i}", lasts=4500.0) for i in range(10)]
-    daemon.process.send_signal(signal.SIGCONT)
-    for number in long:
+    in_time = [client.send(f"function {i}", lasts=4500.0) for i in range(10)]
+    gateway.process.send_signal(signal.SIGCONT)
+    for number in in_time:
         await client.answer(number)
-    assert not any(client.answers(n) for n in short), (
-        "their time was over before the gateway could take them"
+    assert not any(client.answers(number) for number in expired), (
+        "their deadlines had passed before the gateway could accept them"
     )
-    assert {launch.request_id for launch in host.all(protocol.Attempt)}.isdisjoint(short)
-    daemon.process.send_signal(signal.SIGTERM)
-    assert (await daemon.end())[0] == 0
+    attempted = {attempt.request_id for attempt in host.all(protocol.Attempt)}
+    assert attempted.isdisjoint(expired)
+    gateway.process.send_signal(signal.SIGTERM)
+    assert (await gateway.end())[0] == 0
+
+
+# ---- metrics
+def free_port():
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
+
+
+async def scrape(port, request):
+    """Status and body of the response to these bytes."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    writer.write(request)
+    response = await reader.read()
+    writer.close()
+    head, _, body = response.partition(b"\r\n\r\n")
+    return int(head.split(b" ")[1]), body.decode()
 
 
 @with_folder
-async def test_sighup_takes_up_a_good_lease_and_keeps_the_old_one_on_error(stack, tmp):
-    host = Host()
-    lease = await given(stack, tmp, host)
-    daemon = await Daemon.start(stack, lease)
-    client = await client_of(stack, daemon.port)
-    await stack.list.got(protocol.UpdateAcknowledged)
+async def test_a_scrape_returns_the_gateways_counters_and_current_values(stack, folder):
+    port = free_port()
+    configuration = await configuration_file(
+        stack, folder, Host("handled"), more=f'bounds: {{}}\nmetrics: "127.0.0.1:{port}"'
+    )
+    gateway = await GatewayProcess.start(stack, configuration)
+    client = await connected_client(stack, gateway.port)
+    await client.answer(client.send(lasts=4500.0))
+    status, body = await scrape(port, b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n")
+    assert status == 200
+    lines = body.splitlines()
+    assert 'cherrydoor_total{gateway="g0",what="handled"} 1.0' in lines
+    assert 'cherrydoor_now{gateway="g0",what="requests"} 0.0' in lines
+    assert 'cherrydoor_now{gateway="g0",what="hosts"} 1.0' in lines
+    assert 'cherrydoor_now{gateway="g0",what="clients"} 1.0' in lines
+    assert any(line.startswith('cherrydoor_now{gateway="g0",what="timers"}') for line in lines)
+
+
+@pytest.mark.parametrize(
+    ("request_bytes", "status"),
+    [
+        pytest.param(b"GET /nothing HTTP/1.1\r\nhost: a\r\n\r\n", 404, id="unknown path"),
+        pytest.param(b"POST /metrics HTTP/1.1\r\nhost: a\r\n\r\n", 404, id="method"),
+        pytest.param(b"no request at all\r\n\r\n", 400, id="no HTTP"),
+    ],
+)
+def test_a_scrape_of_anything_else_is_refused(tmp_path, request_bytes, status):
+    @with_folder
+    async def refused(stack, folder):
+        port = free_port()
+        configuration = await configuration_file(
+            stack, folder, more=f'bounds: {{}}\nmetrics: "127.0.0.1:{port}"'
+        )
+        await GatewayProcess.start(stack, configuration)
+        assert (await scrape(port, request_bytes))[0] == status
 
-    async def logged(text):
-        while text not in (line := (await daemon.process.stderr.readline()).decode()):
-            assert line
-
-    good = lease.read_text()
-    lease.write_text(good + "\nnonsense: 3")
-    daemon.process.send_signal(signal.SIGHUP)
-    await logged("keeping the old one")
-    lease.write_text(good.replace("bounds: {}", "bounds: {open_events: 1}"))
-    daemon.process.send_signal(signal.SIGHUP)
-    await logged("configuration reloaded")
-    client.send("a", lasts=4500.0)
-    assert (await client.answer(client.send("b", lasts=4500.0))).outcome == "deferred"
-    [launch] = await host.got(protocol.Attempt)
-    host.outcome(launch)
-    daemon.process.send_signal(signal.SIGTERM)
-    assert (await daemon.end())[0] == 0
+    refused(tmp_path)
