--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -165,7 +165,7 @@
             self.transport.close()
 
     def abort(self, why: str = "") -> None:
-        """Closes at once and drops unsent output; the peer is told nothing."""
+        """Closes at once and drops unsent output; the peer is sent nothing."""
         self.why = self.why or why
         if self.transport is not None:
             self.transport.abort()
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -21,7 +21,7 @@
 log = structlog.get_logger()
 
 MAX_HELLO_BYTES = 8192  # longest hello that is read from a client which is not yet admitted
-IDENTIFICATION_RETRY_AFTER_MS = 1000.0  # told to a client whose certificate or token does not hold
+IDENTIFICATION_RETRY_AFTER_MS = 1000.0  # for a client whose certificate or token is invalid
 # A connection whose credentials are withdrawn is closed once it is idle. A request that is under
 # way to us as we close would be lost, so that it counts as idle only after a pause longer than a
 # message usually takes; and a client that never pauses may not keep a withdrawn credential in use
@@ -63,7 +63,7 @@
         arrival.connection.open = self.client.open
 
     def connection_made(self, transport: Any) -> None:
-        """Lets admission control tell the client, from now on, why it is rejected."""
+        """Lets admission control send the client, from now on, the reason of a rejection."""
         self.arrival.end = self
         super().connection_made(transport)
 
@@ -175,16 +175,17 @@
     def withdraw(self, end: ClientProtocol, reason: str, at_once: bool) -> None:
         """Ends a connection whose certificate or token is in service no more.
 
-        Unless `at_once`, the client is told to go elsewhere, and the connection is closed once it
-        is idle.
+        Unless `at_once`, the client is notified that it should go elsewhere, and the connection is
+        closed once it is idle.
         """
         if end not in self.ends:
             return
         if at_once:
             self.close_withdrawn(end, reason)
         else:
+            withdrawn_at_s = asyncio.get_running_loop().time()
             end.write(protocol.Draining(reason))
-            self.close_when_idle(end, reason, asyncio.get_running_loop().time())
+            self.close_when_idle(end, reason, withdrawn_at_s)
 
     def close_when_idle(self, end: ClientProtocol, reason: str, withdrawn_at_s: float) -> None:
         """Closes a withdrawn connection if it is idle or its time is over; else checks again later.
@@ -192,7 +193,7 @@
         Args:
             end: The connection; ignored once it has ended.
             reason: Sent to the client.
-            withdrawn_at_s: Time of the event loop at which the client was told.
+            withdrawn_at_s: Time of the event loop at which the client was notified.
         """
         if end not in self.ends:
             return
--- a/cherrydoor/gateway/incarnations.py
+++ b/cherrydoor/gateway/incarnations.py
@@ -21,7 +21,7 @@
 
 
 class Incarnations:
-    """Replaces the dispatcher of a service by a new one; the endpoint list is all that is kept.
+    """Replaces the dispatcher of a service by a new one; only the endpoint list is kept.
 
     The service owns dispatcher and peer services; only this class exchanges them while the service
     runs.
@@ -39,8 +39,8 @@
     def end(self, why: str) -> None:
         """Ends an incarnation whose requests its peers have taken over, or may have.
 
-        It answers none of those requests, rejects what it had not accepted, tells its clients to
-        come back spread over time, and begins the next incarnation. Without peers it does nothing.
+        It answers none of those requests, rejects what it had not accepted, asks its clients to
+        reconnect spread over time, and begins the next incarnation. Without peers it does nothing.
 
         Args:
             why: For the log.
--- a/cherrydoor/peer_services.py
+++ b/cherrydoor/peer_services.py
@@ -49,7 +49,7 @@
         """Leaves the fleet in order."""
 
     def abort(self) -> None:
-        """Ends at once, and tells the peers nothing."""
+        """Ends at once, without a notice to the peers."""
 
 
 def join(service: Any, incarnation: int = 0) -> Any:
