--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -14,8 +14,8 @@
 
 from cherrydoor.admission.decide import divide_descriptors
 from cherrydoor.admission.usage import ProcessUsage
+from cherrydoor.config import Problems
 from cherrydoor.config.figures import read_config
-from cherrydoor.config.records import Problems
 from cherrydoor.gateway.event_loop import address
 from cherrydoor.gateway.exit_codes import BAD_CONFIGURATION, PORT_TAKEN
 from cherrydoor.gateway.metrics import serve_metrics
