--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -9,7 +9,7 @@
 
 import pytest
 from gateway_process import GatewayProcess, KilledAtEnd, configuration_file, with_folder
-from stack import Client, Host, environment, now
+from stack import WAIT_LIMIT_S, Client, Host, environment, now
 
 from cherrydoor.protocol import messages as protocol
 
@@ -196,9 +196,19 @@
         return probe.getsockname()[1]
 
 
+async def connect_to_metrics(port):
+    """A connection to the metrics listener, which opens after the client listener is announced."""
+    async with asyncio.timeout(WAIT_LIMIT_S):
+        while True:
+            try:
+                return await asyncio.open_connection("127.0.0.1", port)
+            except ConnectionRefusedError:
+                await asyncio.sleep(0.01)
+
+
 async def scrape(port, request):
     """Status and body of the response to these bytes."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    reader, writer = await connect_to_metrics(port)
     writer.write(request)
     response = await reader.read()
     writer.close()
