--- a/bench/admission.py
+++ b/bench/admission.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 
 import uvloop
+from cherrydoor.tls.make import Folder
 
 from cherrydoor.admission import decide as d
 from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import files
-from cherrydoor.tls.make import Folder
 
 COUNT = 3000
 
--- a/cherrydoor/cli/commands.py
+++ b/cherrydoor/cli/commands.py
@@ -141,19 +141,21 @@
     text = sys.stdin.buffer.read() if body == "-" else body.encode()
     tls = None
     if folder:
-        from cherrydoor.tls import files
+        from cherrydoor.tls.credential_files import read_authorities, read_pair
+        from cherrydoor.tls.errors import InvalidCredentialsError
+        from cherrydoor.tls.tls_context import make_context
 
         try:
-            _, _, trusted = files.authorities(Path(folder) / "authorities.pem")
+            _, _, trusted = read_authorities(Path(folder) / "authorities.pem")
             chain = secret = b""
             if name:
-                _, _, chain, secret = files.pair(
+                _, _, chain, secret = read_pair(
                     Path(folder) / f"{name}.pem", Path(folder) / f"{name}.key"
                 )
-        except files.BadKeys as error:
+        except InvalidCredentialsError as error:
             print(error, file=sys.stderr)
             sys.exit(2)
-        tls = files.context(False, chain, secret, trusted)
+        tls = make_context(False, chain, secret, trusted)
     answers = Sender(door, clause, function, party, mark, lasts, text, document, tls, token).run(
         count, rate
     )
--- a/cherrydoor/membership/handshake.py
+++ b/cherrydoor/membership/handshake.py
@@ -6,7 +6,7 @@
 
 from cherrydoor.membership.peer_connection import PeerConnection
 from cherrydoor.protocol.basics import Hello
-from cherrydoor.tls.keeper import NotProved
+from cherrydoor.tls.errors import PeerAuthenticationError
 
 log = structlog.get_logger()
 WRONG_CERTIFICATE_REASON = "its certificate is not of that name"
@@ -42,6 +42,6 @@
     """Returns whether the peer's certificate, of authorities trusted here, bears that name."""
     try:
         identity = tls.identify(connection.transport, "")
-    except NotProved:
+    except PeerAuthenticationError:
         return False
     return bool(identity[0] == name)
--- a/cherrydoor/rehearsal/conduct.py
+++ b/cherrydoor/rehearsal/conduct.py
@@ -12,7 +12,7 @@
 from cherrydoor.rehearsal.day import address_of, builds, client_keys, lease_values, terms
 from cherrydoor.rehearsal.parts import CannotRun, Part, Ports
 from cherrydoor.rehearsal.troubles import Steps
-from cherrydoor.tls.make import Folder
+from cherrydoor.tls.local_authority import LocalAuthority
 
 
 def in_processes(count, together, floors):
@@ -185,7 +185,7 @@
         """On days with TLS: an authority, and certificates of all gateways and offices."""
         if not self.day["doors"]["tls"]:
             return
-        self.keys = Folder(self.folder / "keys")
+        self.keys = LocalAuthority(self.folder / "keys")
         self.keys.authority()
         for number in range(self.day["gateways"]["count"]):
             self.keys.issue("gateway", f"g{number}", addresses=["127.0.0.1"])
--- a/cherrydoor/releases/controller.py
+++ b/cherrydoor/releases/controller.py
@@ -58,7 +58,6 @@
         self.functions = self.rollouts.functions
         self._halved_at_ms = now
         self.slow_above_ms = self._traffic.slow_above_ms
-        self.usual = self.slow_above_ms  # the name that the dispatcher calls
 
     def take(self, now: float, message: Message) -> list[Action]:
         """Take one message; return what is to be done."""
@@ -265,9 +264,3 @@
     def table(self) -> list[ReleaseStatus]:
         """Return what an operator is shown: a row for each function with a release."""
         return status_rows(self.functions.values(), self._traffic)
-
-    # Names that other packages still call.
-    choose = version_for
-    again = version_for_retry
-    kept = stored
-    take_back = restore
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -23,8 +23,6 @@
     UnloadIdle,
 )
 from cherrydoor.releases.state_file import StateFile
-from cherrydoor.releases.state_file import seal as seal  # tests/compatibility import both from here
-from cherrydoor.releases.state_file import unseal as unseal
 
 log = structlog.get_logger()
 
@@ -240,6 +238,3 @@
                 row for row in self.versions.table() if function in (None, row["function"])
             ],
         }
-
-
-Releases = ReleaseService  # the name that the gateway's service imports
--- a/tests/membership/test_membership_of_processes.py
+++ b/tests/membership/test_membership_of_processes.py
@@ -6,7 +6,7 @@
 from fleet import Fleet, story, until
 
 from cherrydoor.membership.member_table import ALIVE, DISCONNECTED, LEFT, SUSPECTED
-from cherrydoor.tls.make import Folder
+from cherrydoor.tls.local_authority import LocalAuthority
 
 
 async def states_of(name, gates):
@@ -98,7 +98,7 @@
 
 def fleet_with_certificates(folder):
     """Three gateways with certificates, of which g2 shows the one of g1."""
-    keys = Folder(folder / "keys")
+    keys = LocalAuthority(folder / "keys")
     keys.authority()
     for name in ("g0", "g1", "g2"):
         keys.issue("gateway", name, addresses=["127.0.0.1"])
