--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -86,7 +86,7 @@
         )
         if len(out) > open_at_once:
             event, host = out.pop(0)
-            launches = len(gate.events[event].tries)
+            launches = len(gate.requests[event].attempts)
             settle(
                 gate.take(
                     at,
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -14,52 +14,71 @@
 from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.platform import process
 from cherrydoor.routing import Router
+from cherrydoor.routing.request_lifecycle import RequestLifecycle
 
 
-class Traced(Router):
-    """The module, whose choices are noted beside it."""
-
-    def __init__(self, lease):
-        super().__init__(lease)
-        self.routes, self.sends = {}, {}
-
-    def route(self, evt):
-        choose = self.zone.choose
-
-        def chosen(one):
-            host, open_at = choose(one)
-            note = [
-                self.now,
-                "",
-                0.0,
-                False,
-                one.customer.overloaded(self.now),
-                one.customer.beyond(self.now),
-            ]
-            if host is not None:
-                note[1:4] = (
-                    host.id,
-                    round(min(host.wait(one.func), 1e6), 1),
-                    host.holds(one.func, self.now),
-                )
-            self.routes.setdefault(one.id, []).append(note)
-            return host, open_at
-
-        self.zone.choose = chosen
+class TracedLifecycle(RequestLifecycle):
+    """The way of requests, with their choices and attempts recorded by request.
+
+    Attributes:
+        choices: Request number -> for each choice: time, host or "", predicted ms, whether a copy
+            was known to be loaded there, whether the tenant was overloaded, whether it was over its
+            quota.
+        sends: Request number -> for each attempt: whether a copy was known to be loaded, warm-up
+            level, ms since the last response of the host or -1, attempts in flight there.
+    """
+
+    def __init__(self, *parts):
+        super().__init__(*parts)
+        self.choices = {}
+        self.sends = {}
+
+    def route(self, request):
+        """Route the request, with its choice recorded."""
+        choose = self._zone.choose
+
+        def choose_and_record(request):
+            choice = choose(request)
+            self.record_choice(request, choice.host)
+            return choice
+
+        self._zone.choose = choose_and_record
         try:
-            super().route(evt)
+            super().route(request)
         finally:
-            self.zone.choose = choose
-
-    def launch(self, evt, host):
-        heard = self.now - host.heard if host.heard else -1.0
-        before = len(evt.tries)
-        out = len(host.out)
-        super().launch(evt, host)
-        if len(evt.tries) > before:
-            self.sends.setdefault(evt.id, []).append(
-                [evt.tries[-1].stood, round(host.level(self.now), 2), round(heard, 1), out]
-            )
+            self._zone.choose = choose
+
+    def record_choice(self, request, host):
+        """Record what was known of a choice."""
+        now = self._context.now
+        known = ["", 0.0, False]
+        if host is not None:
+            predicted_ms = min(host.predicted_response_ms(request.function), 1e6)
+            known = [host.id, round(predicted_ms, 1), host.holds_copy(request.function, now)]
+        tenant = request.tenant
+        choice = [now, *known, tenant.is_overloaded(now), tenant.is_over_quota(now)]
+        self.choices.setdefault(request.id, []).append(choice)
+
+    def start_attempt(self, request, host):
+        """Start the attempt, with what was known of its host recorded."""
+        now = self._context.now
+        last_response_ms = host.health.last_response_ms
+        silent_ms = now - last_response_ms if last_response_ms else -1.0
+        before = len(request.attempts)
+        in_flight = len(host.in_flight)
+        super().start_attempt(request, host)
+        if len(request.attempts) > before:
+            loaded = request.attempts[-1].copy_was_loaded
+            level = round(host.slow_start.level(now), 2)
+            known = [loaded, level, round(silent_ms, 1), in_flight]
+            self.sends.setdefault(request.id, []).append(known)
+
+
+class TracedRouter(Router):
+    """The router with the traced way of requests."""
+
+    def __init__(self, settings):
+        super().__init__(settings, lifecycle=TracedLifecycle)
 
 
 class TracedDesk(Dispatcher):
@@ -92,10 +111,10 @@
         super().forget(pending)
 
     def write(self, pending):
-        gate, number, event = self.gate, pending.number, pending.request
+        router, number, event = self.router, pending.number, pending.request
         told, sends = (
             self.__dict__.get("outcomes_by", {}).pop(number, {}),
-            gate.sends.pop(number, []),
+            router.lifecycle.sends.pop(number, []),
         )
         launches = []
         for sent in pending.attempts:
@@ -113,7 +132,8 @@
                 ]
             )
         routes = [
-            [round(r[0] - pending.accepted_at_ms, 1), *r[1:]] for r in gate.routes.pop(number, [])
+            [round(r[0] - pending.accepted_at_ms, 1), *r[1:]]
+            for r in router.lifecycle.choices.pop(number, [])
         ]
         fate, took = self.ends_by.pop(number)
         line = [
@@ -123,7 +143,7 @@
             event.function,
             crc32(event.body),
             round(pending.deadline_ms - pending.accepted_at_ms, 1),
-            gate.settings.request_classes[event.request_class].latency_objective_ms,
+            router.settings.request_classes[event.request_class].latency_objective_ms,
             fate or "left",
             took,
             routes,
@@ -133,7 +153,7 @@
 
 
 def main():
-    process.Gateway, process.Dispatcher = Traced, TracedDesk
+    process.Router, process.Dispatcher = TracedRouter, TracedDesk
     return process.main()
 
 
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -254,39 +254,43 @@
         )
 
     def believed(self):
-        """The trace: for each host what the module holds to be so, beside what has crossed the sockets since."""
+        """Log for each host what the router knows of it, and its traffic since the last such line."""
         self.loop.call_later(self.trace / 1000, self.believed)
-        router, now = self.dispatcher.router, self.clock.now()
-        traffic, self.upstream.traffic = self.upstream.traffic, {}
+        router = self.dispatcher.router
+        statistics = router.statistics
+        functions = router.history.functions.values()
+        now = self.clock.now()
+        traffic = self.upstream.traffic
+        self.upstream.traffic = {}
         rows = []
         for name, host in sorted(router.hosts.items()):
-            dispatcher = self.dispatcher.hosts.get(name)
-            open_ = sum(len(link.out) for link in dispatcher.links) if dispatcher else 0
+            upstream_host = self.dispatcher.hosts.get(name)
+            links = upstream_host.links if upstream_host else ()
             rows.append(
                 {
                     "host": name,
                     "state": host.state,
-                    "out": len(host.out),
+                    "out": len(host.in_flight),
                     "load": host.load(),
-                    "busy": host.sheds,
-                    "shut": max(0, round(host.shut - now)),
-                    "strikes": host.strikes,
-                    "probing": host.probing,
-                    "mean": round(host.mean(), 1),
-                    "level": round(host.level(now), 2),
-                    "full": round(host.full.read(now), 2),
-                    "copies": sum(host in f.copies for f in router.history.functions.values()),
-                    "links": len(dispatcher.links) if dispatcher else 0,
-                    "open": open_,
+                    "busy": host.overloaded,
+                    "shut": max(0, round(host.health.ejected_until_ms - now)),
+                    "strikes": host.health.consecutive_failures,
+                    "probing": host.health.check_in_flight,
+                    "mean": round(host.mean_response_ms(), 1),
+                    "level": round(host.slow_start.level(now), 2),
+                    "full": round(host.fullness.read(now), 2),
+                    "copies": sum(host in function.copies for function in functions),
+                    "links": len(links),
+                    "open": sum(len(link.out) for link in links),
                     "crossed": traffic.get(name, {}),
                 }
             )
         self.line(
             "believed",
             mean=round(router.mean(), 1),
-            blind=router.blind,
-            brisk=round(router.brisk, 1),
-            load=round(router.load),
+            blind=statistics.most_hosts_suspect,
+            brisk=round(statistics.fast_response_ms, 1),
+            load=round(statistics.load_ms),
             hosts=rows,
         )
 
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -1,45 +1,59 @@
-"""Two ways to choose that nobody would run, to compare the module's with: everything else stays the module's own.
+"""Two ways to choose a host that nobody would run, to compare the router's choice with.
 
-The rules, the taking of events, health and answers are as in the module; only where an event goes differs.
+Everything else stays the router's own: the rules, health, retries and rejections.
 """
 
-from cherrydoor.routing import Router
-from cherrydoor.routing.zone_table import Zone
+from cherrydoor.routing import Router, messages
+from cherrydoor.routing.host import Host
+from cherrydoor.routing.request import Request
+from cherrydoor.routing.zone_table import NO_CHOICE, Choice, ZoneTable
 
 
-def may_get(router, evt):
-    been = [t.host for t in evt.tries]
-    fit = [
-        h
-        for h in router.hosts.values()
-        if h.ready(router.now) and h not in been and router.may(evt, h)
-    ]
-    return sorted(fit, key=lambda h: h.id)
+class _AllHosts(ZoneTable):
+    """A zone table that leaves its ranges unused and chooses from all hosts."""
 
+    def candidates(self, request: Request) -> list[Host]:
+        """Ready hosts, by id, that the request may go to and has not been at."""
+        now = self._context.now
+        tried = [attempt.host for attempt in request.attempts]
+        hosts = [
+            host
+            for host in self._hosts.values()
+            if host.is_ready(now) and host not in tried and self._rules.allows(request, host)
+        ]
+        return sorted(hosts, key=lambda host: host.id)
 
-class RandomZone(Zone):
-    def choose(self, evt):
-        hosts = may_get(self.router, evt)
-        return (hosts[int(self.router.chance() * len(hosts))] if hosts else None), None
 
+class RandomChoice(_AllHosts):
+    """Chooses any ready host."""
 
-class LeastOutZone(Zone):
-    def choose(self, evt):
-        return min(may_get(self.router, evt), key=lambda h: (len(h.out), h.id), default=None), None
+    def choose(self, request: Request) -> Choice:
+        """A random host."""
+        hosts = self.candidates(request)
+        if not hosts:
+            return NO_CHOICE
+        return Choice(hosts[int(self._context.chance() * len(hosts))], None)
 
 
-def random_choice(lease):
-    """Any ready host."""
-    router = Router(lease)
-    router.zone = RandomZone(router)
-    return router
+class LeastInFlight(_AllHosts):
+    """Chooses the ready host with the fewest own requests in flight, ties by id."""
 
+    def choose(self, request: Request) -> Choice:
+        """The host with the fewest requests in flight."""
+        hosts = self.candidates(request)
+        return Choice(
+            min(hosts, key=lambda host: (len(host.in_flight), host.id), default=None), None
+        )
 
-def least_out(lease):
-    """The ready host with the fewest own events out, ties by id."""
-    router = Router(lease)
-    router.zone = LeastOutZone(router)
-    return router
+
+def random_choice(settings: messages.Settings) -> Router:
+    """A router that chooses any ready host."""
+    return Router(settings, zone_table=RandomChoice)
+
+
+def least_out(settings: messages.Settings) -> Router:
+    """A router that chooses the ready host with the fewest own requests in flight."""
+    return Router(settings, zone_table=LeastInFlight)
 
 
 MAKERS = {"module": Router, "random": random_choice, "least-out": least_out}
--- a/cherrydoor/routing/__init__.py
+++ b/cherrydoor/routing/__init__.py
@@ -1,8 +1,7 @@
-"""The decisions of one gateway: hashed homes, second workers, overflow, and what guards them.
+"""The routing decisions of one gateway: which host gets a request, when to retry and when to reject.
 
-Called as gate = Gateway(lease), actions = gate.start(now), then actions = gate.take(now, note) for each note,
-now being the batch clock in ms. All types are in cherrydoor/routing/messages.py. Every part is an actor whose inbox
-one loop empties; others may look at it. Ids are used only at the door.
+Begin with ``router.Router`` (``start``, then ``take`` for each message); ``messages`` has all types
+that go in and out. The package is pure: no I/O, no clock, and all chance is drawn from the seed.
 """
 
 from cherrydoor.routing.router import Router as Router
--- /dev/null
+++ b/cherrydoor/routing/attempt_rules.py
@@ -0,0 +1,56 @@
+"""The check that each attempt passes before it is started: the rules that are never broken."""
+
+from cherrydoor.routing import messages
+from cherrydoor.routing.context import Context
+from cherrydoor.routing.host import Host
+from cherrydoor.routing.request import Attempt, Request
+
+DEDUP_MARGIN = 0.8  # share of the dedup window within which a repeat is sent: it travels, too
+
+
+class AttemptRules:
+    """What forbids an attempt, whatever the choice of host would gain."""
+
+    __slots__ = ("_context",)
+
+    def __init__(self, context: Context) -> None:
+        self._context = context
+
+    def allows(self, request: Request, host: Host) -> bool:
+        """Whether this request may be sent to this host now.
+
+        Not when it is closed, streams, is past its deadline or has had all its attempts; nor to a host
+        that is not ready, has no warm-up budget or is of the zone that its session was moved from.
+        """
+        now = self._context.now
+        settings = self._context.settings
+        if (
+            request.closed
+            or request.streaming
+            or now >= request.deadline_ms
+            or len(request.attempts) >= settings.max_attempts
+        ):
+            return False
+        if request.drained_zone and host.zone == request.drained_zone:
+            return False
+        if host.state != messages.HostState.READY or not host.slow_start.has_budget(now):
+            return False
+        if request.attempts_in_flight() and not settings.may_hedge:
+            return False
+        may_have_run = request.attempts_that_may_have_run()
+        return not may_have_run or self._may_repeat(request, may_have_run[0], host)
+
+    def _may_repeat(self, request: Request, first: Attempt, host: Host) -> bool:
+        """Whether a request that may have run may run again at this host."""
+        request_class = request.request_class
+        if request_class.retry_safety == messages.RetrySafety.IDEMPOTENT:
+            return True
+        if request_class.retry_safety != messages.RetrySafety.IDEMPOTENCY_KEY:
+            return False
+        scope = request_class.dedup_scope
+        if scope == "zone" and host.zone != first.host.zone:
+            return False
+        if scope == "cell" and host.cell != first.host.cell:
+            return False
+        age_ms = self._context.now - first.sent_at_ms
+        return age_ms < DEDUP_MARGIN * request_class.dedup_window_ms
--- a/cherrydoor/routing/history_table.py
+++ b/cherrydoor/routing/history_table.py
@@ -1,118 +1,164 @@
-"""The History Table and its lines, the functions."""
-
-from hashlib import sha1
-
-from cherrydoor.routing import messages
-from cherrydoor.routing.decay import WINDOW, Actor, DecayingValue
-
-FEW = 8  # how many functions are the most-called
-BUSY = 0.2  # and the least events of one at work at once, over all gateways, that make it one
-ENOUGH = 64  # but only once they are of so many calls, or after eight windows
-
-
-class Function:
-    """A line of the History Table: the function's places, how much it is called, where copies stand."""
-
-    def __init__(self, name, settings):
-        self.name, self.me, self.most = (
-            name,
-            settings.me,
-            settings.gateways,
-        )  # no more groups than would differ
-        self.count, self.open, self.home = 0.0, 0, self.place(name)
-        self.work, self.lanes, self.groups = DecayingValue(), 1, 1
-        self.copies = {}  # host -> when a copy was last known to stand; History.window drops the old
-        self.opening = {}  # host -> since when a load begun by this gateway is waited for
-        self.refused = {}  # host -> until when it is held to have no room for a copy
-        self.drawn: tuple[int, list] = (0, [])  # groups, and the places hashed for them
-
-    def place(self, key):
-        return int.from_bytes(sha1(key.encode()).digest()[:8], "big") / 2.0**64
-
-    def second(self):
-        """Hashed from function and gateway number, folded to as many groups as the work at once calls for."""
-        return self.place(f"{self.name}/{self.me % self.groups}")
-
-    def seconds(self):
-        """Places of the own second worker and of up to four others: of the lower half of the groups, which
-        gateways that go by half as many use, too."""
-        if self.drawn[0] != self.groups:
-            half = max(1, self.groups // 2)
-            folds = [self.me % self.groups, *((self.me + i) % half for i in range(4))]
-            self.drawn = self.groups, [self.place(f"{self.name}/{k}") for k in dict.fromkeys(folds)]
-        return self.drawn[1]
-
-    def told(self, host, crowd, own, now):
-        """The crowd times the hosts that share it is the work at once: a group for half a copy's lanes.
-        Where no crowd is told, own calls stand in: by the time that one takes and the number of gateways."""
-        self.copies[host] = now
-        self.work.mean(
-            now, own if crowd is None else crowd * (1 + self.groups), 0.2, self.work.value
+"""The History Table: how much each function is called here, and where its copies are."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from cherrydoor.routing.context import Context
+from cherrydoor.routing.decay import WINDOW_MS
+from cherrydoor.routing.function import Function
+from cherrydoor.routing.messages import AttemptOutcome
+from cherrydoor.routing.statistics import Statistics
+
+if TYPE_CHECKING:
+    from cherrydoor.routing.host import Host
+
+MOST_CALLED = 8  # how many functions count as the most-called
+BUSY_CONCURRENCY = 0.2  # least concurrency, over all gateways, of a function with a second worker
+HALVING_CALLS = 64  # counts are halved only once they are of so many calls ...
+HALVING_MAX_WINDOWS = 8  # ... or after so many windows
+PENDING_LOAD_TIMES = 4  # a load that takes so many times the mean is no longer awaited
+WHOLE_SPANS = 1.5  # a halved count is of about so many spans between halvings
+
+LOAD_GOES_ON = (AttemptOutcome.NO_RESPONSE, AttemptOutcome.CANCELLED)
+COPY_IS_GONE = (
+    AttemptOutcome.FUNCTION_MISSING,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.CONNECTION_LOST,
+)
+
+
+class HistoryTable:
+    """All functions called here, by own traffic alone; the only writer of their copies.
+
+    Invariant: after each window a function is kept exactly if its count is at least one half or a
+    request of it is open.
+
+    Attributes:
+        functions: By name.
+        halved_at_ms: When the counts were last halved.
+        span_ms: Time between the last two halvings.
+    """
+
+    __slots__ = (
+        "_calls",
+        "_context",
+        "_least_count",
+        "_statistics",
+        "functions",
+        "halved_at_ms",
+        "span_ms",
+    )
+
+    def __init__(self, context: Context, statistics: Statistics) -> None:
+        self._context = context
+        self._statistics = statistics
+        self.functions: dict[str, Function] = {}
+        self._least_count = 0.0  # of the most-called functions
+        self._calls = 0  # since the last halving
+        self.halved_at_ms = context.now
+        self.span_ms: float = WINDOW_MS
+
+    def find_or_add(self, name: str) -> Function:
+        """The row of a function, new if it has none."""
+        function = self.functions.get(name)
+        if function is None:
+            function = self.functions[name] = Function(name, self._context.settings)
+        return function
+
+    def end_window(self, now: float) -> None:
+        """Halve the counts where it is time, drop what is old, and find the most-called anew."""
+        halve = (
+            self._calls >= HALVING_CALLS
+            or now - self.halved_at_ms >= HALVING_MAX_WINDOWS * WINDOW_MS
         )
-        need = 2 * self.work.value / self.lanes
-        while self.groups < min(need, self.most):
-            self.groups *= 2
-        if need < self.groups / 4 and self.groups > 1:
-            self.groups //= 2
-
-
-class History(Actor):
-    """The History Table: own traffic alone. Each window halves it and drops what is no longer called."""
-
-    def __init__(self, router):
-        super().__init__(router.loop)
-        self.router, self.functions, self.bar, self.calls = router, {}, 0.0, 0
-        self.halved, self.span = router.now, WINDOW
-
-    def window(self, now):
-        halve = self.calls >= ENOUGH or now - self.halved >= 8 * WINDOW
         if halve:
-            self.calls, self.halved, self.span = 0, now, now - self.halved
-        for func in self.functions.values():
-            func.count /= 2 if halve else 1
-            func.copies = {h: t for h, t in func.copies.items() if h.holds(func, now)}
-            func.opening = {h: t for h, t in func.opening.items() if now - t < 4 * self.router.load}
-            func.refused = {h: t for h, t in func.refused.items() if t > now}
-        self.functions = {n: f for n, f in self.functions.items() if f.count >= 0.5 or f.open}
-        most = sorted((f.count for f in self.functions.values()), reverse=True)[:FEW]
-        self.bar = most[-1] if len(most) == FEW else 0.0
-
-    def hot(self, func):
-        """Most-called here, and with work at once, by answers or by own calls beyond what may be chance."""
-        sure = (func.count - 2 * func.count**0.5) / (2 * self.span) * self.router.settings.gateways
-        return func.count >= self.bar and max(func.work.value, sure * self.router.brisk) >= BUSY
-
-    def own(self, func):
-        """The work at once of a function, were all gateways called as this one is."""
-        return (
-            func.count / (1.5 * self.span) * 2 * self.router.brisk * self.router.settings.gateways
-        )
-
-    def called(self, func):
-        func.count, self.calls = func.count + 1, self.calls + 1
-
-    def tells(self, func, host, note, stood):
-        """A load where a copy was known to stand: released anew or swept out; no other is believed in."""
-        now, fate = self.router.now, note.outcome
-        if fate not in (
-            messages.AttemptOutcome.NO_RESPONSE,
-            messages.AttemptOutcome.CANCELLED,
-        ):  # then a load goes on without the event
-            func.opening.pop(host, None)
-        if fate == messages.AttemptOutcome.SUCCEEDED and stood and note.copy == 2:
-            func.copies = {}
-        if (
-            fate == messages.AttemptOutcome.SUCCEEDED
-            or fate == messages.AttemptOutcome.FULL
-            and stood
-        ):
-            own = func.work.value if stood is None else self.own(func)  # an order tells of no calls
-            func.told(host, note.concurrency, own, now)
-        elif fate == messages.AttemptOutcome.FULL:
-            func.refused[host], host.tight = now + self.router.load, now
-        elif fate in (
-            messages.AttemptOutcome.FUNCTION_MISSING,
-            messages.AttemptOutcome.CONNECT_FAILED,
-            messages.AttemptOutcome.CONNECTION_LOST,
-        ):
-            func.copies.pop(host, None)
+            self._calls = 0
+            self.span_ms = now - self.halved_at_ms
+            self.halved_at_ms = now
+        pending_ms = PENDING_LOAD_TIMES * self._statistics.load_ms
+        for function in self.functions.values():
+            if halve:
+                function.call_count /= 2
+            function.copies = {
+                host: seen_ms
+                for host, seen_ms in function.copies.items()
+                if host.holds_copy(function, now)
+            }
+            function.pending_loads = {
+                host: since_ms
+                for host, since_ms in function.pending_loads.items()
+                if now - since_ms < pending_ms
+            }
+            function.no_memory_until_ms = {
+                host: until_ms
+                for host, until_ms in function.no_memory_until_ms.items()
+                if until_ms > now
+            }
+        self.functions = {
+            name: function
+            for name, function in self.functions.items()
+            if function.call_count >= 0.5 or function.open_requests
+        }
+        counts = sorted((each.call_count for each in self.functions.values()), reverse=True)
+        self._least_count = counts[MOST_CALLED - 1] if len(counts) >= MOST_CALLED else 0.0
+
+    def is_most_called(self, function: Function) -> bool:
+        """Most-called here, and with work at a time by responses or by more own calls than chance."""
+        if function.call_count < self._least_count:
+            return False
+        certain_calls = function.call_count - 2 * function.call_count**0.5
+        gateways = self._context.settings.gateway_count
+        certain_rate = certain_calls / (2 * self.span_ms) * gateways
+        own_estimate = certain_rate * self._statistics.fast_response_ms
+        return max(function.concurrency.value, own_estimate) >= BUSY_CONCURRENCY
+
+    def record_call(self, function: Function) -> None:
+        """Count a call."""
+        function.call_count += 1
+        self._calls += 1
+
+    def record_outcome(
+        self,
+        function: Function,
+        host: Host,
+        outcome: str,
+        copy: int | None,
+        concurrency: int | None,
+        copy_was_loaded: bool | None,
+    ) -> None:
+        """Learn from an attempt or a load order where copies are.
+
+        A load where a copy was known to be loaded means that the function was released anew or its
+        copy evicted: then no other copy is relied on.
+
+        Args:
+            function: The function that was called.
+            host: Where.
+            outcome: How it ended.
+            copy: What ``AttemptEnded.copy`` tells.
+            concurrency: What ``AttemptEnded.concurrency`` tells.
+            copy_was_loaded: A copy was known to be loaded there; None for a load order.
+        """
+        now = self._context.now
+        if outcome not in LOAD_GOES_ON:
+            function.pending_loads.pop(host, None)
+        succeeded = outcome == AttemptOutcome.SUCCEEDED
+        full = outcome == AttemptOutcome.FULL
+        if succeeded and copy_was_loaded and copy == 2:
+            function.copies = {}
+        if succeeded or full and copy_was_loaded:
+            is_order = copy_was_loaded is None  # which tells nothing of calls
+            own = function.concurrency.value if is_order else self._own_estimate(function)
+            function.record_copy(host, concurrency, own, now)
+        elif full:
+            function.no_memory_until_ms[host] = now + self._statistics.load_ms
+            host.short_of_memory_at_ms = now
+        elif outcome in COPY_IS_GONE:
+            function.copies.pop(host, None)
+
+    def _own_estimate(self, function: Function) -> float:
+        """The concurrency of a function, were all gateways called as this one is."""
+        rate = function.call_count / (WHOLE_SPANS * self.span_ms)
+        fast_ms = self._statistics.fast_response_ms
+        return rate * 2 * fast_ms * self._context.settings.gateway_count
--- a/cherrydoor/routing/host.py
+++ b/cherrydoor/routing/host.py
@@ -1,241 +1,281 @@
-"""A host and its health, by its own launches' fates first and the list second."""
+"""One host as this gateway sees it: by its own attempts first, by the endpoint list second."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from cherrydoor.routing import messages
-from cherrydoor.routing.decay import WINDOW, Actor, DecayingValue
-
-PATIENCE = 0.5  # T2 is the own events out that would take this share of the target time one by one
-OTHERS = 2  # others' events held to be at a host when own ones are compared to the usual
-DEAF = 4000  # time for which a host is first held to be deaf to an event type
-FADED = 100  # answers after which what they told has faded by two thirds
-LEAST = 1.5  # a cold host owns this many times what it can do at least, as few start at the least
-
-
-class Ear:
-    """What a host lets hear of one event type; it goes with the host's process. Guards against hosts that
-    leave one unanswered, also answers lost at random; harms when a slow event is overtaken at a well host."""
-
-    def __init__(self):
-        self.heard, self.struck, self.strikes, self.shut = 0.0, 0.0, 0, 0.0
-
-
-class Host(Actor):
-    """One worker as this gateway sees it: its own launches' fates first, the list second."""
-
-    def __init__(self, router, row):
-        super().__init__(router.loop)
-        self.router, self.id, self.zone, self.cell = router, row.host, row.zone, row.cell
-        self.state, self.out = None, {}  # launches out, oldest first; each leaves with its outcome
-        self.reset(row.started_at_ms)
-
-    def reset(self, since):
-        """A process that starts anew has an empty memory and a clean slate."""
-        self.since, self.heard, self.strikes, self.shut, self.struck = since, 0.0, 0, 0.0, 0.0
-        self.passed = 0.0  # when the latest of the answered events was sent
-        self.probing, self.sheds = False, False
-        self.ears = {}  # event type -> Ear, no more than there are types
-        self.pace, self.crowd = (
-            DecayingValue(half=2 * WINDOW),
-            1.0,
-        )  # mean answer time, usual own events out
-        self.others, self.full, self.tight = (
-            DecayingValue(),
-            DecayingValue(),
-            -1e18,
-        )  # as answers tell; when short of memory
-        self.tried = (
-            self.router.now
-            - self.router.chance() * self.router.settings.gateways * self.router.mean()
-        )
-        self.credit, self.credited = self.router.chance(), self.router.now  # of rule 4, while cold
+from cherrydoor.routing.context import Context
+from cherrydoor.routing.decay import WINDOW_MS, DecayingValue
+from cherrydoor.routing.host_health import HostHealth
+from cherrydoor.routing.messages import AttemptOutcome, HostState
+from cherrydoor.routing.slow_start import SlowStart
+from cherrydoor.routing.statistics import MEMORY_RESPONSES, Statistics
+
+if TYPE_CHECKING:
+    from cherrydoor.routing.function import Function
+    from cherrydoor.routing.request import Attempt
+
+T2_OBJECTIVE_SHARE = 0.5  # T2 is the in-flight requests that take this share of the objective
+T2_LEAST_REQUESTS = 3.0
+T1_SHARE_OF_T2 = 0.6
+ASSUMED_OTHERS = 2  # requests of others assumed at a host when own ones are compared to the usual
+USUAL_IN_FLIGHT_WEIGHT = 0.1  # weight of a new figure in the usual number of own requests
+RESPONSE_TIME_WEIGHT = 0.1  # least weight of a new response time in the mean of a host
+SLOW_MEAN_FACTOR = 1.5  # by reports, T2 is at least the requests that take so many mean times
+
+RESPONDED = (
+    AttemptOutcome.SUCCEEDED,
+    AttemptOutcome.FULL,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.FUNCTION_MISSING,
+)
+
+
+class Host:
+    """One worker; the only owner of its figures, which start anew with each incarnation.
+
+    Attributes:
+        state: As the endpoint list has it; None before it was read.
+        in_flight: Attempts in flight -> when they were sent, oldest first.
+        response_time: Moving mean of its response times in ms.
+        last_attempt_ms: When an attempt was last sent there. It starts at a random time back, so
+            that not all gateways try a host at once.
+        fullness: 1 after a response that the host is full, and fading.
+        short_of_memory_at_ms: When it last had no memory for a copy.
+        overloaded: It has reached T2 and is not below T1 again.
+    """
 
-    def listed(self, state, since):
-        if since != self.since and state == messages.HostState.READY:
-            self.reset(since)
+    __slots__ = (
+        "_cancel_attempt",
+        "_context",
+        "_statistics",
+        "_usual_in_flight",
+        "cell",
+        "fullness",
+        "health",
+        "id",
+        "in_flight",
+        "last_attempt_ms",
+        "others",
+        "overloaded",
+        "response_time",
+        "short_of_memory_at_ms",
+        "slow_start",
+        "state",
+        "zone",
+    )
+
+    def __init__(
+        self,
+        context: Context,
+        statistics: Statistics,
+        endpoint: messages.Endpoint,
+        cancel_attempt: Callable[[Attempt], None],
+    ) -> None:
+        self._context = context
+        self._statistics = statistics
+        self._cancel_attempt = cancel_attempt
+        self.id = endpoint.host
+        self.zone = endpoint.zone
+        self.cell = endpoint.cell
+        self.state: str | None = None
+        self.in_flight: dict[Attempt, float] = {}
+        self._start_incarnation(endpoint.started_at_ms)
+
+    @property
+    def since(self) -> float:
+        """When its process started, in ms; 0 for long ago."""
+        return self.slow_start.started_at_ms
+
+    @property
+    def out(self) -> dict[Attempt, float]:
+        """Former name of ``in_flight``."""
+        return self.in_flight
+
+    def _start_incarnation(self, started_at_ms: float) -> None:
+        """A process that starts anew has no copies and no history of failures."""
+        context = self._context
+        self.health = HostHealth(context, self._statistics, self, self._cancel_attempt)
+        self.overloaded = False
+        self.response_time = DecayingValue(half_life_ms=2 * WINDOW_MS)
+        self._usual_in_flight = 1.0
+        self.others = DecayingValue()  # requests of other gateways there, as responses tell
+        self.fullness = DecayingValue()
+        self.short_of_memory_at_ms = -1e18
+        turn_ms = context.settings.gateway_count * self._statistics.mean_response_ms()
+        self.last_attempt_ms = context.now - context.chance() * turn_ms
+        self.slow_start = SlowStart(context, self._statistics, started_at_ms)
+
+    def update(self, state: str, started_at_ms: float) -> None:
+        """Take over what the endpoint list has of the host."""
+        if started_at_ms != self.slow_start.started_at_ms and state == HostState.READY:
+            self._start_incarnation(started_at_ms)
         self.state = state
 
-    def level(self, now):
-        """The share of its full capacity that a host has at least."""
-        age = max(0.0, now - self.since) / (self.router.settings.cold or 1.0) if self.since else 1.0
-        return min(1.0, self.router.settings.cold_from + (1 - self.router.settings.cold_from) * age)
-
-    def room(self, now):
-        """Rule 4: this gateway's part of what a warm host bears, times level and multiple, is earned with
-        time; a launch costs one. It begins below one, by chance, so that all parts add up to the whole."""
-        level, settings = self.level(now), self.router.settings
-        if level >= 1.0 or not settings.fall:
-            return True
-        rate = settings.budget * level * self.router.borne()
-        earned = self.credit + rate * (now - self.credited)
-        self.credit, self.credited = min(earned, max(1.0, rate * settings.fall / 2)), now
-        return self.credit >= 1.0
-
-    def ready(self, now, part=0.0, clause=None):
-        """What fails this hands the range on; a cold host takes it back by parts, alike at all gateways."""
-        bad = self.shut > now or self.probing or self.strikes > 1 and self.out
-        fit = (
-            self.state == messages.HostState.READY
-            and part <= LEAST * self.level(now)
-            and self.room(now)
-        )
-        return fit and (self.router.blind or not bad) and not self.deaf(clause, now)
+    # ---- what it can take
+    def is_ready(
+        self,
+        now: float,
+        part: float = 0.0,
+        request_class: messages.RequestClass | None = None,
+    ) -> bool:
+        """Whether it can have a request now; a host that is not hands its range on.
 
-    def deaf(self, clause, now):
-        """To one event type alone; once its time is over one event at a time tries it."""
-        ear = self.ears.get(clause and clause.name)
-        return ear is not None and (
-            ear.shut > now or ear.strikes > 0 and any(t.evt.clause is clause for t in self.out)
-        )
+        Args:
+            now: Time in ms.
+            part: Part of its range, from 0 to 1, that the request is at: a host in slow start owns
+                the lower part only, the same at all gateways.
+            request_class: Class of the request; None where it does not matter.
+        """
+        if (
+            self.state != HostState.READY
+            or not self.slow_start.may_own(part, now)
+            or not self.slow_start.has_budget(now)
+        ):
+            return False
+        if not self._statistics.most_hosts_suspect and self.health.is_suspect(now):
+            return False
+        return request_class is None or not self.health.is_ejected_for(request_class, now)
 
-    def holds(self, func, now):
-        seen = func.copies.get(self, self.since)
-        return seen > self.since and now - seen < self.router.settings.linger
+    def holds_copy(self, function: Function, now: float) -> bool:
+        """A copy of the function is known to be loaded, by the current process and not long ago."""
+        started_at_ms = self.slow_start.started_at_ms
+        seen_ms = function.copies.get(self, started_at_ms)
+        return seen_ms > started_at_ms and now - seen_ms < self._context.settings.idle_retention_ms
 
-    def roomy(self):
-        return self.router.now - self.tight > self.router.settings.linger
+    def has_memory(self) -> bool:
+        """It was not short of memory lately."""
+        short_for_ms = self._context.now - self.short_of_memory_at_ms
+        return short_for_ms > self._context.settings.idle_retention_ms
 
-    def load(self):
-        """Own events out here and, as far as they were told and have not aged away, those of others."""
-        return len(self.out) + round(self.others.read(self.router.now), 1)
+    # ---- how loaded it is
+    def load(self) -> float:
+        """Own requests in flight and, as far as responses told and it has not aged away, others'."""
+        return len(self.in_flight) + round(self.others.read(self._context.now), 1)
 
-    def wait(self, func):
-        """The time that an event sent now is predicted to take, by its own answers and its own events out."""
-        now, full = self.router.now, self.full.read(self.router.now)
-        since = [
-            t.sent if t.evt.func is func else max(t.sent, self.heard)
-            for t in self.out
-            if t.stood and not t.silent
+    def mean_response_ms(self) -> float:
+        """Its mean response time; without responses it ages towards that of all hosts."""
+        return self.response_time.read(self._context.now, self._statistics.mean_response_ms())
+
+    def predicted_response_ms(self, function: Function) -> float:
+        """The time that a request sent now is predicted to take.
+
+        By the host's mean response time, by how long requests have been in flight without a response
+        meanwhile, and by the number of own requests in flight against the usual number.
+        """
+        now = self._context.now
+        fullness = self.fullness.read(now)
+        last_response_ms = self.health.last_response_ms
+        waiting_since_ms = [
+            attempt.sent_at_ms
+            if attempt.request.function is function
+            else max(attempt.sent_at_ms, last_response_ms)
+            for attempt in self.in_flight
+            if attempt.copy_was_loaded and not attempt.presumed_lost
         ]
-        pace = max(self.mean(), now - min(since, default=now), full * self.router.settings.target)
-        own = pace * (len(self.out) + 1 + OTHERS) / (self.crowd + OTHERS)
-        return max(
-            own, self.router.each * (self.load() + 1) if now - self.others.at < WINDOW else 0.0
+        response_ms = max(
+            self.mean_response_ms(),
+            now - min(waiting_since_ms, default=now),
+            fullness * self._context.settings.shortest_objective_ms,
         )
+        own_ms = (
+            response_ms
+            * (len(self.in_flight) + 1 + ASSUMED_OTHERS)
+            / (self._usual_in_flight + ASSUMED_OTHERS)
+        )
+        if now - self.others.at_ms >= WINDOW_MS:
+            return max(own_ms, 0.0)
+        return max(own_ms, self._statistics.time_per_request_ms * (self.load() + 1))
 
-    def mean(self):
-        return self.pace.read(self.router.now, self.router.mean())
-
-    def sent(self, launch, now):
-        self.out[launch] = self.tried = now
-        self.crowd += 0.1 * (max(1, len(self.out)) - self.crowd)
-        self.credit -= 1.0
+    def check_overload(self) -> bool:
+        """Whether requests go to other hosts: from T2 on, until the load is below T1 again.
 
-    def busy(self):
-        """T1 and T2, as shares of T2. A full answer counts as T2 and ages."""
-        t2 = max(3.0, PATIENCE * self.router.settings.target / self.router.brisk)
-        usual = self.router.waited / FADED  # the mean answer time, as faded sums have it
-        told = (
+        A response that the host is full counts as T2 and ages.
+        """
+        objective_ms = self._context.settings.shortest_objective_ms
+        statistics = self._statistics
+        t2 = max(T2_LEAST_REQUESTS, T2_OBJECTIVE_SHARE * objective_ms / statistics.fast_response_ms)
+        usual_ms = statistics.time_sum_ms / MEMORY_RESPONSES
+        by_reports = (
             self.load()
-            * self.router.each
-            / max(PATIENCE * self.router.settings.target, 1.5 * usual)
+            * statistics.time_per_request_ms
+            / max(T2_OBJECTIVE_SHARE * objective_ms, SLOW_MEAN_FACTOR * usual_ms)
         )
-        out = max(len(self.out) / t2, told) + self.full.read(self.router.now)
-        self.sheds = out >= (0.6 if self.sheds else 1.0)
-        return self.sheds
-
-    def back(self, launch, note, now):
-        self.out.pop(launch, None)
-        long = note.duration_ms > self.patience(launch)  # before what it teaches of the mean
-        if note.outcome in (
-            messages.AttemptOutcome.SUCCEEDED,
-            messages.AttemptOutcome.FULL,
-            messages.AttemptOutcome.ERROR,
-            messages.AttemptOutcome.FUNCTION_MISSING,
-        ):
-            held = (
-                max(self.others.read(now), note.concurrency or 0)
-                if note.in_flight is None
-                else note.in_flight
-            )
-            self.heard, self.others = (
-                now,
-                DecayingValue(now, max(0.0, held - len(self.out)), 2 * WINDOW),
+        share = max(len(self.in_flight) / t2, by_reports)
+        share += self.fullness.read(self._context.now)
+        self.overloaded = share >= (T1_SHARE_OF_T2 if self.overloaded else 1.0)
+        return self.overloaded
+
+    # ---- what happens to it
+    def record_sent(self, attempt: Attempt, now: float) -> None:
+        """An attempt is sent to it."""
+        self.in_flight[attempt] = self.last_attempt_ms = now
+        in_flight = max(1, len(self.in_flight))
+        self._usual_in_flight += USUAL_IN_FLIGHT_WEIGHT * (in_flight - self._usual_in_flight)
+        self.slow_start.spend()
+
+    def record_outcome(self, attempt: Attempt, ended: messages.AttemptEnded, now: float) -> None:
+        """An attempt has ended: learn its load, response time and health."""
+        self.in_flight.pop(attempt, None)
+        # Before the mean response time, which the limit goes by, learns of this one.
+        was_long = ended.duration_ms > self.health.silence_limit_ms(attempt)
+        if ended.outcome in RESPONDED:
+            self._record_load(ended, now)
+        self.health.record_class_outcome(attempt, ended.outcome, now)
+        self._record_response_time(attempt, ended, now)
+        if ended.outcome == AttemptOutcome.SUCCEEDED:
+            self.health.record_success()
+        elif ended.outcome == AttemptOutcome.FULL and attempt.copy_was_loaded:
+            self.fullness = DecayingValue(now, 1.0)
+        else:
+            self._record_failure(attempt, ended, was_long, now)
+
+    def check_silence(self, now: float) -> None:
+        """Look whether it has been silent for too long."""
+        self.health.check_silence(now)
+
+    def record_health_check(self, outcome: str, now: float) -> None:
+        """A health check of it has ended."""
+        self.health.record_check(outcome, now)
+
+    def _record_load(self, ended: messages.AttemptEnded, now: float) -> None:
+        """Learn from a response how many requests of other gateways are there."""
+        if ended.in_flight is None:
+            held = max(self.others.read(now), ended.concurrency or 0)
+        else:
+            held = ended.in_flight
+        self.health.last_response_ms = now
+        self.others = DecayingValue(now, max(0.0, held - len(self.in_flight)), 2 * WINDOW_MS)
+
+    def _record_response_time(
+        self, attempt: Attempt, ended: messages.AttemptEnded, now: float
+    ) -> None:
+        """Learn a response time; a request left without a response for longer than usual tells, too."""
+        if ended.outcome == AttemptOutcome.SUCCEEDED:
+            counts = attempt.ran_on_loaded_copy
+        else:
+            counts = (
+                ended.outcome in (AttemptOutcome.NO_RESPONSE, AttemptOutcome.CANCELLED)
+                and attempt.copy_was_loaded
+                and not attempt.presumed_lost
+                and ended.duration_ms > self.mean_response_ms()
             )
-        ear = self.ears.setdefault(launch.evt.clause.name, Ear())
-        if note.outcome == messages.AttemptOutcome.NO_RESPONSE and self.unheard(launch, ear, now):
-            self.strike_ear(launch, ear, now)
-        elif note.outcome in (messages.AttemptOutcome.SUCCEEDED, messages.AttemptOutcome.ERROR):
-            self.passed = max(self.passed, launch.sent)
-            ear.heard, ear.strikes, ear.shut = now, ear.strikes // 2, 0.0
-        left = (
-            note.outcome in (messages.AttemptOutcome.NO_RESPONSE, messages.AttemptOutcome.CANCELLED)
-            and launch.stood
-            and note.duration_ms > self.mean()
-        )
-        left = left and not launch.silent
-        if (
-            left or note.outcome == messages.AttemptOutcome.SUCCEEDED and launch.warm
-        ):  # what left unanswered tells, too
-            self.pace.mean(now, note.duration_ms, 0.1, self.router.mean())
-        if note.outcome == messages.AttemptOutcome.SUCCEEDED:
-            self.strikes, self.shut = 0, 0.0
-        elif note.outcome == messages.AttemptOutcome.FULL and launch.stood:
-            self.full = DecayingValue(now, 1.0)
-        elif (
-            note.outcome in (messages.AttemptOutcome.ERROR, messages.AttemptOutcome.CONNECTION_LOST)
-            and note.copy != 4
-        ):
-            self.strike(1, now, launch.sent)
-        elif (
-            note.outcome == messages.AttemptOutcome.CONNECT_FAILED
-            or note.outcome == messages.AttemptOutcome.NO_RESPONSE
-            and (long and self.heard < launch.sent)
+        if counts:
+            rest_ms = self._statistics.mean_response_ms()
+            self.response_time.average(now, ended.duration_ms, RESPONSE_TIME_WEIGHT, rest_ms)
+
+    def _record_failure(
+        self, attempt: Attempt, ended: messages.AttemptEnded, was_long: bool, now: float
+    ) -> None:
+        """Count what tells of a bad host; a failed load (``copy`` 4) tells of the function."""
+        outcome = ended.outcome
+        if outcome in (AttemptOutcome.ERROR, AttemptOutcome.CONNECTION_LOST) and ended.copy != 4:
+            self.health.record_failure(1, now, attempt.sent_at_ms)
+        elif outcome == AttemptOutcome.CONNECT_FAILED or (
+            outcome == AttemptOutcome.NO_RESPONSE
+            and was_long
+            and self.health.last_response_ms < attempt.sent_at_ms
         ):
-            self.strike(2, now, launch.sent)
-
-    def strike(self, weight, now, sent):
-        """Bad fates in a row shut a host for a time that doubles; one good answer ends it. What was out
-        together counts once: guards against a host long shut for one moment; harms where single ones fail."""
-        if sent < self.struck:
-            return
-        self.strikes, self.struck = self.strikes + weight, now
-        if self.strikes > 1:
-            self.shut = now + 250 * 2 ** min(self.strikes, 4) * (1 + self.router.chance())
-
-    def patience(self, launch):
-        """Silence that tells of the host. Guards against clients that wait for less, whose launches are cut
-        while the host works; harms where all do: a dead host is then found by refused connections alone."""
-        return max(250.0, 4 * self.mean()) + (0 if launch.stood else 3 * self.router.load)
-
-    def sweep(self, now):
-        """Silence shows a host that stalls or is cut off: it is probed, else its events are taken back.
-        Answers to other event types show no more than that it runs: each type has an ear of its own."""
-        for launch in self.out:
-            ear = self.ears.setdefault(launch.evt.clause.name, Ear())
-            if not launch.evt.streams and self.unheard(launch, ear, now):
-                self.strike_ear(launch, ear, now)
-                self.router.post("take_back", launch)
-        silent = any(
-            now - max(sent, self.heard) > self.patience(launch)
-            for launch, sent in self.out.items()
-            if not launch.evt.streams
-        )
-        ask = not self.probing and (silent or self.strikes > 1 and self.shut <= now)
-        if ask and self.router.settings.probes:
-            self.probing = True
-            self.router.actions.append(messages.CheckHealth(self.id))
-        elif ask and silent:
-            self.probed(messages.AttemptOutcome.NO_RESPONSE, now)
-
-    def unheard(self, launch, ear, now):
-        """Out for long, nothing of its type was answered since, and events sent after it were."""
-        waits = max(250.0, 4 * self.mean()) * (1 if ear.strikes else 2)
-        waits += 0 if launch.stood else 1.5 * self.router.load
-        return self.passed > launch.sent and now - max(launch.sent, ear.heard) > waits
-
-    def strike_ear(self, launch, ear, now):
-        launch.silent = True
-        if launch.sent > ear.struck:
-            ear.struck, ear.strikes = now, ear.strikes + 1
-            lost, all_ = self.router.losses[launch.evt.clause.name]
-            lost.add(now, 1.0)
-            sure = (1 + 20 * lost.read(now) / (20 + all_.read(now))) * 4 ** (ear.strikes - 1)
-            ear.shut = now + DEAF * min(10, sure) * (0.75 + self.router.chance() / 2)
-
-    def probed(self, fate, now):
-        self.probing = False
-        if fate == messages.AttemptOutcome.SUCCEEDED:
-            self.heard, self.strikes, self.shut = now, 0, 0.0
-        elif fate != messages.AttemptOutcome.FULL:
-            self.strike(2, now, now)
-            for launch in self.out:
-                self.router.post("take_back", launch)
+            self.health.record_failure(2, now, attempt.sent_at_ms)
--- a/cherrydoor/routing/request.py
+++ b/cherrydoor/routing/request.py
@@ -1,7 +1,15 @@
-"""An event taken, its launches, and the customer it comes from."""
+"""A request in progress, its attempts, and the tenant that it comes from."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from cherrydoor.routing import messages
-from cherrydoor.routing.decay import WINDOW, DecayingValue
+from cherrydoor.routing.decay import WINDOW_MS, DecayingValue
+
+if TYPE_CHECKING:
+    from cherrydoor.routing.function import Function
+    from cherrydoor.routing.host import Host
 
 NEVER_RAN = (
     messages.AttemptOutcome.FULL,
@@ -9,46 +17,100 @@
     messages.AttemptOutcome.NOT_SENT,
     messages.AttemptOutcome.FUNCTION_MISSING,
 )
+OVERLOAD_BASE = 2  # signs of overload that are always put up with ...
+OVERLOAD_SHARE = 0.1  # ... and this share of the requests
+
+
+class TenantUsage:
+    """Requests and signs of overload of one tenant.
+
+    They are counted apart for each tenant, so that the retries of one tenant's clients are not
+    overload for the others.
+    """
+
+    __slots__ = ("overload", "quota_per_ms", "requests")
+
+    def __init__(self, quota_per_ms: float = 1.0) -> None:
+        self.quota_per_ms = quota_per_ms
+        self.requests = DecayingValue()
+        self.overload = DecayingValue()
 
+    def is_overloaded(self, now: float) -> bool:
+        """More requests were given up or refused than single failures explain."""
+        return self.overload.read(now) > OVERLOAD_BASE + OVERLOAD_SHARE * self.requests.read(now)
 
-class Customer:
-    """One customer's calls and strain, apart, so that its clients' repeats are not overload for others."""
+    def is_over_quota(self, now: float) -> bool:
+        """The tenant sends more than this gateway's equal part of its quota."""
+        return self.requests.read(now) > 2 * WINDOW_MS * self.quota_per_ms
 
-    def __init__(self, part=1.0):
-        self.part, self.calls, self.strain = part, DecayingValue(), DecayingValue()
 
-    def overloaded(self, now):
-        return self.strain.read(now) > 2 + 0.1 * self.calls.read(now)
+class Attempt:
+    """One attempt of a request.
 
-    def beyond(self, now):  # an equal part of its share
-        return self.calls.read(now) > 2 * WINDOW * self.part
+    Attributes:
+        outcome: How it ended; None while it is in flight.
+        copy_was_loaded: A copy was known to be loaded at the host when it was sent.
+        ran_on_loaded_copy: It waited for no load: as the host told, else as it was known before.
+        presumed_lost: It has no response from a host that responds to later requests.
+    """
 
+    __slots__ = (
+        "copy_was_loaded",
+        "host",
+        "outcome",
+        "presumed_lost",
+        "ran_on_loaded_copy",
+        "request",
+        "sent_at_ms",
+    )
 
-class Try:
-    """One launch of an event: fate is None while it is out; stood tells if a copy was known to stand, silent
-    that it is held to be lost at a host that answers other things."""
+    def __init__(self, request: Request, host: Host, now: float) -> None:
+        self.request = request
+        self.host = host
+        self.sent_at_ms = now
+        self.outcome: str | None = None
+        loaded = host.holds_copy(request.function, now)
+        self.copy_was_loaded = loaded
+        self.ran_on_loaded_copy = loaded
+        self.presumed_lost = False
 
-    def __init__(self, evt, host, now):
-        self.evt, self.host, self.sent, self.outcome = evt, host, now, None
-        self.stood = self.warm = host.holds(evt.func, now)
-        self.silent = False
 
+class Request:
+    """A request that was accepted. The router drops it once closed with no attempt in flight."""
 
-class Event:
-    """An event taken; Gateway.events drops it once it is over and no launch is out."""
+    __slots__ = (
+        "attempts",
+        "closed",
+        "deadline_ms",
+        "drained_zone",
+        "function",
+        "id",
+        "request_class",
+        "streaming",
+        "tenant",
+    )
 
-    def __init__(self, arrival, clause, func, customer):
-        self.id, self.clause, self.func, self.until = (
-            arrival.request_id,
-            clause,
-            func,
-            arrival.deadline_ms,
-        )
-        self.away = arrival.drained_zone
-        self.customer, self.tries, self.over, self.streams = customer, [], False, False
+    def __init__(
+        self,
+        arrived: messages.RequestArrived,
+        request_class: messages.RequestClass,
+        function: Function,
+        tenant: TenantUsage,
+    ) -> None:
+        self.id = arrived.request_id
+        self.deadline_ms = arrived.deadline_ms
+        self.drained_zone = arrived.drained_zone
+        self.request_class = request_class
+        self.function = function
+        self.tenant = tenant
+        self.attempts: list[Attempt] = []
+        self.closed = False
+        self.streaming = False
 
-    def out(self):
-        return [t for t in self.tries if t.outcome is None]
+    def attempts_in_flight(self) -> list[Attempt]:
+        """Attempts that have not ended."""
+        return [attempt for attempt in self.attempts if attempt.outcome is None]
 
-    def may_have_run(self):
-        return [t for t in self.tries if t.outcome not in NEVER_RAN]
+    def attempts_that_may_have_run(self) -> list[Attempt]:
+        """Attempts that may have had an effect, those in flight among them."""
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
--- /dev/null
+++ b/cherrydoor/routing/request_lifecycle.py
@@ -0,0 +1,179 @@
+"""The way of a request: routed, retried, cancelled and given its final answer."""
+
+from cherrydoor.routing import messages
+from cherrydoor.routing.attempt_rules import AttemptRules
+from cherrydoor.routing.context import Context
+from cherrydoor.routing.host import Host
+from cherrydoor.routing.load_orders import LoadOrders
+from cherrydoor.routing.messages import AttemptOutcome, RetrySafety
+from cherrydoor.routing.request import Attempt, Request
+from cherrydoor.routing.statistics import Statistics
+from cherrydoor.routing.zone_table import OBJECTIVE_SHARE, ZoneTable
+
+YIELD_FACTOR = 2  # predictions of a tenant beyond its quota count so many times under overload
+DEDUP_HALF = 0.5  # a client may be told to retry within this share of the dedup window
+LEAST_RETRY_AFTER_MS = 100.0
+RETRY_AFTER_LOAD_ORDER_MS = 50.0  # by then the order has reached the host
+
+
+class RequestLifecycle:
+    """Leads requests to their final answer; owns the requests that are not over.
+
+    Invariant: a request is in ``requests`` from its arrival until it is closed and none of its
+    attempts is in flight; it gets one final answer.
+
+    Attributes:
+        requests: By their number.
+    """
+
+    def __init__(
+        self,
+        context: Context,
+        statistics: Statistics,
+        rules: AttemptRules,
+        load_orders: LoadOrders,
+        zone: ZoneTable,
+    ) -> None:
+        self._context = context
+        self._settings = context.settings
+        self._statistics = statistics
+        self._rules = rules
+        self._load_orders = load_orders
+        self._zone = zone
+        self.requests: dict[int, Request] = {}
+
+    def add(self, request: Request) -> None:
+        """Take in a request that has arrived."""
+        self.requests[request.id] = request
+        request.function.open_requests += 1
+
+    def cancel_by_client(self, request: Request) -> None:
+        """The client no longer waits: no final answer is given."""
+        request.closed = True
+        self._context.queue(self.close, request)
+
+    def route(self, request: Request) -> None:
+        """Start an attempt, the first one only if it is predicted to be in time; else give up."""
+        host, order_copy_at = self._zone.choose(request)
+        if order_copy_at is not None:
+            self._load_orders.order(request.function, order_copy_at)
+        if host is not None and (request.attempts or self._is_in_time(request, host)):
+            self.start_attempt(request, host)
+            return
+        request.tenant.overload.add(self._context.now, host is not None)
+        self.give_up(request)
+
+    def _is_in_time(self, request: Request, host: Host) -> bool:
+        """Whether the response is predicted in time, or the host is to be tried again."""
+        now = self._context.now
+        tenant = request.tenant
+        predicted_ms = host.predicted_response_ms(request.function)
+        if tenant.is_over_quota(now) and tenant.is_overloaded(now):
+            predicted_ms *= YIELD_FACTOR
+        objective_ms = OBJECTIVE_SHARE * request.request_class.latency_objective_ms
+        if predicted_ms <= min(objective_ms, request.deadline_ms - now):
+            return True
+        # One at a time from all gateways goes to a host that seems late, to see whether it still is.
+        untried_ms = now - max(host.response_time.at_ms, host.last_attempt_ms)
+        turn_ms = self._settings.gateway_count * self._statistics.mean_response_ms()
+        return not host.in_flight and untried_ms > turn_ms
+
+    def start_attempt(self, request: Request, host: Host) -> None:
+        """Send the request to the host, if the rules allow; else give up."""
+        if not self._rules.allows(request, host):
+            self.give_up(request)
+            return
+        context = self._context
+        attempt = Attempt(request, host, context.now)
+        request.attempts.append(attempt)
+        context.actions.append(messages.StartAttempt(request.id, host.id, 0.0))
+        losses = self._statistics.class_losses[request.request_class.name]
+        losses.sent.add(context.now, 1.0)
+        context.queue(host.record_sent, attempt, context.now)
+        if not attempt.copy_was_loaded:
+            request.function.pending_loads.setdefault(host, context.now)
+
+    def continue_request(
+        self, request: Request, attempt: Attempt, ended: messages.AttemptEnded
+    ) -> None:
+        """After an attempt: close the request, wait for a load, give up or route it again."""
+        now = self._context.now
+        if ended.outcome == AttemptOutcome.SUCCEEDED:
+            self._statistics.record_success(attempt, ended, len(self._zone.owners))
+        elif ended.outcome == AttemptOutcome.FULL:
+            request.tenant.overload.add(now, attempt.copy_was_loaded)
+        request.closed = request.closed or ended.request_closed
+        if request.closed or request.streaming or request.attempts_in_flight():
+            self.close(request)
+        elif (
+            ended.outcome == AttemptOutcome.FUNCTION_MISSING
+            and self._settings.reports_missing
+            and self._load_orders.order(request.function, attempt.host)
+        ):
+            delay_ms = min(RETRY_AFTER_LOAD_ORDER_MS, request.deadline_ms - now - 1)
+            self._context.set_timer(delay_ms, str(request.id))
+        elif request.tenant.is_overloaded(now):
+            self.give_up(request)
+        else:
+            self._context.queue(self.route, request)
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt so that another may follow, or as its request is closed.
+
+        Only where a repeat is harmless and the request does not stream.
+        """
+        request = attempt.request
+        if (
+            not self._settings.may_cancel
+            or attempt.outcome is not None
+            or request.streaming
+            or request.request_class.retry_safety != RetrySafety.IDEMPOTENT
+        ):
+            return
+        may_retry = len(
+            request.attempts
+        ) < self._settings.max_attempts and not request.tenant.is_overloaded(self._context.now)
+        if request.closed or may_retry:
+            index = request.attempts.index(attempt)
+            self._context.actions.append(messages.CancelAttempt(request.id, index))
+
+    def give_up(self, request: Request) -> None:
+        """Give the final answer, at once: rejected where a repeat is harmless, else failed."""
+        if request.closed:
+            return
+        request.closed = True
+        settings = self._settings
+        context = self._context
+        mean_ms = max(self._statistics.mean_response_ms(), LEAST_RETRY_AFTER_MS)
+        jitter = 1 + context.chance()
+        retry_after_ms = min(settings.max_retry_after_ms, mean_ms) * jitter / 2
+        if self._is_repeat_harmless(request):
+            context.actions.append(messages.RejectRequest(request.id, retry_after_ms))
+        else:
+            context.actions.append(messages.FailRequest(request.id))
+        self.close(request)
+
+    def _is_repeat_harmless(self, request: Request) -> bool:
+        """Whether the client may send the request again without a second effect."""
+        request_class = request.request_class
+        may_have_run = request.attempts_that_may_have_run()
+        if not may_have_run or request_class.retry_safety == RetrySafety.IDEMPOTENT:
+            return True
+        if (
+            request_class.retry_safety != RetrySafety.IDEMPOTENCY_KEY
+            or request_class.dedup_scope != "all"
+        ):
+            return False
+        age_ms = self._context.now - may_have_run[0].sent_at_ms
+        return age_ms < DEDUP_HALF * request_class.dedup_window_ms
+
+    def close(self, request: Request) -> None:
+        """Cancel what is in flight for a closed request; forget it once nothing is."""
+        if not request.closed:
+            return
+        in_flight = request.attempts_in_flight()
+        for attempt in in_flight:
+            self._context.queue(self.cancel_attempt, attempt)
+        if not in_flight and request.id in self.requests:
+            del self.requests[request.id]
+            request.function.open_requests -= 1
--- a/cherrydoor/routing/zone_table.py
+++ b/cherrydoor/routing/zone_table.py
@@ -1,139 +1,277 @@
-"""The Zone Table, and the choice of a host."""
+"""The Zone Table, and the choice of a host for a request."""
 
+from __future__ import annotations
+
+from collections.abc import Callable
 from math import modf
+from typing import NamedTuple
 
 from cherrydoor.routing import messages
-from cherrydoor.routing.decay import Actor
-from cherrydoor.routing.history_table import BUSY
-from cherrydoor.routing.host import LEAST
+from cherrydoor.routing.attempt_rules import AttemptRules
+from cherrydoor.routing.context import Context
+from cherrydoor.routing.function import Function
+from cherrydoor.routing.history_table import BUSY_CONCURRENCY, HistoryTable
+from cherrydoor.routing.host import Host
+from cherrydoor.routing.messages import AttemptOutcome, HostState
+from cherrydoor.routing.request import Request
+from cherrydoor.routing.statistics import Statistics
+
+OBJECTIVE_SHARE = 0.75  # of the latency objective that a predicted response may fill
+SPREAD_TRIES = 3  # how often a position that a cold host cannot take is moved elsewhere
+SPREAD_FACTOR = 4096  # positions are moved by the bits below this part
+# Calls within the idle time of a copy: by chance none comes in one idle time of 150.
+CALLS_THAT_KEEP_A_COPY = 5
+# A vacancy of this length, or a host without a range for a quarter of it, makes the ranges anew.
+REDISTRIBUTE_MS = 60000
+
+
+class ZoneLoad(NamedTuple):
+    """What is known of one zone.
+
+    Attributes:
+        zone: Its name.
+        requests_per_second: Requests of this gateway that go there.
+        mean_response_ms: Mean response time of its ready hosts; None where there are none.
+        ready_hosts: Hosts that are ready and not ejected.
+    """
+
+    zone: str
+    requests_per_second: float
+    mean_response_ms: float | None
+    ready_hosts: int
+
+
+class Choice(NamedTuple):
+    """The host chosen for a request, if any, and one where a copy is to be ordered, if any."""
+
+    host: Host | None
+    order_copy_at: Host | None
 
-SURE = 0.75  # share of the target time that a predicted wait may fill, as predictions err
-SPREAD = 3  # how often a place that a cold host cannot bear is spread anew
-KEPT = 5  # events in the idle time of a copy: by chance none comes in one idle time of 150
-RECUT = (
-    60000  # a vacancy of this length, or a host left over for a quarter of it, recuts the ranges
-)
 
+NO_CHOICE = Choice(None, None)
 
-class Zone(Actor):
-    """The Zone Table: equal ranges over the sorted ids. A newcomer takes a vacancy; a long one cuts anew."""
 
-    def __init__(self, router):
-        super().__init__(router.loop)
-        self.router, self.slots, self.even, self.calm = router, [], 0.0, 0.0
+class ZoneTable:
+    """Equal ranges of positions over the hosts, which are sorted by id.
 
-    def relist(self, now):
+    Invariant: a range changes hands only to a new host that takes a vacancy, until a long vacancy or
+    a host long without a range makes all ranges anew; so few functions move.
+
+    Attributes:
+        owners: The hosts in order of their ranges.
+    """
+
+    def __init__(
+        self,
+        context: Context,
+        statistics: Statistics,
+        hosts: dict[str, Host],
+        history: HistoryTable,
+        rules: AttemptRules,
+    ) -> None:
+        self._context = context
+        self._statistics = statistics
+        self._hosts = hosts
+        self._history = history
+        self._rules = rules
+        self.owners: list[Host] = []
+        self._complete_at_ms = 0.0  # when each range last had its host, and each host a range
+        self._next_extra_copy_ms = 0.0
+
+    # ---- the table
+    def update(self, now: float) -> None:
+        """Give vacant ranges to new hosts; make all ranges anew where that was not enough for long."""
         listed = sorted(
-            (h for h in self.router.hosts.values() if h.state != messages.HostState.GONE),
-            key=lambda h: h.id,
+            (host for host in self._hosts.values() if host.state != HostState.GONE),
+            key=lambda host: host.id,
         )
-        new = [h for h in listed if h not in self.slots and h.state == messages.HostState.READY]
-        self.slots = [
-            new.pop(0) if new and h.state != messages.HostState.READY else h for h in self.slots
+        new = [host for host in listed if host not in self.owners and host.state == HostState.READY]
+        self.owners = [
+            new.pop(0) if new and host.state != HostState.READY else host for host in self.owners
         ]
-        if not self.slots or now - self.even > (RECUT / 4 if new else RECUT):
-            self.slots, new = listed, []
-        if not new and all(h.state != messages.HostState.GONE for h in self.slots):
-            self.even = now
-
-    def heir(self, pos, fits, clause=None):
-        """The owner of this place in the id space, or the next ready one in order. What a cold owner cannot
-        bear is spread over all others by the place's lower bits: its neighbour would bear two ranges."""
-        now, (part, first) = self.router.now, modf(pos * len(self.slots))
-        for _ in range(SPREAD if self.slots else 0):
-            if part <= LEAST * self.slots[int(first)].level(now):
+        limit_ms = REDISTRIBUTE_MS / 4 if new else REDISTRIBUTE_MS
+        if not self.owners or now - self._complete_at_ms > limit_ms:
+            self.owners = listed
+            new = []
+        if not new and all(host.state != HostState.GONE for host in self.owners):
+            self._complete_at_ms = now
+
+    def owner(
+        self,
+        position: float,
+        accepts: Callable[[Host], bool],
+        request_class: messages.RequestClass | None = None,
+    ) -> Host | None:
+        """The host of this position, or the next ready one in order that is accepted.
+
+        What an owner in slow start cannot take is spread over all others by the position's lower
+        bits, as its neighbour would have two ranges. With no ready host, one that is not ejected.
+        """
+        now = self._context.now
+        owners = self.owners
+        count = len(owners)
+        part, index = modf(position * count)
+        for _ in range(SPREAD_TRIES if owners else 0):
+            if owners[int(index)].slow_start.may_own(part, now):
                 break
-            pos = modf(pos * 4096)[0]
-            part, first = modf(pos * len(self.slots))
-        for bar in (part, 0.0, None):  # None: not ready, but at least not shut
-            for i in range(len(self.slots)):
-                host = self.slots[(int(first) + i) % len(self.slots)]
-                if (host.shut <= now if bar is None else host.ready(now, bar, clause)) and fits(
-                    host
-                ):
+            position = modf(position * SPREAD_FACTOR)[0]
+            part, index = modf(position * count)
+        first = int(index)
+        for owned_part in (part, 0.0):
+            for offset in range(count):
+                host = owners[(first + offset) % count]
+                if host.is_ready(now, owned_part, request_class) and accepts(host):
                     return host
+        for offset in range(count):
+            host = owners[(first + offset) % count]
+            if host.health.ejected_until_ms <= now and accepts(host):
+                return host
         return None
 
-    def kept(self, func):
-        """Where all gateways' calls are held to keep a copy, though this one saw none there. Guards against
-        orders and waits of each gateway for copies that long stand; harms where hosts are short of memory, or
-        a copy was swept out by others' calls: events then wait for a load there. Never at a cold host."""
-        router, n = self.router, len(self.slots)
-        calls = func.work.value * router.settings.linger / router.mean() / (1 + func.groups)
-        if calls <= KEPT or router.settings.gateways < 2 or not n:
+    def presumed_holders(self, function: Function) -> list[Host]:
+        """Hosts where the calls of all gateways keep a copy, though this gateway saw none there.
+
+        Guards against load orders and waits of each gateway for copies that are loaded already.
+        Harms where hosts are short of memory, or a copy was evicted by calls of others: requests
+        then wait for a load there. A host in slow start is never presumed to hold one.
+        """
+        settings = self._context.settings
+        count = len(self.owners)
+        mean_ms = self._statistics.mean_response_ms()
+        concurrency = function.concurrency.value
+        calls = concurrency * settings.idle_retention_ms / mean_ms / (1 + function.groups)
+        if calls <= CALLS_THAT_KEEP_A_COPY or settings.gateway_count < 2 or not count:
             return []
-        more = (
-            func.work.value >= BUSY and router.settings.gateways > 2 * func.groups
-        )  # or there are no seconds
-        places = [func.home, *(func.seconds() if more else ())]
-        return [h for h in (self.slots[int(p * n)] for p in places) if h.level(router.now) >= 1.0]
-
-    def outside(self, name, zone):
-        """Ids of hosts of other zones where a copy of the function is held to stand."""
-        func = self.router.history.functions.get(name)
-        known = dict.fromkeys([*func.copies, *self.kept(func)]) if func else ()
-        return [h.id for h in known if h.zone != zone and h.holds(func, self.router.now)]
-
-    def sites(self):
-        """What is held of each zone: (zone, events a second that go there, mean answer time, hosts that stand)."""
-        found, now, router = {}, self.router.now, self.router
-        rate = 1000 * router.handled.read(now) / (1.44 * router.handled.half)
-        for host in self.slots:
-            found.setdefault(host.zone, []).extend(
-                [host] * (host.state == messages.HostState.READY and host.shut <= now)
-            )
+        positions = [function.home_position]
+        if concurrency >= BUSY_CONCURRENCY and settings.gateway_count > 2 * function.groups:
+            positions += function.second_positions()  # else there are no second workers
+        now = self._context.now
+        hosts = [self.owners[int(position * count)] for position in positions]
+        return [host for host in hosts if host.slow_start.level(now) >= 1.0]
+
+    def outside(self, name: str, zone: str) -> list[str]:
+        """Ids of hosts of other zones where a copy of the function is known to be loaded."""
+        function = self._history.functions.get(name)
+        if function is None:
+            return []
+        now = self._context.now
+        known = dict.fromkeys([*function.copies, *self.presumed_holders(function)])
+        return [host.id for host in known if host.zone != zone and host.holds_copy(function, now)]
+
+    def sites(self) -> list[ZoneLoad]:
+        """What is known of each zone."""
+        now = self._context.now
+        ready: dict[str, list[Host]] = {}
+        for host in self.owners:
+            in_zone = ready.setdefault(host.zone, [])
+            if host.state == HostState.READY and host.health.ejected_until_ms <= now:
+                in_zone.append(host)
+        rate = self._statistics.requests_per_second()
         return [
-            (
+            ZoneLoad(
                 zone,
                 rate * len(hosts),
-                sum(h.mean() for h in hosts) / len(hosts) if hosts else None,
+                sum(host.mean_response_ms() for host in hosts) / len(hosts) if hosts else None,
                 len(hosts),
             )
-            for zone, hosts in found.items()
+            for zone, hosts in ready.items()
         ]
 
-    def choose(self, evt):
-        """The design's path, then its exceptions: the host, and one to order a copy at, if any."""
-        func, now, router = evt.func, self.router.now, self.router
-        been = [t.host for t in evt.tries if t.outcome != messages.AttemptOutcome.FUNCTION_MISSING]
-
-        def fits(host):
-            return host not in been and func.refused.get(host, 0) <= now and router.may(evt, host)
-
-        home = self.heir(func.home, fits, evt.clause)
-        if not home:
-            return None, None
-        second = self.heir(func.second(), lambda h: h is not home and fits(h), evt.clause) or home
-        hot = router.history.hot(func) and (second.roomy() or second.holds(func, now))
-        pick = second if hot and (home.busy() or second.load() < home.load()) else home
-        late = (
-            SURE * evt.clause.latency_objective_ms
-        )  # past the pair, at T2 or late: the fewest where a copy stands
-
-        def rank(host):
-            return host.busy() or host.wait(func) > late, host.load(), host.wait(func), host.id
-
-        known = dict.fromkeys([*(h for h in func.copies if h.holds(func, now)), *self.kept(func)])
-        stand = [h for h in known if h.ready(now, 0.0, evt.clause) and fits(h)]
-        if stand and (pick.busy() or pick.wait(func) > late):
-            pick = min([pick, *stand], key=rank)
-        spare, opens = (
-            min(stand, key=rank, default=None),
-            router.settings.orders or pick in func.opening,
-        )
-        if spare and not spare.busy() and pick not in known and opens:
+    # ---- the choice
+    def choose(self, request: Request) -> Choice:
+        """The home or second worker; where these are late or overloaded, a host with a copy."""
+        now = self._context.now
+        function = request.function
+        allows = self._rules.allows
+        tried = [
+            attempt.host
+            for attempt in request.attempts
+            if attempt.outcome != AttemptOutcome.FUNCTION_MISSING
+        ]
+
+        def accepts(host: Host) -> bool:
             return (
-                spare,
-                pick,
-            )  # nobody waits behind a load while a copy stands: one opens the new copy
-        if pick.wait(func) > late and now > self.calm and not evt.customer.overloaded(now):
-            pick = (
-                self.heir(
-                    func.home,
-                    lambda h: h.wait(func) < late / 2 and h.roomy() and fits(h),
-                    evt.clause,
-                )
-                or pick
+                host not in tried
+                and not function.lacks_memory_at(host, now)
+                and allows(request, host)
+            )
+
+        home = self.owner(function.home_position, accepts, request.request_class)
+        if home is None:
+            return NO_CHOICE
+        pick = self._home_or_second(request, home, accepts)
+        late_ms = OBJECTIVE_SHARE * request.request_class.latency_objective_ms
+
+        def rank(host: Host) -> tuple[bool, float, float, str]:
+            predicted_ms = host.predicted_response_ms(function)
+            late = host.check_overload() or predicted_ms > late_ms
+            return late, host.load(), predicted_ms, host.id
+
+        known = dict.fromkeys(
+            [
+                *(host for host in function.copies if host.holds_copy(function, now)),
+                *self.presumed_holders(function),
+            ]
+        )
+        holders = [
+            host
+            for host in known
+            if host.is_ready(now, 0.0, request.request_class) and accepts(host)
+        ]
+        if holders and (pick.check_overload() or pick.predicted_response_ms(function) > late_ms):
+            pick = min([pick, *holders], key=rank)
+        # Ranked in any case, as that notes which of them are overloaded.
+        spare = min(holders, key=rank, default=None)
+        if (
+            spare is not None
+            and not spare.check_overload()
+            and pick not in known
+            and (self._context.settings.may_order_loads or pick in function.pending_loads)
+        ):
+            # No request waits behind a load while a copy is loaded: a load order opens the new one.
+            return Choice(spare, pick)
+        return Choice(self._extra_host(request, pick, late_ms, accepts), None)
+
+    def _home_or_second(
+        self, request: Request, home: Host, accepts: Callable[[Host], bool]
+    ) -> Host:
+        """The home worker; for a most-called function the second one where home has more load."""
+        function = request.function
+        second = (
+            self.owner(
+                function.second_position(),
+                lambda host: host is not home and accepts(host),
+                request.request_class,
             )
-            self.calm = now + router.load
-        return pick, None
+            or home
+        )
+        may_use_second = self._history.is_most_called(function) and (
+            second.has_memory() or second.holds_copy(function, self._context.now)
+        )
+        if may_use_second and (home.check_overload() or second.load() < home.load()):
+            return second
+        return home
+
+    def _extra_host(
+        self, request: Request, pick: Host, late_ms: float, accepts: Callable[[Host], bool]
+    ) -> Host:
+        """The pick; where all are late, a fast host without a copy, once in the time of a load."""
+        now = self._context.now
+        function = request.function
+        if (
+            now <= self._next_extra_copy_ms
+            or pick.predicted_response_ms(function) <= late_ms
+            or request.tenant.is_overloaded(now)
+        ):
+            return pick
+        self._next_extra_copy_ms = now + self._statistics.load_ms
+        extra = self.owner(
+            function.home_position,
+            lambda host: (
+                host.predicted_response_ms(function) < late_ms / 2
+                and host.has_memory()
+                and accepts(host)
+            ),
+            request.request_class,
+        )
+        return extra or pick
--- a/tests/test_adapter.py
+++ b/tests/routing/test_adapter_wire.py
@@ -3,7 +3,7 @@
 import io
 import json
 
-from fake import LEASE
+from fake_fleet import SETTINGS
 
 from cherrydoor.adapter.__main__ import main
 from cherrydoor.adapter.wire import done
@@ -72,8 +72,8 @@
         "-",
         "inflight:3,queue:1,x0:0.5,odd:2",
     ]
-    mute = LEASE._replace(reports_copy=False, reports_concurrency=False)
-    told, untold = done(words, LEASE), done(words, mute)
+    mute = SETTINGS._replace(reports_copy=False, reports_concurrency=False)
+    told, untold = done(words, SETTINGS), done(words, mute)
     assert (told.copy, told.concurrency) == (0, 0) and (untold.copy, untold.concurrency) == (
         None,
         None,
--- /dev/null
+++ b/tests/routing/test_choice_of_host.py
@@ -0,0 +1,194 @@
+"""The design's ordinary path, and what happens to a range when hosts come, go or turn bad."""
+
+from fake_fleet import Fleet, kinds
+
+from cherrydoor.routing import messages as routing
+from cherrydoor.routing.function import position
+
+
+def test_every_gateway_sends_a_function_to_the_same_home():
+    for function in ("deed", "lease", "clause"):
+        assert len({Fleet(gateway_index=index).serve(function) for index in range(5)}) == 1
+
+
+def test_second_worker_only_for_the_most_called_and_ties_to_the_home():
+    fleet = Fleet()
+    fleet.concurrency = 1
+    home = fleet.serve("deed")
+    second = next(
+        h for h in (fleet.sent[fleet.request("deed")[0]][0] for _ in range(12)) if h != home
+    )
+    assert second in fleet.rows and len({fleet.sent[e][0] for e in fleet.sent}) == 2
+    calm = Fleet()
+    first = calm.serve("deed")
+    for _ in range(3):
+        assert calm.sent[calm.request("deed")[0]][0] == first
+    calm.pass_time(60000)
+    assert (
+        "deed" not in calm.router.history.functions
+        or calm.router.history.functions["deed"].call_count < 1
+    )
+
+
+def test_home_at_t2_sheds_until_below_t1():
+    fleet = Fleet(gateway_count=10)
+    host, held, shed_at = fleet.router.hosts[fleet.serve("deed")], [], None
+    while shed_at is None:
+        number, _ = fleet.request("deed")
+        held += [number] if fleet.sent[number][0] == host.id else []
+        shed_at = len(host.in_flight) if host.check_overload() else None
+    away, _ = fleet.request("deed")
+    assert shed_at == 5 and fleet.sent[away][0] != host.id
+    for number in held:
+        assert host.check_overload() == (len(host.in_flight) >= 3)
+        fleet.end_attempt(number)
+
+
+def test_full_answer_sends_the_event_to_the_second_worker():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    number, _ = fleet.request("deed")
+    fleet.end_attempt(number, routing.AttemptOutcome.FULL)
+    assert len(set(fleet.sent[number])) == 2 and fleet.router.hosts[home].check_overload()
+
+
+def test_full_where_no_copy_stood_hands_that_function_alone_to_the_next_in_order():
+    fleet, order = Fleet(), "abcd"
+    number, _ = fleet.request("deed")
+    fleet.end_attempt(number, routing.AttemptOutcome.FULL)
+    home, next_host = fleet.sent[number]
+    assert (
+        next_host == order[(order.index(home) + 1) % 4]
+        and not fleet.router.hosts[home].check_overload()
+    )
+    fleet.end_attempt(number)
+    assert fleet.serve("deed") == next_host
+    assert home in {fleet.serve(f"f{i}") for i in range(20)}
+
+
+def test_predicted_late_goes_to_the_standing_copy_with_the_least_wait():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    other = next(h for h in "abcd" if h != home)
+    fleet.router.history.functions["deed"].copies[fleet.router.hosts[other]] = fleet.now
+    fleet.request("deed")
+    fleet.now += 600  # the home has stalled, and no sweep has come yet
+    assert fleet.serve("deed") == other
+
+
+def test_drained_range_goes_to_the_next_in_order_and_a_newcomer_takes_it_over():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    others = {f: fleet.serve(f) for f in ("f1", "f2", "f3", "f4", "f5", "f6")}
+    fleet.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
+    order = sorted(fleet.rows)
+    assert fleet.serve("deed") == order[(order.index(home) + 1) % len(order)]
+    fleet.update_endpoints(
+        routing.UpdateKind.INCREMENTAL,
+        **{home: {"state": routing.HostState.GONE}, "zz": {"started_at_ms": 1.0}},
+    )
+    assert fleet.serve("deed") == "zz"
+    for f, host in others.items():
+        assert fleet.serve(f) == ("zz" if host == home else host)  # no other range moved
+
+
+def test_cold_host_takes_its_range_back_bit_by_bit():
+    fleet = Fleet(overload_window_ms=0.0)
+    names = [f"f{i}" for i in range(200)]
+    mine = [f for f in names if fleet.serve(f) == "b"]
+    fleet.update_endpoints(b={"started_at_ms": fleet.now})
+    shares = []
+    for _ in range(4):
+        shares.append(sum(fleet.serve(f, later=0.0) == "b" for f in mine) / len(mine))
+        fleet.now += 3500
+    assert shares[0] < 0.5 and shares == sorted(shares) and shares[-1] == 1.0
+
+
+def test_nobody_waits_behind_a_load_while_a_copy_stands_elsewhere():
+    fleet = Fleet(slow_start_ms=1.0)
+    home = fleet.serve("deed")
+    fleet.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
+    stand_in = fleet.serve("deed")
+    fleet.update_endpoints(**{home: {"state": routing.HostState.READY, "started_at_ms": fleet.now}})
+    fleet.now += 2000
+    scout, _ = fleet.request("deed")
+    assert fleet.sent[scout] == [home]
+    assert fleet.serve("deed") == stand_in  # home loads for the scout
+    fleet.end_attempt(scout, copy=2)
+    assert fleet.serve("deed") == home
+
+
+def test_a_function_released_anew_is_believed_nowhere_until_it_answers():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    function = fleet.router.history.functions["deed"]
+    function.copies[fleet.router.hosts["a"]] = function.copies[fleet.router.hosts["b"]] = fleet.now
+    fleet.serve("deed", copy=2)
+    assert [h.id for h in function.copies] == [home]
+
+
+def test_order_opens_the_second_copy_before_events_go_there():
+    fleet = Fleet(may_order_loads=True)
+    fleet.concurrency = 1
+    home = fleet.serve("deed")
+    _, found = fleet.request("deed")  # one stays out, so that the home is the busier of the two
+    for _ in range(8):
+        number, actions = fleet.request("deed", later=1.0)
+        found += actions
+        fleet.end_attempt(number)
+    order = next(a for a in found if isinstance(a, routing.OrderLoad))
+    assert {h for hosts in fleet.sent.values() for h in hosts} == {home} and kinds(found).count(
+        routing.OrderLoad
+    ) == 1
+    fleet.take(
+        routing.LoadOrderEnded("deed", order.host, routing.AttemptOutcome.SUCCEEDED, 1, 600.0)
+    )
+    assert fleet.sent[fleet.request("deed")[0]] == [order.host]
+
+
+def test_what_other_gateways_calls_keep_standing_is_used_with_no_order():
+    for gateways, concurrency in ((200, 8), (200, 0), (1, 8)):
+        fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=gateways)
+        fleet.concurrency, found = concurrency, []
+        home = fleet.serve("deed")
+        for _ in range(4):
+            found += fleet.request("deed", later=1.0)[1]
+        hosts = {fleet.sent[e][0] for e in range(2, 6)}
+        kept = fleet.router.zone.presumed_holders(
+            fleet.router.history.functions["deed"]
+        )  # one alone knows by its own calls
+        assert bool(kept) == (gateways == 200 and concurrency == 8)
+        assert (hosts != {home} and not kinds(found).count(routing.OrderLoad)) == (
+            gateways == 200 and concurrency == 8
+        )
+
+
+def test_second_workers_that_too_little_work_calls_for_are_not_held_to_be_kept():
+    fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
+    home = fleet.serve("deed")
+    function = fleet.router.history.functions["deed"]
+    for work, some in ((0.1, [home]), (0.3, None)):
+        function.concurrency.value = work
+        kept = [h.id for h in fleet.router.zone.presumed_holders(function)]
+        assert kept == some if some else len(kept) > 1
+
+
+def test_others_second_workers_are_held_kept_where_gateways_with_half_the_groups_go_too():
+    for index in (1, 6):
+        fleet = Fleet([f"h{i}" for i in range(60)], gateway_count=200, gateway_index=index)
+        fleet.serve("deed")
+        function = fleet.router.history.functions["deed"]
+        half = {position(f"deed/{k}") for k in range(4)}
+        function.groups = 8
+        assert set(function.second_positions()) == half | {function.second_position()}
+
+
+def test_a_cold_host_is_not_held_to_have_what_others_keep():
+    fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
+    fleet.concurrency = 8
+    fleet.serve("deed")
+    function, zone = fleet.router.history.functions["deed"], fleet.router.zone
+    known = zone.presumed_holders(function)
+    assert len(known) > 1
+    fleet.update_endpoints(**{known[-1].id: {"started_at_ms": fleet.now}})
+    assert known[-1] not in zone.presumed_holders(function)
--- /dev/null
+++ b/tests/routing/test_host_health.py
@@ -0,0 +1,187 @@
+"""What a gateway makes of hosts that are silent, dead, slow, full or short of memory, and of its own standstill."""
+
+from fake_fleet import Fleet
+
+from cherrydoor.routing import messages as routing
+from cherrydoor.routing.decay import DecayingValue
+
+
+def test_silent_host_is_probed_its_events_taken_back_and_its_range_handed_on():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    stuck, _ = fleet.request("deed")
+    found = fleet.pass_time(1500)
+    assert routing.CheckHealth(home) in found
+    assert routing.CancelAttempt(stuck, 0) in fleet.take(
+        routing.HealthCheckEnded(home, routing.AttemptOutcome.NO_RESPONSE, 250.0)
+    )
+    fleet.end_attempt(stuck, routing.AttemptOutcome.CANCELLED)
+    assert fleet.sent[stuck][1] != home and fleet.serve("deed") != home
+    fleet.pass_time(3000)
+    fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
+    assert not fleet.router.hosts[home].health.check_in_flight and fleet.router.hosts[
+        home
+    ].is_ready(fleet.now)
+
+
+def test_dead_host_is_left_and_comes_back_by_a_probe():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    number, _ = fleet.request("deed")
+    fleet.end_attempt(number, routing.AttemptOutcome.CONNECT_FAILED)
+    assert fleet.sent[number][1] != home and fleet.serve("deed") != home
+    assert routing.CheckHealth(home) in fleet.pass_time(3000)
+    fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
+    assert fleet.serve("deed") == home
+
+
+def test_when_most_hosts_look_bad_none_is_held_to_be():
+    fleet = Fleet("abc")
+    for host in ("a", "b"):
+        (
+            fleet.router.hosts[host].health.consecutive_failures,
+            fleet.router.hosts[host].health.ejected_until_ms,
+        ) = 2, fleet.now + 60000
+    fleet.pass_time(100)
+    assert {fleet.serve(f"f{i}") for i in range(30)} == {"a", "b", "c"}
+
+
+def test_only_the_most_called_shed_to_a_second_worker():
+    fleet = Fleet()
+    home = fleet.serve("rare")
+    host = fleet.router.hosts[home]
+    while not host.check_overload():  # busy with another function that lives there
+        fleet.router.context.queue(host.record_sent, StuckAttempt(host, fleet.now), fleet.now)
+        fleet.update_endpoints()
+    assert fleet.serve("rare") == home
+
+
+class StuckAttempt:
+    """An attempt of some other function that is in flight, and its request in one."""
+
+    copy_was_loaded = True
+    presumed_lost = False
+    streaming = False
+    function = None
+    request_class = routing.RequestClass("other", 500.0, 5000.0)
+
+    def __init__(self, host, now):
+        self.host = host
+        self.request = self
+        self.sent_at_ms = now
+
+
+def test_one_launch_stuck_behind_a_reload_does_not_make_its_host_look_late():
+    fleet = Fleet()
+    home = fleet.serve("deed")
+    swept = next(f for f in (f"f{i}" for i in range(50)) if fleet.serve(f) == home)
+    fleet.request(swept)  # its copy was swept out: it waits for a load
+    for _ in range(4):
+        assert fleet.serve("deed", later=120.0) == home
+    stuck = fleet.router.hosts[home]
+    funcs = fleet.router.history.functions
+    assert (
+        stuck.predicted_response_ms(funcs[swept]) > 800 > stuck.predicted_response_ms(funcs["deed"])
+    )
+
+
+def test_all_copies_late_opens_one_more_unless_memory_is_short():
+    for memory_is_short in (False, True):
+        fleet = Fleet("abc")
+        home = fleet.serve("deed")
+        for host in fleet.router.hosts.values():
+            host.short_of_memory_at_ms = (
+                fleet.now if memory_is_short else host.short_of_memory_at_ms
+            )
+        fleet.request("deed")
+        fleet.now += 700
+        number, _ = fleet.request("deed")
+        assert (fleet.sent.get(number, [home]) != [home]) == (not memory_is_short)
+
+
+def test_ranges_are_cut_anew_for_a_long_vacancy_and_sooner_for_a_host_left_over():
+    fleet = Fleet()
+    fleet.update_endpoints(b={"state": routing.HostState.GONE})
+    fleet.pass_time(50000)
+    assert len(fleet.router.zone.owners) == 4
+    fleet.pass_time(13000)
+    assert [h.id for h in fleet.router.zone.owners] == ["a", "c", "d"]
+    fleet.update_endpoints(b={"state": routing.HostState.READY, "started_at_ms": fleet.now})
+    fleet.pass_time(18000)
+    assert [h.id for h in fleet.router.zone.owners] == ["a", "b", "c", "d"]
+
+
+def test_most_called_goes_by_the_work_at_once_that_answers_tell_not_by_own_calls():
+    for concurrency, spread in ((0, 1), (2, 2)):
+        fleet = Fleet(gateway_count=100)
+        fleet.concurrency = concurrency
+        hosts = {fleet.serve("deed")} | {
+            fleet.sent[fleet.request("deed", later=1.0)[0]][0] for _ in range(2)
+        }
+        assert len(hosts) == spread
+
+
+def test_second_workers_are_no_more_than_the_crowd_calls_for_however_many_gateways():
+    for concurrency, most in ((1, 2), (9, 40)):
+        seconds = set()
+        for index in range(60):
+            fleet = Fleet([f"h{i}" for i in range(50)], gateway_count=60, gateway_index=index)
+            fleet.concurrency = concurrency
+            home = fleet.serve("deed")
+            seconds |= {fleet.sent[fleet.request("deed", later=1.0)[0]][0] for _ in range(2)} - {
+                home
+            }
+        assert most / 5 < len(seconds) <= most
+
+
+def test_a_full_queue_where_the_function_stands_is_not_short_memory():
+    for concurrency in (0, 30):
+        fleet = Fleet()
+        number, _ = fleet.request("deed")
+        fleet.concurrency = concurrency
+        fleet.end_attempt(number, routing.AttemptOutcome.FULL)
+        assert fleet.router.hosts[fleet.sent[number][0]].check_overload() == (concurrency > 0)
+        assert (not fleet.router.hosts[fleet.sent[number][0]].has_memory()) == (concurrency == 0)
+
+
+def test_no_copy_is_opened_on_a_second_worker_while_memory_is_short():
+    for memory_is_short in (False, True):
+        fleet = Fleet(gateway_count=20)
+        fleet.concurrency = 1
+        home = fleet.serve("deed")
+        for host in fleet.router.hosts.values():
+            host.short_of_memory_at_ms = (
+                fleet.now if memory_is_short else host.short_of_memory_at_ms
+            )
+        hosts = {fleet.sent[fleet.request("deed", later=1.0)[0]][0] for _ in range(3)}
+        assert (hosts == {home}) == memory_is_short
+
+
+def test_events_that_others_sent_count_for_the_pair_and_age():
+    fleet = Fleet()
+    fleet.concurrency = 1
+    home = fleet.router.hosts[fleet.serve("deed")]
+    home.others = DecayingValue(fleet.now, 20.0)  # as the home's report told
+    assert fleet.serve("deed") != home.id
+    fleet.now += 20000
+    assert fleet.serve("deed") == home.id
+
+
+def test_an_event_that_left_unanswered_teaches_that_answers_take_so_long():
+    fleet = Fleet()
+    home = fleet.router.hosts[fleet.serve("deed")]
+    number, _ = fleet.request("deed")
+    fleet.end_attempt(number, routing.AttemptOutcome.NO_RESPONSE, duration_ms=3000.0, later=3000.0)
+    assert home.mean_response_ms() > 1000.0
+    fleet.now += 30000
+    fleet.update_endpoints()
+    assert home.mean_response_ms() < 500.0
+
+
+def test_a_host_found_full_is_held_to_be_late_for_a_moment():
+    fleet = Fleet("a")
+    fleet.serve("deed")
+    number, _ = fleet.request("deed")
+    fleet.end_attempt(number, routing.AttemptOutcome.FULL)
+    assert fleet.request("deed")[0] not in fleet.sent
+    assert fleet.request("deed", later=2000.0)[0] in fleet.sent
--- /dev/null
+++ b/tests/routing/test_rules_of_attempts.py
@@ -0,0 +1,333 @@
+"""The five rules at the gate. Each story fails if its line at the gate is taken out."""
+
+from fake_fleet import REQUEST_CLASS, Fleet, kinds
+
+from cherrydoor.routing import messages as routing
+
+
+def test_rule_1_one_final_answer_at_once_and_nothing_after_it():
+    fleet = Fleet("a")
+    number, _ = fleet.request()
+    assert kinds(fleet.end_attempt(number, routing.AttemptOutcome.FULL)) == [routing.RejectRequest]
+    assert (
+        number not in fleet.router.requests
+        and not fleet.router.history.functions["deed"].open_requests
+    )
+    late, _ = fleet.request("other", max_age=200.0)
+    assert kinds(fleet.end_attempt(late, routing.AttemptOutcome.NO_RESPONSE, later=200.0)) == [
+        routing.RejectRequest
+    ]
+    fleet.now += 2000
+    gone, _ = fleet.request()
+    fleet.take(routing.RequestCancelled(gone))
+    assert (
+        kinds(fleet.end_attempt(gone, routing.AttemptOutcome.CONNECTION_LOST)) == []
+        and not fleet.router.requests
+    )
+
+
+def test_rule_1_no_launch_past_the_end_and_three_at_most_and_no_second_answer():
+    fleet = Fleet("abcdef")
+    number, _ = fleet.request()
+    request, host = fleet.router.requests[number], fleet.router.hosts["a"]
+    for _ in range(3):
+        found = fleet.end_attempt(number, routing.AttemptOutcome.FULL)
+    assert len(fleet.sent[number]) == 3 and kinds(found) == [routing.RejectRequest]
+    fleet.router.context.actions, request.attempts = [], []
+    fleet.router.lifecycle.give_up(request)
+    assert not fleet.router.context.actions and not fleet.router.rules.allows(request, host)
+    request.closed = False
+    assert fleet.router.rules.allows(request, host)
+    fleet.router.context.now = request.deadline_ms
+    assert not fleet.router.rules.allows(request, host)
+
+
+def test_rule_1_no_host_at_all_is_answered_at_once():
+    fleet = Fleet("a")
+    fleet.update_endpoints(a={"state": routing.HostState.GONE})
+    assert kinds(fleet.request()[1]) == [routing.RejectRequest]
+
+
+def test_rule_2_at_most_once_is_launched_again_only_if_it_never_ran():
+    fleet = Fleet(
+        request_classes=(
+            REQUEST_CLASS._replace(
+                retry_safety=routing.RetrySafety.AT_MOST_ONCE, dedup_window_ms=9000.0
+            ),
+        )
+    )
+    number, _ = fleet.request()
+    fleet.end_attempt(number, routing.AttemptOutcome.FULL)
+    assert len(fleet.sent[number]) == 2
+    assert kinds(fleet.end_attempt(number, routing.AttemptOutcome.ERROR)) == [routing.FailRequest]
+
+
+def test_rule_2_keyed_stays_in_its_group_and_time():
+    for group in ("zone", "cell", "all"):
+        fleet = Fleet(
+            request_classes=(
+                REQUEST_CLASS._replace(
+                    retry_safety=routing.RetrySafety.IDEMPOTENCY_KEY,
+                    dedup_scope=group,
+                    dedup_window_ms=1000.0,
+                ),
+            )
+        )
+        for function in ("deed", "f1", "f2", "f3"):
+            number, _ = fleet.request(function)
+            fleet.end_attempt(number, routing.AttemptOutcome.ERROR)
+            first, then = (fleet.rows[h] for h in fleet.sent[number])
+            assert group != "zone" or first.zone == then.zone
+        late, _ = fleet.request("late")
+        assert kinds(fleet.end_attempt(late, routing.AttemptOutcome.ERROR, later=1001.0)) == [
+            routing.FailRequest
+        ]
+
+
+def test_rule_2_second_launch_waits_for_the_first_where_two_are_not_allowed():
+    fleet = Fleet()
+    number, _ = fleet.request()
+    request = fleet.router.requests[number]
+    assert not any(fleet.router.rules.allows(request, h) for h in fleet.router.hosts.values())
+
+
+def test_rule_3_nothing_goes_to_a_host_that_drains():
+    fleet = Fleet("ab", may_order_loads=True)
+    fleet.update_endpoints(a={"state": routing.HostState.DRAINING})
+    assert {fleet.serve(f"f{i}") for i in range(20)} == {"b"}
+    function, host = fleet.router.history.functions["f1"], fleet.router.hosts["a"]
+    assert not fleet.router.load_orders.order(function, host) and not fleet.router.rules.allows(
+        OpenRequest(function), host
+    )
+
+
+def test_a_zone_that_a_session_has_moved_away_from_is_none_of_its_places_and_is_for_others():
+    fleet = Fleet("ab", may_order_loads=True)
+    func_at = {fleet.serve(f"f{i}"): f"f{i}" for i in range(20)}
+    a, b = fleet.router.hosts["a"], fleet.router.hosts["b"]
+    a.zone, b.zone = "north", "south"
+    function = fleet.router.history.functions[func_at["a"]]
+    number = OpenRequest(function)
+    assert fleet.router.rules.allows(number, a) and fleet.router.rules.allows(number, b)
+    number.drained_zone = "north"
+    assert not fleet.router.rules.allows(number, a) and fleet.router.rules.allows(number, b)
+    assert (
+        fleet.router.zone.outside(function.name, "south") == ["a"]
+        and fleet.router.zone.outside(function.name, "north") == []
+    )
+    assert fleet.router.zone.outside("never called", "north") == []
+    assert {zone: hosts for zone, _, _, hosts in fleet.router.zone.sites()} == {
+        "north": 1,
+        "south": 1,
+    }
+    a.health.ejected_until_ms = 1e18
+    assert {zone: hosts for zone, _, _, hosts in fleet.router.zone.sites()} == {
+        "north": 0,
+        "south": 1,
+    }
+
+
+class OpenRequest:
+    """A request that the rules have no other objection to."""
+
+    closed = streaming = False
+    deadline_ms = 1e18
+    attempts = ()
+    drained_zone = ""
+    request_class = REQUEST_CLASS
+
+    def __init__(self, function):
+        self.function = function
+
+    def attempts_in_flight(self):
+        return []
+
+    def attempts_that_may_have_run(self):
+        return []
+
+
+def test_rule_4_a_cold_host_gets_no_more_than_its_budget_even_if_it_is_alone():
+    fleet = Fleet("ab")
+    for i in range(60):
+        fleet.serve(f"f{i}", later=5.0)
+    fleet.update_endpoints(a={"started_at_ms": fleet.now}, b={"state": routing.HostState.GONE})
+    sent = sum(bool(fleet.sent.get(fleet.request(f"g{i}", later=5.0)[0])) for i in range(60))
+    assert 1 <= sent <= 0.6 * 3 * 0.3 * 60
+
+
+def test_rule_5_orders_are_rationed():
+    fleet = Fleet(
+        may_order_loads=True, load_quota_base=1.0, load_quota_share=0.1, load_quota_window_ms=5000.0
+    )
+    for i in range(10):
+        fleet.serve(f"f{i}", later=1.0)
+    funcs, host = list(fleet.router.history.functions.values()), fleet.router.hosts["a"]
+    assert [fleet.router.load_orders.order(f, host) for f in funcs[:4]] == [
+        True,
+        True,
+        False,
+        False,
+    ]
+    fleet.now += 6000
+    fleet.router.context.now = fleet.now
+    assert fleet.router.load_orders.order(funcs[5], host) and not fleet.router.load_orders.order(
+        funcs[6], host
+    )
+
+
+def test_a_function_foreseen_is_opened_at_its_home_within_the_ration_and_never_at_one_that_drains():
+    fleet = Fleet(
+        may_order_loads=True, load_quota_base=2.0, load_quota_share=0.1, load_quota_window_ms=5000.0
+    )
+    orders = [
+        a
+        for i in range(6)
+        for a in fleet.take(routing.FunctionExpected(f"deed@{i}"))
+        if isinstance(a, routing.OrderLoad)
+    ]
+    assert len(orders) == 2 and orders[0].function == "deed@0"
+    home = orders[0].host
+    assert fleet.take(routing.FunctionExpected("deed@0")) == [], "one order is out already"
+    fleet.take(routing.LoadOrderEnded("deed@0", home, routing.AttemptOutcome.SUCCEEDED, 1, 300.0))
+    assert fleet.serve("deed@0") == home
+    other = Fleet(may_order_loads=True)
+    other.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
+    [order] = [
+        a
+        for a in other.take(routing.FunctionExpected("deed@0"))
+        if isinstance(a, routing.OrderLoad)
+    ]
+    assert order.host != home
+
+
+def test_host_that_misses_is_given_an_order_and_the_event_follows_it():
+    fleet = Fleet(may_order_loads=True, reports_missing=True)
+    number, _ = fleet.request()
+    found = fleet.end_attempt(number, routing.AttemptOutcome.FUNCTION_MISSING)
+    assert kinds(found) == [routing.OrderLoad] and str(number) in [
+        a.token for a in found if isinstance(a, routing.SetTimer)
+    ]
+    fleet.pass_time(100)
+    fleet.take(routing.TimerFired(str(number)))
+    assert fleet.sent[number] == [found[0].host] * 2
+    brief, _ = fleet.request("other", max_age=200.0)
+    found = fleet.end_attempt(brief, routing.AttemptOutcome.FUNCTION_MISSING, later=180.0)
+    assert [a.at_ms for a in found if isinstance(a, routing.SetTimer)][0] < fleet.router.requests[
+        brief
+    ].deadline_ms
+    assert kinds(fleet.take(routing.TimerFired(str(brief)), later=25.0)) == [
+        routing.RejectRequest
+    ]  # in time for its client
+
+
+def test_overload_defers_what_would_be_late_and_launches_nothing_further():
+    fleet = Fleet("a")
+    numbers = []
+    for _ in range(20):
+        number, found = fleet.request(later=5.0)
+        numbers.append(number)
+    for number in numbers:
+        if number in fleet.sent:
+            fleet.end_attempt(number, duration_ms=900.0, later=40.0)
+    answers = [a for _ in range(20) for a in fleet.request(later=1.0)[1]]
+    deferred = [a for a in answers if isinstance(a, routing.RejectRequest)]
+    assert deferred and all(0 < a.retry_after_ms <= 1000.0 for a in deferred)
+
+
+def test_stream_that_has_begun_has_no_second_launch():
+    fleet = Fleet(request_classes=(REQUEST_CLASS._replace(streaming=True),))
+    number, _ = fleet.request()
+    fleet.take(routing.StreamStarted(number, 0, fleet.sent[number][0]))
+    fleet.router.lifecycle.cancel_attempt(fleet.router.requests[number].attempts[0])
+    assert routing.CancelAttempt not in kinds(fleet.router.context.actions + fleet.pass_time(20000))
+    assert (
+        kinds(fleet.end_attempt(number, routing.AttemptOutcome.CONNECTION_LOST, closed=True)) == []
+        and not fleet.router.requests
+    )
+
+
+def test_list_that_must_be_asked_for_is_asked_again_after_a_failure():
+    fleet = Fleet(polls_endpoints=True)
+    assert routing.SetTimer in [
+        type(a) for a in fleet.take(routing.EndpointsUpdated(routing.UpdateKind.FAILED, ()))
+    ]
+    assert kinds(fleet.take(routing.TimerFired("ask"))) == [routing.PollEndpoints]
+
+
+def test_a_host_that_seems_late_is_tried_by_one_gateway_at_a_time_not_by_all():
+    taken = 0
+    for index in range(50):
+        fleet = Fleet("a", gateway_count=50, gateway_index=index, seed=index)
+        fleet.router.statistics.response_time.value, fleet.router.statistics.response_time.at_ms = (
+            450.0,
+            fleet.now,
+        )
+        taken += fleet.request(max_age=5000.0)[0] in fleet.sent
+        fleet.now += 50 * 450.0
+        assert fleet.request()[0] in fleet.sent
+    assert taken < 25
+
+
+def test_the_storm_of_one_customer_is_not_overload_for_another():
+    fleet = Fleet("a", tenants=(routing.Tenant("noisy", 1.0), routing.Tenant("calm", 100.0)))
+    for _ in range(60):
+        number, _ = fleet.request("deed", max_age=60.0, tenant="noisy", later=2.0)
+        fleet.take(routing.RequestCancelled(number))
+    noisy, calm = fleet.router.tenants.values()
+    assert noisy.is_overloaded(fleet.now) and not calm.is_overloaded(fleet.now)
+
+
+def test_a_gateway_that_takes_nothing_tries_again_and_a_few_slow_hosts_do_not_make_all_seem_late():
+    fleet = Fleet("ab", gateway_count=100)
+    fleet.router.statistics.response_time.value, fleet.router.statistics.response_time.at_ms = (
+        2000.0,
+        fleet.now,
+    )
+    assert fleet.request(later=1.0)[0] not in fleet.sent
+    assert fleet.request(later=15000.0)[0] in fleet.sent
+    fleet = Fleet("abcd")
+    for i in range(30):
+        number, _ = fleet.request(f"f{i}", later=100.0)
+        if number in fleet.sent:
+            fleet.end_attempt(number, duration_ms=4000.0 if fleet.sent[number] == ["a"] else 50.0)
+    assert fleet.router.mean() < 0.75 * 500.0
+
+
+def test_launches_that_are_lost_together_shut_a_host_no_longer_than_one():
+    shut = []
+    for count in (1, 6):
+        fleet = Fleet("a")
+        numbers = [fleet.request()[0] for _ in range(count)]
+        for number in numbers:
+            fleet.end_attempt(number, outcome=routing.AttemptOutcome.CONNECT_FAILED, later=10.0)
+        shut.append(fleet.router.hosts["a"].health.consecutive_failures)
+    assert shut[0] == shut[1] == 2
+
+
+def test_a_good_answer_opens_a_host_that_was_shut():
+    fleet = Fleet("ab")
+    out = [fleet.request()[0] for _ in range(4)]
+    host = fleet.sent[out[0]][0]
+    at = [number for number in out if fleet.sent[number][0] == host]
+    fleet.end_attempt(at[0], outcome=routing.AttemptOutcome.CONNECT_FAILED, later=10.0)
+    assert fleet.router.hosts[host].health.ejected_until_ms > fleet.now
+    fleet.end_attempt(at[1], later=10.0)
+    assert (
+        fleet.router.hosts[host].health.ejected_until_ms <= fleet.now
+        and not fleet.router.hosts[host].health.consecutive_failures
+    )
+
+
+def test_a_launch_cut_by_a_client_that_waits_for_little_is_no_strike_and_a_long_silence_is():
+    for took, strikes in ((100.0, 0), (2500.0, 2)):
+        fleet = Fleet("a")
+        fleet.serve()
+        number, _ = fleet.request(later=10.0)
+        fleet.end_attempt(
+            number,
+            outcome=routing.AttemptOutcome.NO_RESPONSE,
+            duration_ms=took,
+            closed=True,
+            later=took,
+        )
+        assert fleet.router.hosts["a"].health.consecutive_failures == strikes
--- /dev/null
+++ b/tests/routing/test_sparse_reports.py
@@ -0,0 +1,205 @@
+"""What a gateway goes by where answers tell little, hosts are deaf or cold, and at its start."""
+
+from fake_fleet import Fleet, kinds
+
+from cherrydoor.routing import messages as routing
+
+
+def untold(
+    fleet,
+    host,
+    function,
+    duration_ms=50.0,
+    held=None,
+    outcome=routing.AttemptOutcome.SUCCEEDED,
+    later=10.0,
+):
+    """An number whose answer tells neither copy nor concurrency."""
+    number, _ = fleet.request(function, later=later)
+    fleet.take(
+        routing.AttemptEnded(
+            number,
+            0,
+            outcome,
+            outcome == routing.AttemptOutcome.SUCCEEDED,
+            fleet.sent[number][0],
+            duration_ms,
+            None,
+            None,
+            held,
+        ),
+        later,
+    )
+    return fleet.sent[number][0]
+
+
+def test_where_no_crowd_is_told_own_calls_group_the_gateways():
+    places = set()
+    for index in range(12):
+        fleet = Fleet("abcdefgh", gateway_index=index, gateway_count=12)
+        for _ in range(80):
+            untold(fleet, None, "deed", duration_ms=300.0, later=20.0)
+        places.add(fleet.router.history.functions["deed"].second_position())
+    assert len(places) > 4
+
+
+def test_a_crowd_that_stays_beyond_its_lanes_makes_no_more_groups_than_gateways_could_form():
+    fleet = Fleet(gateway_count=10)
+    fleet.concurrency = 30
+    for _ in range(1200):
+        fleet.serve(later=0.1)
+    assert 10 <= fleet.router.history.functions["deed"].groups < 20
+
+
+def test_where_no_copy_is_told_a_load_does_not_pass_for_a_slow_host():
+    fleet = Fleet()
+    home = fleet.router.hosts[untold(fleet, None, "deed", duration_ms=2000.0)]
+    assert home.mean_response_ms() < 200
+    untold(fleet, None, "deed", duration_ms=400.0)
+    assert home.mean_response_ms() > 125
+
+
+def test_what_a_host_was_told_to_hold_makes_it_shed():
+    fleet = Fleet(gateway_count=40)
+    for _ in range(30):
+        home = untold(fleet, None, "deed", duration_ms=60.0, held=0.0)
+    host = fleet.router.hosts[home]
+    assert not host.check_overload()
+    untold(fleet, None, "deed", duration_ms=60.0, held=20.0)
+    assert (
+        host.check_overload()
+        and host.predicted_response_ms(fleet.router.history.functions["deed"]) > 375
+    )
+    fleet.now += 20000
+    fleet.update_endpoints()
+    assert not host.check_overload()
+
+
+def test_where_no_report_is_told_the_crowd_tells_the_time_of_one():
+    fleet = Fleet(gateway_count=40)
+    for _ in range(30):
+        home = fleet.router.hosts[fleet.serve("deed")]
+    assert not home.check_overload()
+    fleet.concurrency = 16
+    fleet.serve("deed")
+    assert (
+        home.check_overload()
+        and home.predicted_response_ms(fleet.router.history.functions["deed"]) > 375
+    )
+    loads = Fleet(gateway_count=40)
+    for _ in range(3):
+        loads.serve("deed", copy=2)  # the time of a load is none of the work's
+    assert loads.router.statistics.time_per_request_ms == 0.0
+    few = Fleet("abcdef", gateway_count=3)  # own numbers out are a third of all: they tell
+    few.serve("deed")
+    assert few.router.statistics.time_per_request_ms == 0.0
+
+
+def test_a_host_deaf_to_one_event_type_goes_on_serving_the_other():
+    book = routing.RequestClass(
+        "book", 500.0, 5000.0, routing.RetrySafety.IDEMPOTENCY_KEY, "cell", 6000.0
+    )
+    fleet = Fleet(request_classes=(routing.RequestClass("redraft", 500.0, 5000.0), book))
+    home = fleet.serve("deed")
+    rare = next(f for f in (f"f{i}" for i in range(50)) if fleet.serve(f) == home)
+    fleet.request_count += 1
+    lost = fleet.request_count
+    fleet.take(routing.RequestArrived(lost, "book", "", "deed", fleet.now + 5000.0, 4.0, 0.0))
+    assert fleet.sent[lost] == [home]
+    for _ in range(25):
+        fleet.serve("deed", later=50.0)
+        fleet.take(routing.TimerFired("sweep"))
+    fleet.end_attempt(lost, routing.AttemptOutcome.NO_RESPONSE, closed=True)
+    fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
+    fleet.request_count += 1
+    fleet.take(
+        routing.RequestArrived(fleet.request_count, "book", "", rare, fleet.now + 5000.0, 4.0, 0.0)
+    )
+    assert fleet.sent[fleet.request_count] != [home] and fleet.serve(rare) == home
+    deaf = [
+        fleet.router.hosts[home].health.is_ejected_for(clause, fleet.now)
+        for clause in fleet.router.settings.request_classes.values()
+    ]
+    assert deaf == [False, True]
+
+
+def test_what_a_cold_host_cannot_bear_is_spread_over_all_others():
+    fleet = Fleet("abcdefgh")
+    at = {f"f{i}": fleet.serve(f"f{i}") for i in range(200)}
+    cold = at["f0"]
+    fleet.update_endpoints(**{cold: {"started_at_ms": fleet.now}})
+    fleet.pass_time(1000)
+    stand_ins = {fleet.serve(f) for f, host in at.items() if host == cold}
+    assert len(stand_ins - {cold}) > 3
+
+
+def test_a_full_answer_is_the_queues_where_a_queue_is_reported_and_memorys_where_it_is_tied():
+    for concurrency, queue, tied, memory in (
+        (0, 9.0, None, False),
+        (0, None, None, True),
+        (None, None, 0.3, False),
+        (None, None, 0.97, True),
+    ):
+        fleet = Fleet()
+        number, _ = fleet.request("deed")
+        home = fleet.router.hosts[fleet.sent[number][0]]
+        fleet.take(
+            routing.AttemptEnded(
+                number,
+                0,
+                routing.AttemptOutcome.FULL,
+                False,
+                home.id,
+                1.0,
+                None,
+                concurrency,
+                10.0,
+                queue,
+                tied,
+            )
+        )
+        assert (not home.has_memory()) == memory, (concurrency, queue, tied)
+
+
+def test_a_cold_fleet_bears_what_its_running_hosts_do_and_not_the_mean_of_all():
+    def budgets(**cold):
+        fleet = Fleet(
+            "abcdefgh", gateway_count=200
+        )  # so that the floor, a part of one number, is below
+        for i in range(200):
+            fleet.serve(f"f{i % 20}", later=5.0)
+        fleet.update_endpoints(**{host: {"started_at_ms": fleet.now} for host in cold})
+        fleet.take(routing.TimerFired("sweep"))
+        first, before = (
+            fleet.router.statistics.warm_host_rate(),
+            fleet.router.statistics.succeeded.read(fleet.now),
+        )
+        fleet.serve("f1", later=0.0)
+        return first, fleet.router.statistics.succeeded.read(fleet.now) - before
+
+    (first, more), (usual, each) = budgets(a=1, b=1, c=1, d=1), budgets()
+    assert more > 1.3 * each, "what is answered from now on is borne by those that run"
+    assert first < 1.01 * usual, (
+        "what was answered before was borne by all: cold hosts get no more for it"
+    )
+
+
+def test_a_gateway_that_stood_still_does_not_take_it_for_the_hosts_silence():
+    fleet = Fleet()
+    fleet.serve("deed")
+    fleet.take(routing.TimerFired("sweep"), 100.0)
+    fleet.request("deed")
+    assert routing.CheckHealth not in kinds(fleet.take(routing.TimerFired("sweep"), 2000.0))
+    assert routing.CheckHealth in kinds(fleet.pass_time(300.0)), (
+        "silence that goes on is the host's"
+    )
+
+
+def test_the_first_window_is_counted_from_the_start_and_not_from_1970():
+    """On real clocks the first halving had a span of fifty years: own calls told nothing until the second."""
+    fleet = Fleet("ab")
+    fleet.router.start(fleet.now)
+    for _ in range(100):
+        fleet.request(later=20.0)
+    fleet.pass_time(300.0)
+    assert 1900.0 <= fleet.router.history.span_ms < 4000.0
