--- a/cherrydoor/routing/attempt_rules.py
+++ b/cherrydoor/routing/attempt_rules.py
@@ -19,8 +19,8 @@
     def allows(self, request: Request, host: Host) -> bool:
         """Whether this request may be sent to this host now.
 
-        Not when it is closed, streams, is past its deadline or has had all its attempts; nor to a host
-        that is not ready, has no warm-up budget or is of the zone that its session was moved from.
+        Not when it is closed, streams, is past its deadline or has had all its attempts; nor to a
+        host that is not ready, has no warm-up budget or is of the zone that its session left.
         """
         now = self._context.now
         settings = self._context.settings
--- a/cherrydoor/routing/function.py
+++ b/cherrydoor/routing/function.py
@@ -103,9 +103,9 @@
 
         Args:
             host: Where the copy is.
-            concurrency: Requests of the function that the host told it held; times the hosts that
-                share the function this is the concurrency. None where hosts do not tell.
-            own_estimate: Concurrency by own calls, used where hosts do not tell.
+            concurrency: Requests of the function that the host reports; times the hosts that
+                share the function this is the concurrency. None where hosts do not report.
+            own_estimate: Concurrency by own calls, used where hosts do not report.
             now: Time in ms.
         """
         self.copies[host] = now
--- a/cherrydoor/routing/history_table.py
+++ b/cherrydoor/routing/history_table.py
@@ -104,14 +104,14 @@
         self._least_count = counts[MOST_CALLED - 1] if len(counts) >= MOST_CALLED else 0.0
 
     def is_most_called(self, function: Function) -> bool:
-        """Most-called here, and with work at a time by responses or by more own calls than chance."""
+        """Most-called here, with concurrency by responses or by more own calls than chance."""
         if function.call_count < self._least_count:
             return False
         certain_calls = function.call_count - 2 * function.call_count**0.5
         gateways = self._context.settings.gateway_count
         certain_rate = certain_calls / (2 * self.span_ms) * gateways
         own_estimate = certain_rate * self._statistics.fast_response_ms
-        return max(function.concurrency.value, own_estimate) >= BUSY_CONCURRENCY
+        return bool(max(function.concurrency.value, own_estimate) >= BUSY_CONCURRENCY)
 
     def record_call(self, function: Function) -> None:
         """Count a call."""
@@ -136,8 +136,8 @@
             function: The function that was called.
             host: Where.
             outcome: How it ended.
-            copy: What ``AttemptEnded.copy`` tells.
-            concurrency: What ``AttemptEnded.concurrency`` tells.
+            copy: ``AttemptEnded.copy``.
+            concurrency: ``AttemptEnded.concurrency``.
             copy_was_loaded: A copy was known to be loaded there; None for a load order.
         """
         now = self._context.now
@@ -148,7 +148,7 @@
         if succeeded and copy_was_loaded and copy == 2:
             function.copies = {}
         if succeeded or full and copy_was_loaded:
-            is_order = copy_was_loaded is None  # which tells nothing of calls
+            is_order = copy_was_loaded is None  # which shows nothing of calls
             own = function.concurrency.value if is_order else self._own_estimate(function)
             function.record_copy(host, concurrency, own, now)
         elif full:
--- a/cherrydoor/routing/host.py
+++ b/cherrydoor/routing/host.py
@@ -101,7 +101,7 @@
         self.overloaded = False
         self.response_time = DecayingValue(half_life_ms=2 * WINDOW_MS)
         self._usual_in_flight = 1.0
-        self.others = DecayingValue()  # requests of other gateways there, as responses tell
+        self.others = DecayingValue()  # requests of other gateways there, as reported
         self.fullness = DecayingValue()
         self.short_of_memory_at_ms = -1e18
         turn_ms = context.settings.gateway_count * self._statistics.mean_response_ms()
@@ -152,7 +152,7 @@
 
     # ---- how loaded it is
     def load(self) -> float:
-        """Own requests in flight and, as far as responses told and it has not aged away, others'."""
+        """Own requests in flight and others', as far as reported and not aged."""
         return len(self.in_flight) + round(self.others.read(self._context.now), 1)
 
     def mean_response_ms(self) -> float:
@@ -162,8 +162,8 @@
     def predicted_response_ms(self, function: Function) -> float:
         """The time that a request sent now is predicted to take.
 
-        By the host's mean response time, by how long requests have been in flight without a response
-        meanwhile, and by the number of own requests in flight against the usual number.
+        By the host's mean response time, by how long requests have been in flight without a
+        response, and by the number of own requests in flight against the usual number.
         """
         now = self._context.now
         fullness = self.fullness.read(now)
@@ -252,7 +252,7 @@
     def _record_response_time(
         self, attempt: Attempt, ended: messages.AttemptEnded, now: float
     ) -> None:
-        """Learn a response time; a request left without a response for longer than usual tells, too."""
+        """Learn a response time, also from a long wait that ended without a response."""
         if ended.outcome == AttemptOutcome.SUCCEEDED:
             counts = attempt.ran_on_loaded_copy
         else:
@@ -269,7 +269,7 @@
     def _record_failure(
         self, attempt: Attempt, ended: messages.AttemptEnded, was_long: bool, now: float
     ) -> None:
-        """Count what tells of a bad host; a failed load (``copy`` 4) tells of the function."""
+        """Count what is the host's failure; a failed load (``copy`` 4) is the function's."""
         outcome = ended.outcome
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.CONNECTION_LOST) and ended.copy != 4:
             self.health.record_failure(1, now, attempt.sent_at_ms)
--- a/cherrydoor/routing/host_health.py
+++ b/cherrydoor/routing/host_health.py
@@ -1,4 +1,4 @@
-"""Health of one host: outlier ejection, health checks, and request classes that it leaves unanswered."""
+"""Health of one host: outlier ejection, health checks, and health for each request class."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 CLASS_EJECTION_MAX_FACTOR = 10
 CLASS_LOSS_FACTOR = 20  # how much the share of lost requests of the class lengthens it ...
 CLASS_LOSS_PRIOR = 20  # ... with so many requests that were not lost assumed
-LEAST_SILENCE_MS = 250.0  # silence for less than this tells nothing ...
+LEAST_SILENCE_MS = 250.0  # silence for less than this shows nothing ...
 SILENCE_FACTOR = 4  # ... nor for less than so many times the mean response time
 LOAD_SILENCE_FACTOR = 3  # a request that waits for a load may take so many mean loads longer
 CLASS_LOAD_SILENCE_FACTOR = 1.5  # the same for one class
@@ -113,10 +113,10 @@
         )
 
     def silence_limit_ms(self, attempt: Attempt) -> float:
-        """Silence beyond this tells of the host.
+        """Silence beyond this is a sign of a bad host.
 
-        Guards against clients that wait for less, whose attempts are cut while the host works; harms
-        where all do: a dead host is then found by refused connections alone.
+        Guards against clients that wait for less, whose attempts are cut while the host works;
+        harms where all do: a dead host is then found by refused connections alone.
         """
         limit_ms = max(LEAST_SILENCE_MS, SILENCE_FACTOR * self._host.mean_response_ms())
         if attempt.copy_was_loaded:
@@ -209,7 +209,7 @@
         return self._latest_answered_sent_ms > attempt.sent_at_ms and waited_ms > limit_ms
 
     def _record_class_loss(self, attempt: Attempt, health: ClassHealth, now: float) -> None:
-        """An attempt is presumed lost; losses of one class in a row eject the host for that class."""
+        """An attempt is presumed lost; losses in a row eject the host for its class."""
         attempt.presumed_lost = True
         if attempt.sent_at_ms <= health.last_loss_ms:
             return
--- a/cherrydoor/routing/messages.py
+++ b/cherrydoor/routing/messages.py
@@ -140,7 +140,7 @@
 
 # ---- messages in
 class Endpoint(NamedTuple):
-    """One host as the endpoint list has it. ``started_at_ms`` is 0 for one that started long ago."""
+    """One host as the endpoint list has it; ``started_at_ms`` is 0 if it started long ago."""
 
     host: str
     state: str
@@ -258,7 +258,7 @@
 
 # ---- actions out
 class StartAttempt(NamedTuple):
-    """Send the request to the host. ``timeout_ms`` of 0 lets it run until the request's deadline."""
+    """Send the request to the host; with ``timeout_ms`` 0 it runs until its deadline."""
 
     request_id: int
     host: str
--- a/cherrydoor/routing/request.py
+++ b/cherrydoor/routing/request.py
@@ -50,7 +50,7 @@
     Attributes:
         outcome: How it ended; None while it is in flight.
         copy_was_loaded: A copy was known to be loaded at the host when it was sent.
-        ran_on_loaded_copy: It waited for no load: as the host told, else as it was known before.
+        ran_on_loaded_copy: It waited for no load: as the host reports, else as was known before.
         presumed_lost: It has no response from a host that responds to later requests.
     """
 
--- a/cherrydoor/routing/request_lifecycle.py
+++ b/cherrydoor/routing/request_lifecycle.py
@@ -73,7 +73,7 @@
         objective_ms = OBJECTIVE_SHARE * request.request_class.latency_objective_ms
         if predicted_ms <= min(objective_ms, request.deadline_ms - now):
             return True
-        # One at a time from all gateways goes to a host that seems late, to see whether it still is.
+        # One at a time from all gateways goes to a host that seems late, to see if it still is.
         untried_ms = now - max(host.response_time.at_ms, host.last_attempt_ms)
         turn_ms = self._settings.gateway_count * self._statistics.mean_response_ms()
         return not host.in_flight and untried_ms > turn_ms
--- a/cherrydoor/routing/router.py
+++ b/cherrydoor/routing/router.py
@@ -187,7 +187,7 @@
         context.queue(self.lifecycle.continue_request, request, attempt, message)
 
     def _is_queue_full(self, host: Host, message: messages.AttemptEnded) -> bool:
-        """Whether a response that the host is full tells of its queue, not of its memory."""
+        """Whether a response that the host is full means its queue, not its memory."""
         if host.fullness.read(self.context.now) > QUEUE_FULLNESS or message.queued:
             return True
         if message.concurrency is not None:
--- a/cherrydoor/routing/settings.py
+++ b/cherrydoor/routing/settings.py
@@ -10,9 +10,9 @@
 class RoutingSettings:
     """Settings of the decisions; read-only once made.
 
-    Fields named as in ``messages.Settings`` mean the same. ``max_attempts`` is capped, as each retry
-    adds load. ``overload_factor`` includes the margin. ``shortest_objective_ms`` is the least
-    latency objective of all request classes.
+    Fields named as in ``messages.Settings`` mean the same. ``max_attempts`` is capped, as each
+    retry adds load. ``overload_factor`` includes the margin. ``shortest_objective_ms`` is the
+    least latency objective of all request classes.
     """
 
     __slots__ = (
--- a/cherrydoor/routing/slow_start.py
+++ b/cherrydoor/routing/slow_start.py
@@ -10,9 +10,10 @@
 class SlowStart:
     """The warm-up of one incarnation of a host.
 
-    Guards against a host that fails under more load than it can take yet. Each gateway earns its part
-    of what the host can take as time passes, and an attempt spends one. The budget starts below one,
-    by chance, so that the parts of all gateways add up to the whole.
+    Guards against a host that fails under more load than it can take yet. Each gateway earns its
+    part of what the host can take as time passes, and an attempt spends one. The budget starts
+    below one, by chance, so that the parts of all gateways add up to the whole. Harms where
+    no other host is left: requests beyond the budget are rejected.
 
     Invariant: an attempt is sent only after ``has_budget``; ``spend`` follows each.
     """
--- a/cherrydoor/routing/statistics.py
+++ b/cherrydoor/routing/statistics.py
@@ -1,4 +1,4 @@
-"""What responses of all hosts together have shown: response times, rates, load times, lost requests."""
+"""Figures over the responses of all hosts: response times, rates, load times, losses."""
 
 from cherrydoor.routing import messages
 from cherrydoor.routing.context import Context
@@ -32,8 +32,8 @@
         response_time: Moving mean of response times in ms, by loaded copies.
         fast_response_ms: Time that three in ten responses are faster than.
         load_ms: Mean time of a load.
-        succeeded: Successful responses, each divided by the ready capacity at its time. Its half-life
-            is long, as with few responses the greater of mean and floor would be too much.
+        succeeded: Successful responses, each divided by the ready capacity at its time. Its
+            half-life is long, as with few responses the greater of mean and floor is too much.
         ready_capacity: Number of ready hosts, one that warms up counted by its level.
         time_per_request_ms: Response time for each request that a host holds.
         time_sum_ms: Faded sum of the response times behind it.
@@ -70,13 +70,13 @@
         self.class_losses = {name: ClassLosses() for name in context.settings.request_classes}
 
     def mean_response_ms(self) -> float:
-        """Mean response time of all hosts; it ages, so that a gateway without traffic tries again."""
+        """Mean response time of all hosts; it ages, so that an idle gateway tries again."""
         return self.response_time.read(
             self._context.now, self._context.settings.shortest_objective_ms / 4
         )
 
     def warm_host_rate(self) -> float:
-        """Requests a ms that a warm host takes from this gateway: at least its part of one at a time."""
+        """Requests a ms that a warm host takes from here; at least a part of one at a time."""
         seen = self.succeeded.read(self._context.now) / (
             RATE_PER_COUNT * self.succeeded.half_life_ms
         )
@@ -90,7 +90,7 @@
     def record_success(
         self, attempt: Attempt, ended: messages.AttemptEnded, host_count: int
     ) -> None:
-        """Learn from a successful response; ``host_count`` is the number of hosts in the zone table."""
+        """Learn from a success; ``host_count`` is the number of hosts in the Zone Table."""
         now = self._context.now
         # Divided by the capacity of that time: it is not divided again by those that remain later.
         self.succeeded.add(now, 1.0 / max(1.0, self.ready_capacity))
@@ -114,10 +114,12 @@
     ) -> None:
         """Learn how much longer a response takes for each request that its host holds.
 
-        Where no load report is told, the concurrency of the function is the least that was there.
+        Where hosts send no load report, the concurrency of the function is the least that was
+        there.
         Guards against hosts that look fast however many requests wait; harms where other functions
-        fill a host, as one request then seems to take longer than it does. So it is used only where a
-        host serves more gateways than a gateway has hosts: with few, the own requests in flight tell.
+        fill a host, as one request then seems to take longer than it does. So it is used only
+        where a host serves more gateways than a gateway has hosts: with few, the own requests in
+        flight show it.
         The time of a load would pass for the time of work, so only loaded copies count.
         """
         many_gateways = self._context.settings.gateway_count > host_count
--- a/cherrydoor/routing/zone_table.py
+++ b/cherrydoor/routing/zone_table.py
@@ -17,7 +17,7 @@
 from cherrydoor.routing.statistics import Statistics
 
 OBJECTIVE_SHARE = 0.75  # of the latency objective that a predicted response may fill
-SPREAD_TRIES = 3  # how often a position that a cold host cannot take is moved elsewhere
+SPREAD_TRIES = 3  # how often a position that a host in slow start cannot take is moved elsewhere
 SPREAD_FACTOR = 4096  # positions are moved by the bits below this part
 # Calls within the idle time of a copy: by chance none comes in one idle time of 150.
 CALLS_THAT_KEEP_A_COPY = 5
@@ -54,8 +54,8 @@
 class ZoneTable:
     """Equal ranges of positions over the hosts, which are sorted by id.
 
-    Invariant: a range changes hands only to a new host that takes a vacancy, until a long vacancy or
-    a host long without a range makes all ranges anew; so few functions move.
+    Invariant: a range changes hands only to a new host that takes a vacancy, until a long vacancy
+    or a host long without a range makes all ranges anew; so few functions move.
 
     Attributes:
         owners: The hosts in order of their ranges.
@@ -80,7 +80,7 @@
 
     # ---- the table
     def update(self, now: float) -> None:
-        """Give vacant ranges to new hosts; make all ranges anew where that was not enough for long."""
+        """Give vacant ranges to new hosts; where that was not enough for long, make all anew."""
         listed = sorted(
             (host for host in self._hosts.values() if host.state != HostState.GONE),
             key=lambda host: host.id,
--- a/tests/routing/test_choice_of_host.py
+++ b/tests/routing/test_choice_of_host.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path, and what happens to a range when hosts come, go or turn bad."""
+"""The choice of a host, and what happens to its range when hosts come, go or fail."""
 
 from fake_fleet import Fleet, kinds
 
@@ -11,7 +11,7 @@
         assert len({Fleet(gateway_index=index).serve(function) for index in range(5)}) == 1
 
 
-def test_second_worker_only_for_the_most_called_and_ties_to_the_home():
+def test_only_a_most_called_function_has_a_second_worker_and_ties_go_home():
     fleet = Fleet()
     fleet.concurrency = 1
     home = fleet.serve("deed")
@@ -30,7 +30,7 @@
     )
 
 
-def test_home_at_t2_sheds_until_below_t1():
+def test_home_worker_at_t2_sheds_load_until_below_t1():
     fleet = Fleet(gateway_count=10)
     host, held, shed_at = fleet.router.hosts[fleet.serve("deed")], [], None
     while shed_at is None:
@@ -44,7 +44,7 @@
         fleet.end_attempt(number)
 
 
-def test_full_answer_sends_the_event_to_the_second_worker():
+def test_request_refused_by_a_full_host_is_retried_at_the_second_worker():
     fleet = Fleet()
     home = fleet.serve("deed")
     number, _ = fleet.request("deed")
@@ -52,7 +52,7 @@
     assert len(set(fleet.sent[number])) == 2 and fleet.router.hosts[home].check_overload()
 
 
-def test_full_where_no_copy_stood_hands_that_function_alone_to_the_next_in_order():
+def test_host_full_without_a_copy_passes_only_that_function_to_the_next_host():
     fleet, order = Fleet(), "abcd"
     number, _ = fleet.request("deed")
     fleet.end_attempt(number, routing.AttemptOutcome.FULL)
@@ -66,7 +66,7 @@
     assert home in {fleet.serve(f"f{i}") for i in range(20)}
 
 
-def test_predicted_late_goes_to_the_standing_copy_with_the_least_wait():
+def test_request_predicted_late_goes_to_the_loaded_copy_that_is_predicted_fastest():
     fleet = Fleet()
     home = fleet.serve("deed")
     other = next(h for h in "abcd" if h != home)
@@ -76,7 +76,7 @@
     assert fleet.serve("deed") == other
 
 
-def test_drained_range_goes_to_the_next_in_order_and_a_newcomer_takes_it_over():
+def test_range_of_a_draining_host_goes_to_the_next_host_and_then_to_a_new_one():
     fleet = Fleet()
     home = fleet.serve("deed")
     others = {f: fleet.serve(f) for f in ("f1", "f2", "f3", "f4", "f5", "f6")}
@@ -92,7 +92,7 @@
         assert fleet.serve(f) == ("zz" if host == home else host)  # no other range moved
 
 
-def test_cold_host_takes_its_range_back_bit_by_bit():
+def test_host_in_slow_start_takes_its_range_back_step_by_step():
     fleet = Fleet(overload_window_ms=0.0)
     names = [f"f{i}" for i in range(200)]
     mine = [f for f in names if fleet.serve(f) == "b"]
@@ -104,7 +104,7 @@
     assert shares[0] < 0.5 and shares == sorted(shares) and shares[-1] == 1.0
 
 
-def test_nobody_waits_behind_a_load_while_a_copy_stands_elsewhere():
+def test_no_second_request_waits_for_a_load_while_a_copy_is_loaded_elsewhere():
     fleet = Fleet(slow_start_ms=1.0)
     home = fleet.serve("deed")
     fleet.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
@@ -118,7 +118,7 @@
     assert fleet.serve("deed") == home
 
 
-def test_a_function_released_anew_is_believed_nowhere_until_it_answers():
+def test_copies_of_a_function_released_anew_are_forgotten_until_hosts_respond():
     fleet = Fleet()
     home = fleet.serve("deed")
     function = fleet.router.history.functions["deed"]
@@ -127,7 +127,7 @@
     assert [h.id for h in function.copies] == [home]
 
 
-def test_order_opens_the_second_copy_before_events_go_there():
+def test_load_order_precedes_requests_to_the_second_worker():
     fleet = Fleet(may_order_loads=True)
     fleet.concurrency = 1
     home = fleet.serve("deed")
@@ -146,7 +146,7 @@
     assert fleet.sent[fleet.request("deed")[0]] == [order.host]
 
 
-def test_what_other_gateways_calls_keep_standing_is_used_with_no_order():
+def test_copies_kept_loaded_by_other_gateways_are_used_without_a_load_order():
     for gateways, concurrency in ((200, 8), (200, 0), (1, 8)):
         fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=gateways)
         fleet.concurrency, found = concurrency, []
@@ -163,7 +163,7 @@
         )
 
 
-def test_second_workers_that_too_little_work_calls_for_are_not_held_to_be_kept():
+def test_second_workers_of_a_function_with_little_concurrency_are_not_presumed_holders():
     fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
     home = fleet.serve("deed")
     function = fleet.router.history.functions["deed"]
@@ -173,7 +173,7 @@
         assert kept == some if some else len(kept) > 1
 
 
-def test_others_second_workers_are_held_kept_where_gateways_with_half_the_groups_go_too():
+def test_second_workers_of_other_groups_are_presumed_holders_up_to_half_the_groups():
     for index in (1, 6):
         fleet = Fleet([f"h{i}" for i in range(60)], gateway_count=200, gateway_index=index)
         fleet.serve("deed")
@@ -183,7 +183,7 @@
         assert set(function.second_positions()) == half | {function.second_position()}
 
 
-def test_a_cold_host_is_not_held_to_have_what_others_keep():
+def test_host_in_slow_start_is_not_a_presumed_holder():
     fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
     fleet.concurrency = 8
     fleet.serve("deed")
--- a/tests/routing/test_host_health.py
+++ b/tests/routing/test_host_health.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of hosts that are silent, dead, slow, full or short of memory, and of its own standstill."""
+"""Hosts that are silent, dead, slow, full or short of memory, as one router sees them."""
 
 from fake_fleet import Fleet
 
@@ -6,7 +6,7 @@
 from cherrydoor.routing.decay import DecayingValue
 
 
-def test_silent_host_is_probed_its_events_taken_back_and_its_range_handed_on():
+def test_silent_host_is_checked_its_attempts_cancelled_and_its_range_passed_on():
     fleet = Fleet()
     home = fleet.serve("deed")
     stuck, _ = fleet.request("deed")
@@ -24,7 +24,7 @@
     ].is_ready(fleet.now)
 
 
-def test_dead_host_is_left_and_comes_back_by_a_probe():
+def test_dead_host_is_ejected_and_returns_after_a_health_check():
     fleet = Fleet()
     home = fleet.serve("deed")
     number, _ = fleet.request("deed")
@@ -35,7 +35,7 @@
     assert fleet.serve("deed") == home
 
 
-def test_when_most_hosts_look_bad_none_is_held_to_be():
+def test_no_host_is_ejected_while_most_hosts_are_suspect():
     fleet = Fleet("abc")
     for host in ("a", "b"):
         (
@@ -46,7 +46,7 @@
     assert {fleet.serve(f"f{i}") for i in range(30)} == {"a", "b", "c"}
 
 
-def test_only_the_most_called_shed_to_a_second_worker():
+def test_function_that_is_not_most_called_stays_at_an_overloaded_home():
     fleet = Fleet()
     home = fleet.serve("rare")
     host = fleet.router.hosts[home]
@@ -71,7 +71,7 @@
         self.sent_at_ms = now
 
 
-def test_one_launch_stuck_behind_a_reload_does_not_make_its_host_look_late():
+def test_one_attempt_waiting_for_a_load_does_not_make_its_host_look_late():
     fleet = Fleet()
     home = fleet.serve("deed")
     swept = next(f for f in (f"f{i}" for i in range(50)) if fleet.serve(f) == home)
@@ -85,7 +85,7 @@
     )
 
 
-def test_all_copies_late_opens_one_more_unless_memory_is_short():
+def test_one_more_copy_is_loaded_when_all_are_late_unless_memory_is_short():
     for memory_is_short in (False, True):
         fleet = Fleet("abc")
         home = fleet.serve("deed")
@@ -99,7 +99,7 @@
         assert (fleet.sent.get(number, [home]) != [home]) == (not memory_is_short)
 
 
-def test_ranges_are_cut_anew_for_a_long_vacancy_and_sooner_for_a_host_left_over():
+def test_ranges_are_redistributed_after_a_long_vacancy_and_sooner_for_a_host_without_one():
     fleet = Fleet()
     fleet.update_endpoints(b={"state": routing.HostState.GONE})
     fleet.pass_time(50000)
@@ -111,7 +111,7 @@
     assert [h.id for h in fleet.router.zone.owners] == ["a", "b", "c", "d"]
 
 
-def test_most_called_goes_by_the_work_at_once_that_answers_tell_not_by_own_calls():
+def test_most_called_functions_are_found_by_reported_concurrency_not_by_own_calls():
     for concurrency, spread in ((0, 1), (2, 2)):
         fleet = Fleet(gateway_count=100)
         fleet.concurrency = concurrency
@@ -121,7 +121,7 @@
         assert len(hosts) == spread
 
 
-def test_second_workers_are_no_more_than_the_crowd_calls_for_however_many_gateways():
+def test_number_of_second_workers_follows_concurrency_not_the_number_of_gateways():
     for concurrency, most in ((1, 2), (9, 40)):
         seconds = set()
         for index in range(60):
@@ -134,7 +134,7 @@
         assert most / 5 < len(seconds) <= most
 
 
-def test_a_full_queue_where_the_function_stands_is_not_short_memory():
+def test_full_queue_of_a_host_with_a_copy_is_not_short_memory():
     for concurrency in (0, 30):
         fleet = Fleet()
         number, _ = fleet.request("deed")
@@ -144,7 +144,7 @@
         assert (not fleet.router.hosts[fleet.sent[number][0]].has_memory()) == (concurrency == 0)
 
 
-def test_no_copy_is_opened_on_a_second_worker_while_memory_is_short():
+def test_no_copy_is_loaded_on_a_second_worker_while_memory_is_short():
     for memory_is_short in (False, True):
         fleet = Fleet(gateway_count=20)
         fleet.concurrency = 1
@@ -157,7 +157,7 @@
         assert (hosts == {home}) == memory_is_short
 
 
-def test_events_that_others_sent_count_for_the_pair_and_age():
+def test_requests_of_other_gateways_count_as_load_and_age():
     fleet = Fleet()
     fleet.concurrency = 1
     home = fleet.router.hosts[fleet.serve("deed")]
@@ -167,7 +167,7 @@
     assert fleet.serve("deed") == home.id
 
 
-def test_an_event_that_left_unanswered_teaches_that_answers_take_so_long():
+def test_request_that_ends_without_response_raises_the_mean_response_time():
     fleet = Fleet()
     home = fleet.router.hosts[fleet.serve("deed")]
     number, _ = fleet.request("deed")
@@ -178,7 +178,7 @@
     assert home.mean_response_ms() < 500.0
 
 
-def test_a_host_found_full_is_held_to_be_late_for_a_moment():
+def test_full_host_is_predicted_late_for_a_moment():
     fleet = Fleet("a")
     fleet.serve("deed")
     number, _ = fleet.request("deed")
--- a/tests/routing/test_rules_of_attempts.py
+++ b/tests/routing/test_rules_of_attempts.py
@@ -1,4 +1,4 @@
-"""The five rules at the gate. Each story fails if its line at the gate is taken out."""
+"""The rules of attempts. Each test fails if its condition in the rules is taken out."""
 
 from fake_fleet import REQUEST_CLASS, Fleet, kinds
 
@@ -26,7 +26,7 @@
     )
 
 
-def test_rule_1_no_launch_past_the_end_and_three_at_most_and_no_second_answer():
+def test_rule_1_no_attempt_past_the_deadline_three_at_most_and_no_second_final_answer():
     fleet = Fleet("abcdef")
     number, _ = fleet.request()
     request, host = fleet.router.requests[number], fleet.router.hosts["a"]
@@ -42,13 +42,13 @@
     assert not fleet.router.rules.allows(request, host)
 
 
-def test_rule_1_no_host_at_all_is_answered_at_once():
+def test_rule_1_request_without_any_host_is_rejected_at_once():
     fleet = Fleet("a")
     fleet.update_endpoints(a={"state": routing.HostState.GONE})
     assert kinds(fleet.request()[1]) == [routing.RejectRequest]
 
 
-def test_rule_2_at_most_once_is_launched_again_only_if_it_never_ran():
+def test_rule_2_at_most_once_request_is_retried_only_if_it_never_ran():
     fleet = Fleet(
         request_classes=(
             REQUEST_CLASS._replace(
@@ -62,7 +62,7 @@
     assert kinds(fleet.end_attempt(number, routing.AttemptOutcome.ERROR)) == [routing.FailRequest]
 
 
-def test_rule_2_keyed_stays_in_its_group_and_time():
+def test_rule_2_request_with_idempotency_key_is_retried_within_dedup_scope_and_window():
     for group in ("zone", "cell", "all"):
         fleet = Fleet(
             request_classes=(
@@ -84,14 +84,14 @@
         ]
 
 
-def test_rule_2_second_launch_waits_for_the_first_where_two_are_not_allowed():
+def test_rule_2_no_second_attempt_while_one_is_in_flight_without_hedging():
     fleet = Fleet()
     number, _ = fleet.request()
     request = fleet.router.requests[number]
     assert not any(fleet.router.rules.allows(request, h) for h in fleet.router.hosts.values())
 
 
-def test_rule_3_nothing_goes_to_a_host_that_drains():
+def test_rule_3_nothing_is_sent_to_a_draining_host():
     fleet = Fleet("ab", may_order_loads=True)
     fleet.update_endpoints(a={"state": routing.HostState.DRAINING})
     assert {fleet.serve(f"f{i}") for i in range(20)} == {"b"}
@@ -101,7 +101,7 @@
     )
 
 
-def test_a_zone_that_a_session_has_moved_away_from_is_none_of_its_places_and_is_for_others():
+def test_drained_zone_is_avoided_by_its_moved_sessions_and_open_to_others():
     fleet = Fleet("ab", may_order_loads=True)
     func_at = {fleet.serve(f"f{i}"): f"f{i}" for i in range(20)}
     a, b = fleet.router.hosts["a"], fleet.router.hosts["b"]
@@ -146,7 +146,7 @@
         return []
 
 
-def test_rule_4_a_cold_host_gets_no_more_than_its_budget_even_if_it_is_alone():
+def test_rule_4_host_in_slow_start_gets_no_more_than_its_budget_even_alone():
     fleet = Fleet("ab")
     for i in range(60):
         fleet.serve(f"f{i}", later=5.0)
@@ -155,7 +155,7 @@
     assert 1 <= sent <= 0.6 * 3 * 0.3 * 60
 
 
-def test_rule_5_orders_are_rationed():
+def test_rule_5_load_orders_stay_within_their_quota():
     fleet = Fleet(
         may_order_loads=True, load_quota_base=1.0, load_quota_share=0.1, load_quota_window_ms=5000.0
     )
@@ -175,7 +175,7 @@
     )
 
 
-def test_a_function_foreseen_is_opened_at_its_home_within_the_ration_and_never_at_one_that_drains():
+def test_expected_function_is_loaded_at_its_home_within_quota_and_never_at_a_draining_host():
     fleet = Fleet(
         may_order_loads=True, load_quota_base=2.0, load_quota_share=0.1, load_quota_window_ms=5000.0
     )
@@ -200,7 +200,7 @@
     assert order.host != home
 
 
-def test_host_that_misses_is_given_an_order_and_the_event_follows_it():
+def test_host_without_the_function_gets_a_load_order_and_then_the_request():
     fleet = Fleet(may_order_loads=True, reports_missing=True)
     number, _ = fleet.request()
     found = fleet.end_attempt(number, routing.AttemptOutcome.FUNCTION_MISSING)
@@ -220,7 +220,7 @@
     ]  # in time for its client
 
 
-def test_overload_defers_what_would_be_late_and_launches_nothing_further():
+def test_overload_rejects_requests_that_would_be_late():
     fleet = Fleet("a")
     numbers = []
     for _ in range(20):
@@ -234,7 +234,7 @@
     assert deferred and all(0 < a.retry_after_ms <= 1000.0 for a in deferred)
 
 
-def test_stream_that_has_begun_has_no_second_launch():
+def test_request_that_streams_has_no_second_attempt():
     fleet = Fleet(request_classes=(REQUEST_CLASS._replace(streaming=True),))
     number, _ = fleet.request()
     fleet.take(routing.StreamStarted(number, 0, fleet.sent[number][0]))
@@ -246,7 +246,7 @@
     )
 
 
-def test_list_that_must_be_asked_for_is_asked_again_after_a_failure():
+def test_failed_poll_of_the_endpoint_list_is_repeated():
     fleet = Fleet(polls_endpoints=True)
     assert routing.SetTimer in [
         type(a) for a in fleet.take(routing.EndpointsUpdated(routing.UpdateKind.FAILED, ()))
@@ -254,7 +254,7 @@
     assert kinds(fleet.take(routing.TimerFired("ask"))) == [routing.PollEndpoints]
 
 
-def test_a_host_that_seems_late_is_tried_by_one_gateway_at_a_time_not_by_all():
+def test_host_predicted_late_is_tried_by_one_gateway_at_a_time():
     taken = 0
     for index in range(50):
         fleet = Fleet("a", gateway_count=50, gateway_index=index, seed=index)
@@ -268,7 +268,7 @@
     assert taken < 25
 
 
-def test_the_storm_of_one_customer_is_not_overload_for_another():
+def test_overload_by_one_tenant_is_not_overload_for_another():
     fleet = Fleet("a", tenants=(routing.Tenant("noisy", 1.0), routing.Tenant("calm", 100.0)))
     for _ in range(60):
         number, _ = fleet.request("deed", max_age=60.0, tenant="noisy", later=2.0)
@@ -277,7 +277,7 @@
     assert noisy.is_overloaded(fleet.now) and not calm.is_overloaded(fleet.now)
 
 
-def test_a_gateway_that_takes_nothing_tries_again_and_a_few_slow_hosts_do_not_make_all_seem_late():
+def test_idle_gateway_tries_again_and_one_slow_host_does_not_make_all_look_late():
     fleet = Fleet("ab", gateway_count=100)
     fleet.router.statistics.response_time.value, fleet.router.statistics.response_time.at_ms = (
         2000.0,
@@ -293,7 +293,7 @@
     assert fleet.router.mean() < 0.75 * 500.0
 
 
-def test_launches_that_are_lost_together_shut_a_host_no_longer_than_one():
+def test_attempts_lost_together_count_as_one_failure():
     shut = []
     for count in (1, 6):
         fleet = Fleet("a")
@@ -304,7 +304,7 @@
     assert shut[0] == shut[1] == 2
 
 
-def test_a_good_answer_opens_a_host_that_was_shut():
+def test_success_ends_an_ejection():
     fleet = Fleet("ab")
     out = [fleet.request()[0] for _ in range(4)]
     host = fleet.sent[out[0]][0]
@@ -318,7 +318,7 @@
     )
 
 
-def test_a_launch_cut_by_a_client_that_waits_for_little_is_no_strike_and_a_long_silence_is():
+def test_short_wait_without_response_is_no_failure_and_a_long_one_is():
     for took, strikes in ((100.0, 0), (2500.0, 2)):
         fleet = Fleet("a")
         fleet.serve()
--- a/tests/routing/test_slow_start_of_fleet.py
+++ b/tests/routing/test_slow_start_of_fleet.py
@@ -1,5 +1,8 @@
-"""Rule 4 over the whole fleet: independent gateways, each seeing its own requests only and told late, against one cold
-host. What all of them send there is held against the budget of every window."""
+"""Slow start over the whole fleet.
+
+Independent gateways, each of which sees its own requests only and learns of the start late, against
+one host that warms up. What all of them send there is held against the budget of every window.
+"""
 
 import random
 from heapq import heappop, heappush
@@ -11,22 +14,32 @@
 from cherrydoor.routing import messages as routing
 
 CORES = 2
-HOSTS, COLD_HOST = "abcdefghij", "k"
-SETTLED, COLD = 20000.0, 10000.0  # ms until the cold host starts, and from there until it is warm
-MULTIPLE, FALL = 3.0, 3000.0
+HOSTS, WARMING_HOST = "abcdefghij", "k"
+STARTED_MS = 20000.0  # the warming host starts
+SLOW_START_MS = 10000.0  # from there until it is warm
+OVERLOAD_FACTOR = 3.0
+OVERLOAD_WINDOW_MS = 3000.0
 FUNCTIONS = 60
 
 
 class World:
-    """The fleet in virtual time; `pressed` has when each request reached the cold host, and whether its gateway had
-    been told of the start. `work` is the mean time of a request on one core; at `surge` ms after the start all other
-    hosts leave at once (0: none does)."""
-
-    def __init__(self, gateways, seed, load, surge, work, cold_from):
-        self.work, self.cold_from = work, cold_from
-        self.random, self.queue, self.serial, self.pressed = random.Random(seed), [], 0, []
-        self.free, self.told = dict.fromkeys(HOSTS + COLD_HOST, 0.0), [SETTLED + COLD] * gateways
-        lease = routing.Settings(
+    """The fleet in virtual time.
+
+    ``arrivals`` has when each request reached the warming host, and whether its gateway had been
+    notified of the start. ``work`` is the mean time of a request on one core; at ``surge`` ms after
+    the start all other hosts leave at once (0: none does).
+    """
+
+    def __init__(self, gateways, seed, load, surge, work, floor):
+        self.work = work
+        self.floor = floor
+        self.random = random.Random(seed)
+        self.queue = []
+        self.serial = 0
+        self.arrivals = []
+        self.free = dict.fromkeys(HOSTS + WARMING_HOST, 0.0)
+        self.notified_ms = [STARTED_MS + SLOW_START_MS] * gateways
+        settings = routing.Settings(
             0,
             gateways,
             0,
@@ -36,42 +49,44 @@
             max_attempts=6,
             may_cancel=True,
             may_probe=True,
-            slow_start_floor=cold_from,
-            slow_start_ms=COLD,
-            overload_factor=MULTIPLE,
-            overload_window_ms=FALL,
+            slow_start_floor=floor,
+            slow_start_ms=SLOW_START_MS,
+            overload_factor=OVERLOAD_FACTOR,
+            overload_window_ms=OVERLOAD_WINDOW_MS,
             idle_retention_ms=8000.0,
         )
         self.gateways = [
-            Router(lease._replace(gateway_index=i, seed=seed * 1000 + i)) for i in range(gateways)
+            Router(settings._replace(gateway_index=i, seed=seed * 1000 + i))
+            for i in range(gateways)
         ]
-        self.open, self.tries, self.events = {}, {}, 0
+        self.attempts = {}
+        self.request_count = 0
         rows = [
             routing.Endpoint(name, routing.HostState.READY, 0.0, "z", 0)
-            for name in HOSTS + COLD_HOST
+            for name in HOSTS + WARMING_HOST
         ]
         for number, gateway in enumerate(self.gateways):
             self.act(number, 0.0, gateway.start(0.0))
             self.at(
                 0.0,
-                self.note,
+                self.message,
                 number,
                 routing.EndpointsUpdated(routing.UpdateKind.CACHED, tuple(rows)),
             )
-            late = self.told[number] = SETTLED + self.random.uniform(200.0, 2500.0)
+            late = self.notified_ms[number] = STARTED_MS + self.random.uniform(200.0, 2500.0)
             self.at(
                 late,
-                self.note,
+                self.message,
                 number,
                 routing.EndpointsUpdated(
                     routing.UpdateKind.INCREMENTAL,
-                    (routing.Endpoint(COLD_HOST, routing.HostState.READY, SETTLED, "z", 0),),
+                    (routing.Endpoint(WARMING_HOST, routing.HostState.READY, STARTED_MS, "z", 0),),
                 ),
             )
             if surge:
                 self.at(
-                    SETTLED + surge + self.random.uniform(0.0, 1000.0),
-                    self.note,
+                    STARTED_MS + surge + self.random.uniform(0.0, 1000.0),
+                    self.message,
                     number,
                     routing.EndpointsUpdated(
                         routing.UpdateKind.INCREMENTAL,
@@ -80,7 +95,7 @@
                 )
         rate = load * (len(HOSTS) + 1) * CORES / work
         when = 0.0
-        while when < SETTLED + COLD:
+        while when < STARTED_MS + SLOW_START_MS:
             when += self.random.expovariate(rate)
             self.at(when, self.request)
 
@@ -89,43 +104,49 @@
         heappush(self.queue, (when, self.serial, what, args))
 
     def run(self):
-        while self.queue and self.queue[0][0] < SETTLED + COLD:
+        while self.queue and self.queue[0][0] < STARTED_MS + SLOW_START_MS:
             now, _, what, args = heappop(self.queue)
             what(now, *args)
         return self
 
     def request(self, now):
         number = self.random.randrange(len(self.gateways))
-        self.events += 1
+        self.request_count += 1
         function = f"f{min(int(self.random.paretovariate(0.5)), FUNCTIONS)}"
-        self.note(
+        self.message(
             now,
             number,
-            routing.RequestArrived(self.events, "draft", "", function, now + 2500.0, 4.0, 0.0),
+            routing.RequestArrived(
+                self.request_count, "draft", "", function, now + 2500.0, 4.0, 0.0
+            ),
         )
 
-    def note(self, now, number, note):
-        self.act(number, now, self.gateways[number].take(now, note))
+    def message(self, now, number, message):
+        self.act(number, now, self.gateways[number].take(now, message))
 
     def act(self, number, now, actions):
         for action in actions:
             if type(action) is routing.SetTimer:
-                self.at(max(action.at_ms, now), self.note, number, routing.TimerFired(action.token))
+                self.at(
+                    max(action.at_ms, now), self.message, number, routing.TimerFired(action.token)
+                )
             elif type(action) is routing.CheckHealth:
                 self.at(
                     now + 2.0,
-                    self.note,
+                    self.message,
                     number,
                     routing.HealthCheckEnded(action.host, routing.AttemptOutcome.SUCCEEDED, 2.0),
                 )
             elif type(action) is routing.StartAttempt:
-                index = self.tries[action.request_id] = self.tries.get(action.request_id, -1) + 1
-                if action.host == COLD_HOST and now >= SETTLED:
-                    self.pressed.append((now, now >= self.told[number]))
-                took = self.serve(now, action.host)
+                index = self.attempts[action.request_id] = (
+                    self.attempts.get(action.request_id, -1) + 1
+                )
+                if action.host == WARMING_HOST and now >= STARTED_MS:
+                    self.arrivals.append((now, now >= self.notified_ms[number]))
+                duration_ms = self.serve(now, action.host)
                 self.at(
-                    now + took,
-                    self.note,
+                    now + duration_ms,
+                    self.message,
                     number,
                     routing.AttemptEnded(
                         action.request_id,
@@ -133,7 +154,7 @@
                         routing.AttemptOutcome.SUCCEEDED,
                         True,
                         action.host,
-                        took,
+                        duration_ms,
                         1,
                         0,
                     ),
@@ -141,28 +162,38 @@
 
     def serve(self, now, host):
         """Time to the answer: requests of a host wait in turn for all that its cores can do."""
-        able = CORES * (self.level(now) if host == COLD_HOST else 1.0)
+        able = CORES * (self.level(now) if host == WARMING_HOST else 1.0)
         self.free[host] = max(now, self.free[host]) + self.random.expovariate(able / self.work)
         return self.free[host] - now + self.work / CORES
 
     def level(self, now):
         """The share of its capacity that the cold host has then."""
         return (
-            min(1.0, self.cold_from + (1 - self.cold_from) * (now - SETTLED) / COLD)
-            if now >= SETTLED
+            min(1.0, self.floor + (1 - self.floor) * (now - STARTED_MS) / SLOW_START_MS)
+            if now >= STARTED_MS
             else 1.0
         )
 
     def allowed(self, start):
-        """What the settings allow in the window that begins then: multiple times capacity times window, and chance."""
-        budget = MULTIPLE * self.level(start + FALL / 2) * CORES / self.work * FALL
+        """Requests allowed in the window that begins then: the budget, and chance."""
+        budget = (
+            OVERLOAD_FACTOR
+            * self.level(start + OVERLOAD_WINDOW_MS / 2)
+            * CORES
+            / self.work
+            * OVERLOAD_WINDOW_MS
+        )
         return budget + 2 * sqrt(budget) + 2
 
-    def fullest(self):
-        """The window with most of what is allowed in it, as a share, of those that two thirds knew of the start in."""
+    def largest_share(self):
+        """The largest share of what is allowed, over windows that most gateways know of."""
         shares = [0.0]
-        for start, _ in self.pressed:
-            within = [told for when, told in self.pressed if start <= when < start + FALL]
+        for start, _ in self.arrivals:
+            within = [
+                notified
+                for when, notified in self.arrivals
+                if start <= when < start + OVERLOAD_WINDOW_MS
+            ]
             if sum(within) > len(within) * 2 / 3:
                 shares.append(len(within) / self.allowed(start))
         return max(shares)
@@ -170,9 +201,9 @@
 
 @pytest.mark.parametrize("surge", [0.0, 1000.0, 2500.0])
 @pytest.mark.parametrize("gateways", [1, 5, 20, 30, 200])
-def test_all_gateways_together_push_no_cold_host_over(gateways, surge):
-    for work, cold_from in ((60.0, 0.2), (250.0, 0.17)):
-        world = World(gateways, 1, 0.9, surge, work, cold_from).run()
-        share = world.fullest()
+def test_all_gateways_together_do_not_overload_a_host_in_slow_start(gateways, surge):
+    for work, floor in ((60.0, 0.2), (250.0, 0.17)):
+        world = World(gateways, 1, 0.9, surge, work, floor).run()
+        share = world.largest_share()
         assert share <= 1.0, (work, share)
-        assert len(world.pressed) > 10, "the cold host is used"
+        assert len(world.arrivals) > 10, "the warming host is used"
--- a/tests/routing/test_sparse_reports.py
+++ b/tests/routing/test_sparse_reports.py
@@ -1,4 +1,4 @@
-"""What a gateway goes by where answers tell little, hosts are deaf or cold, and at its start."""
+"""Routing where responses report little, hosts are in slow start, or the router has just begun."""
 
 from fake_fleet import Fleet, kinds
 
@@ -33,7 +33,7 @@
     return fleet.sent[number][0]
 
 
-def test_where_no_crowd_is_told_own_calls_group_the_gateways():
+def test_groups_follow_own_calls_where_concurrency_is_not_reported():
     places = set()
     for index in range(12):
         fleet = Fleet("abcdefgh", gateway_index=index, gateway_count=12)
@@ -43,7 +43,7 @@
     assert len(places) > 4
 
 
-def test_a_crowd_that_stays_beyond_its_lanes_makes_no_more_groups_than_gateways_could_form():
+def test_lasting_high_concurrency_makes_no_more_groups_than_gateways():
     fleet = Fleet(gateway_count=10)
     fleet.concurrency = 30
     for _ in range(1200):
@@ -51,7 +51,7 @@
     assert 10 <= fleet.router.history.functions["deed"].groups < 20
 
 
-def test_where_no_copy_is_told_a_load_does_not_pass_for_a_slow_host():
+def test_load_does_not_look_like_a_slow_host_where_copies_are_not_reported():
     fleet = Fleet()
     home = fleet.router.hosts[untold(fleet, None, "deed", duration_ms=2000.0)]
     assert home.mean_response_ms() < 200
@@ -59,7 +59,7 @@
     assert home.mean_response_ms() > 125
 
 
-def test_what_a_host_was_told_to_hold_makes_it_shed():
+def test_reported_in_flight_requests_make_a_host_shed_load():
     fleet = Fleet(gateway_count=40)
     for _ in range(30):
         home = untold(fleet, None, "deed", duration_ms=60.0, held=0.0)
@@ -75,7 +75,7 @@
     assert not host.check_overload()
 
 
-def test_where_no_report_is_told_the_crowd_tells_the_time_of_one():
+def test_concurrency_gives_the_time_per_request_where_no_load_is_reported():
     fleet = Fleet(gateway_count=40)
     for _ in range(30):
         home = fleet.router.hosts[fleet.serve("deed")]
@@ -95,7 +95,7 @@
     assert few.router.statistics.time_per_request_ms == 0.0
 
 
-def test_a_host_deaf_to_one_event_type_goes_on_serving_the_other():
+def test_host_unresponsive_to_one_request_class_goes_on_serving_the_other():
     book = routing.RequestClass(
         "book", 500.0, 5000.0, routing.RetrySafety.IDEMPOTENCY_KEY, "cell", 6000.0
     )
@@ -123,7 +123,7 @@
     assert deaf == [False, True]
 
 
-def test_what_a_cold_host_cannot_bear_is_spread_over_all_others():
+def test_what_a_host_in_slow_start_cannot_take_is_spread_over_all_others():
     fleet = Fleet("abcdefgh")
     at = {f"f{i}": fleet.serve(f"f{i}") for i in range(200)}
     cold = at["f0"]
@@ -133,7 +133,7 @@
     assert len(stand_ins - {cold}) > 3
 
 
-def test_a_full_answer_is_the_queues_where_a_queue_is_reported_and_memorys_where_it_is_tied():
+def test_full_host_has_a_full_queue_or_short_memory_as_it_reports():
     for concurrency, queue, tied, memory in (
         (0, 9.0, None, False),
         (0, None, None, True),
@@ -161,7 +161,7 @@
         assert (not home.has_memory()) == memory, (concurrency, queue, tied)
 
 
-def test_a_cold_fleet_bears_what_its_running_hosts_do_and_not_the_mean_of_all():
+def test_budget_in_slow_start_goes_by_the_capacity_that_is_ready():
     def budgets(**cold):
         fleet = Fleet(
             "abcdefgh", gateway_count=200
@@ -184,7 +184,7 @@
     )
 
 
-def test_a_gateway_that_stood_still_does_not_take_it_for_the_hosts_silence():
+def test_gateway_that_stood_still_does_not_take_it_for_silence_of_hosts():
     fleet = Fleet()
     fleet.serve("deed")
     fleet.take(routing.TimerFired("sweep"), 100.0)
@@ -195,8 +195,8 @@
     )
 
 
-def test_the_first_window_is_counted_from_the_start_and_not_from_1970():
-    """On real clocks the first halving had a span of fifty years: own calls told nothing until the second."""
+def test_first_window_is_counted_from_the_start():
+    """Counted from 1970 the first span would be fifty years, and own calls would tell nothing."""
     fleet = Fleet("ab")
     fleet.router.start(fleet.now)
     for _ in range(100):
