--- a/tests/routing/fake_fleet.py
+++ b/tests/routing/fake_fleet.py
@@ -62,7 +62,7 @@
             self.rows[host] = old._replace(**fields)
         return self.take(routing.EndpointsUpdated(kind, tuple(self.rows.values())))
 
-    def request(self, function="deed", max_age=5000.0, tenant="", later=0.0):
+    def request(self, function="thumbnail", max_age=5000.0, tenant="", later=0.0):
         """A request arrives; returns its number and the actions."""
         self.request_count += 1
         deadline_ms = self.now + later + max_age
@@ -90,7 +90,7 @@
         )
         return self.take(ended, later)
 
-    def serve(self, function="deed", copy=1, later=10.0):
+    def serve(self, function="thumbnail", copy=1, later=10.0):
         """A request arrives and succeeds; returns the host that it was sent to first."""
         request, _ = self.request(function, later=later)
         self.end_attempt(request, copy=copy, later=later)
--- a/tests/routing/test_choice_of_host.py
+++ b/tests/routing/test_choice_of_host.py
@@ -7,54 +7,57 @@
 
 
 def test_every_gateway_sends_a_function_to_the_same_home():
-    for function in ("deed", "lease", "clause"):
+    for function in ("thumbnail", "resize", "encode"):
         assert len({Fleet(gateway_index=index).serve(function) for index in range(5)}) == 1
 
 
 def test_only_a_most_called_function_has_a_second_worker_and_ties_go_home():
     fleet = Fleet()
     fleet.concurrency = 1
-    home = fleet.serve("deed")
+    home = fleet.serve("thumbnail")
     second = next(
-        h for h in (fleet.sent[fleet.request("deed")[0]][0] for _ in range(12)) if h != home
+        h for h in (fleet.sent[fleet.request("thumbnail")[0]][0] for _ in range(12)) if h != home
     )
     assert second in fleet.rows and len({fleet.sent[e][0] for e in fleet.sent}) == 2
-    calm = Fleet()
-    first = calm.serve("deed")
+    idle = Fleet()
+    first = idle.serve("thumbnail")
     for _ in range(3):
-        assert calm.sent[calm.request("deed")[0]][0] == first
-    calm.pass_time(60000)
+        assert idle.sent[idle.request("thumbnail")[0]][0] == first
+    idle.pass_time(60000)
     assert (
-        "deed" not in calm.router.history.functions
-        or calm.router.history.functions["deed"].call_count < 1
+        "thumbnail" not in idle.router.history.functions
+        or idle.router.history.functions["thumbnail"].call_count < 1
     )
 
 
 def test_home_worker_at_t2_sheds_load_until_below_t1():
     fleet = Fleet(gateway_count=10)
-    host, held, shed_at = fleet.router.hosts[fleet.serve("deed")], [], None
+    host = fleet.router.hosts[fleet.serve("thumbnail")]
+    numbers = []
+    shed_at = None
     while shed_at is None:
-        number, _ = fleet.request("deed")
-        held += [number] if fleet.sent[number][0] == host.id else []
+        number, _ = fleet.request("thumbnail")
+        if fleet.sent[number][0] == host.id:
+            numbers.append(number)
         shed_at = len(host.in_flight) if host.check_overload() else None
-    away, _ = fleet.request("deed")
-    assert shed_at == 5 and fleet.sent[away][0] != host.id
-    for number in held:
+    next_number, _ = fleet.request("thumbnail")
+    assert shed_at == 5 and fleet.sent[next_number][0] != host.id
+    for number in numbers:
         assert host.check_overload() == (len(host.in_flight) >= 3)
         fleet.end_attempt(number)
 
 
 def test_request_refused_by_a_full_host_is_retried_at_the_second_worker():
     fleet = Fleet()
-    home = fleet.serve("deed")
-    number, _ = fleet.request("deed")
+    home = fleet.serve("thumbnail")
+    number, _ = fleet.request("thumbnail")
     fleet.end_attempt(number, routing.AttemptOutcome.FULL)
     assert len(set(fleet.sent[number])) == 2 and fleet.router.hosts[home].check_overload()
 
 
 def test_host_full_without_a_copy_passes_only_that_function_to_the_next_host():
     fleet, order = Fleet(), "abcd"
-    number, _ = fleet.request("deed")
+    number, _ = fleet.request("thumbnail")
     fleet.end_attempt(number, routing.AttemptOutcome.FULL)
     home, next_host = fleet.sent[number]
     assert (
@@ -62,32 +65,32 @@
         and not fleet.router.hosts[home].check_overload()
     )
     fleet.end_attempt(number)
-    assert fleet.serve("deed") == next_host
+    assert fleet.serve("thumbnail") == next_host
     assert home in {fleet.serve(f"f{i}") for i in range(20)}
 
 
 def test_request_predicted_late_goes_to_the_loaded_copy_that_is_predicted_fastest():
     fleet = Fleet()
-    home = fleet.serve("deed")
+    home = fleet.serve("thumbnail")
     other = next(h for h in "abcd" if h != home)
-    fleet.router.history.functions["deed"].copies[fleet.router.hosts[other]] = fleet.now
-    fleet.request("deed")
+    fleet.router.history.functions["thumbnail"].copies[fleet.router.hosts[other]] = fleet.now
+    fleet.request("thumbnail")
     fleet.now += 600  # the home has stalled, and no sweep has come yet
-    assert fleet.serve("deed") == other
+    assert fleet.serve("thumbnail") == other
 
 
 def test_range_of_a_draining_host_goes_to_the_next_host_and_then_to_a_new_one():
     fleet = Fleet()
-    home = fleet.serve("deed")
+    home = fleet.serve("thumbnail")
     others = {f: fleet.serve(f) for f in ("f1", "f2", "f3", "f4", "f5", "f6")}
     fleet.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
     order = sorted(fleet.rows)
-    assert fleet.serve("deed") == order[(order.index(home) + 1) % len(order)]
+    assert fleet.serve("thumbnail") == order[(order.index(home) + 1) % len(order)]
     fleet.update_endpoints(
         routing.UpdateKind.INCREMENTAL,
         **{home: {"state": routing.HostState.GONE}, "zz": {"started_at_ms": 1.0}},
     )
-    assert fleet.serve("deed") == "zz"
+    assert fleet.serve("thumbnail") == "zz"
     for f, host in others.items():
         assert fleet.serve(f) == ("zz" if host == home else host)  # no other range moved
 
@@ -106,34 +109,36 @@
 
 def test_no_second_request_waits_for_a_load_while_a_copy_is_loaded_elsewhere():
     fleet = Fleet(slow_start_ms=1.0)
-    home = fleet.serve("deed")
+    home = fleet.serve("thumbnail")
     fleet.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
-    stand_in = fleet.serve("deed")
+    stand_in = fleet.serve("thumbnail")
     fleet.update_endpoints(**{home: {"state": routing.HostState.READY, "started_at_ms": fleet.now}})
     fleet.now += 2000
-    scout, _ = fleet.request("deed")
-    assert fleet.sent[scout] == [home]
-    assert fleet.serve("deed") == stand_in  # home loads for the scout
-    fleet.end_attempt(scout, copy=2)
-    assert fleet.serve("deed") == home
+    first, _ = fleet.request("thumbnail")
+    assert fleet.sent[first] == [home]
+    assert fleet.serve("thumbnail") == stand_in  # home loads for the first
+    fleet.end_attempt(first, copy=2)
+    assert fleet.serve("thumbnail") == home
 
 
 def test_copies_of_a_function_released_anew_are_forgotten_until_hosts_respond():
     fleet = Fleet()
-    home = fleet.serve("deed")
-    function = fleet.router.history.functions["deed"]
+    home = fleet.serve("thumbnail")
+    function = fleet.router.history.functions["thumbnail"]
     function.copies[fleet.router.hosts["a"]] = function.copies[fleet.router.hosts["b"]] = fleet.now
-    fleet.serve("deed", copy=2)
+    fleet.serve("thumbnail", copy=2)
     assert [h.id for h in function.copies] == [home]
 
 
 def test_load_order_precedes_requests_to_the_second_worker():
     fleet = Fleet(may_order_loads=True)
     fleet.concurrency = 1
-    home = fleet.serve("deed")
-    _, found = fleet.request("deed")  # one stays out, so that the home is the busier of the two
+    home = fleet.serve("thumbnail")
+    _, found = fleet.request(
+        "thumbnail"
+    )  # one stays out, so that the home is the busier of the two
     for _ in range(8):
-        number, actions = fleet.request("deed", later=1.0)
+        number, actions = fleet.request("thumbnail", later=1.0)
         found += actions
         fleet.end_attempt(number)
     order = next(a for a in found if isinstance(a, routing.OrderLoad))
@@ -141,21 +146,21 @@
         routing.OrderLoad
     ) == 1
     fleet.take(
-        routing.LoadOrderEnded("deed", order.host, routing.AttemptOutcome.SUCCEEDED, 1, 600.0)
+        routing.LoadOrderEnded("thumbnail", order.host, routing.AttemptOutcome.SUCCEEDED, 1, 600.0)
     )
-    assert fleet.sent[fleet.request("deed")[0]] == [order.host]
+    assert fleet.sent[fleet.request("thumbnail")[0]] == [order.host]
 
 
 def test_copies_kept_loaded_by_other_gateways_are_used_without_a_load_order():
     for gateways, concurrency in ((200, 8), (200, 0), (1, 8)):
         fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=gateways)
         fleet.concurrency, found = concurrency, []
-        home = fleet.serve("deed")
+        home = fleet.serve("thumbnail")
         for _ in range(4):
-            found += fleet.request("deed", later=1.0)[1]
+            found += fleet.request("thumbnail", later=1.0)[1]
         hosts = {fleet.sent[e][0] for e in range(2, 6)}
         kept = fleet.router.zone.presumed_holders(
-            fleet.router.history.functions["deed"]
+            fleet.router.history.functions["thumbnail"]
         )  # one alone knows by its own calls
         assert bool(kept) == (gateways == 200 and concurrency == 8)
         assert (hosts != {home} and not kinds(found).count(routing.OrderLoad)) == (
@@ -165,8 +170,8 @@
 
 def test_second_workers_of_a_function_with_little_concurrency_are_not_presumed_holders():
     fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
-    home = fleet.serve("deed")
-    function = fleet.router.history.functions["deed"]
+    home = fleet.serve("thumbnail")
+    function = fleet.router.history.functions["thumbnail"]
     for work, some in ((0.1, [home]), (0.3, None)):
         function.concurrency.value = work
         kept = [h.id for h in fleet.router.zone.presumed_holders(function)]
@@ -176,9 +181,9 @@
 def test_second_workers_of_other_groups_are_presumed_holders_up_to_half_the_groups():
     for index in (1, 6):
         fleet = Fleet([f"h{i}" for i in range(60)], gateway_count=200, gateway_index=index)
-        fleet.serve("deed")
-        function = fleet.router.history.functions["deed"]
-        half = {position(f"deed/{k}") for k in range(4)}
+        fleet.serve("thumbnail")
+        function = fleet.router.history.functions["thumbnail"]
+        half = {position(f"thumbnail/{k}") for k in range(4)}
         function.groups = 8
         assert set(function.second_positions()) == half | {function.second_position()}
 
@@ -186,8 +191,8 @@
 def test_host_in_slow_start_is_not_a_presumed_holder():
     fleet = Fleet([f"h{i}" for i in range(20)], may_order_loads=True, gateway_count=200)
     fleet.concurrency = 8
-    fleet.serve("deed")
-    function, zone = fleet.router.history.functions["deed"], fleet.router.zone
+    fleet.serve("thumbnail")
+    function, zone = fleet.router.history.functions["thumbnail"], fleet.router.zone
     known = zone.presumed_holders(function)
     assert len(known) > 1
     fleet.update_endpoints(**{known[-1].id: {"started_at_ms": fleet.now}})
--- a/tests/routing/test_host_health.py
+++ b/tests/routing/test_host_health.py
@@ -8,15 +8,15 @@
 
 def test_silent_host_is_checked_its_attempts_cancelled_and_its_range_passed_on():
     fleet = Fleet()
-    home = fleet.serve("deed")
-    stuck, _ = fleet.request("deed")
+    home = fleet.serve("thumbnail")
+    stuck, _ = fleet.request("thumbnail")
     found = fleet.pass_time(1500)
     assert routing.CheckHealth(home) in found
     assert routing.CancelAttempt(stuck, 0) in fleet.take(
         routing.HealthCheckEnded(home, routing.AttemptOutcome.NO_RESPONSE, 250.0)
     )
     fleet.end_attempt(stuck, routing.AttemptOutcome.CANCELLED)
-    assert fleet.sent[stuck][1] != home and fleet.serve("deed") != home
+    assert fleet.sent[stuck][1] != home and fleet.serve("thumbnail") != home
     fleet.pass_time(3000)
     fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
     assert not fleet.router.hosts[home].health.check_in_flight and fleet.router.hosts[
@@ -26,13 +26,13 @@
 
 def test_dead_host_is_ejected_and_returns_after_a_health_check():
     fleet = Fleet()
-    home = fleet.serve("deed")
-    number, _ = fleet.request("deed")
+    home = fleet.serve("thumbnail")
+    number, _ = fleet.request("thumbnail")
     fleet.end_attempt(number, routing.AttemptOutcome.CONNECT_FAILED)
-    assert fleet.sent[number][1] != home and fleet.serve("deed") != home
+    assert fleet.sent[number][1] != home and fleet.serve("thumbnail") != home
     assert routing.CheckHealth(home) in fleet.pass_time(3000)
     fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
-    assert fleet.serve("deed") == home
+    assert fleet.serve("thumbnail") == home
 
 
 def test_no_host_is_ejected_while_most_hosts_are_suspect():
@@ -73,29 +73,31 @@
 
 def test_one_attempt_waiting_for_a_load_does_not_make_its_host_look_late():
     fleet = Fleet()
-    home = fleet.serve("deed")
-    swept = next(f for f in (f"f{i}" for i in range(50)) if fleet.serve(f) == home)
-    fleet.request(swept)  # its copy was swept out: it waits for a load
+    home = fleet.serve("thumbnail")
+    evicted = next(f for f in (f"f{i}" for i in range(50)) if fleet.serve(f) == home)
+    fleet.request(evicted)  # its copy was evicted: it waits for a load
     for _ in range(4):
-        assert fleet.serve("deed", later=120.0) == home
-    stuck = fleet.router.hosts[home]
+        assert fleet.serve("thumbnail", later=120.0) == home
+    host = fleet.router.hosts[home]
     funcs = fleet.router.history.functions
     assert (
-        stuck.predicted_response_ms(funcs[swept]) > 800 > stuck.predicted_response_ms(funcs["deed"])
+        host.predicted_response_ms(funcs[evicted])
+        > 800
+        > host.predicted_response_ms(funcs["thumbnail"])
     )
 
 
 def test_one_more_copy_is_loaded_when_all_are_late_unless_memory_is_short():
     for memory_is_short in (False, True):
         fleet = Fleet("abc")
-        home = fleet.serve("deed")
+        home = fleet.serve("thumbnail")
         for host in fleet.router.hosts.values():
             host.short_of_memory_at_ms = (
                 fleet.now if memory_is_short else host.short_of_memory_at_ms
             )
-        fleet.request("deed")
+        fleet.request("thumbnail")
         fleet.now += 700
-        number, _ = fleet.request("deed")
+        number, _ = fleet.request("thumbnail")
         assert (fleet.sent.get(number, [home]) != [home]) == (not memory_is_short)
 
 
@@ -115,8 +117,8 @@
     for concurrency, spread in ((0, 1), (2, 2)):
         fleet = Fleet(gateway_count=100)
         fleet.concurrency = concurrency
-        hosts = {fleet.serve("deed")} | {
-            fleet.sent[fleet.request("deed", later=1.0)[0]][0] for _ in range(2)
+        hosts = {fleet.serve("thumbnail")} | {
+            fleet.sent[fleet.request("thumbnail", later=1.0)[0]][0] for _ in range(2)
         }
         assert len(hosts) == spread
 
@@ -127,17 +129,17 @@
         for index in range(60):
             fleet = Fleet([f"h{i}" for i in range(50)], gateway_count=60, gateway_index=index)
             fleet.concurrency = concurrency
-            home = fleet.serve("deed")
-            seconds |= {fleet.sent[fleet.request("deed", later=1.0)[0]][0] for _ in range(2)} - {
-                home
-            }
+            home = fleet.serve("thumbnail")
+            seconds |= {
+                fleet.sent[fleet.request("thumbnail", later=1.0)[0]][0] for _ in range(2)
+            } - {home}
         assert most / 5 < len(seconds) <= most
 
 
 def test_full_queue_of_a_host_with_a_copy_is_not_short_memory():
     for concurrency in (0, 30):
         fleet = Fleet()
-        number, _ = fleet.request("deed")
+        number, _ = fleet.request("thumbnail")
         fleet.concurrency = concurrency
         fleet.end_attempt(number, routing.AttemptOutcome.FULL)
         assert fleet.router.hosts[fleet.sent[number][0]].check_overload() == (concurrency > 0)
@@ -148,29 +150,29 @@
     for memory_is_short in (False, True):
         fleet = Fleet(gateway_count=20)
         fleet.concurrency = 1
-        home = fleet.serve("deed")
+        home = fleet.serve("thumbnail")
         for host in fleet.router.hosts.values():
             host.short_of_memory_at_ms = (
                 fleet.now if memory_is_short else host.short_of_memory_at_ms
             )
-        hosts = {fleet.sent[fleet.request("deed", later=1.0)[0]][0] for _ in range(3)}
+        hosts = {fleet.sent[fleet.request("thumbnail", later=1.0)[0]][0] for _ in range(3)}
         assert (hosts == {home}) == memory_is_short
 
 
 def test_requests_of_other_gateways_count_as_load_and_age():
     fleet = Fleet()
     fleet.concurrency = 1
-    home = fleet.router.hosts[fleet.serve("deed")]
-    home.others = DecayingValue(fleet.now, 20.0)  # as the home's report told
-    assert fleet.serve("deed") != home.id
+    home = fleet.router.hosts[fleet.serve("thumbnail")]
+    home.others = DecayingValue(fleet.now, 20.0)  # as the home reported
+    assert fleet.serve("thumbnail") != home.id
     fleet.now += 20000
-    assert fleet.serve("deed") == home.id
+    assert fleet.serve("thumbnail") == home.id
 
 
 def test_request_that_ends_without_response_raises_the_mean_response_time():
     fleet = Fleet()
-    home = fleet.router.hosts[fleet.serve("deed")]
-    number, _ = fleet.request("deed")
+    home = fleet.router.hosts[fleet.serve("thumbnail")]
+    number, _ = fleet.request("thumbnail")
     fleet.end_attempt(number, routing.AttemptOutcome.NO_RESPONSE, duration_ms=3000.0, later=3000.0)
     assert home.mean_response_ms() > 1000.0
     fleet.now += 30000
@@ -180,8 +182,8 @@
 
 def test_full_host_is_predicted_late_for_a_moment():
     fleet = Fleet("a")
-    fleet.serve("deed")
-    number, _ = fleet.request("deed")
+    fleet.serve("thumbnail")
+    number, _ = fleet.request("thumbnail")
     fleet.end_attempt(number, routing.AttemptOutcome.FULL)
-    assert fleet.request("deed")[0] not in fleet.sent
-    assert fleet.request("deed", later=2000.0)[0] in fleet.sent
+    assert fleet.request("thumbnail")[0] not in fleet.sent
+    assert fleet.request("thumbnail", later=2000.0)[0] in fleet.sent
--- a/tests/routing/test_rules_of_attempts.py
+++ b/tests/routing/test_rules_of_attempts.py
@@ -11,7 +11,7 @@
     assert kinds(fleet.end_attempt(number, routing.AttemptOutcome.FULL)) == [routing.RejectRequest]
     assert (
         number not in fleet.router.requests
-        and not fleet.router.history.functions["deed"].open_requests
+        and not fleet.router.history.functions["thumbnail"].open_requests
     )
     late, _ = fleet.request("other", max_age=200.0)
     assert kinds(fleet.end_attempt(late, routing.AttemptOutcome.NO_RESPONSE, later=200.0)) == [
@@ -73,7 +73,7 @@
                 ),
             )
         )
-        for function in ("deed", "f1", "f2", "f3"):
+        for function in ("thumbnail", "f1", "f2", "f3"):
             number, _ = fleet.request(function)
             fleet.end_attempt(number, routing.AttemptOutcome.ERROR)
             first, then = (fleet.rows[h] for h in fleet.sent[number])
@@ -182,19 +182,21 @@
     orders = [
         a
         for i in range(6)
-        for a in fleet.take(routing.FunctionExpected(f"deed@{i}"))
+        for a in fleet.take(routing.FunctionExpected(f"thumbnail@{i}"))
         if isinstance(a, routing.OrderLoad)
     ]
-    assert len(orders) == 2 and orders[0].function == "deed@0"
+    assert len(orders) == 2 and orders[0].function == "thumbnail@0"
     home = orders[0].host
-    assert fleet.take(routing.FunctionExpected("deed@0")) == [], "one order is out already"
-    fleet.take(routing.LoadOrderEnded("deed@0", home, routing.AttemptOutcome.SUCCEEDED, 1, 300.0))
-    assert fleet.serve("deed@0") == home
+    assert fleet.take(routing.FunctionExpected("thumbnail@0")) == [], "one order is out already"
+    fleet.take(
+        routing.LoadOrderEnded("thumbnail@0", home, routing.AttemptOutcome.SUCCEEDED, 1, 300.0)
+    )
+    assert fleet.serve("thumbnail@0") == home
     other = Fleet(may_order_loads=True)
     other.update_endpoints(**{home: {"state": routing.HostState.DRAINING}})
     [order] = [
         a
-        for a in other.take(routing.FunctionExpected("deed@0"))
+        for a in other.take(routing.FunctionExpected("thumbnail@0"))
         if isinstance(a, routing.OrderLoad)
     ]
     assert order.host != home
@@ -230,8 +232,8 @@
         if number in fleet.sent:
             fleet.end_attempt(number, duration_ms=900.0, later=40.0)
     answers = [a for _ in range(20) for a in fleet.request(later=1.0)[1]]
-    deferred = [a for a in answers if isinstance(a, routing.RejectRequest)]
-    assert deferred and all(0 < a.retry_after_ms <= 1000.0 for a in deferred)
+    rejected = [a for a in answers if isinstance(a, routing.RejectRequest)]
+    assert rejected and all(0 < a.retry_after_ms <= 1000.0 for a in rejected)
 
 
 def test_request_that_streams_has_no_second_attempt():
@@ -271,7 +273,7 @@
 def test_overload_by_one_tenant_is_not_overload_for_another():
     fleet = Fleet("a", tenants=(routing.Tenant("noisy", 1.0), routing.Tenant("calm", 100.0)))
     for _ in range(60):
-        number, _ = fleet.request("deed", max_age=60.0, tenant="noisy", later=2.0)
+        number, _ = fleet.request("thumbnail", max_age=60.0, tenant="noisy", later=2.0)
         fleet.take(routing.RequestCancelled(number))
     noisy, calm = fleet.router.tenants.values()
     assert noisy.is_overloaded(fleet.now) and not calm.is_overloaded(fleet.now)
@@ -319,15 +321,15 @@
 
 
 def test_short_wait_without_response_is_no_failure_and_a_long_one_is():
-    for took, strikes in ((100.0, 0), (2500.0, 2)):
+    for duration_ms, failures in ((100.0, 0), (2500.0, 2)):
         fleet = Fleet("a")
         fleet.serve()
         number, _ = fleet.request(later=10.0)
         fleet.end_attempt(
             number,
             outcome=routing.AttemptOutcome.NO_RESPONSE,
-            duration_ms=took,
+            duration_ms=duration_ms,
             closed=True,
-            later=took,
+            later=duration_ms,
         )
-        assert fleet.router.hosts["a"].health.consecutive_failures == strikes
+        assert fleet.router.hosts["a"].health.consecutive_failures == failures
--- a/tests/routing/test_slow_start_of_fleet.py
+++ b/tests/routing/test_slow_start_of_fleet.py
@@ -167,7 +167,7 @@
         return self.free[host] - now + self.work / CORES
 
     def level(self, now):
-        """The share of its capacity that the cold host has then."""
+        """The share of its capacity that the warming host has then."""
         return (
             min(1.0, self.floor + (1 - self.floor) * (now - STARTED_MS) / SLOW_START_MS)
             if now >= STARTED_MS
--- a/tests/routing/test_sparse_reports.py
+++ b/tests/routing/test_sparse_reports.py
@@ -5,16 +5,15 @@
 from cherrydoor.routing import messages as routing
 
 
-def untold(
+def serve_sparsely(
     fleet,
-    host,
     function,
     duration_ms=50.0,
-    held=None,
+    in_flight=None,
     outcome=routing.AttemptOutcome.SUCCEEDED,
     later=10.0,
 ):
-    """An number whose answer tells neither copy nor concurrency."""
+    """A request whose response reports neither copy nor concurrency; returns its host."""
     number, _ = fleet.request(function, later=later)
     fleet.take(
         routing.AttemptEnded(
@@ -26,7 +25,7 @@
             duration_ms,
             None,
             None,
-            held,
+            in_flight,
         ),
         later,
     )
@@ -34,13 +33,13 @@
 
 
 def test_groups_follow_own_calls_where_concurrency_is_not_reported():
-    places = set()
+    positions = set()
     for index in range(12):
         fleet = Fleet("abcdefgh", gateway_index=index, gateway_count=12)
         for _ in range(80):
-            untold(fleet, None, "deed", duration_ms=300.0, later=20.0)
-        places.add(fleet.router.history.functions["deed"].second_position())
-    assert len(places) > 4
+            serve_sparsely(fleet, "thumbnail", duration_ms=300.0, later=20.0)
+        positions.add(fleet.router.history.functions["thumbnail"].second_position())
+    assert len(positions) > 4
 
 
 def test_lasting_high_concurrency_makes_no_more_groups_than_gateways():
@@ -48,27 +47,27 @@
     fleet.concurrency = 30
     for _ in range(1200):
         fleet.serve(later=0.1)
-    assert 10 <= fleet.router.history.functions["deed"].groups < 20
+    assert 10 <= fleet.router.history.functions["thumbnail"].groups < 20
 
 
 def test_load_does_not_look_like_a_slow_host_where_copies_are_not_reported():
     fleet = Fleet()
-    home = fleet.router.hosts[untold(fleet, None, "deed", duration_ms=2000.0)]
+    home = fleet.router.hosts[serve_sparsely(fleet, "thumbnail", duration_ms=2000.0)]
     assert home.mean_response_ms() < 200
-    untold(fleet, None, "deed", duration_ms=400.0)
+    serve_sparsely(fleet, "thumbnail", duration_ms=400.0)
     assert home.mean_response_ms() > 125
 
 
 def test_reported_in_flight_requests_make_a_host_shed_load():
     fleet = Fleet(gateway_count=40)
     for _ in range(30):
-        home = untold(fleet, None, "deed", duration_ms=60.0, held=0.0)
+        home = serve_sparsely(fleet, "thumbnail", duration_ms=60.0, in_flight=0.0)
     host = fleet.router.hosts[home]
     assert not host.check_overload()
-    untold(fleet, None, "deed", duration_ms=60.0, held=20.0)
+    serve_sparsely(fleet, "thumbnail", duration_ms=60.0, in_flight=20.0)
     assert (
         host.check_overload()
-        and host.predicted_response_ms(fleet.router.history.functions["deed"]) > 375
+        and host.predicted_response_ms(fleet.router.history.functions["thumbnail"]) > 375
     )
     fleet.now += 20000
     fleet.update_endpoints()
@@ -78,20 +77,20 @@
 def test_concurrency_gives_the_time_per_request_where_no_load_is_reported():
     fleet = Fleet(gateway_count=40)
     for _ in range(30):
-        home = fleet.router.hosts[fleet.serve("deed")]
+        home = fleet.router.hosts[fleet.serve("thumbnail")]
     assert not home.check_overload()
     fleet.concurrency = 16
-    fleet.serve("deed")
+    fleet.serve("thumbnail")
     assert (
         home.check_overload()
-        and home.predicted_response_ms(fleet.router.history.functions["deed"]) > 375
+        and home.predicted_response_ms(fleet.router.history.functions["thumbnail"]) > 375
     )
     loads = Fleet(gateway_count=40)
     for _ in range(3):
-        loads.serve("deed", copy=2)  # the time of a load is none of the work's
+        loads.serve("thumbnail", copy=2)  # the time of a load does not count
     assert loads.router.statistics.time_per_request_ms == 0.0
     few = Fleet("abcdef", gateway_count=3)  # own numbers out are a third of all: they tell
-    few.serve("deed")
+    few.serve("thumbnail")
     assert few.router.statistics.time_per_request_ms == 0.0
 
 
@@ -100,14 +99,14 @@
         "book", 500.0, 5000.0, routing.RetrySafety.IDEMPOTENCY_KEY, "cell", 6000.0
     )
     fleet = Fleet(request_classes=(routing.RequestClass("redraft", 500.0, 5000.0), book))
-    home = fleet.serve("deed")
+    home = fleet.serve("thumbnail")
     rare = next(f for f in (f"f{i}" for i in range(50)) if fleet.serve(f) == home)
     fleet.request_count += 1
     lost = fleet.request_count
-    fleet.take(routing.RequestArrived(lost, "book", "", "deed", fleet.now + 5000.0, 4.0, 0.0))
+    fleet.take(routing.RequestArrived(lost, "book", "", "thumbnail", fleet.now + 5000.0, 4.0, 0.0))
     assert fleet.sent[lost] == [home]
     for _ in range(25):
-        fleet.serve("deed", later=50.0)
+        fleet.serve("thumbnail", later=50.0)
         fleet.take(routing.TimerFired("sweep"))
     fleet.end_attempt(lost, routing.AttemptOutcome.NO_RESPONSE, closed=True)
     fleet.take(routing.HealthCheckEnded(home, routing.AttemptOutcome.SUCCEEDED, 1.0))
@@ -126,11 +125,11 @@
 def test_what_a_host_in_slow_start_cannot_take_is_spread_over_all_others():
     fleet = Fleet("abcdefgh")
     at = {f"f{i}": fleet.serve(f"f{i}") for i in range(200)}
-    cold = at["f0"]
-    fleet.update_endpoints(**{cold: {"started_at_ms": fleet.now}})
+    warming = at["f0"]
+    fleet.update_endpoints(**{warming: {"started_at_ms": fleet.now}})
     fleet.pass_time(1000)
-    stand_ins = {fleet.serve(f) for f, host in at.items() if host == cold}
-    assert len(stand_ins - {cold}) > 3
+    stand_ins = {fleet.serve(f) for f, host in at.items() if host == warming}
+    assert len(stand_ins - {warming}) > 3
 
 
 def test_full_host_has_a_full_queue_or_short_memory_as_it_reports():
@@ -141,7 +140,7 @@
         (None, None, 0.97, True),
     ):
         fleet = Fleet()
-        number, _ = fleet.request("deed")
+        number, _ = fleet.request("thumbnail")
         home = fleet.router.hosts[fleet.sent[number][0]]
         fleet.take(
             routing.AttemptEnded(
@@ -162,13 +161,13 @@
 
 
 def test_budget_in_slow_start_goes_by_the_capacity_that_is_ready():
-    def budgets(**cold):
+    def budgets(**warming):
         fleet = Fleet(
             "abcdefgh", gateway_count=200
         )  # so that the floor, a part of one number, is below
         for i in range(200):
             fleet.serve(f"f{i % 20}", later=5.0)
-        fleet.update_endpoints(**{host: {"started_at_ms": fleet.now} for host in cold})
+        fleet.update_endpoints(**{host: {"started_at_ms": fleet.now} for host in warming})
         fleet.take(routing.TimerFired("sweep"))
         first, before = (
             fleet.router.statistics.warm_host_rate(),
@@ -180,15 +179,15 @@
     (first, more), (usual, each) = budgets(a=1, b=1, c=1, d=1), budgets()
     assert more > 1.3 * each, "what is answered from now on is borne by those that run"
     assert first < 1.01 * usual, (
-        "what was answered before was borne by all: cold hosts get no more for it"
+        "what was answered before was borne by all: warming hosts get no more for it"
     )
 
 
 def test_gateway_that_stood_still_does_not_take_it_for_silence_of_hosts():
     fleet = Fleet()
-    fleet.serve("deed")
+    fleet.serve("thumbnail")
     fleet.take(routing.TimerFired("sweep"), 100.0)
-    fleet.request("deed")
+    fleet.request("thumbnail")
     assert routing.CheckHealth not in kinds(fleet.take(routing.TimerFired("sweep"), 2000.0))
     assert routing.CheckHealth in kinds(fleet.pass_time(300.0)), (
         "silence that goes on is the host's"
