--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -35,18 +35,18 @@
 
     def route(self, request):
         """Route the request, with its choice recorded."""
-        choose = self._zone.choose
+        choose = self._chooser.choose
 
         def choose_and_record(request):
             choice = choose(request)
             self.record_choice(request, choice.host)
             return choice
 
-        self._zone.choose = choose_and_record
+        self._chooser.choose = choose_and_record
         try:
             super().route(request)
         finally:
-            self._zone.choose = choose
+            self._chooser.choose = choose
 
     def record_choice(self, request, host):
         """Record what was known of a choice."""
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -5,12 +5,12 @@
 
 from cherrydoor.routing import Router, messages
 from cherrydoor.routing.host import Host
+from cherrydoor.routing.host_choice import NO_CHOICE, Choice, HostChooser
 from cherrydoor.routing.request import Request
-from cherrydoor.routing.zone_table import NO_CHOICE, Choice, ZoneTable
 
 
-class _AllHosts(ZoneTable):
-    """A zone table that leaves its ranges unused and chooses from all hosts."""
+class _AllHosts(HostChooser):
+    """Chooses from all hosts, whatever ranges they own."""
 
     def candidates(self, request: Request) -> list[Host]:
         """Ready hosts, by id, that the request may go to and has not been at."""
@@ -48,12 +48,12 @@
 
 def random_choice(settings: messages.Settings) -> Router:
     """A router that chooses any ready host."""
-    return Router(settings, zone_table=RandomChoice)
+    return Router(settings, chooser=RandomChoice)
 
 
 def least_out(settings: messages.Settings) -> Router:
     """A router that chooses the ready host with the fewest own requests in flight."""
-    return Router(settings, zone_table=LeastInFlight)
+    return Router(settings, chooser=LeastInFlight)
 
 
 MAKERS = {"module": Router, "random": random_choice, "least-out": least_out}
--- a/cherrydoor/routing/request_lifecycle.py
+++ b/cherrydoor/routing/request_lifecycle.py
@@ -4,11 +4,12 @@
 from cherrydoor.routing.attempt_rules import AttemptRules
 from cherrydoor.routing.context import Context
 from cherrydoor.routing.host import Host
+from cherrydoor.routing.host_choice import OBJECTIVE_SHARE, HostChooser
 from cherrydoor.routing.load_orders import LoadOrders
 from cherrydoor.routing.messages import AttemptOutcome, RetrySafety
 from cherrydoor.routing.request import Attempt, Request
 from cherrydoor.routing.statistics import Statistics
-from cherrydoor.routing.zone_table import OBJECTIVE_SHARE, ZoneTable
+from cherrydoor.routing.zone_table import ZoneTable
 
 YIELD_FACTOR = 2  # predictions of a tenant beyond its quota count so many times under overload
 DEDUP_HALF = 0.5  # a client may be told to retry within this share of the dedup window
@@ -33,6 +34,7 @@
         rules: AttemptRules,
         load_orders: LoadOrders,
         zone: ZoneTable,
+        chooser: HostChooser,
     ) -> None:
         self._context = context
         self._settings = context.settings
@@ -40,6 +42,7 @@
         self._rules = rules
         self._load_orders = load_orders
         self._zone = zone
+        self._chooser = chooser
         self.requests: dict[int, Request] = {}
 
     def add(self, request: Request) -> None:
@@ -54,7 +57,7 @@
 
     def route(self, request: Request) -> None:
         """Start an attempt, the first one only if it is predicted to be in time; else give up."""
-        host, order_copy_at = self._zone.choose(request)
+        host, order_copy_at = self._chooser.choose(request)
         if order_copy_at is not None:
             self._load_orders.order(request.function, order_copy_at)
         if host is not None and (request.attempts or self._is_in_time(request, host)):
--- a/cherrydoor/routing/router.py
+++ b/cherrydoor/routing/router.py
@@ -9,6 +9,7 @@
 from cherrydoor.routing.decay import WINDOW_MS
 from cherrydoor.routing.history_table import HistoryTable
 from cherrydoor.routing.host import Host
+from cherrydoor.routing.host_choice import HostChooser
 from cherrydoor.routing.load_orders import LoadOrders
 from cherrydoor.routing.messages import AttemptOutcome, HostState
 from cherrydoor.routing.request import Request, TenantUsage
@@ -48,7 +49,7 @@
     def __init__(
         self,
         settings: messages.Settings,
-        zone_table: type[ZoneTable] = ZoneTable,
+        chooser: type[HostChooser] = HostChooser,
         lifecycle: type[RequestLifecycle] = RequestLifecycle,
     ) -> None:
         """Make the parts; other classes for two of them serve comparisons and traces."""
@@ -59,9 +60,12 @@
         self.history = HistoryTable(self.context, self.statistics)
         self.rules = AttemptRules(self.context)
         self.load_orders = LoadOrders(self.context)
-        self.zone = zone_table(self.context, self.statistics, self.hosts, self.history, self.rules)
+        self.zone = ZoneTable(self.context, self.statistics, self.hosts, self.history)
+        self.chooser = chooser(
+            self.context, self.statistics, self.hosts, self.history, self.rules, self.zone
+        )
         self.lifecycle = lifecycle(
-            self.context, self.statistics, self.rules, self.load_orders, self.zone
+            self.context, self.statistics, self.rules, self.load_orders, self.zone, self.chooser
         )
         self.requests = self.lifecycle.requests
         self.tenants = {
