--- a/cherrydoor/routing/host_choice.py
+++ b/cherrydoor/routing/host_choice.py
@@ -29,7 +29,11 @@
 
 
 class HostChooser:
-    """Chooses by home and second worker, and by known copies where these are late or overloaded."""
+    """Chooses by home and second worker, and by known copies where these are late or overloaded.
+
+    Its only state is the time from which one more copy may be loaded where all are late. Of the
+    parts that it is made of, ``hosts`` serves choosers that look at all hosts.
+    """
 
     def __init__(
         self,
