--- a/bench/admission.py
+++ b/bench/admission.py
@@ -17,7 +17,10 @@
 
 import uvloop
 
-from cherrydoor.admission import decide as d
+from cherrydoor.admission.connections import AdmittedConnection
+from cherrydoor.admission.controller import AdmissionController
+from cherrydoor.admission.limits import ClientLimits
+from cherrydoor.admission.messages import ConnectionAccepted, ConnectionClosed, UsageMeasured
 from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import files
@@ -161,17 +164,17 @@
 
 def addresses_seen(count):
     """(bytes held, streets) after so many addresses knocked and went, ten thousand a second."""
-    guard, now = d.AdmissionController(d.ClientLimits(400), 0.0), 0.0
+    guard, now = AdmissionController(ClientLimits(400), 0.0), 0.0
     before = resident()
     for i in range(count):
         now += 0.1
-        caller = d.AdmittedConnection(
+        caller = AdmittedConnection(
             f"{20 + i % 200}.{i // 200 % 256}.{i * 13 // 51200 % 256}.{i * 31 % 256}", now
         )
-        guard.take(now, d.ConnectionAccepted(caller))
-        guard.take(now, d.ConnectionClosed(caller))
+        guard.take(now, ConnectionAccepted(caller))
+        guard.take(now, ConnectionClosed(caller))
         if i % 1000 == 0:
-            guard.take(now, d.UsageMeasured(0.1, 0.1, 0.1))
+            guard.take(now, UsageMeasured(0.1, 0.1, 0.1))
     return resident() - before, sum(map(len, guard.networks.tables))
 
 
--- a/cherrydoor/admission/__init__.py
+++ b/cherrydoor/admission/__init__.py
@@ -1,1 +1,5 @@
-"""Who is let in at the doors of a gateway. decide.py decides, listener.py has the sockets."""
+"""Admission of client connections: who gets a slot, who waits, who is rejected or closed.
+
+Begin at controller.py, which decides; messages.py is what it takes and gives, listener.py carries
+its actions out.
+"""
--- a/cherrydoor/admission/client_limits.py
+++ b/cherrydoor/admission/client_limits.py
@@ -1,31 +1,36 @@
-"""What a lease says of connections and known clients, as admission goes by it."""
+"""The limits of admission, from a gateway's configuration."""
 
-from cherrydoor.admission.decide import ClientLimits, KnownClientSettings
+from typing import Any
 
+from cherrydoor.admission.limits import ClientLimits, KnownClientSettings
 
-def client_limits_of(config):
-    """What the doors of the gateway with these figures go by."""
-    door, bounds = config.admission, config.bounds
+
+def client_limits_of(config: Any) -> ClientLimits:
+    """What admission goes by at the gateway with this GatewayConfig."""
+    settings = config.admission
     known = tuple(
         KnownClientSettings(
-            one["name"], one["places"], one["most"] or 2 * one["places"], tuple(one["addresses"])
+            name=one["name"],
+            reserved_slots=one["places"],
+            slot_limit=one["most"] or 2 * one["places"],
+            addresses=tuple(one["addresses"]),
         )
-        for one in door["known"]
+        for one in settings["known"]
     )
     return ClientLimits(
-        bounds.connections,
-        known,
-        door["pace"],
-        door["burst"],
-        door["known_pace"],
-        door["handshakes"],
-        door["hello"],
-        door["unfinished"],
-        door["idle"],
-        door["stranger_frame"],
-        bounds.frame,
-        door["stranger_bytes"],
-        door["strangers_bytes"],
-        door["known_bytes"],
-        config.seed,
+        connection_slots=config.bounds.connections,
+        known=known,
+        connection_rate=settings["pace"],
+        connection_burst=settings["burst"],
+        known_client_rate=settings["known_pace"],
+        handshake_rate=settings["handshakes"],
+        hello_timeout_ms=settings["hello"],
+        frame_timeout_ms=settings["unfinished"],
+        idle_ms=settings["idle"],
+        unknown_frame_bytes=settings["stranger_frame"],
+        known_frame_bytes=config.bounds.frame,
+        stranger_bytes=settings["stranger_bytes"],
+        unknown_clients_bytes=settings["strangers_bytes"],
+        known_client_bytes=settings["known_bytes"],
+        seed=config.seed,
     )
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -1,113 +1,100 @@
-"""The sockets of admission: listening, accepting, turning away, and what the process has in use. Carries out, and
-decides nothing: decide.py does."""
+"""The sockets of admission: listens, accepts, and carries out the controller's actions."""
 
 import asyncio
 import errno
 import socket
 import ssl
-from functools import lru_cache
-
-from cherrydoor.admission import decide as d
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from cherrydoor.admission.connections import AdmittedConnection
+from cherrydoor.admission.controller import AdmissionController
+from cherrydoor.admission.fair_reading import WINDOW_MS
+from cherrydoor.admission.incoming_connection import IncomingConnection, rejection_bytes
+from cherrydoor.admission.limits import ClientLimits
+from cherrydoor.admission.messages import (
+    Action,
+    Admit,
+    ConnectionAccepted,
+    ConnectionClosed,
+    DescriptorsExhausted,
+    Message,
+    PauseAccepting,
+    PauseReading,
+    Reject,
+    ResumeReading,
+    StartHandshake,
+    UsageMeasured,
+)
 from cherrydoor.gateway.sockets import after_input, has_pending_connection
-from cherrydoor.protocol import codec
-from cherrydoor.protocol import messages as protocol
 
 NO_DESCRIPTORS = {errno.EMFILE, errno.ENFILE}
 NO_ROOM = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
-AT_ONCE = 8  # accepted in one pass of the loop: what is due is then not kept waiting by a crowd
+ACCEPTED_AT_ONCE = 8  # in one pass of the loop: timers that are due are not kept waiting by a flood
 BACKLOG = 1024  # connections that the kernel accepts for us until we do
+SAME_REASON_LOGGED_AFTER_MS = 10_000
 
 
-def logged(event, **said):
-    import structlog  # here, as a process that has another log need not load it
+class Clock(Protocol):
+    """The gateway's clock."""
 
-    structlog.get_logger().info(event, **said)
+    def now(self) -> float:
+        """Time in ms."""
 
 
-@lru_cache(maxsize=256)
-def rejection_bytes(reason, retry_after_ms):
-    """The bytes of a refusal; the wait in whole 10 ms, upwards, so that few are made."""
-    return codec.encode(protocol.GoAway(reason, retry_after_ms))
+class Usage(Protocol):
+    """What a ListenerSet asks of ProcessUsage, or of what stands for it in the emulator."""
 
+    def measure(self) -> UsageMeasured:
+        """What is in use now."""
 
-class IncomingConnection:
-    """A connection on its way in: first a bare socket, then an end on a transport."""
+    def take_back(self) -> None:
+        """Takes a spare descriptor, if there is none."""
 
-    def __init__(self, listeners, listener, sock, address, now):
-        self.listeners, self.listener, self.sock, self.end, self.task = (
-            listeners,
-            listener,
-            sock,
-            None,
-            None,
-        )
-        self.waited = (
-            now - listener.since if listener.since is not None else 0.0
-        )  # ms to be accepted, at most
-        self.connection = d.AdmittedConnection(address, now, self)
+    def let_go(self) -> bool:
+        """Releases the spare descriptor."""
 
-    def let_in(self):
-        self.task = asyncio.get_running_loop().create_task(self.join())
 
-    async def join(self):
-        sock, self.sock = self.sock, None
-        listener = self.listener
-        try:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            context = listener.context() if listener.context else None
-            await asyncio.get_running_loop().connect_accepted_socket(
-                lambda: listener.make(self),
-                sock,
-                ssl=context,
-                **({"ssl_handshake_timeout": 30.0, "ssl_shutdown_timeout": 1.0} if context else {}),
-            )
-        except (OSError, ssl.SSLError, TimeoutError) as error:
-            sock.close()
-            self.listeners.handshake_failed(self, error)
-        except asyncio.CancelledError:
-            sock.close()
-            raise
+def log_to_structlog(event: str, **values: Any) -> None:
+    """Writes one line to the structured log."""
+    import structlog  # here, as a process that has another log need not load it
 
-    def seat(self, largest):
-        self.end.seated(largest)
-
-    def refuse(self, word, retry_after_ms):
-        """Tells it if it can be told, and closes. What it has sent is read first: a close over unread bytes would
-        throw away what it was told."""
-        if self.end is not None:
-            return self.end.close(word, retry_after_ms)
-        if self.task is not None:
-            self.task.cancel()
-        sock, self.sock = self.sock, None
-        if sock is not None:
-            try:
-                sock.send(self.listener.word_of(word, -(-retry_after_ms // 10) * 10.0))
-                sock.shutdown(socket.SHUT_WR)
-                sock.recv(4096)
-            except OSError:
-                pass
-            sock.close()
-
-    def pause(self):
-        self.end.pause()
-
-    def resume(self):
-        self.end.resume()
+    structlog.get_logger().info(event, **values)
 
 
 class Listener:
-    """One listening socket. make(arrival) gives the protocol; context() the TLS to use now, or None is in its place;
-    word(reason, stay_away) the bytes of a refusal."""
-
-    def __init__(self, listeners, where, make, context=None, backlog=BACKLOG, word=rejection_bytes):
-        self.listeners, self.make, self.context, self.resting, self.word_of = (
-            listeners,
-            make,
-            context,
-            None,
-            word,
-        )
-        self.since = None  # since when more wait to be accepted than one pass takes in
+    """One listening socket.
+
+    Attributes:
+        make: Gives the protocol for an IncomingConnection.
+        context: Gives the TLS context to use now; None where the listener has no TLS.
+        rejection: Gives the bytes of a rejection, from reason and retry-after in ms.
+        sock: The socket; None once it is closed.
+        port: The port that it listens on.
+        backlogged_since: Since when more wait to be accepted than one pass takes in, in ms; None
+            where none do.
+    """
+
+    def __init__(
+        self,
+        listeners: "ListenerSet",
+        where: tuple[str, int],
+        make: Callable[[IncomingConnection], asyncio.BaseProtocol],
+        context: Callable[[], ssl.SSLContext] | None = None,
+        backlog: int = BACKLOG,
+        word: Callable[[str, float], bytes] = rejection_bytes,
+    ) -> None:
+        """Listens at once.
+
+        Raises:
+            OSError: The address cannot be listened on.
+        """
+        self.listeners = listeners
+        self.make = make
+        self.context = context
+        self.rejection = word
+        self.backlogged_since: float | None = None
+        self._resume_timer: asyncio.TimerHandle | None = None
         host, port = where
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self.sock: socket.socket | None = socket.socket(family, socket.SOCK_STREAM)
@@ -119,141 +106,153 @@
         except OSError:
             self.sock.close()
             raise
-        self.port = self.sock.getsockname()[1]
-        self.loop = asyncio.get_running_loop()
-        self.loop.add_reader(self.sock, self.ready)
+        self.port: int = self.sock.getsockname()[1]
+        self._loop = asyncio.get_running_loop()
+        self._loop.add_reader(self.sock, self._accept_some)
         listeners.listeners.append(self)
 
-    def ready(self, most=AT_ONCE):
+    def _accept_some(self, most: int = ACCEPTED_AT_ONCE) -> None:
+        """Accepts connections until none waits, the most is reached, or accepting is paused."""
         for _ in range(most):
-            if self.resting is not None:
+            if self._resume_timer is not None:
                 return
-            if not self.accept():
-                self.since = None
+            if not self._accept():
+                self.backlogged_since = None
                 return
         if not has_pending_connection(self.sock):
-            self.since = None
-        elif self.since is None:
-            self.since = self.listeners.clock.now()
+            self.backlogged_since = None
+        elif self.backlogged_since is None:
+            self.backlogged_since = self.listeners.clock.now()
 
-    def accept(self):
-        """Takes in one connection; whether another may wait."""
+    def _accept(self) -> bool:
+        """Accepts one connection; False where no other waits."""
         listeners = self.listeners
+        assert self.sock is not None  # it is closed only once it is read no more
         try:
             sock, peer = self.sock.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
             if error.errno in NO_ROOM:
-                listeners.post(d.DescriptorsExhausted(False))
+                listeners.post(DescriptorsExhausted(needed=False))
                 return False
             return True  # it was gone before it was accepted
         sock.setblocking(False)
-        arrival = IncomingConnection(
-            listeners, self, sock, peer[0].partition("%")[0], listeners.clock.now()
-        )
-        listeners.post(d.ConnectionAccepted(arrival.connection, self.context is not None))
+        address = peer[0].partition("%")[0]
+        incoming = IncomingConnection(listeners, self, sock, address, listeners.clock.now())
+        listeners.post(ConnectionAccepted(incoming.connection, self.context is not None))
         return True
 
-    def rest(self, span):
-        if self.resting is None and self.sock is not None:
-            self.loop.remove_reader(self.sock)
-            self.resting = self.loop.call_later(span / 1000, self.wake)
+    def pause_accepting(self, duration_ms: float) -> None:
+        """Accepts nothing for so long; a pause that has begun is not made longer."""
+        if self._resume_timer is None and self.sock is not None:
+            self._loop.remove_reader(self.sock)
+            self._resume_timer = self._loop.call_later(duration_ms / 1000, self._resume_accepting)
 
-    def wake(self):
-        self.resting = None
+    def _resume_accepting(self) -> None:
+        """The pause is over."""
+        self._resume_timer = None
         if self.sock is not None:
             self.listeners.uses.take_back()
-            self.loop.add_reader(self.sock, self.ready)
+            self._loop.add_reader(self.sock, self._accept_some)
 
-    def close(self):
-        """Takes in first what the kernel has accepted: closing would reset those connections under their requests."""
-        if self.sock is not None:
-            self.ready(BACKLOG)
-            if self.resting is not None:
-                self.resting.cancel()
-            else:
-                self.loop.remove_reader(self.sock)
-            self.sock.close()
-            self.sock = None
+    def close(self) -> None:
+        """Closes, once what the kernel has accepted is accepted: closing would reset that."""
+        if self.sock is None:
+            return
+        self._accept_some(BACKLOG)
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
+        else:
+            self._loop.remove_reader(self.sock)
+        self.sock.close()
+        self.sock = None
 
 
 class ListenerSet:
-    """One gateway's guard with its listeners. close() ends all."""
-
-    def __init__(self, client_limits, clock, uses, log=logged):
+    """The admission controller of one gateway with its listeners.
+
+    Attributes:
+        controller: Decides.
+        listeners: The listening sockets; each adds itself.
+        uses: What the process has in use.
+        timer: Of the next measurement.
+    """
+
+    def __init__(
+        self,
+        client_limits: ClientLimits,
+        clock: Clock,
+        uses: Usage,
+        log: Callable[..., None] = log_to_structlog,
+    ) -> None:
         self.log = log
-        self.controller, self.clock, self.uses, self.listeners = (
-            d.AdmissionController(client_limits, clock.now()),
-            clock,
-            uses,
-            [],
-        )
-        self.loop, self.said = asyncio.get_running_loop(), {}
-        self.carry = {
-            d.StartHandshake: self.let_in,
-            d.Admit: self.seat,
-            d.Reject: self.refuse,
-            d.PauseReading: self.pause,
-            d.ResumeReading: self.resume,
-            d.PauseAccepting: self.rest,
-        }
-        self.timer = self.loop.call_later(d.FLOW_WINDOW / 1000, self.window)
-
-    def post(self, note):
-        for action in self.controller.take(self.clock.now(), note):
-            self.carry[type(action)](action)
-
-    def window(self):
-        """What is late is judged once all that is ready has been read: after a stall the silent may have spoken."""
-        self.timer = self.loop.call_later(d.FLOW_WINDOW / 1000, self.window)
-        after_input(self.loop, self.judge)
-
-    def judge(self):
+        self.controller = AdmissionController(client_limits, clock.now())
+        self.clock = clock
+        self.uses = uses
+        self.listeners: list[Listener] = []
+        self.loop = asyncio.get_running_loop()
+        # For each reason: when it was logged last, and how many rejections there were since.
+        self._logged_reasons: dict[str, tuple[float, int]] = {}
+        self.timer = self.loop.call_later(WINDOW_MS / 1000, self._end_window)
+
+    def post(self, message: Message) -> None:
+        """Gives the controller a message, and carries out what it decides."""
+        for action in self.controller.take(self.clock.now(), message):
+            self._carry_out(action)
+
+    def _carry_out(self, action: Action) -> None:
+        """The one place where actions find what they act on."""
+        match action:
+            case StartHandshake():
+                action.connection.wire.let_in()
+            case Admit():
+                action.connection.wire.seat(action.longest_frame_bytes)
+            case Reject():
+                self._log_rejection(action.reason, action.connection)
+                action.connection.wire.refuse(action.reason, action.retry_after_ms)
+            case PauseReading():
+                action.connection.wire.pause()
+            case ResumeReading():
+                action.connection.wire.resume()
+            case PauseAccepting():
+                for listener in self.listeners:
+                    listener.pause_accepting(action.duration_ms)
+
+    def _end_window(self) -> None:
+        """Measures once all that is ready has been read: silent clients may have spoken."""
+        self.timer = self.loop.call_later(WINDOW_MS / 1000, self._end_window)
+        after_input(self.loop, self._measure)
+
+    def _measure(self) -> None:
+        """Posts what is in use."""
         self.uses.take_back()
         self.post(self.uses.measure())
 
-    def let_in(self, action):
-        action.connection.wire.let_in()
-
-    def seat(self, action):
-        action.connection.wire.seat(action.largest)
-
-    def refuse(self, action):
-        self.tell(action.word, action.connection.address)
-        action.connection.wire.refuse(action.word, action.retry_after_ms)
-
-    def tell(self, word, address):
-        """Each word is logged once in ten seconds, with how often it was said in between."""
+    def _log_rejection(self, reason: str, connection: AdmittedConnection) -> None:
+        """Logs each reason once in ten seconds, with how often it was given in between."""
         now = self.clock.now()
-        at, count = self.said.get(word, (-1e18, 0))
-        if now - at >= 10000:
-            self.log("clients are refused", why=word, address=address, more=count)
-            at, count = now, -1
-        self.said[word] = at, count + 1
-
-    def pause(self, action):
-        action.connection.wire.pause()
-
-    def resume(self, action):
-        action.connection.wire.resume()
-
-    def rest(self, action):
-        for listener in self.listeners:
-            listener.rest(action.span)
-
-    def handshake_failed(self, arrival, error):
+        logged_at_ms, count = self._logged_reasons.get(reason, (-1e18, 0))
+        if now - logged_at_ms >= SAME_REASON_LOGGED_AFTER_MS:
+            self.log("clients are refused", why=reason, address=connection.address, more=count)
+            self._logged_reasons[reason] = now, 0
+        else:
+            self._logged_reasons[reason] = logged_at_ms, count + 1
+
+    def handshake_failed(self, incoming: IncomingConnection, error: Exception) -> None:
+        """A connection ended in its handshake."""
         self.controller.count("handshakes failed")
         if getattr(error, "errno", None) in NO_DESCRIPTORS:
-            self.post(d.DescriptorsExhausted(False))
-        self.post(d.ConnectionClosed(arrival.connection))
+            self.post(DescriptorsExhausted(needed=False))
+        self.post(ConnectionClosed(incoming.connection))
 
-    def needs_descriptor(self):
-        """A host connection found none: a stranger is closed for it, and the spare one is let go."""
+    def needs_descriptor(self) -> None:
+        """An upstream connection found no descriptor: one is freed for it."""
         self.uses.let_go()
-        self.post(d.DescriptorsExhausted(True))
+        self.post(DescriptorsExhausted(needed=True))
 
-    def close(self):
+    def close(self) -> None:
+        """Closes all listeners; connections stay as they are."""
         self.timer.cancel()
         for listener in self.listeners:
             listener.close()
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -1,91 +1,107 @@
-"""What a process has in use, measured: descriptors, memory and its core."""
+"""Measures what a process has in use: descriptors, memory and its core."""
 
 import os
 import resource
 import time
 
-from cherrydoor.admission import decide as d
+from cherrydoor.admission.messages import UsageMeasured
+
+MEMORY_LIMIT_BYTES = 2 * 2**30  # where none is configured
+MEASURED_AGAIN_AFTER_S = (
+    0.05  # gateways of one process that ask within this time get the same measurement
+)
+DESCRIPTORS_COUNTED_AFTER_S = 0.5  # counting them reads a directory
+SHORTEST_SPAN_S = 1e-3  # guards the division by the time between two measurements
 
 
 class ProcessUsage:
-    """What this process has in use, measured: descriptors, memory, the core. One for all gateways of a process.
+    """What this process has in use; one for all gateways of a process.
+
+    It owns a spare descriptor, which can be released where one is missing for an upstream
+    connection.
 
-    A descriptor is held spare, to be let go where one is missing for a host."""
+    Attributes:
+        memory: Memory limit in bytes.
+        limit: Limit of open descriptors.
+    """
 
-    def __init__(self, memory=2 * 2**30):
-        self.memory, self.page = memory, os.sysconf("SC_PAGE_SIZE")
-        self.spare: int | None = os.open(os.devnull, os.O_RDONLY)
+    def __init__(self, memory: float = MEMORY_LIMIT_BYTES) -> None:
+        self.memory = memory
         self.limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.files = {
-            name: self.opened(f"/proc/thread-self/{name}") for name in ("schedstat", "statm")
-        }
-        self.at, self.ran, self.last, self.counted, self.descriptors = (
-            time.monotonic(),
-            self.core(),
-            None,
-            0.0,
-            0,
-        )
-
-    def opened(self, path):
-        try:
-            return os.open(path, os.O_RDONLY)
-        except OSError:
-            return None
+        self._page_bytes = os.sysconf("SC_PAGE_SIZE")
+        self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
+        self._schedstat = _open_or_none("/proc/thread-self/schedstat")
+        self._statm = _open_or_none("/proc/thread-self/statm")
+        self._measured_at_s = time.monotonic()
+        self._core_s = self._core_time()
+        self._last: UsageMeasured | None = None
+        self._counted_at_s = 0.0
+        self._descriptors = 0
 
-    def used(self):
-        """Descriptors open now; the limit where even that cannot be found out."""
+    def used(self) -> int:
+        """Descriptors that are open now; the limit where even that cannot be found out."""
         try:
             return len(os.listdir("/proc/self/fd")) - 1
         except OSError:
             return self.limit
 
-    def core(self):
-        """Seconds that this thread ran or waited for a core, by the system's own count where it has one."""
-        if self.files.get("schedstat") is not None:
-            ran, waited, _ = os.pread(self.files["schedstat"], 64, 0).split()
+    def _core_time(self) -> float:
+        """Seconds in which this thread ran or waited for a core, as the kernel counts them."""
+        if self._schedstat is not None:
+            ran, waited, _ = os.pread(self._schedstat, 64, 0).split()
             return (int(ran) + int(waited)) / 1e9
         return time.thread_time()
 
-    def measure(self):
-        """A note for the guard; those who ask within the same moment get the same one."""
-        t = time.monotonic()
-        if self.last is not None and t - self.at < 0.05:
-            return self.last
-        ran = self.core()
-        busy = min(1.0, (ran - self.ran) / max(1e-3, t - self.at))
-        self.at, self.ran = t, ran
-        if t - self.counted > 0.5:
-            self.counted, self.descriptors = t, self.used()
-        self.last = d.UsageMeasured(
-            self.descriptors / self.limit, self.measure_held() / self.memory, busy
-        )
-        return self.last
-
-    def measure_held(self):
-        """Bytes of memory; 0 where the system does not tell."""
-        if self.files.get("statm") is None:
+    def measure(self) -> UsageMeasured:
+        """A message for the controller; those who ask within the same moment get the same one."""
+        now_s = time.monotonic()
+        if self._last is not None and now_s - self._measured_at_s < MEASURED_AGAIN_AFTER_S:
+            return self._last
+        core_s = self._core_time()
+        span_s = max(SHORTEST_SPAN_S, now_s - self._measured_at_s)
+        busy = min(1.0, (core_s - self._core_s) / span_s)
+        self._measured_at_s = now_s
+        self._core_s = core_s
+        if now_s - self._counted_at_s > DESCRIPTORS_COUNTED_AFTER_S:
+            self._counted_at_s = now_s
+            self._descriptors = self.used()
+        descriptors = self._descriptors / self.limit
+        self._last = UsageMeasured(descriptors, self.measure_held() / self.memory, busy)
+        return self._last
+
+    def measure_held(self) -> int:
+        """Bytes of memory; 0 where the kernel does not say."""
+        if self._statm is None:
             return 0
-        return int(os.pread(self.files["statm"], 128, 0).split()[1]) * self.page
+        return int(os.pread(self._statm, 128, 0).split()[1]) * self._page_bytes
 
-    def let_go(self):
-        """The spare one, if it is still held; True where there was one to give."""
-        if self.spare is None:
+    def let_go(self) -> bool:
+        """Releases the spare descriptor; True where it was still held."""
+        if self._spare is None:
             return False
-        os.close(self.spare)
-        self.spare = None
+        os.close(self._spare)
+        self._spare = None
         return True
 
-    def take_back(self):
-        if self.spare is None:
-            try:
-                self.spare = os.open(os.devnull, os.O_RDONLY)
-            except OSError:
-                pass
+    def take_back(self) -> None:
+        """Takes a spare descriptor again, where there is one."""
+        if self._spare is None:
+            self._spare = _open_or_none(os.devnull)
 
-    def close(self):
+    def close(self) -> None:
+        """Closes all descriptors of its own; measure() then goes on without them."""
         self.let_go()
-        for name, number in self.files.items():
-            if number is not None:
-                os.close(number)
-            self.files[name] = None
+        if self._schedstat is not None:
+            os.close(self._schedstat)
+            self._schedstat = None
+        if self._statm is not None:
+            os.close(self._statm)
+            self._statm = None
+
+
+def _open_or_none(path: str) -> int | None:
+    """A descriptor for reading, or None where the file cannot be opened."""
+    try:
+        return os.open(path, os.O_RDONLY)
+    except OSError:
+        return None
--- /dev/null
+++ b/tests/admission/test_controller.py
@@ -0,0 +1,404 @@
+"""What the admission controller decides, and properties that no order of messages may break."""
+
+from controller_harness import ControllerHarness, unknown_address
+from hypothesis import HealthCheck, given, settings
+from hypothesis import strategies as st
+
+from cherrydoor.admission.connections import ConnectionState
+from cherrydoor.admission.known_clients import VERIFIED_ADDRESS_AGE_MS
+from cherrydoor.admission.messages import (
+    BufferLimitExceeded,
+    ClientIdentified,
+    DescriptorsExhausted,
+    PauseAccepting,
+    ReadQuotaExceeded,
+)
+from cherrydoor.admission.network_table import MOST_UNUSED_PREFIXES
+
+# name, reserved slots, slot limit, networks
+HARBOUR = ("harbour", 10, 12, ("10.1.0.0/16",))
+MEADOW = ("meadow", 5, 5, ("10.2.0.0/16",))
+
+
+def test_unknown_clients_fill_common_slots_and_never_reserved_ones():
+    harness = ControllerHarness(40, [HARBOUR, MEADOW])
+    unknown = [harness.connect(unknown_address(i)) for i in range(60)]
+    assert len(harness.admitted(unknown)) == 25
+    assert (
+        harness.reason(unknown[-1]) == "no place is free"
+        and harness.rejections[unknown[-1]].retry_after_ms > 0
+    )
+    assert len(harness.admitted([harness.connect("10.1.0.9") for _ in range(10)])) == 10
+    assert len(harness.admitted([harness.connect("10.2.0.9") for _ in range(5)])) == 5
+
+
+def test_a_known_client_cannot_take_reserved_slots_of_another():
+    harness = ControllerHarness(40, [HARBOUR, MEADOW])
+    greedy = [harness.connect("10.1.0.9") for _ in range(40)]
+    assert len(harness.admitted(greedy)) == 12, "its own and the common ones that it may have"
+    assert len(harness.admitted([harness.connect("10.2.0.9") for _ in range(5)])) == 5
+
+
+def test_a_known_client_beyond_its_reserved_slots_takes_no_more_than_the_common_ones():
+    harness = ControllerHarness(40, [HARBOUR, MEADOW])
+    for i in range(25):
+        harness.connect(unknown_address(i)).open = 1  # busy: none of them makes room
+    assert len(harness.admitted([harness.connect("10.1.0.9") for _ in range(12)])) == 10
+    assert harness.controller.connection_slots.common_used() == 25
+
+
+def test_the_longest_idle_unknown_client_makes_room_first():
+    harness = ControllerHarness(20, [HARBOUR])
+    unknown = []
+    for i in range(10):
+        unknown.append(harness.connect(unknown_address(i)))
+        harness.wait(100)
+    unknown[0].used = harness.now  # it has just been used
+    unknown[1].open = 1  # it waits for an answer
+    harness.wait(5000)
+    unknown[0].used = harness.now
+    new = harness.connect(unknown_address(99))
+    assert new.state == ConnectionState.ADMITTED and harness.reason(unknown[2]).startswith("idle")
+    assert [c.state for c in unknown] == [
+        ConnectionState.ADMITTED,
+        ConnectionState.ADMITTED,
+        ConnectionState.CLOSED,
+    ] + [ConnectionState.ADMITTED] * 7
+
+
+def test_one_network_counts_as_one_owner_however_many_addresses_it_has():
+    harness = ControllerHarness(80, [])
+    flood = []
+    for i in range(400):
+        flood.append(harness.connect(f"2001:db8:1:2::{i:x}"))
+        harness.wait(100, windows=1)
+    assert len(harness.admitted(flood)) == 10, "an eighth for one /64"
+    loop = []
+    for i in range(400):
+        loop.append(harness.connect(f"127.{i % 250}.7.{i % 199}"))
+        harness.wait(100, windows=1)
+    assert len(harness.admitted(loop)) == 10, "all of loopback is one machine"
+    assert harness.connect(unknown_address(3)).state == ConnectionState.ADMITTED
+
+
+def test_new_connections_are_rate_limited_by_address_and_by_network():
+    harness = ControllerHarness(4000)
+    connections = [harness.accept("10.9.9.9") for _ in range(100)]
+    rejected = [
+        c for c in connections if harness.reason(c) == "too many new connections from this network"
+    ]
+    assert len(rejected) == 40 and 0 < harness.rejections[rejected[0]].retry_after_ms <= 50
+    harness.wait(1000)
+    assert sum(harness.reason(harness.accept("10.9.9.9")) == "" for _ in range(100)) == 20
+    spread = [harness.accept(f"77.7.{i // 250}.{i % 250 + 1}") for i in range(2000)]
+    let_in = [c for c in spread if not harness.reason(c).startswith("too many new")]
+    assert len(let_in) == 480, "eight times an address's burst for one /16"
+
+
+def test_a_known_client_reconnects_at_once_and_its_idle_old_connections_make_room():
+    harness = ControllerHarness(700, [("harbour", 500, 500, ("10.1.0.0/16",))])
+    old = [harness.connect("10.1.0.9") for _ in range(500)]
+    harness.wait(1100)
+    new = [
+        harness.connect("10.1.0.9") for _ in range(500)
+    ]  # the old ones look alive after an outage on its side
+    assert len(harness.admitted(new)) == 500 and not harness.admitted(old)
+
+
+def test_a_known_client_waits_where_the_end_of_its_old_connections_is_not_yet_seen():
+    harness = ControllerHarness(20, [("harbour", 10, 10, ("10.1.0.0/16",))])
+    old = [harness.connect("10.1.0.9") for _ in range(10)]
+    new = [harness.accept("10.1.0.9") for _ in range(10)]
+    assert {c.state for c in new} == {ConnectionState.WAITING}
+    for connection in old:
+        harness.close(connection)
+    assert {c.state for c in new} == {ConnectionState.PENDING}
+    late = [harness.accept("10.1.0.9") for _ in range(11)]
+    assert harness.reason(late[-1]).startswith("as many connections")
+    harness.wait(5100)
+    assert {c.state for c in late} == {ConnectionState.CLOSED}
+
+
+def test_a_client_that_identifies_itself_passes_a_full_table_of_silent_pending_connections():
+    harness = ControllerHarness(160, [("harbour", 10, 20)])
+    silent = []
+    for i in range(400):
+        silent.append(harness.accept(unknown_address(i)))
+    assert len(harness.controller.pending.slots) == 20
+    known = harness.connect("55.5.5.5", "harbour")
+    assert known.state == ConnectionState.ADMITTED and known.known_client.name == "harbour"
+    harness.wait(6000)
+    assert not harness.controller.pending.unidentified, "no hello in time"
+
+
+def test_a_verified_address_is_recognised_even_in_a_network_that_floods():
+    harness = ControllerHarness(160, [("harbour", 10, 20)])
+    harness.close(harness.connect("127.9.9.9", "harbour"))
+    flood = [harness.accept(f"127.{i % 200}.0.1") for i in range(800)]
+    assert any(harness.reason(c).startswith("too many new") for c in flood)
+    assert harness.connect("127.9.9.9", "harbour").state == ConnectionState.ADMITTED
+    harness.now += VERIFIED_ADDRESS_AGE_MS
+    harness.wait(100)
+    assert harness.controller.known_clients.verified_from("127.9.9.9", harness.now) is None
+
+
+def test_a_proved_identity_goes_before_the_configured_network():
+    harness = ControllerHarness(40, [HARBOUR, MEADOW])
+    connection = harness.connect("10.1.0.9", "meadow")
+    assert (
+        connection.known_client.name == "meadow"
+        and not harness.controller.known_clients.by_name["harbour"].admitted
+    )
+
+
+def test_handshakes_are_rate_limited_and_known_clients_go_first():
+    harness = ControllerHarness(800, [HARBOUR], handshake_rate=10.0)
+    flood = [harness.accept(unknown_address(i), needs_handshake=True) for i in range(10)]
+    known = harness.accept("10.1.0.9", needs_handshake=True)
+    assert (
+        sum(c.state == ConnectionState.PENDING for c in flood) == 4
+        and known.state == ConnectionState.WAITING
+    )
+    harness.wait(100, windows=1)
+    assert (
+        known.state == ConnectionState.PENDING
+        and sum(c.state == ConnectionState.PENDING for c in flood) == 4
+    )
+    harness.wait(600)
+    assert sum(c.state == ConnectionState.PENDING for c in flood) == 10
+
+
+def test_unknown_clients_are_shed_in_steps_near_a_limit_and_the_steps_end_by_themselves():
+    harness = ControllerHarness(40, [HARBOUR])
+    harness.wait(100, descriptors=0.92)
+    assert harness.controller.load_shedding.step == 2
+    assert harness.reason(harness.connect(unknown_address(1))) == "no new clients for the moment"
+    assert harness.connect("10.1.0.9").state == ConnectionState.ADMITTED
+    harness.wait(100, memory=0.98)
+    assert (
+        harness.reason(harness.accept(unknown_address(2))) == "no new clients for the moment"
+        and harness.controller.load_shedding.step == 3
+    )
+    harness.wait(5000)
+    assert (
+        harness.controller.load_shedding.step == 0
+        and harness.connect(unknown_address(3)).state == ConnectionState.ADMITTED
+    )
+
+
+def test_load_shedding_does_not_flap_where_use_swings_about_a_threshold():
+    harness, changes, last = ControllerHarness(40), 0, 0
+    for i in range(600):  # a minute
+        harness.wait(100, windows=1, descriptors=0.92 if i // 3 % 2 else 0.6)
+        changes += harness.controller.load_shedding.step != last
+        last = harness.controller.load_shedding.step
+    assert changes <= 2
+    for i in range(1200):  # calm for longer than the dwell, then up again, and so on
+        harness.wait(100, windows=1, descriptors=0.82 if i % 15 == 0 else 0.1)
+        changes += harness.controller.load_shedding.step != last
+        last = harness.controller.load_shedding.step
+    assert changes <= 14, "the dwell doubles"
+    harness.wait(40000)
+    assert harness.controller.load_shedding.step == 0
+
+
+def test_a_client_that_sends_too_much_is_read_less_and_a_quiet_one_as_before():
+    harness = ControllerHarness(40, [HARBOUR])
+    flooding, quiet = harness.connect(unknown_address(1)), harness.connect("10.1.0.9")
+
+    def window(busy):
+        read = 0
+        for connection, wants in ((flooding, 300), (quiet, 5)):
+            for _ in range(wants):
+                if connection in harness.paused:
+                    break
+                connection.group.read += 1
+                read += connection is flooding
+                if (
+                    connection.group.allowed is not None
+                    and connection.group.read >= connection.group.allowed
+                ):
+                    harness.post(ReadQuotaExceeded(connection))
+        quiet_paused = quiet in harness.paused
+        harness.wait(100, windows=1, busy=busy)
+        assert not quiet_paused
+        return read
+
+    got = [window(1.0)] + [
+        window(0.9 if harness.controller.fair_reading.level else 1.0) for _ in range(10)
+    ]
+    assert got[0] == 300 and max(got[1:]) <= 240
+    for _ in range(60):
+        last = window(0.3)
+    assert last == 300 and harness.controller.fair_reading.level is None, (
+        "with the core idle nobody is held back"
+    )
+
+
+def test_unfinished_frames_are_bounded_in_bytes_and_in_time():
+    harness = ControllerHarness(40, stranger_bytes=1000, frame_timeout_ms=5000.0)
+    few, many = harness.connect("10.0.0.1"), harness.connect("10.0.0.1")
+    for connection, size in ((few, 300), (many, 800)):
+        connection.held = size
+        if connection.group.add_held_bytes(size):
+            harness.post(BufferLimitExceeded(connection))
+    assert (
+        harness.reason(many) == "too many bytes are unfinished"
+        and few.state == ConnectionState.ADMITTED
+    )
+    few.partial = harness.now
+    harness.wait(5700)
+    assert harness.reason(few) == "a frame was not finished in time" and few.group.held_bytes == 0
+
+
+def test_unknown_clients_are_closed_where_an_upstream_connection_needs_a_descriptor():
+    harness = ControllerHarness(40, [HARBOUR])
+    known, busy, idle = (
+        harness.connect("10.1.0.9"),
+        harness.connect(unknown_address(1)),
+        harness.connect(unknown_address(2)),
+    )
+    busy.open = 1
+    harness.post(DescriptorsExhausted(True))
+    assert harness.reason(idle) == "descriptors have run out"
+    harness.post(DescriptorsExhausted(True))
+    assert (
+        harness.reason(busy) == "descriptors have run out"
+        and known.state == ConnectionState.ADMITTED
+    )
+    first = [
+        a.duration_ms
+        for a in harness.post(DescriptorsExhausted(False))
+        if isinstance(a, PauseAccepting)
+    ]
+    second = [
+        a.duration_ms
+        for a in harness.post(DescriptorsExhausted(False))
+        if isinstance(a, PauseAccepting)
+    ]
+    assert second > first, "accepting rests longer where it does not help"
+
+
+def test_a_clock_that_is_set_back_or_far_ahead_rejects_nobody():
+    harness = ControllerHarness(40, [HARBOUR])
+    harness.wait(1000)
+    harness.now -= 900000
+    assert harness.connect("10.1.0.9").state == ConnectionState.ADMITTED
+    harness.now += 1e9
+    assert (
+        harness.connect("10.1.0.9").state == ConnectionState.ADMITTED
+        and harness.connect(unknown_address(1)).state == ConnectionState.ADMITTED
+    )
+
+
+def test_network_tables_stay_bounded_and_shrink_after_many_addresses():
+    harness = ControllerHarness(
+        400, connection_rate=0.2
+    )  # so slow that no bucket runs dry meanwhile
+    for i in range(60000):
+        connection = harness.accept(
+            f"{20 + i % 200}.{i // 200 % 256}.{i * 13 % 256}.{i * 31 % 256}"
+        )
+        harness.close(connection)
+        if i % 100 == 0:
+            harness.wait(100, windows=1)
+    assert max(map(len, harness.controller.networks.tables)) <= MOST_UNUSED_PREFIXES + 2
+    harness.wait(400000)
+    assert max(map(len, harness.controller.networks.tables)) < 400, (
+        "and they shrink once it is over"
+    )
+
+
+# What may happen, with its arguments.
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(
+            st.just("connect"),
+            st.integers(0, 30),
+            st.sampled_from(["", "", "harbour", "meadow", "nobody"]),
+        ),
+        st.tuples(st.just("connect listed"), st.integers(0, 1), st.booleans()),
+        st.tuples(st.just("accept"), st.integers(0, 30), st.booleans()),
+        st.tuples(st.just("close"), st.integers(0, 400), st.none()),
+        st.tuples(st.just("use"), st.integers(0, 400), st.integers(0, 2)),
+        st.tuples(st.just("wait"), st.integers(1, 80), st.sampled_from([0.1, 0.85, 0.93, 0.99])),
+        st.tuples(st.just("exhaust descriptors"), st.booleans(), st.none()),
+    ),
+    min_size=20,
+    max_size=250,
+)
+
+
+def connect_from_listed_network(harness, which, needs_handshake):
+    """A known client with a free reserved slot is rejected for its rate alone."""
+    client = harness.controller.known_clients.by_name[("harbour", "meadow")[which]]
+    has_free_slot = len(client.admitted) < client.reserved_slots
+    connection = harness.accept(f"10.{which + 1}.0.9", needs_handshake=needs_handshake)
+    assert (
+        not has_free_slot
+        or connection.state != ConnectionState.CLOSED
+        or harness.reason(connection) == "this client connects too often"
+    )
+    if connection.state == ConnectionState.PENDING and not needs_handshake:
+        harness.post(ClientIdentified(connection, ""))
+
+
+def take_step(harness, kind, first, second):
+    if kind == "connect":
+        harness.connect(unknown_address(first), second)
+    elif kind == "connect listed":
+        connect_from_listed_network(harness, first, second)
+    elif kind == "accept":
+        harness.accept(unknown_address(first), needs_handshake=second)
+    elif kind == "close" and harness.open:
+        harness.close(harness.open[first % len(harness.open)])
+    elif kind == "use" and harness.open:
+        connection = harness.open[first % len(harness.open)]
+        connection.open = second
+        connection.used = harness.now
+    elif kind == "wait":
+        harness.wait(0, windows=first, descriptors=second)
+    elif kind == "exhaust descriptors":
+        harness.post(DescriptorsExhausted(first))
+
+
+def check_invariants(harness):
+    controller = harness.controller
+    slots, pending = controller.connection_slots, controller.pending
+    known_clients = controller.known_clients.by_name.values()
+    assert len(slots.unknown) <= slots.common and slots.common_used() <= slots.common
+    assert all(len(one.admitted) <= one.slot_limit for one in known_clients)
+    assert len(pending.slots) <= pending.capacity
+    assert len(pending.unidentified) <= pending.capacity + sum(
+        2 * one.slot_limit for one in known_clients
+    )
+    assert {one.state for one in harness.open} <= {
+        ConnectionState.PENDING,
+        ConnectionState.WAITING,
+        ConnectionState.ADMITTED,
+    }
+    assert len(slots.idle_heap) <= 2 * len(slots.unknown) + 64
+    for table in controller.networks.tables:
+        assert all(one.pending >= 0 and one.group.held_bytes >= 0 for one in table.values())
+
+
+@settings(
+    max_examples=120, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
+@given(STEPS)
+def test_no_order_of_messages_breaks_a_reservation_or_a_bound(steps):
+    harness = ControllerHarness(
+        24, [("harbour", 6, 8, ("10.1.0.0/16",)), ("meadow", 3, 3, ("10.2.0.0/16",))]
+    )
+    for step in steps:
+        take_step(harness, *step)
+        check_invariants(harness)
+    for connection in list(harness.open):
+        harness.close(connection)
+    controller = harness.controller
+    assert not controller.connection_slots.common_used()
+    assert not controller.pending.slots
+    assert not controller.pending.unidentified
+    assert not controller.fair_reading.groups
+    harness.wait(0, windows=400)  # a known client is never kept out for ever
+    assert all(harness.connect(f"10.{i}.0.9").state == ConnectionState.ADMITTED for i in (1, 2))
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -11,7 +11,7 @@
 from stack import Host, environment, now, story
 from test_process import Daemon, Ended, given, with_folder
 
-from cherrydoor.admission import decide as d
+from cherrydoor.admission.messages import UsageMeasured
 from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import messages as protocol
@@ -231,7 +231,7 @@
         task.cancel()
         writer.close()
     assert (await client.answer(client.send())).outcome == "handled"
-    assert not stack.service.listeners.controller.pending.unshown
+    assert not stack.service.listeners.controller.pending.unidentified
 
 
 @story
@@ -242,11 +242,9 @@
     pourer = await Client().connect(stack.service.port)
     stack.opened.append(pourer)
     flow = stack.service.listeners.controller.fair_reading
-    stack.service.listeners.uses.measure = lambda: d.UsageMeasured(
-        0.0, 0.0, 1.0
-    )  # the core is short
+    stack.service.listeners.uses.measure = lambda: UsageMeasured(0.0, 0.0, 1.0)  # the core is short
     sent = []
-    while not stack.service.listeners.controller.counters.get("read less"):
+    while not stack.service.listeners.controller.counters.get("read quota exceeded"):
         sent += [pourer.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
         await asyncio.sleep(0.002)
     assert flow.level is not None
@@ -273,7 +271,7 @@
     crowd = 400  # with five hundred beside them all find room in the kernel's queue
     flood, seats = (
         Flood(stack.service.port, crowd=crowd),
-        stack.service.listeners.controller.connection_slots.offices["harbour"].seated,
+        stack.service.listeners.controller.known_clients.by_name["harbour"].admitted,
     )
     await flood.beyond(2 * crowd)
     for _ in range(2):
@@ -309,8 +307,8 @@
         for client in await asyncio.gather(*(known(stack, stack.service.port) for _ in range(200)))
         if client is not None
     ]
-    seats = stack.service.listeners.controller.connection_slots.offices
-    assert len(seats["harbour"].seated) == 40, "its own places and the common ones"
+    seats = stack.service.listeners.controller.known_clients.by_name
+    assert len(seats["harbour"].admitted) == 40, "its own places and the common ones"
     meadow = await asyncio.gather(
         *(known(stack, stack.service.port, "127.201.0.1") for _ in range(20))
     )
@@ -322,4 +320,4 @@
             "handled",
             "deferred",
         )
-    assert len(seats["meadow"].seated) == 20 and not any(client.lost_ends for client in meadow)
+    assert len(seats["meadow"].admitted) == 20 and not any(client.lost_ends for client in meadow)
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -10,7 +10,10 @@
 import pytest
 from plain import Transcript, values_of
 
-from cherrydoor.admission import decide as admission
+from cherrydoor.admission import messages as admission
+from cherrydoor.admission.connections import AdmittedConnection
+from cherrydoor.admission.controller import AdmissionController
+from cherrydoor.admission.limits import ClientLimits, KnownClientSettings
 from cherrydoor.leader_election import decide as tenure
 from cherrydoor.membership import decide as peers
 from cherrydoor.platform.configuration import IDLE, SILENT
@@ -52,9 +55,9 @@
     pending_places=0,
 ):
     """What admission goes by; the positions are those of the class."""
-    return admission.ClientLimits(
+    return ClientLimits(
         places,
-        tuple(admission.KnownClientSettings(*one) for one in known),
+        tuple(KnownClientSettings(*one) for one in known),
         pace,
         burst,
         known_pace,
@@ -107,7 +110,7 @@
     """Counts unfinished bytes as the listener does; True where the group now holds too many."""
     more = size - caller.held
     caller.held = size
-    over = caller.group.holds(more) if more else False
+    over = caller.group.add_held_bytes(more) if more else False
     return over and more > 0
 
 
@@ -165,8 +168,8 @@
     def __init__(self, seed, manners):
         self.random = Random(seed)
         self.now = 1000.0
-        self.controller = admission.AdmissionController(manners, self.now)
-        self.transcript = Transcript(ADMISSION_KINDS, entities=(admission.AdmittedConnection,))
+        self.controller = AdmissionController(manners, self.now)
+        self.transcript = Transcript(ADMISSION_KINDS, entities=(AdmittedConnection,))
         self.pending = {}
         self.seated = {}
         self.closing = []
@@ -178,7 +181,7 @@
         for phase in phases:
             for _ in range(phase.steps):
                 self.step(phase)
-        config = [value for _, value in self.controller.config()]
+        config = [value for _, value in self.controller.gauges()]
         self.transcript.add(self.now, config, list(self.controller.counters.values()))
         return self.transcript
 
@@ -233,7 +236,7 @@
         self.post(admission.UsageMeasured(descriptors, memory, busy))
 
     def knock(self, phase):
-        caller = admission.AdmittedConnection(self.address(phase), self.now)
+        caller = AdmittedConnection(self.address(phase), self.now)
         self.post(admission.ConnectionAccepted(caller, self.random.random() < phase.sealed))
 
     def address(self, phase):
