--- a/cherrydoor/admission/connection_slots.py
+++ b/cherrydoor/admission/connection_slots.py
@@ -4,7 +4,7 @@
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
 
-from cherrydoor.admission.connections import AdmittedConnection, ConnectionState, ReadGroup
+from cherrydoor.admission.connections import ADMITTED, AdmittedConnection, ReadGroup
 from cherrydoor.admission.known_clients import KnownClient, KnownClientTable
 from cherrydoor.admission.limits import ClientLimits
 
@@ -25,6 +25,13 @@
     victim: AdmittedConnection | None
 
 
+FREE_SLOT = SlotGrant("", None)
+REFUSED_FOR_NETWORK = SlotGrant("too many connections from this network", None)
+REFUSED_WHILE_SHEDDING = SlotGrant("no new clients for the moment", None)
+REFUSED_NO_SLOT = SlotGrant("no place is free", None)
+REFUSED_CLIENT_LIMIT = SlotGrant("as many connections are open as this client may have", None)
+
+
 class ConnectionSlots:
     """The slots of a gateway: those reserved for known clients, and the common ones.
 
@@ -66,15 +73,15 @@
             if len(prefix.admitted) >= most:
                 victim = self._longest_idle(prefix.admitted, now)
                 if victim is None:
-                    return SlotGrant("too many connections from this network", None)
+                    return REFUSED_FOR_NETWORK
                 return self._grant_common(connection, victim)
         if step >= SHED_NEW_CLIENTS_STEP:
-            return SlotGrant("no new clients for the moment", None)
+            return REFUSED_WHILE_SHEDDING
         if self.common_used() < self.common:
             return self._grant_common(connection, None)
         victim = self.longest_idle_unknown(now)
         if victim is None:
-            return SlotGrant("no place is free", None)
+            return REFUSED_NO_SLOT
         return self._grant_common(connection, victim)
 
     def _grant_common(
@@ -85,7 +92,7 @@
         for prefix in connection.networks:
             prefix.admitted[connection] = True
         self._push_idle(connection.used, connection)
-        return SlotGrant("", victim)
+        return SlotGrant("", victim) if victim is not None else FREE_SLOT
 
     def _acquire_known(
         self, connection: AdmittedConnection, client: KnownClient, now: float
@@ -106,9 +113,9 @@
             if victim is None:
                 victim = self._longest_idle(client.admitted, now)
             if victim is None:
-                return SlotGrant("as many connections are open as this client may have", None)
+                return REFUSED_CLIENT_LIMIT
         client.admitted[connection] = True
-        return SlotGrant("", victim)
+        return SlotGrant("", victim) if victim is not None else FREE_SLOT
 
     def release(self, connection: AdmittedConnection) -> None:
         """The connection holds no slot any more; one that held none is left as it is."""
@@ -129,7 +136,7 @@
         idle = [
             connection
             for connection in connections
-            if connection.state == ConnectionState.ADMITTED
+            if connection.state is ADMITTED
             and not connection.open
             and now - connection.used >= idle_ms
         ]
@@ -142,7 +149,7 @@
         """
         for _ in range(len(self.idle_heap)):
             used, _, connection = self.idle_heap[0]
-            if connection not in self.unknown or connection.state != ConnectionState.ADMITTED:
+            if connection not in self.unknown or connection.state is not ADMITTED:
                 heappop(self.idle_heap)
             elif connection.open or connection.used > used:
                 heappop(self.idle_heap)
--- a/cherrydoor/admission/connections.py
+++ b/cherrydoor/admission/connections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, Final, Protocol
 
 from cherrydoor.admission.leaky_bucket import LeakyBucket
 
@@ -21,6 +21,15 @@
     CLOSED = "over"
 
 
+# The members by themselves: reading them from the class takes ten times as long in Python 3.11, and
+# admission compares states several times for each connection.
+NEW: Final = ConnectionState.NEW
+WAITING: Final = ConnectionState.WAITING
+PENDING: Final = ConnectionState.PENDING
+ADMITTED: Final = ConnectionState.ADMITTED
+CLOSED: Final = ConnectionState.CLOSED
+
+
 class ConnectionHandler(Protocol):
     """The I/O side of a connection, to which the listener passes the controller's actions."""
 
@@ -157,7 +166,7 @@
         self.networks: tuple[NetworkPrefix, ...] = ()
         self.known_client: KnownClient | None = None
         self.presumed_client: KnownClient | None = None
-        self.state = ConnectionState.NEW
+        self.state: ConnectionState = NEW
         self.accepted_at_ms = now
         self.used = now
         self.open: Any = 0
--- a/cherrydoor/admission/controller.py
+++ b/cherrydoor/admission/controller.py
@@ -11,7 +11,13 @@
 
 from cherrydoor.admission.accept_rates import AcceptBackoff, ConnectionRates
 from cherrydoor.admission.connection_slots import OWN_IDLE_DIVISOR, ConnectionSlots
-from cherrydoor.admission.connections import AdmittedConnection, ConnectionState
+from cherrydoor.admission.connections import (
+    ADMITTED,
+    CLOSED,
+    PENDING,
+    WAITING,
+    AdmittedConnection,
+)
 from cherrydoor.admission.fair_reading import FairReading
 from cherrydoor.admission.known_clients import KnownClient
 from cherrydoor.admission.limits import ClientLimits
@@ -154,7 +160,7 @@
         else:
             # Old connections of this client may have ended though nobody has seen it yet.
             client.waiting.append(connection)
-            connection.state = ConnectionState.WAITING
+            connection.state = WAITING
             self.pending.unidentified[connection] = True
 
     def _acquire_slot(self, connection: AdmittedConnection) -> str:
@@ -171,7 +177,7 @@
         waiting = client.waiting
         while waiting:
             connection = waiting[0]
-            if connection.state == ConnectionState.WAITING:
+            if connection.state is WAITING:
                 connection.known_client = client
                 if self._acquire_slot(connection):
                     return
@@ -181,22 +187,22 @@
     def _start(self, connection: AdmittedConnection) -> None:
         """The connection queues for its handshake, or goes on to its hello where there is none."""
         if connection.needs_handshake:
-            connection.state = ConnectionState.WAITING
+            connection.state = WAITING
             self.pending.queue_handshake(connection)
             self._start_handshakes()
         else:
-            connection.state = ConnectionState.PENDING
+            connection.state = PENDING
             self._actions.append(StartHandshake(connection))
 
     def _start_handshakes(self) -> None:
         """Starts the handshakes that the rate allows now."""
         while (connection := self.pending.next_handshake(self.now)) is not None:
-            connection.state = ConnectionState.PENDING
+            connection.state = PENDING
             self._actions.append(StartHandshake(connection))
 
     def _client_identified(self, connection: AdmittedConnection, name: str) -> None:
         """Admits or rejects the connection; what was proved goes before where it comes from."""
-        if connection.state != ConnectionState.PENDING:
+        if connection.state is not PENDING:
             return
         self.pending.unidentified.pop(connection, None)
         self.pending.leave(connection)
@@ -217,7 +223,7 @@
 
     def _admit(self, connection: AdmittedConnection) -> None:
         """The connection holds a slot and has said who it is."""
-        connection.state = ConnectionState.ADMITTED
+        connection.state = ADMITTED
         connection.used = self.now
         client = connection.known_client
         if client is not None:
@@ -248,7 +254,7 @@
 
     def _forget(self, connection: AdmittedConnection) -> None:
         """The one place where a connection stops being counted."""
-        if connection.state == ConnectionState.CLOSED:
+        if connection.state is CLOSED:
             return
         self.pending.unidentified.pop(connection, None)
         self.pending.leave(connection)
@@ -260,20 +266,20 @@
             connection.group.add_held_bytes(-connection.held)
             connection.held = 0
             self.fair_reading.remove(connection, connection.group)
-        connection.state = ConnectionState.CLOSED
+        connection.state = CLOSED
 
     # ---- use of the process
 
     def _read_quota_exceeded(self, connection: AdmittedConnection) -> None:
         """Nothing more is read from the connection's group in this window."""
-        if connection.state == ConnectionState.ADMITTED and connection.group is not None:
+        if connection.state is ADMITTED and connection.group is not None:
             self._actions.extend(self.fair_reading.pause(connection.group))
             self.count("read quota exceeded")
 
     def _buffer_limit_exceeded(self, connection: AdmittedConnection) -> None:
         """Closes the connection that holds most, whose bytes are freed at once."""
         group = connection.group
-        if connection.state != ConnectionState.ADMITTED or group is None:
+        if connection.state is not ADMITTED or group is None:
             return
         largest = self.connection_slots.largest_holder(group)
         if largest is not None:
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -53,9 +53,7 @@
         self.sock: socket.socket | None = sock
         self.end: Any = None
         self.task: asyncio.Task[None] | None = None
-        self.waited = (
-            now - listener.backlogged_since if listener.backlogged_since is not None else 0.0
-        )
+        self.waited = now - listener.since if listener.since is not None else 0.0
         self.connection = AdmittedConnection(address, now, self)
 
     def let_in(self) -> None:
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -71,7 +71,7 @@
         rejection: Gives the bytes of a rejection, from reason and retry-after in ms.
         sock: The socket; None once it is closed.
         port: The port that it listens on.
-        backlogged_since: Since when more wait to be accepted than one pass takes in, in ms; None
+        since: Since when more wait to be accepted than one pass takes in, in ms; None
             where none do.
     """
 
@@ -93,7 +93,7 @@
         self.make = make
         self.context = context
         self.rejection = word
-        self.backlogged_since: float | None = None
+        self.since: float | None = None
         self._resume_timer: asyncio.TimerHandle | None = None
         host, port = where
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -108,21 +108,21 @@
             raise
         self.port: int = self.sock.getsockname()[1]
         self._loop = asyncio.get_running_loop()
-        self._loop.add_reader(self.sock, self._accept_some)
+        self._loop.add_reader(self.sock, self.ready)
         listeners.listeners.append(self)
 
-    def _accept_some(self, most: int = ACCEPTED_AT_ONCE) -> None:
+    def ready(self, most: int = ACCEPTED_AT_ONCE) -> None:
         """Accepts connections until none waits, the most is reached, or accepting is paused."""
         for _ in range(most):
             if self._resume_timer is not None:
                 return
             if not self._accept():
-                self.backlogged_since = None
+                self.since = None
                 return
         if not has_pending_connection(self.sock):
-            self.backlogged_since = None
-        elif self.backlogged_since is None:
-            self.backlogged_since = self.listeners.clock.now()
+            self.since = None
+        elif self.since is None:
+            self.since = self.listeners.clock.now()
 
     def _accept(self) -> bool:
         """Accepts one connection; False where no other waits."""
@@ -154,13 +154,13 @@
         self._resume_timer = None
         if self.sock is not None:
             self.listeners.uses.take_back()
-            self._loop.add_reader(self.sock, self._accept_some)
+            self._loop.add_reader(self.sock, self.ready)
 
     def close(self) -> None:
         """Closes, once what the kernel has accepted is accepted: closing would reset that."""
         if self.sock is None:
             return
-        self._accept_some(BACKLOG)
+        self.ready(BACKLOG)
         if self._resume_timer is not None:
             self._resume_timer.cancel()
         else:
--- a/cherrydoor/admission/network_table.py
+++ b/cherrydoor/admission/network_table.py
@@ -7,6 +7,7 @@
 from cherrydoor.admission.limits import ClientLimits
 
 PREFIX_LENGTHS = {4: (32, 24, 16), 6: (64, 48, 32)}  # an owner has a /64 at the least in IPv6
+LOOPBACK_KEY = (4, 127)  # at each width, as all of 127.0.0.0/8 is one machine
 RATE_FACTORS = (1, 4, 8)  # of the rate of one address, for each width
 MOST_UNUSED_PREFIXES = 4096  # prefixes without connections, at each width
 TRIMMED_PER_LOOKUP = 2  # both may go, so that a table shrinks faster than it grows
@@ -29,14 +30,6 @@
     return 6, int(ip)
 
 
-def prefix_key(version: int, bits: int, length: int) -> tuple[int, int]:
-    """The key of an address at one prefix length; all of loopback is one machine."""
-    if version == 4 and bits >> 24 == 127:
-        return 4, 127
-    address_length = 32 if version == 4 else 128
-    return version, bits >> (address_length - length)
-
-
 class NetworkTable:
     """Network prefixes at three widths, each a table in order of use.
 
@@ -56,9 +49,11 @@
 
     def prefixes_of(self, version: int, bits: int, now: float) -> tuple[NetworkPrefix, ...]:
         """The prefixes of an address (see parse_address), narrowest first; made where missing."""
+        is_loopback = version == 4 and bits >> 24 == 127
+        address_bits = 32 if version == 4 else 128
         found = []
         for width, length in enumerate(PREFIX_LENGTHS[version]):
-            key = prefix_key(version, bits, length)
+            key = LOOPBACK_KEY if is_loopback else (version, bits >> (address_bits - length))
             table = self.tables[width]
             prefix = table.get(key)
             if prefix is None:
--- a/cherrydoor/admission/pending_connections.py
+++ b/cherrydoor/admission/pending_connections.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 from zlib import crc32
 
-from cherrydoor.admission.connections import AdmittedConnection, ConnectionState
+from cherrydoor.admission.connections import WAITING, AdmittedConnection
 from cherrydoor.admission.leaky_bucket import LeakyBucket
 from cherrydoor.admission.limits import ClientLimits
 
@@ -124,7 +124,7 @@
         burst = max(LEAST_HANDSHAKE_BURST, rate / HANDSHAKE_BURST_DIVISOR)
         for queue in self.handshake_queues:
             while queue:
-                if queue[0].state != ConnectionState.WAITING:
+                if queue[0].state is not WAITING:
                     queue.popleft()
                 elif self.handshake_bucket.wait_ms(now, rate, burst) > 0:
                     return None
