--- a/cherrydoor/admission/connection_slots.py
+++ b/cherrydoor/admission/connection_slots.py
@@ -4,6 +4,7 @@
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
 
+from cherrydoor.admission import reasons
 from cherrydoor.admission.connections import ADMITTED, AdmittedConnection, ReadGroup
 from cherrydoor.admission.known_clients import KnownClient, KnownClientTable
 from cherrydoor.admission.limits import ClientLimits
@@ -26,10 +27,10 @@
 
 
 FREE_SLOT = SlotGrant("", None)
-REFUSED_FOR_NETWORK = SlotGrant("too many connections from this network", None)
-REFUSED_WHILE_SHEDDING = SlotGrant("no new clients for the moment", None)
-REFUSED_NO_SLOT = SlotGrant("no place is free", None)
-REFUSED_CLIENT_LIMIT = SlotGrant("as many connections are open as this client may have", None)
+REFUSED_FOR_NETWORK = SlotGrant(reasons.TOO_MANY_FROM_NETWORK, None)
+REFUSED_WHILE_SHEDDING = SlotGrant(reasons.NO_NEW_CLIENTS, None)
+REFUSED_NO_SLOT = SlotGrant(reasons.NO_SLOT_FREE, None)
+REFUSED_CLIENT_LIMIT = SlotGrant(reasons.CLIENT_LIMIT_REACHED, None)
 
 
 class ConnectionSlots:
--- a/cherrydoor/admission/controller.py
+++ b/cherrydoor/admission/controller.py
@@ -9,6 +9,7 @@
 from collections import deque
 from collections.abc import Iterator
 
+from cherrydoor.admission import reasons
 from cherrydoor.admission.accept_rates import AcceptBackoff, ConnectionRates
 from cherrydoor.admission.connection_slots import OWN_IDLE_DIVISOR, ConnectionSlots
 from cherrydoor.admission.connections import (
@@ -19,6 +20,7 @@
     AdmittedConnection,
 )
 from cherrydoor.admission.fair_reading import FairReading
+from cherrydoor.admission.gauges import gauges_of
 from cherrydoor.admission.known_clients import KnownClient
 from cherrydoor.admission.limits import ClientLimits
 from cherrydoor.admission.load_shedding import LoadShedding
@@ -41,15 +43,8 @@
 from cherrydoor.admission.pending_connections import PendingConnections
 
 SWEEP_MS = 500.0  # between looks at all connections for frames that are not finished
-REJECT_ALL_UNKNOWN_STEP = 3  # load-shedding step from which unknown clients are rejected at once
 LEAST_HANDSHAKE_CAPACITY = 8.0  # queued handshakes that count as full use, whatever their rate
 
-# Ms after which clients may come back.
-RETRY_EVICTED_PENDING_MS = 250.0
-RETRY_NO_SLOT_MS = 500.0  # at the least: the dwell of load shedding may be longer
-RETRY_CLOSED_MS = 1000.0
-RETRY_NO_DESCRIPTORS_MS = 2000.0
-
 
 class AdmissionController:
     """Decides about the client connections of one gateway; `counters` counts what happened."""
@@ -67,8 +62,7 @@
         self.fair_reading = FairReading()
         self.counters: dict[str, int] = {}
         self._actions: list[Action] = []
-        # Known clients of which a connection has ended while others wait; served once a message is
-        # done with.
+        # Known clients with a freed slot and waiting connections, served after each message.
         self._with_freed_slot: deque[KnownClient] = deque()
         self._swept_at_ms = now
 
@@ -109,8 +103,6 @@
         """Counts once more what has happened, for metrics."""
         self.counters[what] = self.counters.get(what, 0) + 1
 
-    # ---- from acceptance to a slot
-
     def _connection_accepted(self, connection: AdmittedConnection, needs_handshake: bool) -> None:
         """Rejects a connection that comes too soon; others start, or wait for a slot."""
         connection.needs_handshake = needs_handshake
@@ -123,32 +115,19 @@
         connection.presumed_client = listed or self.known_clients.verified_from(
             connection.address, self.now
         )
-        if not self._within_rates(connection):
+        too_soon = self.rates.check(connection, self.load_shedding, self.now)
+        if too_soon is not None:
+            self._reject(connection, too_soon.reason, too_soon.retry_after_ms)
             return
         if listed is not None:
             self._take_listed(connection, listed)
             return
         victim = self.pending.enter(connection)
         if victim is not None:
-            self._close(victim, "others need the porch", RETRY_EVICTED_PENDING_MS)
+            self._close(victim, reasons.PENDING_EVICTED, reasons.RETRY_PENDING_EVICTED_MS)
         self.pending.unidentified[connection] = True
         self._start(connection)
 
-    def _within_rates(self, connection: AdmittedConnection) -> bool:
-        """Counts a new connection; False where it comes too soon and is rejected."""
-        if connection.presumed_client is not None:
-            wait_ms = self.rates.take_known(connection.presumed_client, self.now)
-            reason = "this client connects too often"
-        elif self.load_shedding.step >= REJECT_ALL_UNKNOWN_STEP:
-            wait_ms = 2 * self.load_shedding.dwell_ms
-            reason = "no new clients for the moment"
-        else:
-            wait_ms = self.rates.take_unknown(connection.networks, self.now)
-            reason = "too many new connections from this network"
-        if wait_ms > 0:
-            self._reject(connection, reason, wait_ms)
-        return wait_ms == 0
-
     def _take_listed(self, connection: AdmittedConnection, client: KnownClient) -> None:
         """Gives a slot to a connection from a configured network, before it has proved anything."""
         refusal = self._acquire_slot(connection)
@@ -169,7 +148,7 @@
         if grant.refusal:
             connection.known_client = None
         elif grant.victim is not None:
-            self._close(grant.victim, "idle, and others need the place", RETRY_CLOSED_MS)
+            self._close(grant.victim, reasons.IDLE_EVICTED, reasons.RETRY_CLOSED_MS)
         return grant.refusal
 
     def _admit_waiting(self, client: KnownClient) -> None:
@@ -216,7 +195,7 @@
             connection.known_client = proved
             refusal = self._acquire_slot(connection)
             if refusal:
-                retry_after_ms = max(RETRY_NO_SLOT_MS, self.load_shedding.dwell_ms)
+                retry_after_ms = max(reasons.RETRY_NO_SLOT_MS, self.load_shedding.dwell_ms)
                 self._reject(connection, refusal, retry_after_ms)
                 return
         self._admit(connection)
@@ -236,21 +215,17 @@
             longest_frame_bytes = self.client_limits.unknown_frame_bytes
         self._actions.append(Admit(connection, longest_frame_bytes))
 
-    # ---- rejected and closed
-
     def _reject(self, connection: AdmittedConnection, reason: str, retry_after_ms: float) -> None:
         """The connection gets no slot."""
-        self._end(connection, f"refused: {reason}", Reject(connection, reason, retry_after_ms))
+        self.count(f"refused: {reason}")
+        self._forget(connection)
+        self._actions.append(Reject(connection, reason, retry_after_ms))
 
     def _close(self, connection: AdmittedConnection, reason: str, retry_after_ms: float) -> None:
         """Closes a connection; its slot is free at once, before ConnectionClosed comes."""
-        self._end(connection, f"closed: {reason}", Reject(connection, reason, retry_after_ms))
-
-    def _end(self, connection: AdmittedConnection, counter: str, action: Reject) -> None:
-        """Counts and forgets the connection before it is told."""
-        self.count(counter)
+        self.count(f"closed: {reason}")
         self._forget(connection)
-        self._actions.append(action)
+        self._actions.append(Reject(connection, reason, retry_after_ms))
 
     def _forget(self, connection: AdmittedConnection) -> None:
         """The one place where a connection stops being counted."""
@@ -268,8 +243,6 @@
             self.fair_reading.remove(connection, connection.group)
         connection.state = CLOSED
 
-    # ---- use of the process
-
     def _read_quota_exceeded(self, connection: AdmittedConnection) -> None:
         """Nothing more is read from the connection's group in this window."""
         if connection.state is ADMITTED and connection.group is not None:
@@ -283,7 +256,7 @@
             return
         largest = self.connection_slots.largest_holder(group)
         if largest is not None:
-            self._close(largest, "too many bytes are unfinished", RETRY_CLOSED_MS)
+            self._close(largest, reasons.UNFINISHED_BYTES, reasons.RETRY_CLOSED_MS)
 
     def _descriptors_exhausted(self, needed: bool) -> None:
         """Frees a descriptor, and pauses accepting for longer each time that it comes again soon.
@@ -298,7 +271,7 @@
         if victim is None and needed:
             victim = self.connection_slots.longest_unused_unknown()
         if victim is not None:
-            self._close(victim, "descriptors have run out", RETRY_NO_DESCRIPTORS_MS)
+            self._close(victim, reasons.NO_DESCRIPTORS, reasons.RETRY_NO_DESCRIPTORS_MS)
         pause_ms = self.accept_backoff.exhausted(self.now)
         if not needed:
             self._actions.append(PauseAccepting(pause_ms))
@@ -310,29 +283,18 @@
         self.load_shedding.update(self.now, max(usage.descriptors, usage.memory, handshakes))
         self._start_handshakes()
         for connection in self.pending.overdue(self.now, self.load_shedding.step):
-            self._close(connection, "no hello in time", RETRY_CLOSED_MS)
+            self._close(connection, reasons.NO_HELLO, reasons.RETRY_CLOSED_MS)
         self._actions.extend(self.fair_reading.end_window(usage.busy))
         if self.now - self._swept_at_ms >= SWEEP_MS:
             self._swept_at_ms = self.now
-            self._close_unfinished_frames()
+            # Guards against frames that never end; harms a client on a very slow link.
+            begun_before = self.now - self.client_limits.frame_timeout_ms
+            for connection in self.connection_slots.unfinished_since(begun_before):
+                self._close(connection, reasons.UNFINISHED_FRAME, reasons.RETRY_CLOSED_MS)
             self.networks.sweep(self.now)
 
-    def _close_unfinished_frames(self) -> None:
-        """Guards against frames that never end; harms a client on a very slow link."""
-        begun_before = self.now - self.client_limits.frame_timeout_ms
-        for connection in self.connection_slots.unfinished_since(begun_before):
-            self._close(connection, "a frame was not finished in time", RETRY_CLOSED_MS)
-
     def gauges(self) -> Iterator[tuple[str, float]]:
         """What an operator watches, as (name, figure)."""
-        yield "load shedding step", self.load_shedding.step
-        yield "connection slots: common", self.connection_slots.common
-        yield "connection slots: common in use", self.connection_slots.common_used()
-        yield "pending connections", len(self.pending.slots)
-        yield "unidentified connections", len(self.pending.unidentified)
-        yield "read level", self.fair_reading.level or 0
-        yield "network prefixes", len(self.networks)
-        for client in self.known_clients.by_name.values():
-            yield f"connection slots of {client.name}", len(client.admitted)
+        return gauges_of(self)
 
     config = gauges  # the name that callers outside the package still use
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -10,7 +10,7 @@
 
 from cherrydoor.admission.connections import AdmittedConnection
 from cherrydoor.protocol import codec
-from cherrydoor.protocol.messages import GoAway
+from cherrydoor.protocol import messages as protocol
 
 if TYPE_CHECKING:
     from cherrydoor.admission.listener import Listener, ListenerSet
@@ -26,7 +26,8 @@
 @lru_cache(maxsize=256)
 def rejection_bytes(reason: str, retry_after_ms: float) -> bytes:
     """The bytes of a rejection in our own protocol."""
-    return codec.encode(GoAway(reason, retry_after_ms))
+    encoded: bytes = codec.encode(protocol.GoAway(reason, retry_after_ms))
+    return encoded
 
 
 class IncomingConnection:
--- /dev/null
+++ b/cherrydoor/admission/reasons.py
@@ -0,0 +1,22 @@
+"""Why connections are rejected or closed, as clients are told, and when they may come back.
+
+The texts cross the wire and stand in the operators' handbook: they are part of the interface.
+"""
+
+CONNECTS_TOO_OFTEN = "this client connects too often"
+TOO_MANY_NEW_FROM_NETWORK = "too many new connections from this network"
+TOO_MANY_FROM_NETWORK = "too many connections from this network"
+NO_NEW_CLIENTS = "no new clients for the moment"
+NO_SLOT_FREE = "no place is free"
+CLIENT_LIMIT_REACHED = "as many connections are open as this client may have"
+PENDING_EVICTED = "others need the porch"
+IDLE_EVICTED = "idle, and others need the place"
+NO_HELLO = "no hello in time"
+UNFINISHED_FRAME = "a frame was not finished in time"
+UNFINISHED_BYTES = "too many bytes are unfinished"
+NO_DESCRIPTORS = "descriptors have run out"
+
+RETRY_PENDING_EVICTED_MS = 250.0  # pending connections change quickly
+RETRY_NO_SLOT_MS = 500.0  # at the least: load shedding may last longer
+RETRY_CLOSED_MS = 1000.0
+RETRY_NO_DESCRIPTORS_MS = 2000.0  # longer than any pause in accepting
