--- a/tests/admission/controller_harness.py
+++ b/tests/admission/controller_harness.py
@@ -16,7 +16,7 @@
 
 
 class ControllerHarness:
-    """Keeps what the listener would: open connections, rejections by connection, and whose reading is paused."""
+    """Keeps what the listener would: open connections, rejections, and whose reading is paused."""
 
     def __init__(self, connection_slots=40, known=(), **limits):
         self.now = 1000.0
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -7,6 +7,7 @@
 import socket
 import struct
 import sys
+from contextlib import suppress
 
 from stack import Host, environment, now, story
 from test_process import Daemon, Ended, given, with_folder
@@ -16,10 +17,8 @@
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import messages as protocol
 
-DROPS = (
-    55,
-    8,
-)  # SO_MEMINFO, and where in it stands how many connections the kernel dropped at the door
+SO_MEMINFO = 55
+MEMINFO_DROPS = 8  # index in SO_MEMINFO of how many connections the kernel dropped
 HARBOUR = (
     'admission: {known: [{name: "harbour", places: 20, most: 30, addresses: ["127.200.0.0/16"]}]}\n'
 )
@@ -50,68 +49,84 @@
 
 
 class Flood:
-    """Raw connections from many addresses of loopback, again and again: some say nothing, some half a hello, some a
-    whole one. It goes on until stopped. With `crowd` as many as that, and no more, wait all the time to be accepted: it
-    is then no slower than the door and leaves room in the kernel's queue, however fast either of them is."""
-
-    def __init__(self, port, wide=300, crowd=None):
-        self.port, self.wide, self.crowd, self.sockets = port, wide, crowd, []
-        self.opened, self.told, self.taken = 0, 0, 0
-        self.task = asyncio.get_running_loop().create_task(self.pour())
+    """Opens raw connections from many addresses of loopback until it is stopped.
+
+    Some say nothing, some half a hello, some a whole one. With `waiting_limit` as many as that, and
+    no more, wait all the time to be accepted: it is then no slower than the listener and leaves
+    room in the kernel's queue, however fast either of them is.
+    """
+
+    def __init__(self, port, address_count=300, waiting_limit=None):
+        self.port = port
+        self.address_count = address_count
+        self.waiting_limit = waiting_limit
+        self.sockets = []
+        self.opened = 0
+        self.rejections_read = 0
+        self.accepted = 0
+        self.hello = codec.encode(protocol.Hello(protocol.VERSION, "client", "x", now()))
+        self.task = asyncio.get_running_loop().create_task(self._run())
 
     def waiting(self):
-        """How many wait to be accepted: they are in turn, and who is accepted hears a hello or a fault."""
-        gone = self.opened - len(self.sockets)
-        self.taken = max(self.taken, gone)
-        while self.taken < self.opened:
+        """How many wait to be accepted; whoever is accepted is sent a hello or a rejection."""
+        closed = self.opened - len(self.sockets)
+        self.accepted = max(self.accepted, closed)
+        while self.accepted < self.opened:
             try:
-                self.sockets[self.taken - gone][0].recv(1, socket.MSG_PEEK)
+                self.sockets[self.accepted - closed][0].recv(1, socket.MSG_PEEK)
             except BlockingIOError:
                 break
             except OSError:
                 pass
-            self.taken += 1
-        return self.opened - self.taken
+            self.accepted += 1
+        return self.opened - self.accepted
 
-    async def pour(self):
-        hello = codec.encode(protocol.Hello(protocol.VERSION, "client", "x", now()))
+    async def _run(self):
         while True:
             before = self.opened
-            for _ in range(20 if self.crowd is None else min(100, self.crowd - self.waiting())):
-                one = socket.socket()
-                one.setblocking(False)
-                one.bind((f"127.{1 + self.opened % 100}.{self.opened % self.wide % 250}.7", 0))
-                try:
-                    one.connect(("127.0.0.1", self.port))
-                except BlockingIOError:
-                    pass
-                except OSError:
-                    one.close()
-                    continue
-                self.sockets.append((one, (b"", hello[:9], hello)[self.opened % 3]))
-                self.opened += 1
+            if self.waiting_limit is None:
+                count = 20
+            else:
+                count = min(100, self.waiting_limit - self.waiting())
+            for _ in range(count):
+                self._open_one()
             await asyncio.sleep(0.002)
-            for one, said in self.sockets[len(self.sockets) - self.opened + before :]:
-                try:
-                    one.send(said)
-                except OSError:
-                    pass
+            for sock, data in self.sockets[len(self.sockets) - self.opened + before :]:
+                with suppress(OSError):
+                    sock.send(data)
             while len(self.sockets) > 1500:
-                old, _ = self.sockets.pop(0)
-                try:
-                    self.told += b"fault" in old.recv(4096)
-                except OSError:
-                    pass
-                old.close()
+                self._close_oldest()
+
+    def _open_one(self):
+        sock = socket.socket()
+        sock.setblocking(False)
+        host = self.opened % self.address_count % 250
+        sock.bind((f"127.{1 + self.opened % 100}.{host}.7", 0))
+        try:
+            sock.connect(("127.0.0.1", self.port))
+        except BlockingIOError:
+            pass
+        except OSError:
+            sock.close()
+            return
+        self.sockets.append((sock, (b"", self.hello[:9], self.hello)[self.opened % 3]))
+        self.opened += 1
+
+    def _close_oldest(self):
+        sock, _ = self.sockets.pop(0)
+        with suppress(OSError):
+            self.rejections_read += b"fault" in sock.recv(4096)
+        sock.close()
 
     def stop(self):
         self.task.cancel()
-        for one, _ in self.sockets:
-            one.close()
+        for sock, _ in self.sockets:
+            sock.close()
 
-    async def beyond(self, count):
-        until = self.opened + count
-        while self.opened < until:
+    async def until_opened(self, count):
+        """Until so many more connections have been opened."""
+        target = self.opened + count
+        while self.opened < target:
             assert not self.task.done()
             await asyncio.sleep(0.005)
 
@@ -147,31 +162,29 @@
         stack, await given(stack, tmp, *hosts, more="bounds: {}\n" + HARBOUR)
     )
     flood = Flood(daemon.port)
-    await flood.beyond(1600)
+    await flood.until_opened(1600)
     clients = []
     for i in range(20):
-        await flood.beyond(40)
+        await flood.until_opened(40)
         clients.append(await known(stack, daemon.port))
         client = clients[-1]
         answer = await client.answer(client.send(f"deed {i}", lasts=4000.0))
         assert answer.outcome == "handled"
-    assert not any(c.lost_ends for c in clients), "each of them keeps its place"
+    assert not any(c.lost_ends for c in clients), "each of them keeps its slot"
     flood.stop()
-    assert flood.told > 0, "the flood is told why"
+    assert flood.rejections_read > 0, "the flood is sent the reason"
     daemon.process.send_signal(15)
     code, errors = await daemon.end()
     assert code == 0 and "Traceback" not in errors
 
 
 @with_folder
-async def test_a_known_client_comes_back_with_all_its_connections_while_the_flood_goes_on(
-    stack, tmp
-):
+async def test_a_known_client_reconnects_with_all_its_connections_during_a_flood(stack, tmp):
     daemon = await few_descriptors(
         stack, await given(stack, tmp, Host("handled"), more="bounds: {}\n" + HARBOUR)
     )
     flood = Flood(daemon.port)
-    await flood.beyond(800)
+    await flood.until_opened(800)
     for _ in range(3):
         clients = await asyncio.gather(*(known(stack, daemon.port) for _ in range(20)))
         for number, client in [
@@ -184,12 +197,12 @@
 
 
 @with_folder
-async def test_a_host_connection_is_had_when_descriptors_are_gone(stack, tmp):
+async def test_an_upstream_connection_is_opened_when_descriptors_are_exhausted(stack, tmp):
     late = Host("handled")
     daemon = await few_descriptors(
         stack, await given(stack, tmp, late, more="bounds: {}\n" + HARBOUR)
     )
-    strangers = [await known(stack, daemon.port, f"127.{i}.0.1") for i in range(1, 9)]
+    unknown = [await known(stack, daemon.port, f"127.{i}.0.1") for i in range(1, 9)]
     client = await known(stack, daemon.port)
     held = {int(name) for name in os.listdir(f"/proc/{daemon.process.pid}/fd")}
     gone = next(
@@ -201,14 +214,12 @@
     daemon.process.send_signal(15)
     code, errors = await daemon.end()
     assert (
-        code == 0
-        and "descriptors have run out" in errors
-        and any(one.lost_ends for one in strangers)
+        code == 0 and "descriptors have run out" in errors and any(one.lost_ends for one in unknown)
     )
 
 
 @story
-async def test_a_hello_a_byte_at_a_time_and_a_frame_that_never_ends(stack):
+async def test_a_hello_sent_a_byte_at_a_time_and_a_frame_that_never_ends_are_timed_out(stack):
     quick = "bounds: {}\nadmission: {hello: 300ms, unfinished: 300ms}"
     client = await stack.start(Host("handled"), bounds=quick)
     loop = asyncio.get_running_loop()
@@ -235,71 +246,70 @@
 
 
 @story
-async def test_events_poured_on_one_connection_leave_the_others_their_target_time(stack):
+async def test_a_flood_of_requests_on_one_connection_leaves_others_their_latency(stack):
     from stack import Client
 
     quiet = await stack.start(Host("handled"), Host("handled"))
-    pourer = await Client().connect(stack.service.port)
-    stack.opened.append(pourer)
-    flow = stack.service.listeners.controller.fair_reading
+    flooding = await Client().connect(stack.service.port)
+    stack.opened.append(flooding)
+    fair_reading = stack.service.listeners.controller.fair_reading
     stack.service.listeners.uses.measure = lambda: UsageMeasured(0.0, 0.0, 1.0)  # the core is short
     sent = []
     while not stack.service.listeners.controller.counters.get("read quota exceeded"):
-        sent += [pourer.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
+        sent += [flooding.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
         await asyncio.sleep(0.002)
-    assert flow.level is not None
-    sent += [pourer.send(f"deed {i % 7}", lasts=5000.0) for i in range(200)]
+    assert fair_reading.level is not None
+    sent += [flooding.send(f"deed {i % 7}", lasts=5000.0) for i in range(200)]
     one = quiet.send("deed 1", lasts=5000.0)
     assert (await quiet.answer(one)).outcome == "handled"
-    assert len(pourer.all(protocol.Response)) < len(sent), (
+    assert len(flooding.all(protocol.Response)) < len(sent), (
         "the quiet one was answered while the other still waited to be read"
     )
     for number in sent:
-        await pourer.answer(number)
-    assert len(pourer.all(protocol.Response)) == len(sent), (
+        await flooding.answer(number)
+    assert len(flooding.all(protocol.Response)) == len(sent), (
         "each is answered once, none is lost by the waiting"
     )
 
 
 @story
-async def test_five_hundred_connections_of_a_known_client_come_back_at_once(stack):
+async def test_five_hundred_connections_of_a_known_client_reconnect_at_once(stack):
     known_part = (
         "bounds: {connections: 700}\n"
         'admission: {known: [{name: "harbour", places: 500, addresses: ["127.200.0.0/16"]}]}'
     )
     await stack.start(Host("handled"), bounds=known_part, plain=False)
-    crowd = 400  # with five hundred beside them all find room in the kernel's queue
-    flood, seats = (
-        Flood(stack.service.port, crowd=crowd),
-        stack.service.listeners.controller.known_clients.by_name["harbour"].admitted,
-    )
-    await flood.beyond(2 * crowd)
+    waiting_limit = 400  # with five hundred beside them all find room in the kernel's queue
+    flood = Flood(stack.service.port, waiting_limit=waiting_limit)
+    admitted = stack.service.listeners.controller.known_clients.by_name["harbour"].admitted
+    await flood.until_opened(2 * waiting_limit)
     for _ in range(2):
-        assert flood.waiting() > crowd // 2, "the known ones come behind a crowd"
+        assert flood.waiting() > waiting_limit // 2, "the known clients connect behind a flood"
         clients = await asyncio.gather(*(known(stack, stack.service.port) for _ in range(500)))
-        assert len(seats) == 500 and not any(client.lost_ends for client in clients)
+        assert len(admitted) == 500 and not any(client.lost_ends for client in clients)
         sent = [
             (client, client.send(f"deed {i % 20}", lasts=4900.0))
             for i, client in enumerate(clients[:50])
         ]
         for client, number in sent:
             assert (await client.answer(number)).outcome in ("handled", "deferred")
-        await flood.beyond(crowd)
+        await flood.until_opened(waiting_limit)
         assert not any(client.lost_ends for client in clients)
         for client in clients:
             client.end.abort()
     flood.stop()
-    option, at = DROPS
-    door = stack.service.listeners.listeners[0].sock
-    dropped = struct.unpack_from("I", door.getsockopt(socket.SOL_SOCKET, option, 64), 4 * at)[0]
+    listening = stack.service.listeners.listeners[0].sock
+    meminfo = listening.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, 64)
+    dropped = struct.unpack_from("I", meminfo, 4 * MEMINFO_DROPS)[0]
     assert dropped == 0, "what the kernel drops, no gateway can let in: the flood is to leave room"
 
 
 @story
-async def test_a_known_client_that_misbehaves_harms_no_other(stack):
+async def test_a_known_client_that_takes_too_much_harms_no_other(stack):
     two = (
-        'bounds: {connections: 60}\nadmission: {known: [{name: "harbour", places: 20, addresses: ["127.200.0.0/16"]}'
-        ', {name: "meadow", places: 20, addresses: ["127.201.0.0/16"]}]}'
+        "bounds: {connections: 60}\n"
+        'admission: {known: [{name: "harbour", places: 20, addresses: ["127.200.0.0/16"]}, '
+        '{name: "meadow", places: 20, addresses: ["127.201.0.0/16"]}]}'
     )
     await stack.start(Host("handled"), bounds=two, plain=False)
     greedy = [
@@ -307,8 +317,8 @@
         for client in await asyncio.gather(*(known(stack, stack.service.port) for _ in range(200)))
         if client is not None
     ]
-    seats = stack.service.listeners.controller.known_clients.by_name
-    assert len(seats["harbour"].admitted) == 40, "its own places and the common ones"
+    known_clients = stack.service.listeners.controller.known_clients.by_name
+    assert len(known_clients["harbour"].admitted) == 40, "its reserved slots and the common ones"
     meadow = await asyncio.gather(
         *(known(stack, stack.service.port, "127.201.0.1") for _ in range(20))
     )
@@ -320,4 +330,6 @@
             "handled",
             "deferred",
         )
-    assert len(seats["meadow"].admitted) == 20 and not any(client.lost_ends for client in meadow)
+    assert len(known_clients["meadow"].admitted) == 20 and not any(
+        client.lost_ends for client in meadow
+    )
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -10,7 +10,7 @@
 import pytest
 from plain import Transcript, values_of
 
-from cherrydoor.admission import messages as admission
+from cherrydoor.admission import messages as admission_messages
 from cherrydoor.admission.connections import AdmittedConnection
 from cherrydoor.admission.controller import AdmissionController
 from cherrydoor.admission.limits import ClientLimits, KnownClientSettings
@@ -25,98 +25,98 @@
 # ---- admission: names of the code under test
 
 ADMISSION_ACTIONS = (
-    admission.StartHandshake,
-    admission.Admit,
-    admission.Reject,
-    admission.PauseReading,
-    admission.ResumeReading,
-    admission.PauseAccepting,
+    admission_messages.StartHandshake,
+    admission_messages.Admit,
+    admission_messages.Reject,
+    admission_messages.PauseReading,
+    admission_messages.ResumeReading,
+    admission_messages.PauseAccepting,
 )
 ADMISSION_KINDS = {kind: number for number, kind in enumerate(ADMISSION_ACTIONS)}
 
 
-def new_manners(
-    places,
+def new_client_limits(
+    connection_slots,
     known=(),
-    pace=20.0,
-    burst=60.0,
-    known_pace=200.0,
-    handshakes=200.0,
-    hello_time=5000.0,
-    frame_time=5000.0,
-    idle_time=5000.0,
-    stranger_frame=16 << 20,
-    frame=16 << 20,
+    connection_rate=20.0,
+    connection_burst=60.0,
+    known_client_rate=200.0,
+    handshake_rate=200.0,
+    hello_timeout_ms=5000.0,
+    frame_timeout_ms=5000.0,
+    idle_ms=5000.0,
+    unknown_frame_bytes=16 << 20,
+    known_frame_bytes=16 << 20,
     stranger_bytes=32 << 20,
-    strangers_bytes=256 << 20,
-    known_bytes=64 << 20,
+    unknown_clients_bytes=256 << 20,
+    known_client_bytes=64 << 20,
     seed=1,
     parts=(1 / 8, 1 / 4, 1 / 2),
-    pending_places=0,
+    pending=0,
 ):
     """What admission goes by; the positions are those of the class."""
     return ClientLimits(
-        places,
+        connection_slots,
         tuple(KnownClientSettings(*one) for one in known),
-        pace,
-        burst,
-        known_pace,
-        handshakes,
-        hello_time,
-        frame_time,
-        idle_time,
-        stranger_frame,
-        frame,
+        connection_rate,
+        connection_burst,
+        known_client_rate,
+        handshake_rate,
+        hello_timeout_ms,
+        frame_timeout_ms,
+        idle_ms,
+        unknown_frame_bytes,
+        known_frame_bytes,
         stranger_bytes,
-        strangers_bytes,
-        known_bytes,
+        unknown_clients_bytes,
+        known_client_bytes,
         seed,
         parts,
-        pending_places,
+        pending,
     )
 
 
-def platform_manners(places, pending_places, seed):
-    """As platform/configuration.py has them: nobody is known, no pace binds, all come by one front."""
-    return new_manners(
-        places,
-        pace=1e6,
-        burst=1e6,
-        known_pace=1e6,
-        handshakes=1e6,
-        hello_time=SILENT,
-        frame_time=SILENT,
-        idle_time=IDLE,
+def platform_client_limits(connection_slots, pending, seed):
+    """As platform/configuration.py has them: nobody is known, no rate binds, all come by one front."""
+    return new_client_limits(
+        connection_slots,
+        connection_rate=1e6,
+        connection_burst=1e6,
+        known_client_rate=1e6,
+        handshake_rate=1e6,
+        hello_timeout_ms=SILENT,
+        frame_timeout_ms=SILENT,
+        idle_ms=IDLE,
         stranger_bytes=8 << 20,
         seed=seed,
         parts=(1, 1, 1),
-        pending_places=pending_places,
+        pending=pending,
     )
 
 
-def set_used(caller, now):
-    caller.used = now
+def set_used(connection, now):
+    connection.used = now
 
 
-def set_open(caller, count):
-    caller.open = count
+def set_open(connection, count):
+    connection.open = count
 
 
-def set_unfinished_since(caller, since):
-    caller.partial = since
+def set_unfinished_since(connection, since):
+    connection.partial = since
 
 
-def hold_bytes(caller, size):
+def hold_bytes(connection, size):
     """Counts unfinished bytes as the listener does; True where the group now holds too many."""
-    more = size - caller.held
-    caller.held = size
-    over = caller.group.add_held_bytes(more) if more else False
+    more = size - connection.held
+    connection.held = size
+    over = connection.group.add_held_bytes(more) if more else False
     return over and more > 0
 
 
-def read_messages(caller, count):
+def read_messages(connection, count):
     """Counts messages read as the listener does; True where the group may be read no further in this window."""
-    group = caller.group
+    group = connection.group
     group.read += count
     return group.allowed is not None and group.read >= group.allowed and not group.paused
 
@@ -134,12 +134,12 @@
 class AdmissionPhase:
     """What happens, and how often, while a phase lasts."""
 
-    def __init__(self, steps, pause, knock, networks, sealed, silent, shortage, busy):
+    def __init__(self, steps, pause, accept, networks, handshake, silent, shortage, busy):
         self.steps = steps
         self.pause = pause
-        self.knock = knock
+        self.accept = accept
         self.networks = networks
-        self.sealed = sealed
+        self.handshake = handshake
         self.silent = silent
         self.shortage = shortage
         self.busy = busy
@@ -163,19 +163,19 @@
 
 
 class AdmissionHistory:
-    """Plays the part of the listener: makes connections, posts notes, and carries out the actions."""
+    """Plays the part of the listener: makes connections, posts messages, and carries out the actions."""
 
-    def __init__(self, seed, manners):
+    def __init__(self, seed, client_limits):
         self.random = Random(seed)
         self.now = 1000.0
-        self.controller = AdmissionController(manners, self.now)
+        self.controller = AdmissionController(client_limits, self.now)
         self.transcript = Transcript(ADMISSION_KINDS, entities=(AdmittedConnection,))
         self.pending = {}
-        self.seated = {}
+        self.admitted = {}
         self.closing = []
-        self.rest_until = 0.0
+        self.accept_paused_until = 0.0
         self.measure_at = self.now
-        self.notes = 0
+        self.messages = 0
 
     def run(self, phases):
         for phase in phases:
@@ -185,9 +185,9 @@
         self.transcript.add(self.now, config, list(self.controller.counters.values()))
         return self.transcript
 
-    def post(self, note):
-        self.notes += 1
-        actions = self.controller.take(self.now, note)
+    def post(self, message):
+        self.messages += 1
+        actions = self.controller.take(self.now, message)
         if actions:
             self.transcript.add(self.now, *actions)
         for action in actions:
@@ -195,17 +195,17 @@
 
     def carry_out(self, action):
         value = values_of(action)[0]
-        if isinstance(action, admission.StartHandshake):
+        if isinstance(action, admission_messages.StartHandshake):
             self.pending[value] = self.random.random() < self.silent
-        elif isinstance(action, admission.Admit):
+        elif isinstance(action, admission_messages.Admit):
             self.pending.pop(value, None)
-            self.seated[value] = True
-        elif isinstance(action, admission.Reject):
+            self.admitted[value] = True
+        elif isinstance(action, admission_messages.Reject):
             self.pending.pop(value, None)
-            self.seated.pop(value, None)
+            self.admitted.pop(value, None)
             self.closing.append(value)
-        elif isinstance(action, admission.PauseAccepting):
-            self.rest_until = self.now + value
+        elif isinstance(action, admission_messages.PauseAccepting):
+            self.accept_paused_until = self.now + value
 
     def step(self, phase):
         self.silent = phase.silent
@@ -213,31 +213,35 @@
         while self.now >= self.measure_at:
             self.measure_at += WINDOW
             self.measure(phase)
-        if self.random.random() < phase.knock:
-            if self.now >= self.rest_until:
-                self.knock(phase)
+        if self.random.random() < phase.accept:
+            if self.now >= self.accept_paused_until:
+                self.accept(phase)
         else:
-            self.something_else()
-        for caller in [one for one, silent in self.pending.items() if not silent]:
+            self.change_an_admitted_connection()
+        for connection in [one for one, silent in self.pending.items() if not silent]:
             if self.random.random() < 0.4:
                 self.post(
-                    admission.ClientIdentified(
-                        caller, self.random.choice(("", "", "", "alpha", "beta", "gamma", "x"))
+                    admission_messages.ClientIdentified(
+                        connection, self.random.choice(("", "", "", "alpha", "beta", "gamma", "x"))
                     )
                 )
         while self.closing and self.random.random() < 0.7:
-            self.post(admission.ConnectionClosed(self.closing.pop(0)))
+            self.post(admission_messages.ConnectionClosed(self.closing.pop(0)))
 
     def measure(self, phase):
         descriptors, memory = (
             min(1.0, part + self.random.uniform(-0.05, 0.05)) for part in phase.shortage
         )
         busy = min(1.0, phase.busy + self.random.uniform(-0.1, 0.1))
-        self.post(admission.UsageMeasured(descriptors, memory, busy))
+        self.post(admission_messages.UsageMeasured(descriptors, memory, busy))
 
-    def knock(self, phase):
-        caller = AdmittedConnection(self.address(phase), self.now)
-        self.post(admission.ConnectionAccepted(caller, self.random.random() < phase.sealed))
+    def accept(self, phase):
+        connection = AdmittedConnection(self.address(phase), self.now)
+        self.post(
+            admission_messages.ConnectionAccepted(
+                connection, self.random.random() < phase.handshake
+            )
+        )
 
     def address(self, phase):
         chosen = self.random.random()
@@ -256,66 +260,66 @@
             return f"2001:db8:{network:x}:{self.random.randrange(3):x}::{self.random.randrange(1, 9):x}"
         return f"10.{network // 200}.{network % 200}.{self.random.randrange(1, 250)}"
 
-    def something_else(self):
-        if not self.seated:
+    def change_an_admitted_connection(self):
+        if not self.admitted:
             return
-        caller = self.random.choice(list(self.seated))
+        connection = self.random.choice(list(self.admitted))
         chosen = self.random.random()
         if chosen < 0.12:
-            self.seated.pop(caller)
-            self.post(admission.ConnectionClosed(caller))
+            self.admitted.pop(connection)
+            self.post(admission_messages.ConnectionClosed(connection))
         elif chosen < 0.13:
-            self.post(admission.DescriptorsExhausted(self.random.random() < 0.5))
+            self.post(admission_messages.DescriptorsExhausted(self.random.random() < 0.5))
         elif chosen < 0.30:
-            set_open(caller, self.random.choice((0, 0, 1, 3)))
+            set_open(connection, self.random.choice((0, 0, 1, 3)))
         elif chosen < 0.45:
-            self.hold(caller)
+            self.hold(connection)
         else:
-            self.read(caller)
+            self.read(connection)
 
-    def hold(self, caller):
+    def hold(self, connection):
         size = self.random.choice((0, 0, 1000, 20000, 60000))
-        set_unfinished_since(caller, self.now if size else 0.0)
-        if hold_bytes(caller, size):
-            self.post(admission.BufferLimitExceeded(caller))
+        set_unfinished_since(connection, self.now if size else 0.0)
+        if hold_bytes(connection, size):
+            self.post(admission_messages.BufferLimitExceeded(connection))
 
-    def read(self, caller):
-        set_used(caller, self.now)
-        if read_messages(caller, self.random.choice((1, 1, 2, 5, 30))):
-            self.post(admission.ReadQuotaExceeded(caller))
+    def read(self, connection):
+        set_used(connection, self.now)
+        if read_messages(connection, self.random.choice((1, 1, 2, 5, 30))):
+            self.post(admission_messages.ReadQuotaExceeded(connection))
 
 
 ADMISSION_HISTORIES = {
     "known and unknown clients": (
         11,
-        new_manners(
+        new_client_limits(
             40,
             KNOWN_CLIENTS,
             stranger_bytes=50000,
-            strangers_bytes=200000,
-            known_bytes=90000,
+            unknown_clients_bytes=200000,
+            known_client_bytes=90000,
             seed=3,
         ),
         12,
         "20cfbce0dc1be63de373f46816f5dfb235e2c0ee66d74bf86a16c48a276148c2",
     ),
-    "few places, short patience": (
+    "few slots, short timeouts": (
         12,
-        new_manners(
+        new_client_limits(
             16,
             (("alpha", 30, 40, ("192.0.2.0/24",)), ("gamma", 10, 20, ())),
-            pace=5.0,
-            burst=10.0,
-            known_pace=4.0,
-            handshakes=20.0,
-            hello_time=1500.0,
-            frame_time=800.0,
-            idle_time=1000.0,
-            stranger_frame=4096,
-            frame=65536,
+            connection_rate=5.0,
+            connection_burst=10.0,
+            known_client_rate=4.0,
+            handshake_rate=20.0,
+            hello_timeout_ms=1500.0,
+            frame_timeout_ms=800.0,
+            idle_ms=1000.0,
+            unknown_frame_bytes=4096,
+            known_frame_bytes=65536,
             stranger_bytes=30000,
-            strangers_bytes=60000,
-            known_bytes=40000,
+            unknown_clients_bytes=60000,
+            known_client_bytes=40000,
             seed=5,
         ),
         12,
@@ -323,13 +327,13 @@
     ),
     "nobody is known": (
         13,
-        new_manners(300, pace=50.0, burst=20.0, seed=7, pending_places=24),
+        new_client_limits(300, connection_rate=50.0, connection_burst=20.0, seed=7, pending=24),
         9,
         "fe3b6e4f285669895fef30e21530895f78a6d6690b0470906ef1f9b6259734d1",
     ),
-    "the platform's manners": (
+    "the limits on the platform": (
         14,
-        platform_manners(89, 44, 9),
+        platform_client_limits(89, 44, 9),
         7,
         "71fbfc9ca58942ac0eb4274e99db67a0d32dd10b25cdd0073100310ab49c2f70",
     ),
@@ -338,10 +342,10 @@
 
 @pytest.mark.parametrize("name", ADMISSION_HISTORIES)
 def test_admission_decides_as_recorded(name):
-    seed, manners, reasons, expected = ADMISSION_HISTORIES[name]
-    history = AdmissionHistory(seed, manners)
+    seed, client_limits, reasons, expected = ADMISSION_HISTORIES[name]
+    history = AdmissionHistory(seed, client_limits)
     transcript = history.run(ADMISSION_PHASES)
-    assert history.notes > 3000
+    assert history.messages > 3000
     assert not transcript.missing(ADMISSION_ACTIONS)
     assert len(transcript.seen_texts) >= reasons
     assert transcript.digest() == expected
