--- a/bench/admission.py
+++ b/bench/admission.py
@@ -1,11 +1,13 @@
-"""Measures the doors in one run: what a refusal, an accepted hello and a handshake cost the gateway, and what a million
-addresses seen leave in memory. `make bench-doors` prints the tables that docs/measurements.md keeps.
+"""Measures admission in one run; `make bench-doors` prints the tables of docs/measurements.md.
 
-The gateway is a process of its own and says its CPU when asked; the connections come from here.
+What a rejection, an accepted hello and a handshake cost the gateway, and what a million addresses
+leave in memory. The gateway is a process of its own and reports its CPU time when asked; the connections come from
+here.
 """
 
 import asyncio
 import json
+import logging
 import multiprocessing
 import os
 import resource
@@ -13,8 +15,12 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
+import structlog
 import uvloop
 
 from cherrydoor.admission.connections import AdmittedConnection
@@ -26,135 +32,179 @@
 from cherrydoor.tls import files
 from cherrydoor.tls.make import Folder
 
-COUNT = 3000
-
-
-def cpu():
+COUNT = 3000  # connections in each row
+PARALLEL = 20  # connections open at a time
+ADDRESSES = 1_000_000
+HOLD_S = 0.005  # for which a client keeps its connection
+
+SETTINGS = (
+    'name: "g0", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, ration: {}, may: {}, '
+    "bounds: {}\n"
+    'clauses: [{name: "draft", target: 750ms, max_age: 2.5s}]\n'
+)
+UNLIMITED = (
+    "admission: {pace: 100000, burst: 100000, known_pace: 100000, handshakes: 100000, "
+    'known: [{name: "harbour", places: 200, addresses: ["127.0.0.0/8"]}]}\n'
+)
+RATE_LIMITED = "admission: {pace: 0.001, burst: 1}\n"
+
+
+@dataclass
+class Row:
+    """One measurement: what runs against which gateway.
+
+    Attributes:
+        settings: The gateway's configuration.
+        act: Opens the connections to a port, and gives what they came to.
+        bare: A bare asyncio server in place of the gateway.
+    """
+
+    name: str
+    settings: str
+    act: Callable[[int], Any]
+    bare: bool = False
+
+
+def cpu_seconds():
+    """CPU time of this process."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
-def resident():
+def resident_bytes():
+    """Memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def gateway(pipe, text, bare):
-    """A gateway, or with `bare` a server of asyncio that takes hellos and nothing else."""
+class NoOwner:
+    """The owner of connections on the bare server: does nothing."""
+
+    def greeted(self, end, hello):
+        """A hello has come."""
+
+    def heard(self, end, message):
+        """A message has come."""
+
+    def lost(self, end):
+        """The connection is closed."""
+
+
+async def start_bare_server():
+    """An asyncio server that takes hellos and nothing else; its port."""
+    server = await asyncio.get_running_loop().create_server(
+        lambda: FramedConnection(
+            NoOwner(), protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")
+        ),
+        "127.0.0.1",
+        0,
+        backlog=1024,
+    )
+    return server.sockets[0].getsockname()[1]
+
+
+async def start_gateway(settings):
+    """A gateway with these settings; its port."""
     from cherrydoor.config import read
     from cherrydoor.config.figures import GatewayConfig, schema
     from cherrydoor.gateway.service import GatewayService
     from cherrydoor.routing import Router
 
-    class Owner:
-        def greeted(self, end, hello):
-            pass
+    config = GatewayConfig(read(settings, "f", schema("lease.schema"), "#Lease"))
+    service = GatewayService(config, Router)
+    await service.start()
+    return service.port
 
-        def heard(self, end, message):
-            pass
 
-        def lost(self, end):
-            pass
+def server_process(pipe, settings, bare):
+    """Serves until the pipe brings False; sends the port, then the CPU time for each True."""
 
-    async def play():
+    async def serve():
         loop = asyncio.get_running_loop()
-        if bare:
-            server = await loop.create_server(
-                lambda: FramedConnection(
-                    Owner(), protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")
-                ),
-                "127.0.0.1",
-                0,
-                backlog=1024,
-            )
-            port = server.sockets[0].getsockname()[1]
-        else:
-            service = GatewayService(
-                GatewayConfig(read(text, "f", schema("lease.schema"), "#Lease")), Router
-            )
-            await service.start()
-            port = service.port
-        pipe.send(port)
-        over = loop.create_future()
-
-        def asked():
-            pipe.send(cpu()) if pipe.recv() else over.set_result(None)
-
-        loop.add_reader(pipe.fileno(), asked)
-        await over
-
-    import logging
-
-    import structlog
+        pipe.send(await (start_bare_server() if bare else start_gateway(settings)))
+        finished = loop.create_future()
+
+        def command_received():
+            if pipe.recv():
+                pipe.send(cpu_seconds())
+            else:
+                finished.set_result(None)
+
+        loop.add_reader(pipe.fileno(), command_received)
+        await finished
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    uvloop.run(play())
+    uvloop.run(serve())
+
 
+class BenchClient:
+    """A client that closes shortly after its hello was answered."""
 
-class Came:
     def __init__(self):
-        self.over = asyncio.get_running_loop().create_future()
-        self.let_in = False
+        self.closed = asyncio.get_running_loop().create_future()
+        self.admitted = False
 
     def greeted(self, end, hello):
-        self.let_in = True
+        """The gateway has answered the hello."""
+        self.admitted = True
         end.write(protocol.CancelRequest(1))
-        asyncio.get_running_loop().call_later(0.005, end.close)
+        asyncio.get_running_loop().call_later(HOLD_S, end.close)
 
     def heard(self, end, message):
-        pass
+        """Nothing else is expected."""
 
     def lost(self, end):
-        if not self.over.done():
-            self.over.set_result(end)
+        """The connection is closed."""
+        if not self.closed.done():
+            self.closed.set_result(end)
 
 
-async def connects(port, count, context, at_once=20):
-    """(let in, seconds)"""
-    let_in, begun = 0, time.monotonic()
+async def connect(port, count, context):
+    """Opens so many connections, some at a time; (admitted, seconds)."""
+    admitted = 0
+    begun_at = time.monotonic()
 
-    async def some(many):
-        nonlocal let_in
-        for _ in range(many):
-            came = Came()
+    async def connect_in_turn(share):
+        nonlocal admitted
+        for _ in range(share):
+            client = BenchClient()
             try:
                 await asyncio.get_running_loop().create_connection(
-                    lambda came=came: FramedConnection(
-                        came, protocol.TO_CLIENT, lambda: protocol.Hello(1, "client", "c")
+                    lambda client=client: FramedConnection(
+                        client, protocol.TO_CLIENT, lambda: protocol.Hello(1, "client", "c")
                     ),
                     "127.0.0.1",
                     port,
                     ssl=context,
                     server_hostname="127.0.0.1" if context else None,
                 )
-                await came.over
+                await client.closed
             except OSError:
                 continue
-            let_in += came.let_in
+            admitted += client.admitted
 
-    await asyncio.gather(*(some(count // at_once) for _ in range(at_once)))
-    return let_in, time.monotonic() - begun
+    await asyncio.gather(*(connect_in_turn(count // PARALLEL) for _ in range(PARALLEL)))
+    return admitted, time.monotonic() - begun_at
 
 
-def knocks(port, count):
-    """Raw connects that are refused; how many were told so."""
-    told = 0
+def connect_rejected(port, count):
+    """Opens raw connections that are rejected; how many were sent the reason."""
+    rejections_read = 0
     for _ in range(count):
-        with socket.create_connection(("127.0.0.1", port)) as one:
-            told += b"fault" in one.recv(4096)
-    return told
+        with socket.create_connection(("127.0.0.1", port)) as sock:
+            rejections_read += b"fault" in sock.recv(4096)
+    return rejections_read
 
 
-def measured(text, act, bare=False):
-    """(CPU seconds of the gateway while act(port) ran, what it gave)."""
-    ours, theirs = multiprocessing.get_context("spawn").Pipe()
-    process = multiprocessing.get_context("spawn").Process(
-        target=gateway, args=(theirs, text, bare)
-    )
+def measure(row):
+    """(CPU seconds of the server while the row ran, what it came to)."""
+    context = multiprocessing.get_context("spawn")
+    ours, theirs = context.Pipe()
+    process = context.Process(target=server_process, args=(theirs, row.settings, row.bare))
     process.start()
     port = ours.recv()
     ours.send(True)
     before = ours.recv()
-    found = act(port)
+    found = row.act(port)
     ours.send(True)
     used = ours.recv() - before
     ours.send(False)
@@ -163,77 +213,75 @@
 
 
 def addresses_seen(count):
-    """(bytes held, streets) after so many addresses knocked and went, ten thousand a second."""
-    guard, now = AdmissionController(ClientLimits(400), 0.0), 0.0
-    before = resident()
+    """(bytes held, network prefixes) after so many addresses, ten thousand a second."""
+    controller = AdmissionController(ClientLimits(400), 0.0)
+    now = 0.0
+    before = resident_bytes()
     for i in range(count):
         now += 0.1
-        caller = AdmittedConnection(
+        connection = AdmittedConnection(
             f"{20 + i % 200}.{i // 200 % 256}.{i * 13 // 51200 % 256}.{i * 31 % 256}", now
         )
-        guard.take(now, ConnectionAccepted(caller))
-        guard.take(now, ConnectionClosed(caller))
+        controller.take(now, ConnectionAccepted(connection))
+        controller.take(now, ConnectionClosed(connection))
         if i % 1000 == 0:
-            guard.take(now, UsageMeasured(0.1, 0.1, 0.1))
-    return resident() - before, sum(map(len, guard.networks.tables))
+            controller.take(now, UsageMeasured(0.1, 0.1, 0.1))
+    return resident_bytes() - before, len(controller.networks)
+
+
+def rows_of(folder):
+    """The rows, with keys that are made in this folder."""
+    keys = Folder(folder)
+    keys.authority()
+    keys.issue("gateway", "g0", addresses=["127.0.0.1"])
+    keys.issue("client", "harbour")
+    path = Path(folder)
+    _, _, trusted = files.authorities(path / "authorities.pem")
+    chain = files.pair(path / "harbour.pem", path / "harbour.key")[2:]
+    tls = (
+        f'keys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
+        f'authorities: "{folder}/authorities.pem"}}\n'
+    )
+
+    def admitted(context=None):
+        return lambda port: uvloop.run(connect(port, COUNT, context))
+
+    without_certificate = files.context(False, b"", b"", trusted)
+    with_certificate = files.context(False, *chain, trusted)
+    open_to_all = SETTINGS + UNLIMITED
+    return (
+        Row("bare hello, no admission", "", admitted(), bare=True),
+        Row("hello accepted", open_to_all, admitted()),
+        Row(
+            "rejected by rate",
+            SETTINGS + RATE_LIMITED,
+            lambda port: connect_rejected(port, COUNT),
+        ),
+        Row("handshake, no certificate", open_to_all + tls, admitted(without_certificate)),
+        Row("handshake with certificate", open_to_all + tls, admitted(with_certificate)),
+    )
+
+
+def text_of(value):
+    """A figure as the table shows it."""
+    return f"{round(value, 1) if isinstance(value, float) else value}"
 
 
 def main():
+    """Measures all rows and prints them, with --json as one object."""
+    results = {}
     with tempfile.TemporaryDirectory() as folder:
-        keys = Folder(folder)
-        keys.authority()
-        keys.issue("gateway", "g0", addresses=["127.0.0.1"])
-        keys.issue("client", "harbour")
-        path = Path(folder)
-        _, _, trusted = files.authorities(path / "authorities.pem")
-        chain = files.pair(path / "harbour.pem", path / "harbour.key")[2:]
-        base = (
-            'name: "g0", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, ration: {}, may: {}, bounds: {}\n'
-            'clauses: [{name: "draft", target: 750ms, max_age: 2.5s}]\n'
-        )
-        wide = "admission: {pace: 100000, burst: 100000, known_pace: 100000, handshakes: 100000, known: [%s]}\n"
-        free = wide % '{name: "harbour", places: 200, addresses: ["127.0.0.0/8"]}'
-        sealed = (
-            f'keys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
-            f'authorities: "{folder}/authorities.pem"}}\n'
-        )
-        rows = {}
-        for name, text, act, bare in (
-            ("bare hello, no admission", "", lambda p: uvloop.run(connects(p, COUNT, None)), True),
-            ("hello accepted", base + free, lambda p: uvloop.run(connects(p, COUNT, None)), False),
-            (
-                "refused by pace",
-                base + "admission: {pace: 0.001, burst: 1}\n",
-                lambda p: knocks(p, COUNT),
-                False,
-            ),
-            (
-                "handshake, no certificate",
-                base + free + sealed,
-                lambda p: uvloop.run(connects(p, COUNT, files.context(False, b"", b"", trusted))),
-                False,
-            ),
-            (
-                "handshake with certificate",
-                base + free + sealed,
-                lambda p: uvloop.run(connects(p, COUNT, files.context(False, *chain, trusted))),
-                False,
-            ),
-        ):
-            used, found = measured(text, act, bare)
-            rows[name] = {"us": used / COUNT * 1e6, "found": found}
-        held, streets = addresses_seen(1_000_000)
-        rows["a million addresses"] = {"kB": held / 1000, "streets": streets}
+        for row in rows_of(folder):
+            used, found = measure(row)
+            results[row.name] = {"us": used / COUNT * 1e6, "found": found}
+        held, prefixes = addresses_seen(ADDRESSES)
+        results["a million addresses"] = {"kB": held / 1000, "prefixes": prefixes}
     if "--json" in sys.argv:
-        print(json.dumps(rows, indent=1))
+        print(json.dumps(results, indent=1))
     else:
-        for name, row in rows.items():
-            print(
-                f"{name:28}",
-                ", ".join(
-                    f"{k} {round(v, 1) if isinstance(v, float) else v}" for k, v in row.items()
-                ),
-            )
+        for name, figures in results.items():
+            line = ", ".join(f"{key} {text_of(value)}" for key, value in figures.items())
+            print(f"{name:28}", line)
     print("one process of", os.cpu_count(), "cores", file=sys.stderr)
 
 
