--- a/bench/admission.py
+++ b/bench/admission.py
@@ -1,8 +1,8 @@
 """Measures admission in one run; `make bench-doors` prints the tables of docs/measurements.md.
 
 What a rejection, an accepted hello and a handshake cost the gateway, and what a million addresses
-leave in memory. The gateway is a process of its own and reports its CPU time when asked; the connections come from
-here.
+leave in memory. The gateway is a process of its own and reports its CPU time when asked; the
+connections come from here.
 """
 
 import asyncio
--- a/cherrydoor/admission/chunked_reading.py
+++ b/cherrydoor/admission/chunked_reading.py
@@ -19,13 +19,13 @@
         arrival: The connection on the side of admission.
         chunk: The buffer that is read into; it may be shared, as what is read is copied out at
             once.
-        resting: Reading is paused.
+        reading_paused: Reading is paused.
     """
 
     arrival: IncomingConnection
     chunk: bytearray
     transport: Any
-    resting = False
+    reading_paused = False
 
     def data_received(self, data: bytes) -> Any:
         """Takes what was read."""
@@ -63,12 +63,12 @@
 
     def pause(self) -> None:
         """Reads nothing more for now."""
-        if not self.resting and not self.transport.is_closing():
-            self.resting = True
+        if not self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
         """Reads on."""
-        if self.resting and not self.transport.is_closing():
-            self.resting = False
+        if self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = False
             self.transport.resume_reading()
--- a/cherrydoor/admission/connection_slots.py
+++ b/cherrydoor/admission/connection_slots.py
@@ -18,7 +18,7 @@
     """What asking for a slot came to.
 
     Attributes:
-        refusal: Why there is none, as the client is told; "" where there is one.
+        refusal: Why there is none, as it is sent to the client; "" where there is one.
         victim: An idle connection to be closed to make room, or None.
     """
 
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -17,9 +17,7 @@
 
 TLS_HANDSHAKE_TIMEOUT_S = 30.0  # beyond any time for a hello: the controller closes sooner
 TLS_SHUTDOWN_TIMEOUT_S = 1.0
-RETRY_AFTER_UNIT_MS = (
-    10  # waits are told in whole units, so that few different rejections are encoded
-)
+RETRY_AFTER_UNIT_MS = 10  # sent in whole units, so that few different rejections are encoded
 DISCARDED_BYTES = 4096  # unread input that is read before a rejected socket is closed
 
 
--- a/cherrydoor/admission/pending_connections.py
+++ b/cherrydoor/admission/pending_connections.py
@@ -7,16 +7,12 @@
 from cherrydoor.admission.leaky_bucket import LeakyBucket
 from cherrydoor.admission.limits import ClientLimits
 
-SLOTS_PER_PENDING = (
-    8  # connection slots for each pending connection, where no capacity is configured
-)
+SLOTS_PER_PENDING = 8  # connection slots for each pending one, where no capacity is configured
 LEAST_CAPACITY = 2
 DRAWN = 4  # pending connections of which one leaves: enough to meet a network that floods
 HELLO_TIMEOUT_DIVISORS = (1, 2, 5, 10)  # of the time for a hello, by load-shedding step
 LEAST_HANDSHAKE_BURST = 4.0  # handshakes that may start at once, whatever the rate
-HANDSHAKE_BURST_DIVISOR = (
-    10  # of the handshake rate: a tenth of a second of handshakes may start at once
-)
+HANDSHAKE_BURST_DIVISOR = 10  # of the rate: a tenth of a second of handshakes may start at once
 
 
 class PendingConnections:
--- a/cherrydoor/admission/reasons.py
+++ b/cherrydoor/admission/reasons.py
@@ -1,4 +1,4 @@
-"""Why connections are rejected or closed, as clients are told, and when they may come back.
+"""Why connections are rejected or closed, as it is sent to clients, and when they may come back.
 
 The texts cross the wire and stand in the operators' handbook: they are part of the interface.
 """
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -7,9 +7,7 @@
 from cherrydoor.admission.messages import UsageMeasured
 
 MEMORY_LIMIT_BYTES = 2 * 2**30  # where none is configured
-MEASURED_AGAIN_AFTER_S = (
-    0.05  # gateways of one process that ask within this time get the same measurement
-)
+MEASURED_AGAIN_AFTER_S = 0.05  # gateways that ask within this time get the same measurement
 DESCRIPTORS_COUNTED_AFTER_S = 0.5  # counting them reads a directory
 SHORTEST_SPAN_S = 1e-3  # guards the division by the time between two measurements
 
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -237,8 +237,8 @@
                 await asyncio.sleep(0.05)
 
         task = loop.create_task(drip())
-        told = await asyncio.wait_for(reader.read(), 20)
-        assert b"in time" in told
+        received = await asyncio.wait_for(reader.read(), 20)
+        assert b"in time" in received
         task.cancel()
         writer.close()
     assert (await client.answer(client.send())).outcome == "handled"
