--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -5,8 +5,9 @@
 
 import msgspec
 
-from cherrydoor.admission import decide as d
-from cherrydoor.admission.listener import rejection_bytes
+from cherrydoor.admission.connections import AdmittedConnection
+from cherrydoor.admission.incoming_connection import rejection_bytes
+from cherrydoor.admission.messages import ConnectionAccepted, UsageMeasured
 from cherrydoor.failover.peer_services import PeerServices
 from cherrydoor.gateway.service import GatewayService
 from cherrydoor.leader_election.messages import Votes
@@ -26,7 +27,7 @@
     """Nothing is short here."""
 
     def measure(self):
-        return d.UsageMeasured(0.0, 0.0, 0.0)
+        return UsageMeasured(0.0, 0.0, 0.0)
 
     def take_back(self):
         pass
@@ -43,7 +44,7 @@
 
     def __init__(self, service, make, pipe):
         self.listeners, self.make, self.pipe, self.end = service.listeners, make, pipe, None
-        self.connection = d.AdmittedConnection(
+        self.connection = AdmittedConnection(
             pipe.other.address, service.listeners.clock.now(), self
         )
 
@@ -149,7 +150,7 @@
 
         def accept(pipe):
             pipe.frozen = self.stands
-            self.listeners.post(d.ConnectionAccepted(Arrival(self, make, pipe).connection))
+            self.listeners.post(ConnectionAccepted(Arrival(self, make, pipe).connection))
 
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
@@ -175,7 +176,7 @@
         found = [end.transport for end in self.client_listener.ends]
         found += [
             caller.wire.end.transport
-            for caller in list(self.listeners.controller.pending.unshown)
+            for caller in list(self.listeners.controller.pending.unidentified)
             if caller.wire.end
         ]
         found += [
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from cherrydoor.admission import decide as admission
+from cherrydoor.admission import messages as admission
 from cherrydoor.admission.chunked_reading import CHUNK_BYTES, ChunkedReading
 from cherrydoor.connection import FramedConnection, OrderedSet
 from cherrydoor.gateway.dispatcher import ClientConnection
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -12,7 +12,7 @@
 import structlog
 import uvloop
 
-from cherrydoor.admission.decide import divide_descriptors
+from cherrydoor.admission.descriptors import divide_descriptors
 from cherrydoor.admission.usage import ProcessUsage
 from cherrydoor.config import Problems
 from cherrydoor.config.figures import read_config
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from cherrydoor.admission import decide as admission
+from cherrydoor.admission import messages as admission
 from cherrydoor.admission.chunked_reading import ChunkedReading
 from cherrydoor.admission.listener import Listener
 
@@ -43,7 +43,7 @@
                 ("hosts", len(dispatcher.hosts)),
                 ("clients", len(dispatcher.clients)),
                 ("timers", len(dispatcher.timers)),
-                *controller.config(),
+                *controller.gauges(),
             ):
                 gauges.add_metric([name, what], value)
         yield counters
