--- a/cherrydoor/admission/connection_slots.py
+++ b/cherrydoor/admission/connection_slots.py
@@ -50,11 +50,6 @@
         self.idle_heap: list[tuple[float, int, AdmittedConnection]] = []
         self._entries_made = 0
 
-    @property
-    def offices(self) -> dict[str, KnownClient]:
-        """Known clients by name, for callers outside the package that still use this name."""
-        return self.known_clients.by_name
-
     def common_used(self) -> int:
         """Common slots that are taken."""
         return len(self.unknown) + self.known_clients.common_slots_used()
--- a/cherrydoor/admission/known_clients.py
+++ b/cherrydoor/admission/known_clients.py
@@ -51,11 +51,6 @@
         self.verified_addresses: OrderedDict[str, float] = OrderedDict()
         self.waiting: deque[AdmittedConnection] = deque()
 
-    @property
-    def seated(self) -> dict[AdmittedConnection, bool]:
-        """The same as `admitted`, by the name that callers outside the package still use."""
-        return self.admitted
-
     def common_slots_used(self) -> int:
         """Common slots that it holds beyond its reserved ones."""
         return max(0, len(self.admitted) - self.reserved_slots)
--- a/cherrydoor/admission/pending_connections.py
+++ b/cherrydoor/admission/pending_connections.py
@@ -42,16 +42,6 @@
         self.handshake_bucket = LeakyBucket(now)
         self._draws_made = 0
 
-    @property
-    def unshown(self) -> OrderedDict[AdmittedConnection, bool]:
-        """The same as `unidentified`, by the name that callers outside the package still use."""
-        return self.unidentified
-
-    @property
-    def most(self) -> int:
-        """The same as `capacity`, by the name that callers outside the package still use."""
-        return self.capacity
-
     def _draw(self) -> float:
         """A number from 0 up to 1, by the seed and how many were drawn before."""
         self._draws_made += 1
