--- a/bench/mistakes.py
+++ b/bench/mistakes.py
@@ -27,7 +27,7 @@
                     sent += 1
                     careful |= {number} if clause != "draft" else set()
                 await asyncio.sleep(0.02)
-            over = sum(len(gate.logged("this life is over")) for gate in town.gates)
+            over = sum(len(gate.logged("incarnation ended")) for gate in town.gates)
             estates = sum(len(gate.logged("takeover started")) for gate in town.gates)
             effects = [row["event"] for row in town.rows.of("effect") if row["event"] in careful]
             return {
--- a/cherrydoor/config/figures.py
+++ b/cherrydoor/config/figures.py
@@ -3,6 +3,7 @@
 from importlib import resources
 from ipaddress import ip_network
 from math import inf
+from os import PathLike
 from pathlib import Path
 
 from cherrydoor.config.records import Duration, Problem, Problems, Size, read
@@ -345,7 +346,7 @@
     )
 
 
-def read_config(path):
+def read_config(path: "str | PathLike[str]") -> "GatewayConfig":
     """The figures of a lease file; Problems names everything that is wrong with it."""
     places: dict = {}
     said = read_file(path, places=places)
--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -132,7 +132,7 @@
         """Sends a message.
 
         Raises:
-            codec.FrameTooLarge: The peer accepts no frame of this size; nothing was sent.
+            codec.FrameTooLargeError: The peer accepts no frame of this size; nothing was sent.
         """
         self.write_bytes(codec.encode(message, self.peer_max_frame_bytes))
 
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -84,11 +84,11 @@
         if self.service.peer_services is not self:
             return
         if self.stood_still():
-            self.service.life_over(STOOD_STILL)
+            self.service.end_incarnation(STOOD_STILL)
             return
         self.failover.connections_changed()
         if self.peers.members.has_ended:
-            self.service.life_over(DECLARED_OVER)
+            self.service.end_incarnation(DECLARED_OVER)
 
     def stood_still(self) -> bool:
         """Return whether this process was stopped for so long that others may have taken over.
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -211,7 +211,7 @@
         """Runs the dispatcher once, unless peers may have taken over during a suspension."""
         if self.peer_services and self.peer_services.stood_still():
             self.tick_scheduled = False
-            self.life_over("the process was suspended")
+            self.end_incarnation("the process was suspended")
             return
         super().tick()
 
@@ -232,7 +232,7 @@
         if self.restart_count > MAX_RESTARTS:
             self.finish(ROUTING_BROKEN)
 
-    def life_over(self, why: str) -> None:
+    def end_incarnation(self, why: str) -> None:
         """Ends this incarnation, whose requests peers may have taken over: `Incarnations.end`."""
         self.incarnations.end(why)
 
--- a/cherrydoor/gateway/upstream.py
+++ b/cherrydoor/gateway/upstream.py
@@ -47,7 +47,7 @@
         """Sends a message; one that is too large for the host counts as answered by it."""
         try:
             super().write(message)
-        except codec.FrameTooLarge as error:
+        except codec.FrameTooLargeError as error:
             self.owner.frame_too_large(self, message, error)
 
 
@@ -87,7 +87,9 @@
         """Hands a host's message to the dispatcher."""
         self.service.post(self.service.dispatcher.host_replied, end.link, message)
 
-    def frame_too_large(self, end: HostProtocol, message: Any, error: codec.FrameTooLarge) -> None:
+    def frame_too_large(
+        self, end: HostProtocol, message: Any, error: codec.FrameTooLargeError
+    ) -> None:
         """An attempt that the host would not read ends as if the host had no capacity for it."""
         log.warning(
             "message exceeds the host's frame limit", host=end.link.host.id, error=str(error)
@@ -105,6 +107,6 @@
             and self.service.peer_services
             and self.service.incarnation == end.incarnation
         ):
-            self.service.life_over("a host rejects this incarnation")
+            self.service.end_incarnation("a host rejects this incarnation")
             return
         self.service.post(self.service.dispatcher.connection_lost, end.link)
--- a/cherrydoor/protocol/__init__.py
+++ b/cherrydoor/protocol/__init__.py
@@ -1,1 +1,4 @@
-"""The wire between clients, gateways, hosts, store and list: length-prefixed MessagePack, no I/O."""
+"""Our own wire, sans-I/O: length-prefixed MessagePack messages, typed, versioned and bounded.
+
+Begin with `messages` (clients, hosts, endpoint list, release feed); `codec` turns them into bytes.
+"""
--- a/cherrydoor/protocol/codec.py
+++ b/cherrydoor/protocol/codec.py
@@ -1,67 +1,99 @@
-"""Bytes to messages and back: four bytes of length, most significant first, then one MessagePack map.
+"""Frames of our own wire: bytes to messages and back, without I/O.
 
-A Reader is fed bytes as they come and gives whole messages. Its first fault is final: what stood before it in the
-stream has been given, nothing after it is read, and the connection is to be closed with a Fault that names it.
+A frame is four bytes of length, most significant first, then one MessagePack map. A `FrameReader`
+is fed bytes as they come and returns whole messages. Its first error is final: what stood before it
+in the stream has been returned, nothing after it is read, and the connection is to be closed with
+a `GoAway` that names it.
 """
 
+from collections.abc import Iterable
 from functools import lru_cache, reduce
 from operator import or_
+from typing import Any
 
 import msgspec
 
-from cherrydoor.protocol import messages
+from cherrydoor.protocol.basics import DEFAULT_MAX_FRAME_BYTES, VERSION, Hello, Message
 
-PREFIX = 4
+PREFIX = 4  # bytes of the length before each body
+MAX_REASON_CHARS = 500  # of a decoding error that is passed on to the peer
 _encoder = msgspec.msgpack.Encoder()
 
 
-class FrameTooLarge(ValueError):
-    """A message that cannot go out."""
+class ProtocolError(ValueError):
+    """Base of what can go wrong on our own wire."""
+
+
+class FrameTooLargeError(ProtocolError):
+    """A message that cannot be sent: its body is longer than the peer accepts."""
 
 
 @lru_cache(maxsize=64)
-def _decoder(kinds):
+def _decoder(kinds: tuple[type[Message], ...]) -> "msgspec.msgpack.Decoder[Any]":
     return msgspec.msgpack.Decoder(reduce(or_, kinds))
 
 
-def encode(message, largest=messages.DEFAULT_MAX_FRAME_BYTES):
-    """One frame as bytes; BadFrame where its body is longer than `largest`.
+def encode(message: Message, largest: int = DEFAULT_MAX_FRAME_BYTES) -> bytes:
+    r"""Returns the message as one frame.
+
+    Args:
+        message: Any message of the wire.
+        largest: Longest body that the peer accepts, in bytes.
+
+    Raises:
+        FrameTooLargeError: The body is longer.
 
-    >>> encode(messages.Poll())
-    b'\\x00\\x00\\x00\\x08\\x81\\xa2is\\xa3ask'
+    >>> from cherrydoor.protocol.messages import Poll
+    >>> encode(Poll())
+    b'\x00\x00\x00\x08\x81\xa2is\xa3ask'
     """
     frame = bytearray(PREFIX)
     _encoder.encode_into(message, frame, PREFIX)
     size = len(frame) - PREFIX
     if size > largest:
-        raise FrameTooLarge(f"a frame of {size} bytes, where {largest} is the most")
+        raise FrameTooLargeError(f"a frame of {size} bytes, where {largest} is the most")
     frame[:PREFIX] = size.to_bytes(PREFIX, "big")
     return bytes(frame)
 
 
 class FrameReader:
-    """Bytes in, messages out, for one direction of one connection.
+    """Decodes one direction of one connection.
 
-    kinds: the message types that this end takes; largest: the longest body, in bytes. A hello must come first and
-    come once; it is checked here, so that no end has to. `hello` holds it, `fault` the reason once there is one. With
-    `halts` it gives the hello alone, and the rest at the next feed: what it may be depends on who says hello.
+    A hello must come first and come once; it is checked here, so that no end has to.
+
+    Attributes:
+        largest: Longest body that is accepted, in bytes; it may be changed between two feeds.
+        halts: Return the hello alone, and the rest at the next feed: what may follow depends on
+            who says hello.
+        held: Bytes of an unfinished frame.
+        hello: The peer's hello, None until it has come.
+        fault: Why nothing more is read; None or empty while all is well.
     """
 
-    def __init__(self, kinds, largest=messages.DEFAULT_MAX_FRAME_BYTES, halts=False):
+    def __init__(
+        self,
+        kinds: Iterable[type[Message]],
+        largest: int = DEFAULT_MAX_FRAME_BYTES,
+        halts: bool = False,
+    ) -> None:
         self.halts = halts
-        self.decode = _decoder(kinds).decode
-        self.largest, self.held, self.need = largest, bytearray(), PREFIX
-        self.hello = self.fault = None
-
-    def feed(self, data):
-        """The messages that these bytes complete, oldest first; [] once there was a fault."""
+        self.decode = _decoder(tuple(kinds)).decode
+        self.largest = largest
+        self.held = bytearray()
+        self.need = PREFIX  # bytes that have to be held before a frame can be whole
+        self.hello: Hello | None = None
+        self.fault: str | None = None
+
+    def feed(self, data: bytes) -> list[Any]:
+        """Returns the messages that these bytes complete, oldest first; none after a fault."""
         if self.fault:
             return []
         held = self.held
         held += data
         if len(held) < self.need:
             return []
-        found, at = [], 0
+        found: list[Any] = []
+        at = 0
         with memoryview(held) as view:
             while self.fault is None:
                 start = at + PREFIX
@@ -76,32 +108,32 @@
                     break
                 else:
                     at = start + size
-                    self._body(view[start:at], found)
+                    self._decode_body(view[start:at], found)
                     if self.halts and self.hello is not None:
-                        self.halts, self.need = False, PREFIX
+                        self.halts = False
+                        self.need = PREFIX
                         break
         del held[: at if self.fault is None else len(held)]
         return found
 
-    def end(self):
-        """The stream is over: a fault where it stopped within a frame."""
+    def end(self) -> str | None:
+        """Ends the stream; returns the fault, one where it stopped within a frame."""
         if self.held and not self.fault:
             self.fault = f"the stream ends within a frame, {len(self.held)} bytes in"
         return self.fault
 
-    def _body(self, body, found):
+    def _decode_body(self, body: memoryview, found: list[Any]) -> None:
         try:
             message = self.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
-            self.fault = str(error)[:500]
+            self.fault = str(error)[:MAX_REASON_CHARS]
             return
-        if (type(message) is messages.Hello) == (self.hello is not None):
+        is_hello = type(message) is Hello
+        if is_hello == (self.hello is not None):
             self.fault = "a second hello" if self.hello else "a hello must come first"
-        elif self.hello is None:
-            if message.version != messages.VERSION:
-                self.fault = f"version {message.version}, where {messages.VERSION} is spoken"
-                return
-            self.hello = message
-            found.append(message)
+        elif is_hello and message.version != VERSION:
+            self.fault = f"version {message.version}, where {VERSION} is spoken"
         else:
+            if is_hello:
+                self.hello = message
             found.append(message)
--- a/cherrydoor/protocol/messages.py
+++ b/cherrydoor/protocol/messages.py
@@ -13,11 +13,8 @@
     COMMON_MESSAGES,
     AttemptOutcome,
     Count,
-    Draining,
     DurationMs,
     FinalOutcome,
-    GoAway,
-    Hello,
     HostState,
     Id,
     Message,
@@ -31,6 +28,9 @@
 from cherrydoor.protocol.basics import REJECTED as REJECTED
 from cherrydoor.protocol.basics import SUCCEEDED as SUCCEEDED
 from cherrydoor.protocol.basics import VERSION as VERSION
+from cherrydoor.protocol.basics import Draining as Draining
+from cherrydoor.protocol.basics import GoAway as GoAway
+from cherrydoor.protocol.basics import Hello as Hello
 
 
 # ---- client to gateway and back
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -66,7 +66,7 @@
         self._state_file = StateFile(Path(settings["saved"])) if settings["saved"] else None
         self._control: Any = None
         if settings["control"]:
-            self._control = ControlSocket(settings["control"], self.execute_command)  # type: ignore[no-untyped-call]
+            self._control = ControlSocket(settings["control"], self.execute_command)
         self._disconnected: asyncio.Future[None]
         self._restore()
 
@@ -187,7 +187,7 @@
         connection.write(protocol.Watch())
 
     def _new_connection(self) -> FramedConnection:
-        return FramedConnection(self, protocol.FROM_FEED, self.service.hello)  # type: ignore[no-untyped-call]
+        return FramedConnection(self, protocol.FROM_FEED, self.service.hello)
 
     def greeted(self, end: Any, hello: Any) -> None:
         """The connection's peer has said who it is; one that is no feed is sent away."""
--- a/tests/failover/test_taken_over_once.py
+++ b/tests/failover/test_taken_over_once.py
@@ -81,7 +81,7 @@
         assert response.outcome == "handled" and effects_of(platform, request_id) == 1
         # it resumes: its incarnation is over, and its client gets no second response
         owner.signal(signal.SIGCONT)
-        await eventually(lambda: owner.logged("this life is over"))
+        await eventually(lambda: owner.logged("incarnation ended"))
         await eventually(lambda: platform.caller.ends[owner.name] in platform.caller.lost_ends)
         assert request_id not in platform.caller.answers
         await platform.together()
@@ -230,7 +230,7 @@
         assert (
             effects_of(platform, request_id) == 1
             and not platform.takeovers_of(owner)
-            and not owner.logged("this life is over")
+            and not owner.logged("incarnation ended")
         )
 
 
@@ -252,5 +252,5 @@
         unreplicated = platform.caller.send(owner, "draft")  # accepted by a gateway that is cut off
         platform.relay.calm()
         assert (await platform.caller.answer(unreplicated)).outcome in ("deferred", "handled")
-        await eventually(lambda: owner.logged("this life is over"))
+        await eventually(lambda: owner.logged("incarnation ended"))
         assert request_id not in platform.caller.answers and effects_of(platform, request_id) == 1
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from cherrydoor.protocol import messages as protocol
-from cherrydoor.protocol.codec import FrameReader, FrameTooLarge, encode
+from cherrydoor.protocol.codec import FrameReader, FrameTooLargeError, encode
 
 ids, spans, names = st.integers(0, 2**62), st.floats(0, 1e10), st.text(max_size=30)
 some = st.one_of(
@@ -138,7 +138,7 @@
     assert "1001 bytes" in reader.fault and found == [hello]
     try:
         encode(protocol.Response(1, "handled", body=b"x" * 2000), largest=1000)
-    except FrameTooLarge as error:
+    except FrameTooLargeError as error:
         assert "1000 is the most" in str(error)
     else:
         raise AssertionError
