--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -97,7 +97,7 @@
             1,
             (self.lease.reports_copy, self.lease.reports_concurrency),
         )
-        self.fit(sum(row.state != sse.GONE for row in self.known_rows()))
+        self.share_descriptors(sum(row.state != sse.GONE for row in self.known_rows()))
         self.client_limits = ClientLimits(
             places,
             (),
@@ -114,7 +114,7 @@
             pending=porch,
         )
 
-    def fit(self, hosts):
+    def share_descriptors(self, hosts):
         """So many hosts share the descriptors that are theirs from now on."""
         self.limits.links = platform_slots(self.descriptors, RESERVE, hosts)[2]
 
--- a/cherrydoor/platform/discovery_watch.py
+++ b/cherrydoor/platform/discovery_watch.py
@@ -1,4 +1,8 @@
-"""Follows the bulletin: events in order of their numbers, asked for anew when they break off or fall silent."""
+"""Watches the platform's endpoint stream: updates in order of their revisions.
+
+The platform calls the stream its bulletin; so does the configuration's key. It is asked anew, from
+the last revision that was applied, when the connection breaks or falls silent.
+"""
 
 import asyncio
 from typing import Any
@@ -8,148 +12,204 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
-SILENCE = 1.8  # s without a line, where a comment is due each second
-CONNECT = 0.5  # s that a connection may take
-PAUSES = (0.0, 0.05, 0.1, 0.2, 0.4)  # s before the next try, by how many failed in a row
+READ_TIMEOUT_S = 1.8  # without a line, where the platform sends a comment each second
+CONNECT_TIMEOUT_S = 0.5  # that a connection may take
+BACKOFF_S = (0.0, 0.05, 0.1, 0.2, 0.4)  # before the next try, by failures in a row
+SILENT = "silent"  # why a connection ended that is not counted as a failure: it had been open
 
 
 class WatchConnection(asyncio.Protocol):
-    """One connection to the bulletin."""
-
-    def __init__(self, follower, where):
-        self.follower, self.where, self.reader, self.transport = follower, where, sse.Reader(), None
-        self.over: Any = asyncio.get_running_loop().create_future()
-        self.alive, self.heard = 0.0, 0  # when last something came; events that came whole
-
-    def connection_made(self, transport):
-        self.transport, self.alive = transport, asyncio.get_running_loop().time()
-        if (
-            self.over.done()
-        ):  # it was given up, or the bulletin moved, while the connection was on its way
-            return transport.abort()
-        transport.write(sse.request(self.where, self.follower.last))
-
-    def data_received(self, data):
-        self.alive = asyncio.get_running_loop().time()
+    """One connection to the endpoint stream.
+
+    Args:
+        watch: Gets the updates.
+        server: The stream's address:port.
+
+    Attributes:
+        ended: Future of the reason why the connection ended.
+        last_input_s: When something last came, in s of the loop's clock.
+        updates_received: How many complete updates came.
+    """
+
+    def __init__(self, watch: "DiscoveryWatch", server: str) -> None:
+        self.watch = watch
+        self.server = server
+        self.reader = sse.Reader()
+        self.transport: Any = None
+        self.ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        self.last_input_s = 0.0
+        self.updates_received = 0
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Asks for all updates after the last one that was applied."""
+        self.transport = transport
+        self.last_input_s = asyncio.get_running_loop().time()
+        if self.ended.done():  # it was ended, or the stream moved, while the connection was dialled
+            self.transport.abort()
+            return
+        self.transport.write(sse.request(self.server, self.watch.last_revision))
+
+    def data_received(self, data: bytes) -> None:
+        """Hands complete updates to the watch; what cannot be read ends the connection."""
+        self.last_input_s = asyncio.get_running_loop().time()
         try:
-            for told in self.reader.feed(data):
-                if self.over.done():
+            for update in self.reader.feed(data):
+                if self.ended.done():
                     return
-                self.heard += 1
-                self.follower.heard(told, self)
+                self.updates_received += 1
+                self.watch.update_received(update, self)
         except sse.Unreadable as error:
             self.end(str(error))
 
-    def end(self, why):
-        if not self.over.done():
-            self.over.set_result(why)
+    def end(self, reason: str) -> None:
+        """Closes the connection; the first reason counts."""
+        if not self.ended.done():
+            self.ended.set_result(reason)
         if self.transport is not None:
             self.transport.abort()
 
-    def connection_lost(self, error):
-        self.end(str(error) if error else "it broke off")
+    def connection_lost(self, error: Exception | None) -> None:
+        """Notes that the connection has ended."""
+        self.end(str(error) if error else "connection closed")
 
 
 class DiscoveryWatch:
-    """`last` is the number of the last event told, `missing` the number before which one is missing. move(where) goes
-    on elsewhere."""
-
-    def __init__(self, service, where, last):
-        self.service, self.where, self.last, self.task, self.missing = (
-            service,
-            where,
-            last,
-            None,
-            None,
-        )
-        self.reading: Any = None
-
-    def start(self):
-        self.task = asyncio.get_running_loop().create_task(self.follow())
-
-    def stop(self):
+    """Keeps the dispatcher's endpoint list up to date.
+
+    Args:
+        service: The gateway's service.
+        server: The stream's address:port.
+        last_revision: Revision that the configuration's own endpoints include.
+
+    Attributes:
+        last_revision: Of the last update that was applied.
+        missing_before: Revision before which one is missing and was asked for, if there is such.
+        connection: The latest connection.
+    """
+
+    def __init__(self, service: Any, server: str, last_revision: int) -> None:
+        self.service = service
+        self.server = server
+        self.last_revision = last_revision
+        self.missing_before: int | None = None
+        self.task: asyncio.Task[None] | None = None
+        self.connection: WatchConnection | None = None
+
+    def start(self) -> None:
+        """Begins to watch."""
+        self.task = asyncio.get_running_loop().create_task(self.watch())
+
+    def stop(self) -> None:
+        """Closes the connection and opens no other."""
         if self.task:
             self.task.cancel()
-        if self.reading:
-            self.reading.end("")
+        if self.connection:
+            self.connection.end("")
 
-    async def follow(self):
-        loop, failed = asyncio.get_running_loop(), 0
+    async def watch(self) -> None:
+        """Reads one connection after the other, with a backoff while they bring nothing."""
+        failures = 0
         while True:
-            where, began = self.where, self.last
-            why = await self.read(loop, where)
-            failed = (
-                0 if self.last > began or self.where != where or why == "silence" else failed + 1
-            )
-            self.service.dispatcher.counters["bulletin connections ended"] += 1
-            self.service.say(
-                "the bulletin's connection has ended", where=where, why=why, last=self.last
+            server = self.server
+            revision_before = self.last_revision
+            reason = await self.read_connection(server)
+            progressed = self.last_revision > revision_before
+            if progressed or self.server != server or reason == SILENT:
+                failures = 0
+            else:
+                failures += 1
+            self.service.dispatcher.counters["discovery watch connections ended"] += 1
+            self.service.log.write_limited(
+                "discovery watch connection ended",
+                server=server,
+                reason=reason,
+                last_revision=self.last_revision,
             )
-            await asyncio.sleep(PAUSES[min(failed, len(PAUSES) - 1)])
+            await asyncio.sleep(BACKOFF_S[min(failures, len(BACKOFF_S) - 1)])
 
-    async def read(self, loop, where):
-        """Reads one connection to its end; says why it ended."""
-        reading = self.reading = WatchConnection(self, where)
+    async def read_connection(self, server: str) -> str:
+        """Reads one connection to its end; returns why it ended."""
+        connection = WatchConnection(self, server)
+        self.connection = connection
         try:
-            async with asyncio.timeout(CONNECT):
-                await open_connection(self.service.listeners, lambda: reading, *address(where))
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await open_connection(self.service.listeners, lambda: connection, *address(server))
         except (TimeoutError, OSError) as error:
-            reading.end("")
-            return f"not reached: {error or 'time-out'}"
-        while not reading.over.done():
-            left = reading.alive + SILENCE - loop.time()
-            if left <= 0:
-                reading.end("silence")
+            connection.end("")
+            return f"not connected: {error or 'timeout'}"
+        loop = asyncio.get_running_loop()
+        while not connection.ended.done():
+            remaining_s = connection.last_input_s + READ_TIMEOUT_S - loop.time()
+            if remaining_s <= 0:
+                connection.end(SILENT)
                 break
-            await asyncio.wait([reading.over], timeout=left)
+            await asyncio.wait([connection.ended], timeout=remaining_s)
             for _ in range(2):  # after a stall: what is ready is read before it is called silent
                 await asyncio.sleep(0)
-        return reading.over.result()
-
-    def move(self, where):
-        if where != self.where:
-            self.where = where
-            if self.reading:
-                self.reading.end("the bulletin has moved")
-
-    def heard(self, told, reading=None):
-        """Each number counts once, whichever connection brings it. Where one is missing the bulletin is asked anew
-        from the last one told, once: a drain may be in it. A whole list under a lower number, first on a connection,
-        is of a bulletin that numbers anew; it undoes no drain."""
-        counts = self.service.dispatcher.counters
-        anew = reading is not None and reading.heard == 1 and told.whole and told.no < self.last
-        if told.no <= self.last and not anew:
-            counts["bulletin events doubled"] += 1
+        return connection.ended.result()
+
+    def move(self, server: str) -> None:
+        """Goes on with another server, from the last revision that was applied."""
+        if server != self.server:
+            self.server = server
+            if self.connection:
+                self.connection.end("the discovery server has moved")
+
+    def update_received(self, update: sse.Told, connection: WatchConnection | None = None) -> None:
+        """Applies an update once, whichever connection brings it.
+
+        Where a revision is missing the stream is asked anew from the last one applied, once: a
+        drain may be in it. A complete list under a lower revision, first on a connection, is of a
+        server that numbers anew; it undoes no drain.
+
+        Args:
+            update: The update, as the codec read it.
+            connection: What brought it; None for one of the configuration file.
+        """
+        counters = self.service.dispatcher.counters
+        renumbered = (
+            connection is not None
+            and connection.updates_received == 1
+            and update.whole
+            and update.no < self.last_revision
+        )
+        if update.no <= self.last_revision and not renumbered:
+            counters["discovery updates duplicated"] += 1
             return
-        if (
-            not told.whole
-            and told.no > self.last + 1
-            and (reading is None or self.missing != told.no)
-        ):
-            counts["bulletin events missing"] += 1
-            if reading is not None:
-                self.missing = told.no
-                reading.end("an event is missing")
+        skips_revision = not update.whole and update.no > self.last_revision + 1
+        if skips_revision and (connection is None or self.missing_before != update.no):
+            counters["discovery updates missing"] += 1
+            if connection is not None:
+                self.missing_before = update.no
+                connection.end("a revision is missing")
             return
-        self.last = told.no
-        self.tell(told, anew)
-        self.service.line("the bulletin tells", heard=told.no, **({"anew": True} if anew else {}))
-
-    def tell(self, told, anew=False):
-        if told.rows is None:
+        self.last_revision = update.no
+        self.apply(update, renumbered)
+        fields = {"renumbered": True} if renumbered else {}
+        self.service.log.write("discovery update applied", revision=update.no, **fields)
+
+    def apply(self, update: sse.Told, renumbered: bool = False) -> None:
+        """Posts the endpoints of an update to the dispatcher.
+
+        Args:
+            update: The update; one that carries no endpoints changes nothing.
+            renumbered: Whether it may be older than what is known, so that drains stay.
+        """
+        if update.rows is None:
             return
-        rows = [
-            protocol.Endpoint(row.id, row.state, row.started, row.zone, row.cell)
-            for row in told.rows
-            if not (anew and row.state == sse.READY and self.drains(row.id))
+        endpoints = [
+            protocol.Endpoint(entry.id, entry.state, entry.started, entry.zone, entry.cell)
+            for entry in update.rows
+            if not (renumbered and entry.state == sse.READY and self.is_draining(entry.id))
         ]
         self.service.post(
-            self.service.upstream.listed,
-            routing.UpdateKind.SNAPSHOT if told.whole else routing.UpdateKind.INCREMENTAL,
-            rows,
-            {row.id: row.address for row in told.rows if row.state != sse.GONE},
+            self.service.upstream.endpoints_received,
+            routing.UpdateKind.SNAPSHOT if update.whole else routing.UpdateKind.INCREMENTAL,
+            endpoints,
+            {entry.id: entry.address for entry in update.rows if entry.state != sse.GONE},
         )
 
-    def drains(self, name):
-        host = self.service.dispatcher.hosts.get(name)
+    def is_draining(self, host_id: str) -> bool:
+        """Whether a known host drains or is gone."""
+        host = self.service.dispatcher.hosts.get(host_id)
         return host is not None and host.row.state != sse.READY
--- /dev/null
+++ b/cherrydoor/platform/event_log.py
@@ -0,0 +1,47 @@
+"""The gateway's log on standard error: one JSON object a line."""
+
+import json
+import sys
+from typing import Any, NamedTuple
+
+MIN_INTERVAL_MS = 1000.0  # between lines of one limited event: a fault that repeats fills no disk
+
+
+class LastWritten(NamedTuple):
+    """When a limited event was last written, and how often it was left out since."""
+
+    at_ms: float
+    omitted: int
+
+
+class EventLog:
+    """Writes events; ``last_written`` has one entry for each limited event, of which code names few.
+
+    Args:
+        clock: Gives the time in Unix ms.
+    """
+
+    def __init__(self, clock: Any) -> None:
+        self.clock = clock
+        self.last_written: dict[str, LastWritten] = {}
+
+    def write(self, event: str, **fields: Any) -> None:
+        """Writes one line."""
+        line = json.dumps({"at": round(self.clock.now()), "is": event, **fields})
+        print(line, file=sys.stderr, flush=True)
+
+    def write_limited(self, event: str, **fields: Any) -> None:
+        """Writes one line, at most once a second for each event, with how often it was left out.
+
+        Guards against a log that grows with each client or host that fails. Harms where the
+        fields of two lines within the second differ: those of the second are lost.
+        """
+        now = self.clock.now()
+        last = self.last_written.get(event)
+        if last is not None and now - last.at_ms < MIN_INTERVAL_MS:
+            self.last_written[event] = LastWritten(last.at_ms, last.omitted + 1)
+            return
+        self.last_written[event] = LastWritten(now, 0)
+        if last is not None and last.omitted:
+            fields["left_out"] = last.omitted
+        self.write(event, **fields)
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -21,6 +21,7 @@
 from cherrydoor.platform import configuration
 from cherrydoor.platform.client_listener import ClientListener
 from cherrydoor.platform.discovery_watch import DiscoveryWatch
+from cherrydoor.platform.event_log import EventLog
 from cherrydoor.platform.upstream import Upstream
 from cherrydoor.routing import Router
 
@@ -74,16 +75,19 @@
             False,
             None,
         )
-        self.said, self.began, self.listener, self.dispatcher = {}, self.clock.now(), None, None
+        self.began, self.listener, self.dispatcher = self.clock.now(), None, None
+        self.log = EventLog(self.clock)
         self.uses = PlatformUsage(station.memory, station.descriptors)
-        self.listeners = ListenerSet(station.client_limits, self.clock, self.uses, self.say)
+        self.listeners = ListenerSet(
+            station.client_limits, self.clock, self.uses, self.log.write_limited
+        )
         self.client_listener, self.upstream = ClientListener(self), Upstream(self)
         self.done = self.loop.create_future()
         self.dispatcher = self.new_desk()
         last, items = station.known
-        self.bulletin = DiscoveryWatch(self, station.bulletin, last)
+        self.discovery_watch = DiscoveryWatch(self, station.bulletin, last)
         for told in items:
-            self.bulletin.tell(told)
+            self.discovery_watch.apply(told)
 
     def new_desk(self):
         return Dispatcher(
@@ -93,22 +97,9 @@
             self.clock.now(),
         )
 
-    def say(self, event, **said):
-        """A line on standard error; the same event at most once a second, with how often it was left out."""
-        now = self.clock.now()
-        at, left = self.said.get(event, (-1e18, 0))
-        if now - at < 1000:
-            self.said[event] = at, left + 1
-            return
-        self.said[event] = now, 0
-        self.line(event, **said, **({"left_out": left} if left else {}))
-
-    def line(self, event, **said):
-        print(
-            json.dumps({"at": round(self.clock.now()), "is": event, **said}),
-            file=sys.stderr,
-            flush=True,
-        )
+    def line(self, event, **fields):
+        """Writes a log line; the trace's name for it."""
+        self.log.write(event, **fields)
 
     async def run(self):
         try:
@@ -127,7 +118,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.read_anew)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.terminate)
-        self.bulletin.start()
+        self.discovery_watch.start()
         if self.reload_wanted():
             self.read_anew()
         self.tick()
@@ -138,7 +129,7 @@
         )  # little is kept: a full collection is cheap, and memory stays flat
         self.uses.base = self.uses.measure_held()
         self.ready = True
-        self.say(
+        self.log.write_limited(
             "ready",
             gateway=self.configuration.name,
             listen=self.configuration.listen,
@@ -156,11 +147,11 @@
             self.loop.call_later(self.trace / 1000, self.believed)
         code = await self.done
         self.facts()
-        self.bulletin.stop()
+        self.discovery_watch.stop()
         self.listeners.close()
         for end in list(self.client_listener.ends):
             end.shut()
-        for end in list(self.upstream.ends):
+        for end in list(self.upstream.connections):
             end.close()
         self.stop_timer()
         await asyncio.sleep(0.02)
@@ -181,20 +172,26 @@
         except configuration.ConfigurationError as error:
             if tries < len(REREAD):
                 self.rereading = self.loop.call_later(REREAD[tries], self.read_anew, tries + 1)
-            return self.say("the new configuration is wrong, the old one is kept", why=str(error))
+            return self.log.write_limited(
+                "the new configuration is wrong, the old one is kept", why=str(error)
+            )
         finally:
             self.uses.take_back()
         for told in new.known[1]:
-            self.bulletin.heard(told)
-        self.bulletin.move(new.bulletin)
-        self.say("the configuration is read anew", bulletin=new.bulletin, last=self.bulletin.last)
+            self.discovery_watch.update_received(told)
+        self.discovery_watch.move(new.bulletin)
+        self.log.write_limited(
+            "the configuration is read anew",
+            bulletin=new.bulletin,
+            last=self.discovery_watch.last_revision,
+        )
 
     def terminate(self):
         """SIGTERM: clients still come for a while; then the door closes, and what is held is answered."""
         if self.code is not None:
             return
         self.code = 0
-        self.say("leaving", events=len(self.dispatcher.requests))
+        self.log.write_limited("leaving", events=len(self.dispatcher.requests))
         self.loop.call_later(COMING, self.close_door)
         last = max(LEAST_LAST, self.configuration.longest / 1000)
         self.loop.call_later(COMING + last - 0.2, self.give_up)
@@ -228,7 +225,7 @@
         print(traceback.format_exc(), file=sys.stderr, flush=True)
         old, rows = self.dispatcher, self.dispatcher.endpoints()
         old.respond_to_all("the gateway starts anew")
-        for end in list(self.upstream.ends):
+        for end in list(self.upstream.connections):
             end.abort()
         self.dispatcher = self.new_desk()
         self.dispatcher.counters.update(old.counters)
@@ -239,14 +236,14 @@
     def facts(self):
         use = resource.getrusage(resource.RUSAGE_SELF)
         self.loop.call_later(FACTS, self.facts)
-        self.line(
-            "facts",
+        self.log.write(
+            "usage",
             for_s=round((self.clock.now() - self.began) / 1000, 1),
             cpu_s=round(use.ru_utime + use.ru_stime, 2),
             held_mb=round(self.uses.measure_held() / 2**20, 1),
             descriptors=self.uses.used(),
             clients=len(self.client_listener.ends),
-            links=len(self.upstream.ends),
+            links=len(self.upstream.connections),
             events=len(self.dispatcher.requests),
             hosts=len(self.dispatcher.hosts),
             counts=dict(self.dispatcher.counters),
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -250,7 +250,7 @@
 async def test_an_idle_connection_that_its_host_has_closed_is_not_written_to(town):
     platform = await town.start_within(("a", "b"), settings=ONCE)
     assert (await town.handled()).status == 200
-    [end] = platform.upstream.ends
+    [end] = platform.upstream.connections
     end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
     [host] = [host for host in town.hosts if host.writers]
     host.writers[0].write_eof()
--- /dev/null
+++ b/tests/platform/test_event_log.py
@@ -0,0 +1,55 @@
+"""The gateway's log on standard error."""
+
+import json
+
+import pytest
+
+from cherrydoor.platform.event_log import EventLog
+
+
+class SetClock:
+    """A clock that a test sets."""
+
+    def __init__(self) -> None:
+        self.now_ms = 5000.0
+
+    def now(self) -> float:
+        return self.now_ms
+
+
+@pytest.fixture
+def clock() -> SetClock:
+    return SetClock()
+
+
+@pytest.fixture
+def log(clock: SetClock) -> EventLog:
+    return EventLog(clock)
+
+
+def lines(capsys: pytest.CaptureFixture[str]) -> list[dict[str, object]]:
+    return [json.loads(line) for line in capsys.readouterr().err.splitlines()]
+
+
+def test_a_limited_event_is_omitted_for_a_second_and_then_says_how_often(clock, log, capsys):
+    log.write_limited("clients are refused", more=0)
+    log.write_limited("clients are refused", more=1)
+    log.write_limited("another event")
+    clock.now_ms += 999.0
+    log.write_limited("clients are refused", more=2)
+    clock.now_ms += 1.0
+    log.write_limited("clients are refused", more=3)
+    clock.now_ms += 1000.0
+    log.write_limited("clients are refused", more=4)
+    assert lines(capsys) == [
+        {"at": 5000, "is": "clients are refused", "more": 0},
+        {"at": 5000, "is": "another event"},
+        {"at": 6000, "is": "clients are refused", "more": 3, "left_out": 2},
+        {"at": 7000, "is": "clients are refused", "more": 4},
+    ]
+
+
+def test_an_event_without_a_limit_is_written_each_time(log, capsys):
+    log.write("discovery update applied", revision=2)
+    log.write("discovery update applied", revision=3)
+    assert [line["revision"] for line in lines(capsys)] == [2, 3]
--- a/tests/platform/test_in_service.py
+++ b/tests/platform/test_in_service.py
@@ -105,25 +105,10 @@
         assert (await stay[-1].answer()).status == 200
     await town.said("idle, and others need the place")
     town.signal("SIGTERM")
-    await town.said('"is": "facts"')
+    await town.said('"is": "usage"')
     assert "refused: " not in town.logged()
 
 
-@story
-async def test_an_event_of_the_log_that_is_left_out_for_a_while_says_how_often(town):
-    platform = await town.start_within()
-    said = []
-    platform.line = lambda event, **more: said.append((event, more))
-    platform.say("clients are refused", more=0)
-    platform.say("clients are refused", more=1)
-    platform.said["clients are refused"] = -1e18, 1
-    platform.say("clients are refused", more=2)
-    assert said == [
-        ("clients are refused", {"more": 0}),
-        ("clients are refused", {"more": 2, "left_out": 1}),
-    ]
-
-
 @story
 async def test_the_id_of_an_open_event_is_not_taken_again(town):
     await town.start()
@@ -185,7 +170,7 @@
 
         host.answers = stops
     assert (await town.handled()).status == 200
-    await town.said("an answer stops short")
+    await town.said("a reply is incomplete")
 
 
 @story
--- a/tests/platform/test_list_and_signals.py
+++ b/tests/platform/test_list_and_signals.py
@@ -44,7 +44,7 @@
     await bulletin.until_asked(2)
     for writer in bulletin.writers:
         writer.write(bulletin.text(bulletin.events[0]))
-    await town.said('"heard": 2, "anew": true')
+    await town.said('"revision": 2, "renumbered": true')
     assert (await town.handled()).status == 200 and not town.hosts[0].commands(b"exec")
     bulletin.tell(town.event(3, b="terminating"))
     while (await town.handled()).status != 503:
@@ -73,10 +73,10 @@
     old.cut()
     await begun.wait()
     new = await town.bulletin()
-    platform.bulletin.move(f"127.0.0.1:{new.port}")
+    platform.discovery_watch.move(f"127.0.0.1:{new.port}")
     go_on.set()
     await new.until_asked(1)
-    assert old.asked == [1] and platform.bulletin.reading.where.endswith(str(new.port))
+    assert old.asked == [1] and platform.discovery_watch.connection.server.endswith(str(new.port))
 
 
 @story
--- a/tests/platform/town.py
+++ b/tests/platform/town.py
@@ -432,7 +432,7 @@
 
     async def until_told(self, no):
         """Waits until the gateway has heard this event of the bulletin: it says so."""
-        await self.said(f'"heard": {no}')
+        await self.said(f'"revision": {no}')
 
     def signal(self, name):
         self.process.send_signal(getattr(signal, name))
