--- a/cherrydoor/platform/__init__.py
+++ b/cherrydoor/platform/__init__.py
@@ -1,1 +1,4 @@
-"""The gateway on the platform: the same desk and decision module between doors, links and bulletin of its own."""
+"""The gateway on the platform: the dispatcher and router behind the platform's own wires.
+
+Begin with ``process.main``; its ``PlatformService`` joins client listener, upstream and watch.
+"""
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -80,14 +80,14 @@
         said = checked(said)
         try:
             self.lease = wire.lease_of(seed, said)
-            self.customers = frozenset(one["name"] for one in said["tenants"])
+            self.tenants = frozenset(one["name"] for one in said["tenants"])
         except KeyError as error:
             raise ConfigurationError(f"settings: {error} is missing") from None
         except (TypeError, ValueError, AttributeError, wire.BadLine) as error:
             raise ConfigurationError(f"settings: {error}") from None
         handshake = said["prices"].get("handshake", 0.0)
-        self.longest = max(clause.deadline_ms for clause in self.lease.request_classes)
-        self.patience = FARTHEST * self.longest
+        self.longest_deadline_ms = max(clause.deadline_ms for clause in self.lease.request_classes)
+        self.max_timeout_ms = FARTHEST * self.longest_deadline_ms
         places, porch, _ = platform_slots(sockets, RESERVE, 1)
         self.descriptors = sockets
         self.limits = DispatcherLimits(
--- a/cherrydoor/platform/event_log.py
+++ b/cherrydoor/platform/event_log.py
@@ -15,7 +15,7 @@
 
 
 class EventLog:
-    """Writes events; ``last_written`` has one entry for each limited event, of which code names few.
+    """Writes events; ``last_written`` has one entry for each limited event that code names.
 
     Args:
         clock: Gives the time in Unix ms.
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -106,7 +106,7 @@
             self.listener = Listener(
                 self.listeners,
                 address(self.configuration.listen),
-                self.client_listener.make,
+                self.client_listener.new_connection,
                 word=invoke.refusal,
             )
         except OSError as error:
@@ -149,8 +149,8 @@
         self.facts()
         self.discovery_watch.stop()
         self.listeners.close()
-        for end in list(self.client_listener.ends):
-            end.shut()
+        for end in list(self.client_listener.connections):
+            end.close_when_written()
         for end in list(self.upstream.connections):
             end.close()
         self.stop_timer()
@@ -193,20 +193,20 @@
         self.code = 0
         self.log.write_limited("leaving", events=len(self.dispatcher.requests))
         self.loop.call_later(COMING, self.close_door)
-        last = max(LEAST_LAST, self.configuration.longest / 1000)
+        last = max(LEAST_LAST, self.configuration.longest_deadline_ms / 1000)
         self.loop.call_later(COMING + last - 0.2, self.give_up)
 
     def close_door(self):
         self.listeners.close()
         self.post(self.dispatcher.drain, "the gateway is leaving")
-        self.client_listener.leave()
+        self.client_listener.drain()
         self.loop.call_later(0.1, self.look)
 
     def look(self):
         """Ends when nobody waits for an answer any more."""
-        if not self.client_listener.ends:
+        if not self.client_listener.connections:
             return self.end(0)
-        self.client_listener.leave()
+        self.client_listener.drain()
         self.loop.call_later(0.05, self.look)
 
     def give_up(self):
@@ -242,7 +242,7 @@
             cpu_s=round(use.ru_utime + use.ru_stime, 2),
             held_mb=round(self.uses.measure_held() / 2**20, 1),
             descriptors=self.uses.used(),
-            clients=len(self.client_listener.ends),
+            clients=len(self.client_listener.connections),
             links=len(self.upstream.connections),
             events=len(self.dispatcher.requests),
             hosts=len(self.dispatcher.hosts),
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the platform's hosts: the dispatcher's messages as commands, replies as messages."""
+"""Connections to the platform's hosts: messages as commands, replies as messages."""
 
 import asyncio
 from collections import Counter
@@ -17,14 +17,14 @@
 ADDRESSES_KEPT_BEYOND = (
     16  # addresses beyond twice the hosts before those of gone hosts are dropped
 )
-OUTCOMES: dict[str, routing.AttemptOutcome] = {
+OUTCOMES: dict[str, Any] = {
     resp.DONE: routing.AttemptOutcome.SUCCEEDED,
     resp.MISSING: routing.AttemptOutcome.FUNCTION_MISSING,
     resp.FULL: routing.AttemptOutcome.FULL,
     resp.BROKE: routing.AttemptOutcome.ERROR,
     resp.PAST: routing.AttemptOutcome.NOT_SENT,
 }
-HEALTH_OUTCOMES: dict[str, routing.AttemptOutcome] = {
+HEALTH_OUTCOMES: dict[str, Any] = {
     resp.FIT: routing.AttemptOutcome.SUCCEEDED,
     resp.UNFIT: routing.AttemptOutcome.ERROR,
 }
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -32,7 +32,7 @@
     number = client.call()
     await until(lambda: executed(town))
     [link] = [link for host in platform.dispatcher.hosts.values() for link in host.links]
-    [end] = platform.client_listener.ends
+    [end] = platform.client_listener.connections
     platform.post(platform.dispatcher.host_replied, link, protocol.AttemptResult(*link.out, "full"))
     platform.post(platform.dispatcher.client_disconnected, end.client)
     await until(lambda: not platform.dispatcher.requests)
@@ -50,7 +50,7 @@
     client = RawClient(town)
     client.call()
     await client.answer()
-    [end] = platform.client_listener.ends
+    [end] = platform.client_listener.connections
     end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
     client.sock.close()
     event = protocol.Request(7, "draft", FUNCTION, 2000.0, platform.clock.now(), "acme")
@@ -68,7 +68,7 @@
     client = RawClient(town)
     client.call()
     await until(lambda: executed(town))
-    [end] = platform.client_listener.ends
+    [end] = platform.client_listener.connections
     end.transport.pause_reading()
     client.sock.close()
     end.client.connected = lambda now: True  # the guard, taken out
@@ -80,7 +80,9 @@
     assert platform.dispatcher.counters[ATTEMPTS_AFTER_CLOSE] == 0
     platform.post(platform.dispatcher.host_replied, link, protocol.AttemptResult(*link.out, "full"))
     platform.post(end.transport.resume_reading)
-    await until(lambda: not platform.dispatcher.requests and not platform.client_listener.ends)
+    await until(
+        lambda: not platform.dispatcher.requests and not platform.client_listener.connections
+    )
     assert platform.dispatcher.counters[ATTEMPTS_AFTER_CLOSE] == 1
 
 
@@ -162,7 +164,7 @@
     client = RawClient(town)
     client.call()
     await client.answer()
-    [end] = platform.client_listener.ends
+    [end] = platform.client_listener.connections
     before = len(town.hosts[0].got)
     platform.post(
         platform.dispatcher.request_received,
@@ -214,7 +216,7 @@
     client = RawClient(town)
     client.call()
     await client.answer()
-    [end] = platform.client_listener.ends
+    [end] = platform.client_listener.connections
     client.call()
     end.close("idle, and others need the place", 1000.0)
     assert (await client.read()).startswith(b"HTTP/1.1 503")
--- a/tests/platform/test_list_and_signals.py
+++ b/tests/platform/test_list_and_signals.py
@@ -98,7 +98,7 @@
 
     loop.create_connection = lacks
     idle = [RawClient(town) for _ in range(20)]
-    await until(lambda: len(platform.client_listener.ends) == 20)
+    await until(lambda: len(platform.client_listener.connections) == 20)
     bulletin.cut()
     await bulletin.until_asked(2)
     assert not lacking[0] and len(idle) == 20 and (await town.handled()).status == 200
--- /dev/null
+++ b/tests/platform/test_refused_requests.py
@@ -0,0 +1,68 @@
+"""Requests that can be read and are refused: the response, and the counter that an operator reads."""
+
+import pytest
+from town import call, story
+
+REQUEST_ID = "9b1f03aa5c7e2d41"
+
+
+@pytest.mark.parametrize(
+    "request_bytes, status, reason, counter",
+    [
+        (
+            call(REQUEST_ID, kind="no-such"),
+            400,
+            b"X-Class: no such event type",
+            "bad requests: unknown request class",
+        ),
+        (
+            call(REQUEST_ID, customer="nobody"),
+            400,
+            b"X-Customer: no such customer",
+            "bad requests: unknown tenant",
+        ),
+        (
+            call(REQUEST_ID, patience="900000"),
+            400,
+            b"X-Patience-Ms: longer than any event may take",
+            "bad requests: timeout too long",
+        ),
+        (call("12"), 400, b"X-Call-Id is 16 hex digits", "bad requests: 400"),
+        (
+            call(REQUEST_ID).replace(b"POST", b"PUT"),
+            405,
+            b"a call is a POST",
+            "bad requests: 405",
+        ),
+    ],
+)
+def test_a_request_that_is_refused_gets_the_reason_and_counts(
+    tmp_path, request_bytes, status, reason, counter
+):
+    @story
+    async def refused(town):
+        platform = await town.start_within()
+        client = await town.client()
+        client.send(request_bytes)
+        answer = await client.answer()
+        assert (answer.status, answer.body) == (status, reason)
+        assert await client.closed() == b""
+        counters = platform.dispatcher.counters
+        counted = {name: n for name, n in counters.items() if name.startswith("bad requests")}
+        assert counted == {counter: 1} and not town.hosts[0].commands(b"exec")
+
+    refused(tmp_path)
+
+
+@story
+async def test_an_id_that_was_accepted_before_is_a_conflict_and_counts(town):
+    platform = await town.start_within()
+    client = await town.client()
+    client.call(REQUEST_ID)
+    assert (await client.answer()).status == 200
+    client.call(REQUEST_ID)
+    answer = await client.answer()
+    assert (answer.status, answer.body) == (409, b"X-Call-Id: known already")
+    assert await client.closed() == b""
+    assert platform.dispatcher.counters["bad requests: duplicate request id"] == 1
+    assert len(town.hosts[0].commands(b"exec")) == 1
