--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -1,149 +1,259 @@
-"""What the platform tells a gateway at its start, read and checked, and what its sockets go by."""
+"""What the platform hands a gateway at its start, read and checked, and the limits that follow."""
 
 import json
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, NamedTuple
 
 from cherrydoor.adapter import wire
 from cherrydoor.admission.decide import ClientLimits, platform_slots
 from cherrydoor.codecs import sse
 from cherrydoor.gateway.event_loop import address
-from cherrydoor.platform.settings import ConfigurationError, checked, need, number
+from cherrydoor.platform.settings import ConfigurationError as ConfigurationError
+from cherrydoor.platform.settings import checked_number, checked_settings, require
 
-RESERVE = (
-    12  # descriptors of the process itself: listener, bulletin, loop, what it reads of its use
-)
-SPARE = 5.0  # ms taken off each event's time, for the answer's way back; some clients wait for 100
-SILENT = 2000.0  # ms for which a connection may say nothing whole; bad clients are owed an end within 3 s
-IDLE = 500.0  # ms after a fifth of which an idle connection makes room where places are short: a client
-# whose event crosses the close sends it again
-FARTHEST = 4  # times its longest time that a client may say it waits
+# Descriptors of the process itself: listener, watch, loop, what it reads of its own usage.
+RESERVED_DESCRIPTORS = 12
+# ms taken off each request's time for the response's way back; some clients wait for 100.
+RETURN_MARGIN_MS = 5.0
+# ms for which a connection may send nothing complete; bad clients are owed an end within 3 s.
+SILENT = 2000.0
+# ms after a fifth of which an idle connection makes room where slots are short. Harms a client
+# whose request crosses the close: it sends it again.
+IDLE = 500.0
+# By how much a client's own timeout may exceed the longest deadline.
+MAX_TIMEOUT_FACTOR = 4
+MAX_PENDING_BYTES = 8 << 20  # of incomplete requests on connections without a slot
+UNLIMITED_RATE = 1e6  # connections a second: all come by one front, which paces them itself
+MAX_RETRY_AFTER_MS = 200.0
+# Part of the hosts' own idle time after which a connection is unused; it is looked at each tenth,
+# so that it closes before the host closes it.
+IDLE_PART = 0.8
+SEED_DIGITS = 32
 
 
-def place_of(text, place):
-    """An address:port, as text."""
-    need(isinstance(text, str) and text.rpartition(":")[0], place, "an address:port", text)
+class KnownEndpoints(NamedTuple):
+    """The endpoints that a configuration carries."""
+
+    revision: int
+    updates: list[sse.Told]
+
+
+def checked_address(text: Any, place: str) -> str:
+    """Returns an address:port; ConfigurationError names the place of anything else."""
+    expected = "an address:port"
+    require(isinstance(text, str) and text.rpartition(":")[0], place, expected, text)
     try:
         port = address(text)[1]
     except ValueError:
         port = -1
-    need(0 <= port < 65536, place, "an address:port", text)
-    return text
+    require(0 <= port < 65536, place, expected, text)
+    return str(text)
 
 
+def setting_ms(section: dict[str, Any], name: str, otherwise_ms: float) -> float:
+    """Returns a setting, given in microseconds, in ms."""
+    return float(section.get(name, otherwise_ms * 1000) / 1000)
+
+
+@dataclass(slots=True)
 class DispatcherLimits:
-    """What bounds the desk, by the names that gateway/desk.py goes by. One launch a connection while there are
-    connections left, and where a handshake has a price, while what the host has carried bears it: what spoils one then
-    ends no other launch."""
+    """What bounds the dispatcher, by the names it reads; times in ms.
 
-    def __init__(self, may, copies, handshake, links, tells):
-        def ms(said, name, otherwise):
-            return said.get(name, otherwise * 1000) / 1000
+    A connection carries one attempt while there are connections left, and, where a handshake has
+    a price, while what the host has carried bears it: what breaks one then ends no other attempt.
 
-        self.spare, self.per_link, self.links, self.tells = SPARE, 1, links, tells
-        self.most_open, self.connect = may.get("mostHeld", 20000), ms(may, "connectTimeout", 250.0)
-        self.silence = self.connect
-        self.idle = 0.8 * ms(
-            may, "connIdle", 15000.0
-        )  # looked at each tenth: before the host closes it
-        self.probe, self.order = ms(may, "connectTimeout", 250.0), ms(copies, "loadWait", 10000.0)
-        self.stay = min(200.0, ms(may, "maxRetryAfter", 0.0)) if may.get("retryAfter") else 0.0
-        self.handshake = handshake
+    Attributes:
+        spare: Taken off each request's time.
+        per_link: Attempts that share a connection.
+        links: Connections to one host; changes with the number of hosts.
+        tells: Whether hosts report copies and concurrency.
+        most_open: Requests in flight.
+        connect: Time to open a connection.
+        silence: Time without a sign of a host.
+        idle: Time after which an unused connection closes.
+        probe: Time of a health check.
+        order: Time of a load order.
+        stay: Longest retry-after; 0 for none.
+        handshake: Price of a handshake.
+    """
 
+    spare: float
+    per_link: int
+    links: int
+    tells: tuple[bool, bool]
+    most_open: int
+    connect: float
+    silence: float
+    idle: float
+    probe: float
+    order: float
+    stay: float
+    handshake: float
 
-class Configuration:
-    """One gateway's configuration: for the module (lease), the desk (terms), the doors (manners) and the bulletin."""
-
-    def __init__(self, said, listen, descriptors):
-        """descriptors: those that the process may hold by its own limit."""
-        need(isinstance(said, dict), "configuration", "an object", said)
-        self.name = said.get("name")
-        need(isinstance(self.name, str) and self.name, "name", "a name", self.name)
-        self.listen = place_of(listen or said.get("listen"), "listen")
-        self.bulletin = place_of(said.get("bulletin"), "bulletin")
-        seed = said.get("seed")
-        need(
-            isinstance(seed, str)
-            and 0 < len(seed) <= 32
-            and not set(seed.lower()) - set("0123456789abcdef"),
-            "seed",
-            "hex digits",
-            seed,
+    @classmethod
+    def from_settings(
+        cls, settings: dict[str, Any], tells: tuple[bool, bool]
+    ) -> "DispatcherLimits":
+        """Returns the limits that checked settings give, with one connection to a host."""
+        permissions = settings["permissions"]
+        connect_ms = setting_ms(permissions, "connectTimeout", 250.0)
+        retry_after_ms = 0.0
+        if permissions.get("retryAfter"):
+            retry_after_ms = min(MAX_RETRY_AFTER_MS, setting_ms(permissions, "maxRetryAfter", 0.0))
+        return cls(
+            spare=RETURN_MARGIN_MS,
+            per_link=1,
+            links=1,
+            tells=tells,
+            most_open=permissions.get("mostHeld", 20000),
+            connect=connect_ms,
+            silence=connect_ms,
+            idle=IDLE_PART * setting_ms(permissions, "connIdle", 15000.0),
+            probe=connect_ms,
+            order=setting_ms(settings["familyInfo"], "loadWait", 10000.0),
+            stay=retry_after_ms,
+            handshake=settings["prices"].get("handshake", 0.0),
         )
-        limits = said.get("limits")
-        need(isinstance(limits, dict), "limits", "an object", limits)
-        self.memory = int(number(limits, "memory_mb", "limits", 1) * 2**20)
-        self.cores = number(limits, "cores", "limits", 0.0)
-        sockets = min(int(number(limits, "sockets", "limits", 64)), descriptors)
-        self.known = self.changes(said)
-        self.settings(said.get("settings"), int(seed, 16), sockets)
-
-    def settings(self, said, seed, sockets):
-        said = checked(said)
+
+
+class Configuration:
+    """One gateway's configuration.
+
+    Args:
+        document: The configuration file's object.
+        listen: Address that the environment gives in place of the file's, if it does.
+        descriptors: Those that the process may hold by its own limit.
+
+    Attributes:
+        name: The gateway's name.
+        listen: Its own address:port.
+        discovery_server: Address:port of the endpoint stream.
+        memory: Limit in bytes.
+        cores: Limit of the process's cores.
+        descriptors: Limit of descriptors.
+        known_endpoints: The endpoints at the start.
+        lease: The router's settings.
+        tenants: Names of tenants; empty where all may come.
+        longest_deadline_ms: Of all request classes.
+        max_timeout_ms: That a client may state.
+        limits: The dispatcher's.
+        client_limits: Admission's.
+
+    Raises:
+        ConfigurationError: Something cannot be used; it has the key's place.
+    """
+
+    def __init__(self, document: Any, listen: str | None, descriptors: int) -> None:
+        require(isinstance(document, dict), "configuration", "an object", document)
+        self.name = document.get("name")
+        require(isinstance(self.name, str) and self.name, "name", "a name", self.name)
+        self.listen = checked_address(listen or document.get("listen"), "listen")
+        self.discovery_server = checked_address(document.get("bulletin"), "bulletin")
+        seed = checked_seed(document.get("seed"))
+        limits = document.get("limits")
+        require(isinstance(limits, dict), "limits", "an object", limits)
+        self.memory = int(checked_number(limits, "memory_mb", "limits", 1) * 2**20)
+        self.cores = checked_number(limits, "cores", "limits", 0.0)
+        sockets = int(checked_number(limits, "sockets", "limits", 64))
+        self.descriptors = min(sockets, descriptors)
+        self.known_endpoints = checked_endpoints(document.get("known"))
+        self.apply_settings(document.get("settings"), seed)
+
+    def apply_settings(self, stated: Any, seed: int) -> None:
+        """Sets what follows from the settings."""
+        settings = checked_settings(stated)
         try:
-            self.lease = wire.lease_of(seed, said)
-            self.tenants = frozenset(one["name"] for one in said["tenants"])
+            self.lease: Any = wire.lease_of(seed, settings)
+            self.tenants = frozenset(tenant["name"] for tenant in settings["tenants"])
         except KeyError as error:
-            raise ConfigurationError(f"settings: {error} is missing") from None
+            raise ConfigurationError("settings", f"{error} is missing") from None
         except (TypeError, ValueError, AttributeError, wire.BadLine) as error:
-            raise ConfigurationError(f"settings: {error}") from None
-        handshake = said["prices"].get("handshake", 0.0)
-        self.longest_deadline_ms = max(clause.deadline_ms for clause in self.lease.request_classes)
-        self.max_timeout_ms = FARTHEST * self.longest_deadline_ms
-        places, porch, _ = platform_slots(sockets, RESERVE, 1)
-        self.descriptors = sockets
-        self.limits = DispatcherLimits(
-            said["permissions"],
-            said["familyInfo"],
-            handshake,
-            1,
-            (self.lease.reports_copy, self.lease.reports_concurrency),
+            raise ConfigurationError("settings", str(error)) from None
+        self.longest_deadline_ms: float = max(
+            request_class.deadline_ms for request_class in self.lease.request_classes
+        )
+        self.max_timeout_ms = MAX_TIMEOUT_FACTOR * self.longest_deadline_ms
+        self.limits = DispatcherLimits.from_settings(
+            settings, (self.lease.reports_copy, self.lease.reports_concurrency)
         )
-        self.share_descriptors(sum(row.state != sse.GONE for row in self.known_rows()))
-        self.client_limits = ClientLimits(
-            places,
+        self.share_descriptors(self.known_host_count())
+        self.client_limits = self.limits_of_clients(seed)
+
+    def limits_of_clients(self, seed: int) -> ClientLimits:
+        """Returns admission's limits: no rate binds, as all clients come by one front."""
+        slots, pending_slots, _ = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, 1)
+        return ClientLimits(
+            slots,
             (),
-            1e6,
-            1e6,
-            1e6,
-            1e6,
+            UNLIMITED_RATE,
+            UNLIMITED_RATE,
+            UNLIMITED_RATE,
+            UNLIMITED_RATE,
             SILENT,
             SILENT,
             IDLE,
-            stranger_bytes=8 << 20,
+            stranger_bytes=MAX_PENDING_BYTES,
             seed=seed,
             parts=(1, 1, 1),
-            pending=porch,
+            pending=pending_slots,
         )
 
-    def share_descriptors(self, hosts):
-        """So many hosts share the descriptors that are theirs from now on."""
-        self.limits.links = platform_slots(self.descriptors, RESERVE, hosts)[2]
-
-    def changes(self, said):
-        """(the last number, what the known items tell)."""
-        known = said.get("known")
-        need(isinstance(known, dict), "known", "an object", known)
-        no, items = known.get("no"), known.get("items")
-        need(type(no) is int and no >= 0, "known.no", "a number", no)
-        need(isinstance(items, list), "known.items", "a list", items)
-        try:
-            return no, [sse.told(item) for item in items]
-        except sse.Unreadable as error:
-            raise ConfigurationError(f"known.items: {error}") from None
+    def share_descriptors(self, hosts: int) -> None:
+        """Shares the descriptors for upstream connections among so many hosts from now on."""
+        self.limits.links = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, hosts)[2]
+
+    def known_host_count(self) -> int:
+        """Returns how many of the known endpoints are not gone."""
+        states = {}
+        for update in self.known_endpoints.updates:
+            for entry in update.rows or ():
+                states[entry.id] = entry.state
+        return sum(state != sse.GONE for state in states.values())
+
+
+def checked_seed(text: Any) -> int:
+    """Returns the seed of random draws, given in hex digits."""
+    require(
+        isinstance(text, str)
+        and 0 < len(text) <= SEED_DIGITS
+        and not set(text.lower()) - set("0123456789abcdef"),
+        "seed",
+        "hex digits",
+        text,
+    )
+    return int(text, 16)
+
+
+def checked_endpoints(known: Any) -> KnownEndpoints:
+    """Returns the known endpoints of a configuration."""
+    require(isinstance(known, dict), "known", "an object", known)
+    revision = known.get("no")
+    items = known.get("items")
+    require(type(revision) is int and revision >= 0, "known.no", "a number", revision)
+    require(isinstance(items, list), "known.items", "a list", items)
+    try:
+        return KnownEndpoints(revision, [sse.told(item) for item in items])
+    except sse.Unreadable as error:
+        raise ConfigurationError("known.items", str(error)) from None
+
 
-    def known_rows(self):
-        rows = {}
-        for told in self.known[1]:
-            rows.update({row.id: row for row in told.rows or ()})
-        return rows.values()
+def read(path: str | Path, listen: str | None, descriptors: int) -> Configuration:
+    """Reads a configuration file.
 
+    Args:
+        path: The file.
+        listen: Address that stands in place of the file's, if there is one.
+        descriptors: Those that the process may hold.
 
-def read(path, listen, descriptors):
-    """The Station that a configuration file tells of; Wrong names what cannot be used."""
+    Raises:
+        ConfigurationError: The file or something in it cannot be used.
+    """
     try:
         with open(path, "rb") as file:
-            said = json.loads(file.read())
+            document = json.loads(file.read())
     except OSError as error:
-        raise ConfigurationError(f"PROXY_CONFIG: {path}: {error.strerror}") from None
+        raise ConfigurationError("PROXY_CONFIG", f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigurationError(f"{path}: no JSON: {error}") from None
-    return Configuration(said, listen, descriptors)
+        raise ConfigurationError(str(path), f"no JSON: {error}") from None
+    return Configuration(document, listen, descriptors)
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -1,95 +1,91 @@
-"""`cherrydoor platform`: the one gateway of this process, from its configuration to the signal that ends it."""
+"""`cherrydoor platform`: the one gateway of this process, from configuration to exit code."""
 
 import asyncio
 import gc
-import json
 import os
 import resource
 import signal
 import sys
-import time
 import traceback
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
 
 import uvloop
 
-from cherrydoor.admission import decide as d
 from cherrydoor.admission.listener import Listener, ListenerSet
-from cherrydoor.admission.usage import ProcessUsage
 from cherrydoor.codecs import invoke
 from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.gateway.event_loop import TickingService, address
 from cherrydoor.platform import configuration
 from cherrydoor.platform.client_listener import ClientListener
+from cherrydoor.platform.configuration import Configuration, ConfigurationError
+from cherrydoor.platform.configuration_reload import ConfigurationReload
 from cherrydoor.platform.discovery_watch import DiscoveryWatch
 from cherrydoor.platform.event_log import EventLog
+from cherrydoor.platform.graceful_shutdown import GracefulShutdown
+from cherrydoor.platform.resource_usage import PlatformUsage, SystemClock
 from cherrydoor.platform.upstream import Upstream
 from cherrydoor.routing import Router
 
-BAD_CONFIGURATION, PORT_TAKEN, BROKEN = 64, 69, 70
-COMING = 0.7  # s after SIGTERM for which clients still come
-LEAST_LAST = 3.0  # s that the longest time of an event counts for at least, when leaving
-FACTS = 10.0  # s between lines with what the process uses
-REREAD = (
-    0.05,
-    0.1,
-    0.2,
-    0.4,
-    0.8,
-    1.6,
-)  # s until a file that could not be used at SIGHUP is looked at once more,
-# by how often it was: it may have been half written
+BAD_CONFIGURATION, PORT_TAKEN = 64, 69  # exit codes
+USAGE_INTERVAL_S = 10.0  # between log lines of what the process uses
+CLOSE_TIME_S = 0.02  # for which connections that were closed at the end may still write
+# Little is kept by a request: a full collection is cheap, and often enough memory stays flat.
+GC_THRESHOLDS = (1000, 5, 2)
 
 
-class Clock:
-    """The system's Unix time in ms, as the rules are judged by it."""
+def no_reload_wanted() -> bool:
+    """Stands for a process that got no signal before its service began."""
+    return False
 
-    def now(self):
-        return time.time() * 1000
 
+class PlatformService(TickingService):
+    """One gateway on the platform: its sockets, signals and log around the dispatcher.
 
-class PlatformUsage(ProcessUsage):
-    """What is in use, by the platform's limits: memory beyond what the start took, and no part of a core, since all
-    clients come by one front and none is to be read less than another."""
-
-    def __init__(self, memory, descriptors):
-        super().__init__(memory)
-        self.limit, self.base = min(self.limit, descriptors), 0
-
-    def measure(self):
-        said = super().measure()
-        part = (said.memory * self.memory - self.base) / max(1.0, self.memory - self.base)
-        return d.UsageMeasured(said.descriptors, max(0.0, part), 0.0)
+    Args:
+        configuration: The gateway's configuration.
+        path: Its file, for reloads.
+        trace: ms between lines of the trace; 0 for none.
+        reload_wanted: Whether SIGHUP came before this service could act on it.
 
+    Attributes:
+        dispatcher: The present one; a fault in it begins another.
+        ready: Whether the readiness probe succeeds.
+        done: Future of the exit code.
+    """
 
-class PlatformService(TickingService):
-    """The sockets of one gateway on the platform."""
-
-    def __init__(self, station, path, trace=0.0, reload_wanted=lambda: False):
-        """reload_wanted() tells whether SIGHUP came before this process could act on it."""
-        super().__init__(Clock())
-        self.reload_wanted, self.rereading = reload_wanted, None
-        self.configuration, self.path, self.trace, self.ready, self.code = (
-            station,
-            path,
-            trace,
-            False,
-            None,
-        )
-        self.began, self.listener, self.dispatcher = self.clock.now(), None, None
+    def __init__(
+        self,
+        configuration: Configuration,
+        path: str | Path,
+        trace: float = 0.0,
+        reload_wanted: Callable[[], bool] = no_reload_wanted,
+    ) -> None:
+        super().__init__(SystemClock())
+        self.configuration = configuration
+        self.trace = trace
+        self.reload_wanted = reload_wanted
+        self.ready = False
+        self.started_at_ms = self.clock.now()
         self.log = EventLog(self.clock)
-        self.uses = PlatformUsage(station.memory, station.descriptors)
+        self.usage = PlatformUsage(configuration.memory, configuration.descriptors)
         self.listeners = ListenerSet(
-            station.client_limits, self.clock, self.uses, self.log.write_limited
+            configuration.client_limits, self.clock, self.usage, self.log.write_limited
         )
-        self.client_listener, self.upstream = ClientListener(self), Upstream(self)
-        self.done = self.loop.create_future()
-        self.dispatcher = self.new_desk()
-        last, items = station.known
-        self.discovery_watch = DiscoveryWatch(self, station.bulletin, last)
-        for told in items:
-            self.discovery_watch.apply(told)
-
-    def new_desk(self):
+        self.client_listener = ClientListener(self)
+        self.upstream = Upstream(self)
+        self.done: asyncio.Future[int] = self.loop.create_future()
+        self.dispatcher = self.new_dispatcher()
+        self.shutdown = GracefulShutdown(self)
+        self.reload = ConfigurationReload(self, path)
+        known = configuration.known_endpoints
+        self.discovery_watch = DiscoveryWatch(self, configuration.discovery_server, known.revision)
+        for update in known.updates:
+            self.discovery_watch.apply(update)
+
+    def new_dispatcher(self) -> Dispatcher:
+        """Returns a dispatcher without hosts and requests."""
         return Dispatcher(
             Router(self.configuration.lease),
             self.configuration.limits,
@@ -97,157 +93,124 @@
             self.clock.now(),
         )
 
-    def line(self, event, **fields):
-        """Writes a log line; the trace's name for it."""
+    def line(self, event: str, **fields: Any) -> None:
+        """Writes a log line; the trace calls it so."""
         self.log.write(event, **fields)
 
-    async def run(self):
+    async def run(self) -> int:
+        """Serves until a signal or the shutdown's end; returns the exit code."""
         try:
-            self.listener = Listener(
-                self.listeners,
-                address(self.configuration.listen),
-                self.client_listener.new_connection,
-                word=invoke.refusal,
-            )
+            self.open_listener()
         except OSError as error:
             print(
                 f"{self.configuration.listen}: the door cannot be opened: {error.strerror}",
                 file=sys.stderr,
             )
             return PORT_TAKEN
-        self.loop.add_signal_handler(signal.SIGHUP, self.read_anew)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.terminate)
+        self.add_signal_handlers()
         self.discovery_watch.start()
         if self.reload_wanted():
-            self.read_anew()
+            self.reload.start()
         self.tick()
-        gc.collect()
-        gc.freeze()
-        gc.set_threshold(
-            1000, 5, 2
-        )  # little is kept: a full collection is cheap, and memory stays flat
-        self.uses.base = self.uses.measure_held()
+        self.settle_memory()
         self.ready = True
-        self.log.write_limited(
-            "ready",
-            gateway=self.configuration.name,
-            listen=self.configuration.listen,
-            hosts=len(self.dispatcher.hosts),
-            held_mb=round(self.uses.base / 2**20, 1),
-            links=self.configuration.limits.links,
-            places=self.configuration.client_limits.connection_slots,
-            cores=self.configuration.cores,
-            memory_mb=self.configuration.memory >> 20,
-            sockets=self.configuration.descriptors,
-        )
-        self.loop.call_later(FACTS, self.facts)
+        self.log_ready()
+        self.loop.call_later(USAGE_INTERVAL_S, self.log_usage)
         if self.trace:
             self.upstream.traffic = {}
             self.loop.call_later(self.trace / 1000, self.believed)
-        code = await self.done
-        self.facts()
+        exit_code = await self.done
+        self.log_usage()
+        await self.close()
+        return exit_code
+
+    def open_listener(self) -> None:
+        """Opens the listening socket; OSError where the address cannot be used."""
+        Listener(
+            self.listeners,
+            address(self.configuration.listen),
+            self.client_listener.new_connection,
+            word=invoke.refusal,
+        )
+
+    def add_signal_handlers(self) -> None:
+        """SIGHUP reloads the configuration; SIGTERM and SIGINT begin the graceful shutdown."""
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload.start)
+        self.loop.add_signal_handler(signal.SIGTERM, self.shutdown.start)
+        self.loop.add_signal_handler(signal.SIGINT, self.shutdown.start)
+
+    def settle_memory(self) -> None:
+        """Takes what the start made out of collections, and as the base of memory usage."""
+        gc.collect()
+        gc.freeze()
+        gc.set_threshold(*GC_THRESHOLDS)
+        self.usage.base = self.usage.measure_held()
+
+    def end(self, exit_code: int) -> None:
+        """Ends the service; the first exit code counts."""
+        if not self.done.done():
+            self.done.set_result(exit_code)
+
+    async def close(self) -> None:
+        """Closes all sockets, with a moment for what was written last."""
         self.discovery_watch.stop()
         self.listeners.close()
-        for end in list(self.client_listener.connections):
-            end.close_when_written()
-        for end in list(self.upstream.connections):
-            end.close()
+        for client in list(self.client_listener.connections):
+            client.close_when_written()
+        for host in list(self.upstream.connections):
+            host.close()
         self.stop_timer()
-        await asyncio.sleep(0.02)
-        return code
-
-    # ---- signals
-    def read_anew(self, tries=0):
-        """SIGHUP: the bulletin of the file counts from now on; a file that cannot be used is told, looked at again for
-        a while, and left."""
-        if self.rereading is not None:
-            self.rereading.cancel()
-            self.rereading = None
-        self.uses.let_go()  # the file can be opened, also where clients have all descriptors
-        try:
-            new = configuration.read(
-                self.path, self.configuration.listen, self.configuration.descriptors
-            )
-        except configuration.ConfigurationError as error:
-            if tries < len(REREAD):
-                self.rereading = self.loop.call_later(REREAD[tries], self.read_anew, tries + 1)
-            return self.log.write_limited(
-                "the new configuration is wrong, the old one is kept", why=str(error)
-            )
-        finally:
-            self.uses.take_back()
-        for told in new.known[1]:
-            self.discovery_watch.update_received(told)
-        self.discovery_watch.move(new.bulletin)
-        self.log.write_limited(
-            "the configuration is read anew",
-            bulletin=new.bulletin,
-            last=self.discovery_watch.last_revision,
-        )
+        await asyncio.sleep(CLOSE_TIME_S)
 
-    def terminate(self):
-        """SIGTERM: clients still come for a while; then the door closes, and what is held is answered."""
-        if self.code is not None:
-            return
-        self.code = 0
-        self.log.write_limited("leaving", events=len(self.dispatcher.requests))
-        self.loop.call_later(COMING, self.close_door)
-        last = max(LEAST_LAST, self.configuration.longest_deadline_ms / 1000)
-        self.loop.call_later(COMING + last - 0.2, self.give_up)
-
-    def close_door(self):
-        self.listeners.close()
-        self.post(self.dispatcher.drain, "the gateway is leaving")
-        self.client_listener.drain()
-        self.loop.call_later(0.1, self.look)
-
-    def look(self):
-        """Ends when nobody waits for an answer any more."""
-        if not self.client_listener.connections:
-            return self.end(0)
-        self.client_listener.drain()
-        self.loop.call_later(0.05, self.look)
-
-    def give_up(self):
-        """The process is killed soon: whoever still waits is answered now."""
-        self.dispatcher.respond_to_all("the gateway ends")
-        self.end(3)
-
-    def end(self, code):
-        if not self.done.done():
-            self.done.set_result(code)
+    def restart(self) -> None:
+        """Replaces the dispatcher after a fault in its tick.
 
-    # ---- the turn
-    def restart(self):
-        """A fault in the decisions ends this desk's life: whatever it holds is dead-lettered, its links are cut, and
-        another begins with the same hosts."""
+        Requests in flight fail, connections to hosts are cut, and another dispatcher begins with
+        the same hosts. Guards against a process that ends with all its clients; harms by failing
+        requests that the fault did not concern.
+        """
         print(traceback.format_exc(), file=sys.stderr, flush=True)
-        old, rows = self.dispatcher, self.dispatcher.endpoints()
-        old.respond_to_all("the gateway starts anew")
-        for end in list(self.upstream.connections):
-            end.abort()
-        self.dispatcher = self.new_desk()
-        self.dispatcher.counters.update(old.counters)
-        self.dispatcher.counters["started anew"] += 1
-        self.post(self.dispatcher.endpoints_updated, "saved", rows)
-
-    # ---- what an operator sees
-    def facts(self):
-        use = resource.getrusage(resource.RUSAGE_SELF)
-        self.loop.call_later(FACTS, self.facts)
+        failed = self.dispatcher
+        endpoints = failed.endpoints()
+        failed.respond_to_all("the gateway starts anew")
+        for connection in list(self.upstream.connections):
+            connection.abort()
+        self.dispatcher = self.new_dispatcher()
+        self.dispatcher.counters.update(failed.counters)
+        self.dispatcher.counters["dispatcher restarts"] += 1
+        self.post(self.dispatcher.endpoints_updated, "saved", endpoints)
+
+    def log_ready(self) -> None:
+        """Logs what the gateway starts with."""
+        self.log.write_limited(
+            "ready",
+            gateway=self.configuration.name,
+            listen=self.configuration.listen,
+            hosts=len(self.dispatcher.hosts),
+            memory_used_mb=round(self.usage.base / 2**20, 1),
+            connections_per_host=self.configuration.limits.links,
+            client_slots=self.configuration.client_limits.connection_slots,
+            cores=self.configuration.cores,
+            memory_limit_mb=self.configuration.memory >> 20,
+            descriptor_limit=self.configuration.descriptors,
+        )
+
+    def log_usage(self) -> None:
+        """Logs what the process uses and its counters, again and again."""
+        process = resource.getrusage(resource.RUSAGE_SELF)
+        self.loop.call_later(USAGE_INTERVAL_S, self.log_usage)
         self.log.write(
             "usage",
-            for_s=round((self.clock.now() - self.began) / 1000, 1),
-            cpu_s=round(use.ru_utime + use.ru_stime, 2),
-            held_mb=round(self.uses.measure_held() / 2**20, 1),
-            descriptors=self.uses.used(),
-            clients=len(self.client_listener.connections),
-            links=len(self.upstream.connections),
-            events=len(self.dispatcher.requests),
+            uptime_s=round((self.clock.now() - self.started_at_ms) / 1000, 1),
+            cpu_s=round(process.ru_utime + process.ru_stime, 2),
+            memory_used_mb=round(self.usage.measure_held() / 2**20, 1),
+            descriptors=self.usage.used(),
+            client_connections=len(self.client_listener.connections),
+            host_connections=len(self.upstream.connections),
+            requests=len(self.dispatcher.requests),
             hosts=len(self.dispatcher.hosts),
-            counts=dict(self.dispatcher.counters),
-            doors=self.listeners.controller.counters,
+            counters=dict(self.dispatcher.counters),
+            admission=self.listeners.controller.counters,
         )
 
     def believed(self):
@@ -288,27 +251,40 @@
         )
 
 
-def main(trace=0.0):
-    """Runs the gateway that the environment tells of; its exit code."""
-    early: list = []  # SIGHUP before the loop runs: by default it would end the process
-    signal.signal(signal.SIGHUP, lambda *_: early.append(True))
-    path, listen = os.environ.get("PROXY_CONFIG"), os.environ.get("PROXY_LISTEN")
+def configured_by_environment() -> tuple[Configuration, str]:
+    """Reads what the environment names; returns it with the file's path.
+
+    Raises:
+        ConfigurationError: The environment or the file cannot be used.
+    """
+    path = os.environ.get("PROXY_CONFIG")
+    if not path:
+        raise ConfigurationError("PROXY_CONFIG", "a file's path expected in the environment")
+    descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    found = configuration.read(path, os.environ.get("PROXY_LISTEN"), descriptors)
+    name = os.environ.get("PROXY_NAME")
+    if name and name != found.name:
+        raise ConfigurationError(
+            "PROXY_NAME", f"{name!r} is not the configuration's name {found.name!r}"
+        )
+    return found, path
+
+
+def main(trace: float = 0.0) -> int:
+    """Runs the gateway that the environment configures; returns its exit code.
+
+    Args:
+        trace: ms between lines of the trace; 0 for none.
+    """
+    early_reloads: list[bool] = []  # SIGHUP before the loop runs: by default it ends the process
+    signal.signal(signal.SIGHUP, lambda *_: early_reloads.append(True))
     try:
-        if not path:
-            raise configuration.ConfigurationError(
-                "PROXY_CONFIG: a file's path expected in the environment"
-            )
-        station = configuration.read(path, listen, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        said = os.environ.get("PROXY_NAME")
-        if said and said != station.name:
-            raise configuration.ConfigurationError(
-                f"PROXY_NAME: {said!r} is not the configuration's name {station.name!r}"
-            )
-    except configuration.ConfigurationError as error:
+        found, path = configured_by_environment()
+    except ConfigurationError as error:
         print(f"cherrydoor platform: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
 
-    async def incarnation():
-        return await PlatformService(station, path, trace, lambda: bool(early)).run()
+    async def serve() -> int:
+        return await PlatformService(found, path, trace, lambda: bool(early_reloads)).run()
 
-    return uvloop.run(incarnation())
+    return uvloop.run(serve())
--- a/tests/platform/test_change_in_service.py
+++ b/tests/platform/test_change_in_service.py
@@ -59,7 +59,7 @@
     await town.until_told(2)
     (town.path / "config.json").write_text("{")
     town.signal("SIGHUP")
-    await town.said("the old one is kept")
+    await town.said("configuration rejected")
     new = await town.bulletin()
     new.events.append(town.event(3, a="in_service", b="terminating"))
     town.configuration()
@@ -79,7 +79,7 @@
     number = held.call()
     await host.until(b"exec")
     town.signal("SIGTERM")
-    await town.said("leaving")
+    await town.said('"is": "draining"')
     late = await town.client()
     other = late.call()
     await host.until(b"exec", 2)
@@ -107,7 +107,7 @@
     assert (await client.answer()).status == 502
     host.answers = host.handles
     assert (await town.handled()).status == 200 and platform.dispatcher.counters[
-        "started anew"
+        "dispatcher restarts"
     ] == 1
 
 
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -202,8 +202,8 @@
     fresh = [RawClient(town) for _ in range(40)]
     for client in [*waiting, *fresh, kept]:
         client.call()
-    platform.code = 0
-    platform.close_door()
+    platform.shutdown.started = True
+    platform.shutdown.close_listener()
     for client in [*waiting, *fresh, kept]:
         assert (await client.read()).startswith(b"HTTP/1.1 ")
 
--- a/tests/platform/test_list_and_signals.py
+++ b/tests/platform/test_list_and_signals.py
@@ -114,7 +114,7 @@
     whole = file.read_text()
     file.write_text(whole[: len(whole) // 2])
     town.signal("SIGHUP")
-    await town.said("the old one is kept")
+    await town.said("configuration rejected")
     file.write_text(whole)
     await new.until_asked(1)
     town.signal("SIGHUP")
@@ -130,8 +130,8 @@
     client = RawClient(town)
     client.call()
     await until(lambda: executed(town))
-    platform.code = 0
-    platform.close_door()
-    platform.give_up()
+    platform.shutdown.started = True
+    platform.shutdown.close_listener()
+    platform.shutdown.force_end()
     assert b"HTTP/1.1 502" in await client.read()
     assert await town.task == 3
