--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -40,6 +40,33 @@
 DUPLICATE_ID = Refusal(CONFLICT, "bad requests: duplicate request id", "X-Call-Id: known already")
 
 
+def request_of(call: invoke.Call, now_ms: float, arrival: Any) -> protocol.Request:
+    """Returns the dispatcher's message for a call.
+
+    A client sends as soon as the kernel has accepted its connection: what that waited for the
+    listener until then is of the first request's time.
+
+    Args:
+        call: What the client sent.
+        now_ms: When it came, in Unix ms.
+        arrival: Admission's record of the connection.
+    """
+    timeout_ms = max(MIN_TIMEOUT_MS, call.patience - arrival.waited)
+    arrival.waited = 0.0
+    return protocol.Request(
+        int(call.id, 16),
+        call.kind,
+        call.function,
+        timeout_ms,
+        now_ms,
+        call.customer,
+        call.idempotency_key,
+        call.extras.get("lanes", 0.0),
+        call.extras.get("load_ms", 0.0),
+        call.body,
+    )
+
+
 class ClientListener:
     """All client connections of a gateway.
 
@@ -81,13 +108,12 @@
         self, connection: ClientProtocol, message: invoke.Call | invoke.Ping
     ) -> None:
         """Answers a readiness probe; refuses a request or posts it to the dispatcher."""
-        if type(message) is invoke.Ping:
+        if isinstance(message, invoke.Ping):
             if self.service.ready and not self.draining:
                 connection.respond(OK, "")
             else:
                 connection.respond(SERVICE_UNAVAILABLE, "not ready")
             return
-        assert isinstance(message, invoke.Call)
         refusal = self.refusal_of(message)
         now_ms = self.service.clock.now()
         if refusal is None and not self.recent_ids.add(message.id, now_ms):
@@ -96,23 +122,7 @@
             self.service.dispatcher.counters[refusal.counter] += 1
             connection.respond(refusal.status, refusal.reason, close=True)
             return
-        # A client sends as soon as the kernel has accepted it: what it waited for us until then
-        # is of its time.
-        arrival = connection.arrival
-        timeout_ms = max(MIN_TIMEOUT_MS, message.patience - arrival.waited)
-        arrival.waited = 0.0
-        request = protocol.Request(
-            int(message.id, 16),
-            message.kind,
-            message.function,
-            timeout_ms,
-            now_ms,
-            message.customer,
-            message.idempotency_key,
-            message.extras.get("lanes", 0.0),
-            message.extras.get("load_ms", 0.0),
-            message.body,
-        )
+        request = request_of(message, now_ms, connection.arrival)
         connection.awaiting_id = request.id
         self.service.post(self.dispatch, connection, request)
 
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -133,7 +133,7 @@
         cores: Limit of the process's cores.
         descriptors: Limit of descriptors.
         known_endpoints: The endpoints at the start.
-        lease: The router's settings.
+        router_settings: The router's.
         tenants: Names of tenants; empty where all may come.
         longest_deadline_ms: Of all request classes.
         max_timeout_ms: That a client may state.
@@ -164,18 +164,18 @@
         """Sets what follows from the settings."""
         settings = checked_settings(stated)
         try:
-            self.lease: Any = wire.lease_of(seed, settings)
+            self.router_settings: Any = wire.lease_of(seed, settings)
             self.tenants = frozenset(tenant["name"] for tenant in settings["tenants"])
         except KeyError as error:
             raise ConfigurationError("settings", f"{error} is missing") from None
         except (TypeError, ValueError, AttributeError, wire.BadLine) as error:
             raise ConfigurationError("settings", str(error)) from None
         self.longest_deadline_ms: float = max(
-            request_class.deadline_ms for request_class in self.lease.request_classes
+            request_class.deadline_ms for request_class in self.router_settings.request_classes
         )
         self.max_timeout_ms = MAX_TIMEOUT_FACTOR * self.longest_deadline_ms
         self.limits = DispatcherLimits.from_settings(
-            settings, (self.lease.reports_copy, self.lease.reports_concurrency)
+            settings, (self.router_settings.reports_copy, self.router_settings.reports_concurrency)
         )
         self.share_descriptors(self.known_host_count())
         self.client_limits = self.limits_of_clients(seed)
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -87,7 +87,7 @@
     def new_dispatcher(self) -> Dispatcher:
         """Returns a dispatcher without hosts and requests."""
         return Dispatcher(
-            Router(self.configuration.lease),
+            Router(self.configuration.router_settings),
             self.configuration.limits,
             self.upstream.dial,
             self.clock.now(),
@@ -103,7 +103,7 @@
             self.open_listener()
         except OSError as error:
             print(
-                f"{self.configuration.listen}: the door cannot be opened: {error.strerror}",
+                f"{self.configuration.listen}: the listener cannot be opened: {error.strerror}",
                 file=sys.stderr,
             )
             return PORT_TAKEN
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -86,7 +86,7 @@
 def answers_of(found, kind):
     """What 40 events get of a gateway with these settings, between two warm hosts and a cold one."""
     dialled, wire = [], ClientWire()
-    dispatcher = Dispatcher(Router(found.lease), found.limits, dialled.append, 1000.0)
+    dispatcher = Dispatcher(Router(found.router_settings), found.limits, dialled.append, 1000.0)
     dispatcher.post(
         dispatcher.endpoints_updated,
         "whole",
@@ -124,7 +124,9 @@
                 name in str(error) for name in names
             ), error
             continue
-        assert answers_of(found, found.lease.request_classes[0].name).count("handled") >= 30, (
+        assert (
+            answers_of(found, found.router_settings.request_classes[0].name).count("handled") >= 30
+        ), (
             place,
             value,
         )
