--- a/tests/platform/crossing.py
+++ b/tests/platform/blocking_client.py
@@ -1,24 +1,24 @@
-"""What the tests of crossings share: a client that acts without the loop, and waiting for what is to be seen."""
+"""What the tests of races share: a client that acts without the loop, and waiting."""
 
 import asyncio
 import socket
 
-from town import LONG, SETTINGS, call
+from platform_harness import LONG, SETTINGS, call
 
 ONCE = SETTINGS | {
     "requestClasses": [{"name": "draft", "aim": 600000, "deadline": 3000000, "repeat": "once"}]
 }
 
 
-class RawClient:
+class BlockingClient:
     """A client whose calls take effect at once, without the loop: nothing of the gateway runs in between."""
 
-    def __init__(self, town):
-        self.town = town
-        self.sock = socket.create_connection(("127.0.0.1", town.port))
+    def __init__(self, harness):
+        self.harness = harness
+        self.sock = socket.create_connection(("127.0.0.1", harness.port))
 
     def call(self, **said):
-        number = self.town.number()
+        number = self.harness.number()
         self.sock.sendall(call(number, **said))
         return number.encode()
 
@@ -43,5 +43,5 @@
             await asyncio.sleep(0)
 
 
-def executed(town):
-    return [words[1] for host in town.hosts for words in host.commands(b"exec")]
+def executed(harness):
+    return [words[1] for host in harness.hosts for words in host.commands(b"exec")]
--- a/tests/platform/town.py
+++ b/tests/platform/platform_harness.py
@@ -1,5 +1,8 @@
-"""The platform as a test plays it on loopback: hosts that speak RESP, a bulletin, clients, and the gateway started as
-in service, in a process of its own."""
+"""The platform as a test runs it on loopback.
+
+Hosts that speak RESP, a discovery server, clients, and the gateway started as in service, in a
+process of its own, or on the test's own loop.
+"""
 
 import asyncio
 import json
@@ -54,8 +57,9 @@
 }
 
 
-# Starts the gateway in a process that the kernel refuses what the platform refuses: other programs, fork, io_uring,
-# splice, sendfile and sockets that are not of IPv4. First it tries one itself, so that no filter is seen to be none.
+# Starts the gateway in a process that the kernel refuses what the platform refuses: other programs,
+# fork, io_uring, splice, sendfile and sockets that are not of IPv4. First it tries one itself, so
+# that a filter without effect is seen.
 HELD = """
 import ctypes, errno, os, platform, runpy, struct, sys
 refused, clone, socket = {
@@ -84,28 +88,30 @@
 """
 
 
-def story(test):
-    """Runs an async test with a town of its own, and clears it up."""
+def with_harness(test):
+    """Runs an async test with a harness of its own, and closes it."""
 
     @wraps(test)
     def run(tmp_path):
         async def whole():
-            town = Town(tmp_path)
+            harness = PlatformHarness(tmp_path)
             try:
                 async with asyncio.timeout(3 * LONG):
-                    await test(town)
+                    await test(harness)
             finally:
-                await town.close()
+                await harness.close()
 
         asyncio.run(whole())
 
-    del run.__wrapped__  # pytest hands it a folder, not a town
+    del run.__wrapped__  # pytest hands it a folder, not a harness
     return run
 
 
 class Host:
-    """Answers what `answers` says: a function of the command's words that gives bytes to write, or None. All commands
-    are kept, as (connection's number, words)."""
+    """Replies what `answers` returns for a command's words: bytes to write, or None.
+
+    All commands are kept, as (connection's number, words).
+    """
 
     def __init__(self, name):
         self.name, self.got, self.answers, self.writers, self.news = (
@@ -151,7 +157,7 @@
         return [words for _, words in self.got if words[0] == word]
 
     async def until(self, word, count=1):
-        """Waits until so many of these commands have come; the last."""
+        """Waits until so many of these commands have come; returns the last."""
         async with asyncio.timeout(LONG):
             while len(self.commands(word)) < count:
                 self.news.clear()
@@ -166,8 +172,11 @@
     )
 
 
-class Bulletin:
-    """Serves `events` from the number asked for; `asked` has those numbers; mute() stops it with connections open."""
+class DiscoveryServer:
+    """Serves `events` from the revision asked for; `asked` has those revisions.
+
+    While `muted` it sends nothing, with its connections open.
+    """
 
     def __init__(self):
         self.events, self.asked, self.writers, self.muted, self.news = (
@@ -209,7 +218,7 @@
     def text(event):
         return f"id: {event['no']}\ndata: {json.dumps(event)}\n\n".encode()
 
-    def tell(self, event):
+    def publish(self, event):
         self.events.append(event)
         for writer in () if self.muted else self.writers:
             writer.write(self.text(event))
@@ -233,20 +242,20 @@
 
 
 class Client:
-    """A connection to the gateway's door."""
+    """A connection to the gateway's listener."""
 
-    def __init__(self, town):
-        self.town = town
+    def __init__(self, harness):
+        self.harness = harness
 
     async def open(self):
-        self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.town.port)
+        self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.harness.port)
         return self
 
     def send(self, data):
         self.writer.write(data)
 
     def call(self, number=None, **said):
-        number = number or self.town.number()
+        number = number or self.harness.number()
         self.send(call(number, **said))
         return number
 
@@ -295,9 +304,15 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-class Town:
+class PlatformHarness:
     def __init__(self, path):
-        self.path, self.hosts, self.calls, self.process, self.bulletins = path, [], 0, None, []
+        self.path, self.hosts, self.calls, self.process, self.discovery_servers = (
+            path,
+            [],
+            0,
+            None,
+            [],
+        )
         self.within = None
 
     def number(self):
@@ -309,12 +324,12 @@
         self.hosts.append(host)
         return host
 
-    async def bulletin(self):
-        self.bulletins.append(await Bulletin().open())
-        return self.bulletins[-1]
+    async def start_discovery_server(self):
+        self.discovery_servers.append(await DiscoveryServer().open())
+        return self.discovery_servers[-1]
 
     def event(self, no, whole=False, **states):
-        """A bulletin's event: states of hosts by name; those that are said already keep their addresses."""
+        """Returns a discovery update with the states of hosts by their names."""
         ports = {host.name: host.port for host in self.hosts}
         return {
             "no": no,
@@ -344,7 +359,7 @@
             "listen": f"127.0.0.1:{self.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "bulletin": f"127.0.0.1:{self.bulletins[-1].port}",
+            "bulletin": f"127.0.0.1:{self.discovery_servers[-1].port}",
             "known": {
                 "no": 1,
                 "items": [self.event(1, True, **{h.name: "in_service" for h in self.hosts})],
@@ -376,13 +391,13 @@
     async def built(self, hosts):
         for name in hosts:
             await self.host(name)
-        await self.bulletin()
+        await self.start_discovery_server()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.port = free.getsockname()[1]
 
     async def start(self, hosts=("a",), **changed):
-        """Hosts, a bulletin and a gateway that is ready."""
+        """Starts hosts, a discovery server and a gateway, and waits until it is ready."""
         await self.built(hosts)
         self.run(self.configuration(**changed))
         await self.ready()
@@ -414,7 +429,7 @@
         return await Client(self).open()
 
     async def handled(self, **said):
-        """One event on a connection of its own; its answer."""
+        """Sends one request on a connection of its own; returns its answer."""
         client = await self.client()
         client.call(**said)
         answer = await client.answer()
@@ -424,15 +439,15 @@
     def logged(self):
         return (self.path / "log").read_text()
 
-    async def said(self, word):
-        """Waits until the gateway's log has this word."""
+    async def until_logged(self, text):
+        """Waits until the gateway's log has this text."""
         async with asyncio.timeout(LONG):
-            while word not in self.logged():
+            while text not in self.logged():
                 await asyncio.sleep(0.02)
 
-    async def until_told(self, no):
-        """Waits until the gateway has heard this event of the bulletin: it says so."""
-        await self.said(f'"revision": {no}')
+    async def until_applied(self, no):
+        """Waits until the gateway has logged that it applied this revision."""
+        await self.until_logged(f'"revision": {no}')
 
     def signal(self, name):
         self.process.send_signal(getattr(signal, name))
@@ -450,8 +465,8 @@
         if self.within:
             self.within.end(0)
             await self.task
-        for bulletin in self.bulletins:
-            bulletin.beat.cancel()
-            bulletin.server.close()
+        for discovery_server in self.discovery_servers:
+            discovery_server.beat.cancel()
+            discovery_server.server.close()
         for host in self.hosts:
             host.server.close()
--- a/tests/platform/test_change_in_service.py
+++ b/tests/platform/test_change_in_service.py
@@ -1,120 +1,124 @@
-"""What changes while the gateway serves: hosts that drain, the bulletin, signals, a fault, and how it is configured."""
+"""What changes in service: draining hosts, the discovery server, signals, a fault, settings."""
 
 import asyncio
 
 import pytest
-from town import LONG, SETTINGS, reply, story
+from platform_harness import LONG, SETTINGS, reply, with_harness
 
 from cherrydoor.platform import configuration
 
 
-@story
-async def test_a_draining_host_gets_nothing_more_and_a_new_host_at_an_old_address_is_another(town):
-    await town.start(("a", "b"))
-    a, b = town.hosts
-    town.bulletins[0].tell(town.event(2, a="terminating"))
-    await town.until_told(2)
+@with_harness
+async def test_a_draining_host_gets_nothing_more_and_a_new_host_at_an_old_address_is_another(
+    harness,
+):
+    await harness.start(("a", "b"))
+    a, b = harness.hosts
+    harness.discovery_servers[0].publish(harness.event(2, a="terminating"))
+    await harness.until_applied(2)
     before = len(a.commands(b"exec"))
     for n in range(6):
-        assert (await town.handled(function=f"{n:016x}")).status == 200
+        assert (await harness.handled(function=f"{n:016x}")).status == 200
     assert len(a.commands(b"exec")) == before and len(b.commands(b"exec")) >= 6
-    gone = town.event(3, a="terminated", b="terminating")
-    new = town.event(3, a="in_service")["roster"]["instances"][0] | {"instanceId": "c"}
+    gone = harness.event(3, a="terminated", b="terminating")
+    new = harness.event(3, a="in_service")["roster"]["instances"][0] | {"instanceId": "c"}
     gone["roster"]["instances"].append(new)
-    town.bulletins[0].tell(gone)
-    await town.until_told(3)
-    assert (await town.handled()).status == 200 and len(a.commands(b"exec")) > before
+    harness.discovery_servers[0].publish(gone)
+    await harness.until_applied(3)
+    assert (await harness.handled()).status == 200 and len(a.commands(b"exec")) > before
 
 
-@story
-async def test_a_bulletin_that_breaks_off_falls_silent_or_doubles_is_asked_for_what_is_missing(
-    town,
+@with_harness
+async def test_a_discovery_server_that_disconnects_falls_silent_or_repeats_is_asked_anew(
+    harness,
 ):
-    await town.start(("a", "b"))
-    bulletin = town.bulletins[0]
-    await bulletin.until_asked(1)
-    bulletin.tell(town.event(2, a="terminating"))
-    await town.until_told(2)
-    for writer in bulletin.writers:
-        writer.write(bulletin.text(town.event(2, a="in_service")))  # its number has been told
-        writer.write(b'id: 3\ndata: {"no": 3, "ros')  # torn
-    bulletin.events.append(town.event(3, b="in_service"))
-    bulletin.cut()
-    await bulletin.until_asked(2)
-    await town.until_told(3)
-    bulletin.muted = True
-    bulletin.events.append(town.event(4, b="in_service"))
-    await bulletin.until_asked(3)
-    await town.until_told(4)
-    assert bulletin.asked == [1, 2, 3]
-    assert (await town.handled()).status == 200 and not town.hosts[0].commands(b"exec")
-
-
-@story
-async def test_sighup_moves_to_another_bulletin_with_numbers_going_on_and_a_bad_file_is_left(town):
-    await town.start(("a", "b"))
-    old = town.bulletins[0]
+    await harness.start(("a", "b"))
+    discovery = harness.discovery_servers[0]
+    await discovery.until_asked(1)
+    discovery.publish(harness.event(2, a="terminating"))
+    await harness.until_applied(2)
+    for writer in discovery.writers:
+        writer.write(discovery.text(harness.event(2, a="in_service")))  # its revision was applied
+        writer.write(b'id: 3\ndata: {"no": 3, "ros')  # incomplete
+    discovery.events.append(harness.event(3, b="in_service"))
+    discovery.cut()
+    await discovery.until_asked(2)
+    await harness.until_applied(3)
+    discovery.muted = True
+    discovery.events.append(harness.event(4, b="in_service"))
+    await discovery.until_asked(3)
+    await harness.until_applied(4)
+    assert discovery.asked == [1, 2, 3]
+    assert (await harness.handled()).status == 200 and not harness.hosts[0].commands(b"exec")
+
+
+@with_harness
+async def test_sighup_moves_to_another_discovery_server_and_ignores_a_bad_file(harness):
+    await harness.start(("a", "b"))
+    old = harness.discovery_servers[0]
     await old.until_asked(1)
-    old.tell(town.event(2, a="terminating"))
-    await town.until_told(2)
-    (town.path / "config.json").write_text("{")
-    town.signal("SIGHUP")
-    await town.said("configuration rejected")
-    new = await town.bulletin()
-    new.events.append(town.event(3, a="in_service", b="terminating"))
-    town.configuration()
-    town.signal("SIGHUP")
+    old.publish(harness.event(2, a="terminating"))
+    await harness.until_applied(2)
+    (harness.path / "config.json").write_text("{")
+    harness.signal("SIGHUP")
+    await harness.until_logged("configuration rejected")
+    new = await harness.start_discovery_server()
+    new.events.append(harness.event(3, a="in_service", b="terminating"))
+    harness.configuration()
+    harness.signal("SIGHUP")
     await new.until_asked(1)
-    await town.until_told(3)
+    await harness.until_applied(3)
     assert new.asked == [2]
-    assert (await town.handled()).status == 200 and town.hosts[0].commands(b"exec")
+    assert (await harness.handled()).status == 200 and harness.hosts[0].commands(b"exec")
 
 
-@story
-async def test_sigterm_serves_those_who_still_come_then_closes_the_door_and_ends(town):
-    await town.start()
-    host = town.hosts[0]
+@with_harness
+async def test_sigterm_accepts_clients_for_a_while_then_closes_the_listener_and_ends(harness):
+    await harness.start()
+    host = harness.hosts[0]
     host.answers = lambda words: None
-    held, idle = await town.client(), await town.client()
+    held, idle = await harness.client(), await harness.client()
     number = held.call()
     await host.until(b"exec")
-    town.signal("SIGTERM")
-    await town.said('"is": "draining"')
-    late = await town.client()
+    harness.signal("SIGTERM")
+    await harness.until_logged('"is": "draining"')
+    late = await harness.client()
     other = late.call()
     await host.until(b"exec", 2)
-    await idle.closed()  # the door is closed now
+    await idle.closed()  # the listener is closed now
     for writer in host.writers:
         writer.write(reply(number.encode(), b"DONE") + reply(other.encode(), b"DONE"))
     assert (await held.answer()).status == (await late.answer()).status == 200
-    assert await town.ended() == 0
+    assert await harness.ended() == 0
 
 
-@story
-async def test_a_fault_in_the_decisions_answers_what_is_open_and_begins_anew(town):
-    platform = await town.start_within()
-    host = town.hosts[0]
+@with_harness
+async def test_a_fault_in_the_router_answers_requests_in_flight_and_restarts_the_dispatcher(
+    harness,
+):
+    service = await harness.start_within()
+    host = harness.hosts[0]
     host.answers = lambda words: None
-    client = await town.client()
+    client = await harness.client()
     client.call()
     await host.until(b"exec")
 
     def fails(now, note):
         raise ZeroDivisionError("a fault of the test")
 
-    platform.dispatcher.router.take = fails
-    (await town.client()).call(function=f"{5:016x}")
+    service.dispatcher.router.take = fails
+    (await harness.client()).call(function=f"{5:016x}")
     assert (await client.answer()).status == 502
     host.answers = host.handles
-    assert (await town.handled()).status == 200 and platform.dispatcher.counters[
+    assert (await harness.handled()).status == 200 and service.dispatcher.counters[
         "dispatcher restarts"
     ] == 1
 
 
-@story
-async def test_what_waits_for_a_connection_does_not_go_out_once_its_host_drains(town):
-    platform, dialled, written = await town.start_within(), [], []
-    platform.dispatcher.dial, platform.configuration.limits.connect = dialled.append, 60000.0
+@with_harness
+async def test_an_attempt_that_waits_for_a_connection_is_not_sent_once_its_host_drains(harness):
+    service, dialled, written = await harness.start_within(), [], []
+    service.dispatcher.dial, service.configuration.limits.connect = dialled.append, 60000.0
 
     class Wire:
         def write(self, message):
@@ -123,31 +127,33 @@
         def close(self, reason):
             pass
 
-    client = await town.client()
+    client = await harness.client()
     client.call()
     async with asyncio.timeout(LONG):
         while not dialled:
             await asyncio.sleep(0.01)
-        town.bulletins[0].tell(town.event(2, a="terminating"))
-        while platform.dispatcher.hosts["a"].row.state == "ready":
+        harness.discovery_servers[0].publish(harness.event(2, a="terminating"))
+        while service.dispatcher.hosts["a"].row.state == "ready":
             await asyncio.sleep(0.01)
-    platform.post(platform.dispatcher.connection_opened, dialled[0], Wire())
+    service.post(service.dispatcher.connection_opened, dialled[0], Wire())
     assert (await client.answer()).status == 503 and not written
 
 
-@story
-async def test_more_hosts_share_the_same_descriptors(town):
-    platform = await town.start_within(
+@with_harness
+async def test_more_hosts_share_the_same_descriptors(harness):
+    service = await harness.start_within(
         ("a",), limits={"cores": 1.0, "memory_mb": 64, "sockets": 128}
     )
-    before = platform.configuration.limits.links
+    before = service.configuration.limits.links
     for name in "bcdefghijkl":
-        await town.host(name)
-    town.bulletins[0].tell(town.event(2, **{host.name: "in_service" for host in town.hosts}))
+        await harness.host(name)
+    harness.discovery_servers[0].publish(
+        harness.event(2, **{host.name: "in_service" for host in harness.hosts})
+    )
     async with asyncio.timeout(LONG):
-        while len(platform.dispatcher.hosts) < 12:
+        while len(service.dispatcher.hosts) < 12:
             await asyncio.sleep(0.02)
-    assert before == 12 and 1 <= platform.configuration.limits.links < 4
+    assert before == 12 and 1 <= service.configuration.limits.links < 4
 
 
 @pytest.mark.parametrize(
@@ -166,7 +172,7 @@
         ),
     ],
 )
-def test_a_wrong_configuration_ends_the_start_with_the_keys_place(changed, place):
+def test_a_wrong_configuration_is_an_error_with_the_keys_place(changed, place):
     said = {
         "name": "n1",
         "listen": "127.0.0.1:1",
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from town import FUNCTION, call, reply
+from platform_harness import FUNCTION, call, reply
 
 from cherrydoor.codecs import invoke, resp, sse
 
@@ -20,8 +20,8 @@
     return note
 
 
-# ---- the door
-def test_a_call_is_the_same_whole_and_split_at_every_byte():
+# ---- client connections
+def test_a_call_reads_the_same_complete_and_split_at_every_byte():
     data = call(ID, body=b"\x00\xffbody\r\n\r\n")
     whole = note_of(data)
     assert whole == invoke.Call(
@@ -70,7 +70,7 @@
         (call(ID).replace(b"POST", b"PUT"), 405),
     ],
 )
-def test_what_is_no_call_is_owed_a_refusal_whole_or_split(data, status):
+def test_a_malformed_call_gets_a_status_complete_or_split(data, status):
     for cuts in ((), (10,), (60, 61, 200)):
         note = note_of(data, cuts)
         assert type(note) is invoke.Bad and note.status == status, (note, cuts)
@@ -84,7 +84,7 @@
     assert over and b"Connection: close" in data and talk.feed(call(ID)) is None
 
 
-def test_what_is_pipelined_waits_for_the_answer_before_it():
+def test_a_pipelined_call_waits_for_the_response_before_it():
     talk, second = invoke.Conversation(), "00000000000000aa"
     assert talk.feed(call(ID, body=b"one") + call(second, body=b"two")).id == ID
     assert talk.feed(b"") is None
@@ -94,7 +94,7 @@
     assert (note.id, note.body) == (second, b"two")
 
 
-def test_a_plain_call_with_another_behind_it_in_a_later_read_answers_both():
+def test_a_plain_call_and_one_pipelined_in_a_later_read_both_get_responses():
     talk, second = invoke.Conversation(), "00000000000000aa"
     assert talk.feed(call(ID)).id == ID and talk.http is None
     assert talk.feed(call(second)) is None
@@ -102,7 +102,7 @@
     assert talk.feed(b"").id == second
 
 
-def test_what_is_pipelined_without_end_is_dropped_and_the_answer_closes():
+def test_pipelined_input_beyond_the_limit_is_dropped_and_the_response_closes():
     talk = invoke.Conversation()
     talk.feed(call(ID))
     for _ in range(200):
@@ -114,14 +114,14 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.lists(st.integers(0, 300), max_size=5))
-def test_hostile_bytes_at_the_door_end_in_a_note_never_in_an_exception(junk, cuts):
+def test_hostile_bytes_of_a_client_are_bad_requests_and_raise_nothing(junk, cuts):
     note = note_of(junk, [cut for cut in cuts if cut <= len(junk)])
     assert note is None or type(note) is invoke.Bad
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 400), st.integers(0, 255))
-def test_one_byte_changed_at_the_door_never_makes_a_call_that_h11_would_not_read(at, byte):
+def test_one_changed_byte_never_makes_a_call_that_h11_would_not_read(at, byte):
     data = bytearray(call(ID, body=b"body"))
     data[at % len(data)] = byte
     one, other = note_of(bytes(data)), note_of(bytes(data), [1])
@@ -129,7 +129,7 @@
 
 
 # ---- hosts
-def test_answers_come_out_at_every_split():
+def test_replies_of_hosts_are_read_at_every_split():
     data = reply(
         ID.encode(), b"DONE", b"tell=spawn,queue_fn=3,meter=inflight:7;util:0.61", b"\r\n*4\r\n"
     ) + reply(b"o5", b"WAIT", b"copies=2")
@@ -166,7 +166,7 @@
         reply(b"\xff", b"DONE"),
     ],
 )
-def test_what_is_no_answer_spoils_the_connection_at_once_and_keeps_nothing(data):
+def test_a_malformed_reply_fails_the_connection_at_once_and_keeps_no_input(data):
     reader = resp.Reader()
     assert reader.feed(reply(b"b", b"DONE") + data) == [resp.Answer("b", resp.DONE)]
     assert reader.spoilt and not reader.held and reader.feed(reply(b"c", b"DONE")) == []
@@ -174,7 +174,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
-def test_hostile_bytes_of_a_host_never_end_in_an_exception(junk):
+def test_hostile_bytes_of_a_host_raise_nothing(junk):
     reader = resp.Reader()
     reader.feed(junk)
     assert reader.spoilt or len(reader.held) <= len(junk)
@@ -187,7 +187,7 @@
     )
 
 
-# ---- the bulletin
+# ---- the discovery stream
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 EVENT = {
     "no": 41,
@@ -219,7 +219,7 @@
     assert b"nonce" not in resp.execute(ID, "draft", FUNCTION, 900.0, b"")
 
 
-def test_bulletin_events_come_out_at_every_split_and_a_torn_one_does_not():
+def test_discovery_updates_are_read_at_every_split_and_a_partial_one_is_not():
     text = (
         HEAD
         + b": beat\n\nid: 41\ndata: "
@@ -236,7 +236,7 @@
         ]
 
 
-def test_a_bulletin_in_chunks_reads_the_same():
+def test_a_chunked_discovery_stream_reads_the_same():
     data = b"data: " + json.dumps(EVENT).encode() + b"\n\n"
     reader = sse.Reader()
     reader.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -259,6 +259,6 @@
         HEAD + b"data: " + b"x" * (5 << 20),
     ],
 )
-def test_what_is_no_bulletin_is_told_as_unreadable(data):
+def test_a_malformed_discovery_stream_is_unreadable(data):
     with pytest.raises(sse.Unreadable):
         sse.Reader().feed(data)
--- /dev/null
+++ b/tests/platform/test_discovery_and_signals.py
@@ -0,0 +1,137 @@
+"""Races of discovery and signals: missing revisions, moves, half-written files, the drain's end."""
+
+import asyncio
+
+from blocking_client import BlockingClient, executed, until
+from platform_harness import with_harness
+
+
+@with_harness
+async def test_a_discovery_server_that_skips_a_revision_is_asked_for_it(harness):
+    await harness.start(("a", "b"))
+    discovery = harness.discovery_servers[0]
+    await discovery.until_asked(1)
+    discovery.events += [harness.event(2, a="terminating"), harness.event(3, b="in_service")]
+    for writer in discovery.writers:
+        writer.write(discovery.text(harness.event(3, b="in_service")))
+    await harness.until_applied(3)
+    assert discovery.asked == [1, 1]
+    assert (await harness.handled()).status == 200 and not harness.hosts[0].commands(b"exec")
+
+
+@with_harness
+async def test_a_revision_that_stays_missing_is_skipped(harness):
+    await harness.start(("a", "b"))
+    discovery = harness.discovery_servers[0]
+    await discovery.until_asked(1)
+    discovery.events.append(harness.event(5, a="terminating"))
+    for writer in discovery.writers:
+        writer.write(discovery.text(discovery.events[-1]))
+    await harness.until_applied(5)
+    assert discovery.asked == [1, 1]
+
+
+@with_harness
+async def test_a_snapshot_under_a_lower_revision_is_applied_and_undoes_no_drain(harness):
+    await harness.start(("a", "b"))
+    discovery = harness.discovery_servers[0]
+    await discovery.until_asked(1)
+    for no in range(2, 6):
+        discovery.publish(harness.event(no, a="terminating"))
+    await harness.until_applied(5)
+    discovery.events = [harness.event(2, True, a="in_service", b="in_service")]
+    discovery.cut()
+    await discovery.until_asked(2)
+    for writer in discovery.writers:
+        writer.write(discovery.text(discovery.events[0]))
+    await harness.until_logged('"revision": 2, "renumbered": true')
+    assert (await harness.handled()).status == 200 and not harness.hosts[0].commands(b"exec")
+    discovery.publish(harness.event(3, b="terminating"))
+    while (await harness.handled()).status != 503:
+        await asyncio.sleep(0)
+
+
+@with_harness
+async def test_a_move_while_the_old_discovery_server_is_dialled_leaves_no_connection_there(harness):
+    service = await harness.start_within()
+    await harness.discovery_servers[0].until_asked(1)
+    loop, old, begun, go_on = (
+        asyncio.get_running_loop(),
+        harness.discovery_servers[0],
+        asyncio.Event(),
+        asyncio.Event(),
+    )
+    connect = loop.create_connection
+
+    async def slowly(make, host, port, **more):
+        if port == old.port:
+            begun.set()
+            await go_on.wait()
+        return await connect(make, host, port, **more)
+
+    loop.create_connection = slowly
+    old.cut()
+    await begun.wait()
+    new = await harness.start_discovery_server()
+    service.discovery_watch.move(f"127.0.0.1:{new.port}")
+    go_on.set()
+    await new.until_asked(1)
+    assert old.asked == [1] and service.discovery_watch.connection.server.endswith(str(new.port))
+
+
+@with_harness
+async def test_discovery_and_requests_go_on_where_clients_fill_the_descriptors(harness):
+    service = await harness.start_within()
+    discovery = harness.discovery_servers[0]
+    await discovery.until_asked(1)
+    loop, connect, lacking = (
+        asyncio.get_running_loop(),
+        asyncio.get_running_loop().create_connection,
+        [3],
+    )
+
+    async def lacks(make, *where, **more):
+        if lacking[0]:
+            lacking[0] -= 1
+            raise OSError(24, "Too many open files")
+        return await connect(make, *where, **more)
+
+    loop.create_connection = lacks
+    idle = [BlockingClient(harness) for _ in range(20)]
+    await until(lambda: len(service.client_listener.connections) == 20)
+    discovery.cut()
+    await discovery.until_asked(2)
+    assert not lacking[0] and len(idle) == 20 and (await harness.handled()).status == 200
+    assert service.listeners.controller.counters["closed: descriptors have run out"] >= 1
+
+
+@with_harness
+async def test_a_configuration_half_written_at_sighup_is_applied_once_it_is_complete(harness):
+    await harness.start(("a", "b"))
+    await harness.discovery_servers[0].until_asked(1)
+    new = await harness.start_discovery_server()
+    file = harness.configuration()
+    whole = file.read_text()
+    file.write_text(whole[: len(whole) // 2])
+    harness.signal("SIGHUP")
+    await harness.until_logged("configuration rejected")
+    file.write_text(whole)
+    await new.until_asked(1)
+    harness.signal("SIGHUP")
+    harness.signal("SIGTERM")
+    harness.signal("SIGTERM")
+    assert await harness.ended() == 0
+
+
+@with_harness
+async def test_requests_in_flight_when_the_drain_time_ends_get_a_response(harness):
+    service = await harness.start_within()
+    harness.hosts[0].answers = lambda words: None
+    client = BlockingClient(harness)
+    client.call()
+    await until(lambda: executed(harness))
+    service.shutdown.started = True
+    service.shutdown.close_listener()
+    service.shutdown.force_end()
+    assert b"HTTP/1.1 502" in await client.read()
+    assert await harness.task == 3
--- a/tests/platform/test_refused_requests.py
+++ b/tests/platform/test_refused_requests.py
@@ -1,7 +1,7 @@
-"""Requests that can be read and are refused: the response, and the counter that an operator reads."""
+"""Requests that are refused: the response, and the counter that an operator reads."""
 
 import pytest
-from town import call, story
+from platform_harness import call, with_harness
 
 REQUEST_ID = "9b1f03aa5c7e2d41"
 
@@ -39,30 +39,30 @@
 def test_a_request_that_is_refused_gets_the_reason_and_counts(
     tmp_path, request_bytes, status, reason, counter
 ):
-    @story
-    async def refused(town):
-        platform = await town.start_within()
-        client = await town.client()
+    @with_harness
+    async def refused(harness):
+        service = await harness.start_within()
+        client = await harness.client()
         client.send(request_bytes)
         answer = await client.answer()
         assert (answer.status, answer.body) == (status, reason)
         assert await client.closed() == b""
-        counters = platform.dispatcher.counters
+        counters = service.dispatcher.counters
         counted = {name: n for name, n in counters.items() if name.startswith("bad requests")}
-        assert counted == {counter: 1} and not town.hosts[0].commands(b"exec")
+        assert counted == {counter: 1} and not harness.hosts[0].commands(b"exec")
 
     refused(tmp_path)
 
 
-@story
-async def test_an_id_that_was_accepted_before_is_a_conflict_and_counts(town):
-    platform = await town.start_within()
-    client = await town.client()
+@with_harness
+async def test_an_id_that_was_accepted_before_is_a_conflict_and_counts(harness):
+    service = await harness.start_within()
+    client = await harness.client()
     client.call(REQUEST_ID)
     assert (await client.answer()).status == 200
     client.call(REQUEST_ID)
     answer = await client.answer()
     assert (answer.status, answer.body) == (409, b"X-Call-Id: known already")
     assert await client.closed() == b""
-    assert platform.dispatcher.counters["bad requests: duplicate request id"] == 1
-    assert len(town.hosts[0].commands(b"exec")) == 1
+    assert service.dispatcher.counters["bad requests: duplicate request id"] == 1
+    assert len(harness.hosts[0].commands(b"exec")) == 1
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,10 +1,13 @@
-"""Settings of other customers: each one absent, renamed, null, zero or of another type ends in an error that names its
-place or in a gateway that serves; none in a fault, and none in a gateway that serves nobody."""
+"""Settings that are absent, renamed, null, zero or of another type.
+
+Each ends in an error that names its place or in a gateway that serves; none in a fault, and none
+in a gateway that serves nobody.
+"""
 
 import copy
 
 import pytest
-from town import FUNCTION, SETTINGS
+from platform_harness import FUNCTION, SETTINGS
 
 from cherrydoor.gateway.dispatcher import Dispatcher
 from cherrydoor.gateway.tables import ClientConnection
@@ -58,7 +61,7 @@
 
 
 class HostWire:
-    """Answers each launch at once."""
+    """Answers each attempt at once."""
 
     def __init__(self, dispatcher, link):
         self.dispatcher, self.link = dispatcher, link
@@ -84,7 +87,7 @@
 
 
 def answers_of(found, kind):
-    """What 40 events get of a gateway with these settings, between two warm hosts and a cold one."""
+    """Returns outcomes of 40 requests under these settings, with two warm hosts and a cold one."""
     dialled, wire = [], ClientWire()
     dispatcher = Dispatcher(Router(found.router_settings), found.limits, dialled.append, 1000.0)
     dispatcher.post(
@@ -113,7 +116,7 @@
 
 
 @pytest.mark.parametrize("place", list(places(STATED)), ids=lambda place: ".".join(map(str, place)))
-def test_a_setting_that_is_not_as_expected_is_told_with_its_place_or_the_gateway_serves(place):
+def test_an_unusable_setting_is_an_error_with_its_place_or_the_gateway_serves(place):
     for value in MADE:
         settings = changed(place, value)
         try:
