--- a/tests/platform/blocking_client.py
+++ b/tests/platform/blocking_client.py
@@ -11,7 +11,7 @@
 
 
 class BlockingClient:
-    """A client whose calls take effect at once, without the loop: nothing of the gateway runs in between."""
+    """A client whose calls act at once, without the loop: no code of the gateway runs meanwhile."""
 
     def __init__(self, harness):
         self.harness = harness
--- a/tests/platform/platform_harness.py
+++ b/tests/platform/platform_harness.py
@@ -75,7 +75,8 @@
 code = ctypes.create_string_buffer(b"".join(struct.pack("HBBI", *line) for line in lines))
 program = ctypes.create_string_buffer(struct.pack("HP", len(lines), ctypes.addressof(code)))
 libc = ctypes.CDLL(None, use_errno=True)
-if libc.prctl(38, 1, 0, 0, 0) or libc.prctl(22, 2, ctypes.c_void_p(ctypes.addressof(program)), 0, 0):
+pointer = ctypes.c_void_p(ctypes.addressof(program))
+if libc.prctl(38, 1, 0, 0, 0) or libc.prctl(22, 2, pointer, 0, 0):
     sys.exit("no filter: " + os.strerror(ctypes.get_errno()))
 try:
     if os.fork() == 0:
@@ -173,13 +174,13 @@
 
 
 class DiscoveryServer:
-    """Serves `events` from the revision asked for; `asked` has those revisions.
+    """Serves `updates` from the revision asked for; `asked` has those revisions.
 
     While `muted` it sends nothing, with its connections open.
     """
 
     def __init__(self):
-        self.events, self.asked, self.writers, self.muted, self.news = (
+        self.updates, self.asked, self.writers, self.muted, self.news = (
             [],
             [],
             [],
@@ -208,20 +209,20 @@
         )
         self.muted = False
         self.writers.append(writer)
-        for event in self.events:
-            if event["no"] > last:
-                writer.write(self.text(event))
+        for update in self.updates:
+            if update["no"] > last:
+                writer.write(self.text(update))
         self.asked.append(last)
         self.news.set()
 
     @staticmethod
-    def text(event):
-        return f"id: {event['no']}\ndata: {json.dumps(event)}\n\n".encode()
+    def text(update):
+        return f"id: {update['no']}\ndata: {json.dumps(update)}\n\n".encode()
 
-    def publish(self, event):
-        self.events.append(event)
+    def publish(self, update):
+        self.updates.append(update)
         for writer in () if self.muted else self.writers:
-            writer.write(self.text(event))
+            writer.write(self.text(update))
 
     def cut(self):
         """Ends all connections, as they are."""
@@ -328,7 +329,7 @@
         self.discovery_servers.append(await DiscoveryServer().open())
         return self.discovery_servers[-1]
 
-    def event(self, no, whole=False, **states):
+    def update(self, no, whole=False, **states):
         """Returns a discovery update with the states of hosts by their names."""
         ports = {host.name: host.port for host in self.hosts}
         return {
@@ -362,7 +363,7 @@
             "bulletin": f"127.0.0.1:{self.discovery_servers[-1].port}",
             "known": {
                 "no": 1,
-                "items": [self.event(1, True, **{h.name: "in_service" for h in self.hosts})],
+                "items": [self.update(1, True, **{h.name: "in_service" for h in self.hosts})],
             },
             "settings": SETTINGS,
         } | changed
--- a/tests/platform/test_change_in_service.py
+++ b/tests/platform/test_change_in_service.py
@@ -14,14 +14,14 @@
 ):
     await harness.start(("a", "b"))
     a, b = harness.hosts
-    harness.discovery_servers[0].publish(harness.event(2, a="terminating"))
+    harness.discovery_servers[0].publish(harness.update(2, a="terminating"))
     await harness.until_applied(2)
     before = len(a.commands(b"exec"))
     for n in range(6):
         assert (await harness.handled(function=f"{n:016x}")).status == 200
     assert len(a.commands(b"exec")) == before and len(b.commands(b"exec")) >= 6
-    gone = harness.event(3, a="terminated", b="terminating")
-    new = harness.event(3, a="in_service")["roster"]["instances"][0] | {"instanceId": "c"}
+    gone = harness.update(3, a="terminated", b="terminating")
+    new = harness.update(3, a="in_service")["roster"]["instances"][0] | {"instanceId": "c"}
     gone["roster"]["instances"].append(new)
     harness.discovery_servers[0].publish(gone)
     await harness.until_applied(3)
@@ -35,17 +35,17 @@
     await harness.start(("a", "b"))
     discovery = harness.discovery_servers[0]
     await discovery.until_asked(1)
-    discovery.publish(harness.event(2, a="terminating"))
+    discovery.publish(harness.update(2, a="terminating"))
     await harness.until_applied(2)
     for writer in discovery.writers:
-        writer.write(discovery.text(harness.event(2, a="in_service")))  # its revision was applied
+        writer.write(discovery.text(harness.update(2, a="in_service")))  # its revision was applied
         writer.write(b'id: 3\ndata: {"no": 3, "ros')  # incomplete
-    discovery.events.append(harness.event(3, b="in_service"))
+    discovery.updates.append(harness.update(3, b="in_service"))
     discovery.cut()
     await discovery.until_asked(2)
     await harness.until_applied(3)
     discovery.muted = True
-    discovery.events.append(harness.event(4, b="in_service"))
+    discovery.updates.append(harness.update(4, b="in_service"))
     await discovery.until_asked(3)
     await harness.until_applied(4)
     assert discovery.asked == [1, 2, 3]
@@ -57,13 +57,13 @@
     await harness.start(("a", "b"))
     old = harness.discovery_servers[0]
     await old.until_asked(1)
-    old.publish(harness.event(2, a="terminating"))
+    old.publish(harness.update(2, a="terminating"))
     await harness.until_applied(2)
     (harness.path / "config.json").write_text("{")
     harness.signal("SIGHUP")
     await harness.until_logged("configuration rejected")
     new = await harness.start_discovery_server()
-    new.events.append(harness.event(3, a="in_service", b="terminating"))
+    new.updates.append(harness.update(3, a="in_service", b="terminating"))
     harness.configuration()
     harness.signal("SIGHUP")
     await new.until_asked(1)
@@ -132,7 +132,7 @@
     async with asyncio.timeout(LONG):
         while not dialled:
             await asyncio.sleep(0.01)
-        harness.discovery_servers[0].publish(harness.event(2, a="terminating"))
+        harness.discovery_servers[0].publish(harness.update(2, a="terminating"))
         while service.dispatcher.hosts["a"].row.state == "ready":
             await asyncio.sleep(0.01)
     service.post(service.dispatcher.connection_opened, dialled[0], Wire())
@@ -148,7 +148,7 @@
     for name in "bcdefghijkl":
         await harness.host(name)
     harness.discovery_servers[0].publish(
-        harness.event(2, **{host.name: "in_service" for host in harness.hosts})
+        harness.update(2, **{host.name: "in_service" for host in harness.hosts})
     )
     async with asyncio.timeout(LONG):
         while len(service.dispatcher.hosts) < 12:
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -229,7 +229,9 @@
     for step in (1, 3, len(text)):
         reader = sse.Reader()
         found = [
-            told for at in range(0, len(text), step) for told in reader.feed(text[at : at + step])
+            update
+            for at in range(0, len(text), step)
+            for update in reader.feed(text[at : at + step])
         ]
         assert found == [
             sse.Told(41, False, [sse.Entry("s-1", "10.1.0.9:10080", "draining", "east", 2, 5.0)])
@@ -244,7 +246,7 @@
     found = reader.feed(b"%x\r\n%b\r\n" % (half, data[:half])) + reader.feed(
         b"%x\r\n%b\r\n" % (len(data) - half, data[half:])
     )
-    assert [told.no for told in found] == [41]
+    assert [update.no for update in found] == [41]
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_discovery_and_signals.py
+++ b/tests/platform/test_discovery_and_signals.py
@@ -11,9 +11,9 @@
     await harness.start(("a", "b"))
     discovery = harness.discovery_servers[0]
     await discovery.until_asked(1)
-    discovery.events += [harness.event(2, a="terminating"), harness.event(3, b="in_service")]
+    discovery.updates += [harness.update(2, a="terminating"), harness.update(3, b="in_service")]
     for writer in discovery.writers:
-        writer.write(discovery.text(harness.event(3, b="in_service")))
+        writer.write(discovery.text(harness.update(3, b="in_service")))
     await harness.until_applied(3)
     assert discovery.asked == [1, 1]
     assert (await harness.handled()).status == 200 and not harness.hosts[0].commands(b"exec")
@@ -24,9 +24,9 @@
     await harness.start(("a", "b"))
     discovery = harness.discovery_servers[0]
     await discovery.until_asked(1)
-    discovery.events.append(harness.event(5, a="terminating"))
+    discovery.updates.append(harness.update(5, a="terminating"))
     for writer in discovery.writers:
-        writer.write(discovery.text(discovery.events[-1]))
+        writer.write(discovery.text(discovery.updates[-1]))
     await harness.until_applied(5)
     assert discovery.asked == [1, 1]
 
@@ -37,16 +37,16 @@
     discovery = harness.discovery_servers[0]
     await discovery.until_asked(1)
     for no in range(2, 6):
-        discovery.publish(harness.event(no, a="terminating"))
+        discovery.publish(harness.update(no, a="terminating"))
     await harness.until_applied(5)
-    discovery.events = [harness.event(2, True, a="in_service", b="in_service")]
+    discovery.updates = [harness.update(2, True, a="in_service", b="in_service")]
     discovery.cut()
     await discovery.until_asked(2)
     for writer in discovery.writers:
-        writer.write(discovery.text(discovery.events[0]))
+        writer.write(discovery.text(discovery.updates[0]))
     await harness.until_logged('"revision": 2, "renumbered": true')
     assert (await harness.handled()).status == 200 and not harness.hosts[0].commands(b"exec")
-    discovery.publish(harness.event(3, b="terminating"))
+    discovery.publish(harness.update(3, b="terminating"))
     while (await harness.handled()).status != 503:
         await asyncio.sleep(0)
 
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -56,8 +56,8 @@
     [end] = service.client_listener.connections
     end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
     client.sock.close()
-    event = protocol.Request(7, "draft", FUNCTION, 2000.0, service.clock.now(), "acme")
-    service.post(service.dispatcher.request_received, end.client, event)
+    request = protocol.Request(7, "draft", FUNCTION, 2000.0, service.clock.now(), "acme")
+    service.post(service.dispatcher.request_received, end.client, request)
     await until(lambda: service.dispatcher.counters["closes found at a launch"])
     assert len(executed(harness)) == 1 and not service.dispatcher.requests
     end.transport.resume_reading()
@@ -113,7 +113,7 @@
     client.call()
     await until(lambda: executed(harness))
     late = service.clock.now() + 60000
-    service.clock.now = lambda: late  # all alarms are due: the event's time is up, too
+    service.clock.now = lambda: late  # all timers are due, the request's deadline, too
     client.sock.close()
     service.timer_fired()
     await until(lambda: not service.dispatcher.requests)
@@ -188,7 +188,7 @@
     await harness.hosts[0].until(b"release")
     words = [words[0] for _, words in harness.hosts[0].got[before:]]
     assert words == [b"ensure", b"release"], (
-        "the order before the drain was told, and none after it"
+        "the load order before the drain was sent, and none after it"
     )
 
 
