--- a/bench/mistakes.py
+++ b/bench/mistakes.py
@@ -28,7 +28,7 @@
                     careful |= {number} if clause != "draft" else set()
                 await asyncio.sleep(0.02)
             over = sum(len(gate.logged("this life is over")) for gate in town.gates)
-            estates = sum(len(gate.logged("an estate is taken over")) for gate in town.gates)
+            estates = sum(len(gate.logged("takeover started")) for gate in town.gates)
             effects = [row["event"] for row in town.rows.of("effect") if row["event"] in careful]
             return {
                 "loss": loss,
--- a/cherrydoor/tls/credential_manager.py
+++ b/cherrydoor/tls/credential_manager.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable, Iterator
 from ssl import SSLContext
-from typing import NamedTuple, assert_never
+from typing import Any, NamedTuple, assert_never
 
 import structlog
 
@@ -86,7 +86,7 @@
     def __init__(
         self,
         settings: CredentialSettings,
-        end_connection: Callable[[object, str, bool], None],
+        end_connection: Callable[[Any, str, bool], None],
         wall_clock: Callable[[], float] = wall_clock_ms,
     ) -> None:
         """Nothing is read before `start`.
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -277,8 +277,8 @@
             assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
             client.end.close()
     guard = stack.service.listeners.controller
-    assert len(guard.pending.slots) <= guard.pending.most
-    await stack.settled(lambda: not guard.pending.unshown)
+    assert len(guard.pending.slots) <= guard.pending.capacity
+    await stack.settled(lambda: not guard.pending.unidentified)
     for _, writer in idle:
         writer.close()
 
--- a/tests/tls/tls_support.py
+++ b/tests/tls/tls_support.py
@@ -98,4 +98,4 @@
 
 def connections_of(stack, known_client):
     """How many connections the gateway has of this client."""
-    return len(stack.service.listeners.controller.connection_slots.offices[known_client].seated)
+    return len(stack.service.listeners.controller.known_clients.by_name[known_client].admitted)
