--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -2,8 +2,9 @@
 
 from typing import Any, NamedTuple
 
-from cherrydoor.admission import decide as d
 from cherrydoor.admission.chunked_reading import CHUNK_BYTES
+from cherrydoor.admission.incoming_connection import IncomingConnection
+from cherrydoor.admission.messages import ClientIdentified, ConnectionClosed
 from cherrydoor.codecs import invoke
 from cherrydoor.platform.client_connection import (
     OK,
@@ -40,7 +41,7 @@
 DUPLICATE_ID = Refusal(CONFLICT, "bad requests: duplicate request id", "X-Call-Id: known already")
 
 
-def request_of(call: invoke.Call, now_ms: float, arrival: Any) -> protocol.Request:
+def request_of(call: invoke.Call, now_ms: float, arrival: IncomingConnection) -> protocol.Request:
     """Returns the dispatcher's message for a call.
 
     A client sends as soon as the kernel has accepted its connection: what that waited for the
@@ -85,7 +86,7 @@
         longest_ms = service.configuration.longest_deadline_ms
         self.recent_ids = RecentRequestIds(ID_SPANS_PER_DEADLINE * longest_ms)
 
-    def new_connection(self, arrival: Any) -> ClientProtocol:
+    def new_connection(self, arrival: IncomingConnection) -> ClientProtocol:
         """Returns the protocol for a connection that was accepted."""
         connection = ClientProtocol(self, arrival)
         self.connections[connection] = True
@@ -95,7 +96,7 @@
         """Has admission decide at the first complete request; returns whether it may go on."""
         if not connection.admitted:
             service = self.service
-            service.listeners.post(d.ClientIdentified(connection.arrival.connection, ""))
+            service.listeners.post(ClientIdentified(connection.arrival.connection, ""))
             if connection.admitted:
                 service.post(
                     service.dispatcher.client_connected,
@@ -154,7 +155,7 @@
     def connection_lost(self, connection: ClientProtocol) -> None:
         """Forgets a connection that has ended."""
         self.connections.pop(connection, None)
-        self.service.listeners.post(d.ConnectionClosed(connection.arrival.connection))
+        self.service.listeners.post(ConnectionClosed(connection.arrival.connection))
         self.client_closed(connection)
         self.service.post(connection.release)
 
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -6,7 +6,8 @@
 from typing import Any, NamedTuple
 
 from cherrydoor.adapter import wire
-from cherrydoor.admission.decide import ClientLimits, platform_slots
+from cherrydoor.admission.descriptors import platform_slots
+from cherrydoor.admission.limits import ClientLimits
 from cherrydoor.codecs import sse
 from cherrydoor.gateway.event_loop import address
 from cherrydoor.platform.settings import ConfigurationError as ConfigurationError
@@ -182,26 +183,26 @@
 
     def limits_of_clients(self, seed: int) -> ClientLimits:
         """Returns admission's limits: no rate binds, as all clients come by one front."""
-        slots, pending_slots, _ = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, 1)
+        slots = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, 1)
         return ClientLimits(
-            slots,
-            (),
-            UNLIMITED_RATE,
-            UNLIMITED_RATE,
-            UNLIMITED_RATE,
-            UNLIMITED_RATE,
-            SILENT,
-            SILENT,
-            IDLE,
+            connection_slots=slots.client_slots,
+            connection_rate=UNLIMITED_RATE,
+            connection_burst=UNLIMITED_RATE,
+            known_client_rate=UNLIMITED_RATE,
+            handshake_rate=UNLIMITED_RATE,
+            hello_timeout_ms=SILENT,
+            frame_timeout_ms=SILENT,
+            idle_ms=IDLE,
             stranger_bytes=MAX_PENDING_BYTES,
             seed=seed,
             parts=(1, 1, 1),
-            pending=pending_slots,
+            pending=slots.pending,
         )
 
     def share_descriptors(self, hosts: int) -> None:
         """Shares the descriptors for upstream connections among so many hosts from now on."""
-        self.limits.links = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, hosts)[2]
+        slots = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, hosts)
+        self.limits.links = slots.per_host
 
     def known_host_count(self) -> int:
         """Returns how many of the known endpoints are not gone."""
--- a/cherrydoor/platform/resource_usage.py
+++ b/cherrydoor/platform/resource_usage.py
@@ -1,9 +1,8 @@
 """The process's clock and what it has in use, by the platform's limits."""
 
 import time
-from typing import Any
 
-from cherrydoor.admission import decide as d
+from cherrydoor.admission.messages import UsageMeasured
 from cherrydoor.admission.usage import ProcessUsage
 
 
@@ -34,9 +33,9 @@
         self.limit = min(self.limit, descriptors)
         self.base = 0
 
-    def measure(self) -> Any:
+    def measure(self) -> UsageMeasured:
         """Returns the usage as admission takes it."""
         measured = super().measure()
         used_bytes = measured.memory * self.memory - self.base
         memory = used_bytes / max(1.0, self.memory - self.base)
-        return d.UsageMeasured(measured.descriptors, max(0.0, memory), 0.0)
+        return UsageMeasured(measured.descriptors, max(0.0, memory), 0.0)
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -80,10 +80,11 @@
     def encode(self, message: Any) -> bytes | None:
         """Returns the command for a message; None for a cancellation whose attempt has ended."""
         kind = type(message)
+        command: bytes
         if kind is protocol.Attempt:
             wire_id = f"{message.request_id:016x}"
             self.attempts[wire_id] = message.id
-            return resp.execute(
+            command = resp.execute(
                 wire_id,
                 message.request_class,
                 message.function,
@@ -91,18 +92,23 @@
                 message.body,
                 message.idempotency_key,
             )
+            return command
         if kind is protocol.CancelAttempt:
             for wire_id, number in self.attempts.items():
                 if number == message.id:
                     del self.attempts[wire_id]
-                    return resp.drop(wire_id)
+                    command = resp.drop(wire_id)
+                    return command
             return None
         if kind is protocol.HealthCheck:
-            return resp.health(f"{HEALTH_TAG}{message.id}")
+            command = resp.health(f"{HEALTH_TAG}{message.id}")
+            return command
         if kind is protocol.LoadOrder:
-            return resp.ensure(f"{LOAD_ORDER_TAG}{message.id}", message.function, message.copies)
+            command = resp.ensure(f"{LOAD_ORDER_TAG}{message.id}", message.function, message.copies)
+            return command
         if kind is protocol.Unload:
-            return resp.release(message.function)
+            command = resp.release(message.function)
+            return command
         raise TypeError(f"no command for {message!r}")
 
     def data_received(self, data: bytes) -> None:
