--- a/cherrydoor/routing/host.py
+++ b/cherrydoor/routing/host.py
@@ -85,15 +85,10 @@
         self._start_incarnation(endpoint.started_at_ms)
 
     @property
-    def since(self) -> float:
+    def started_at_ms(self) -> float:
         """When its process started, in ms; 0 for long ago."""
         return self.slow_start.started_at_ms
 
-    @property
-    def out(self) -> dict[Attempt, float]:
-        """Former name of ``in_flight``."""
-        return self.in_flight
-
     def _start_incarnation(self, started_at_ms: float) -> None:
         """A process that starts anew has no copies and no history of failures."""
         context = self._context
--- a/cherrydoor/routing/router.py
+++ b/cherrydoor/routing/router.py
@@ -87,11 +87,6 @@
             messages.LoadOrderEnded: self._end_load_order,
         }
 
-    @property
-    def events(self) -> dict[int, Request]:
-        """Former name of ``requests``."""
-        return self.requests
-
     def mean(self) -> float:
         """Mean response time of all hosts, in ms."""
         return self.statistics.mean_response_ms()
@@ -132,7 +127,7 @@
         if message.kind != messages.UpdateKind.INCREMENTAL:
             for host in self.hosts.values():
                 if host.id not in listed:
-                    context.queue(host.update, HostState.GONE, host.since)
+                    context.queue(host.update, HostState.GONE, host.started_at_ms)
         context.queue(self.zone.update, context.now)
 
     def _accept_request(self, message: messages.RequestArrived) -> None:
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -379,7 +379,7 @@
     await client.answer(number)
     await client.answer(client.send(lasts=4500.0))
     await stack.settled(lambda: stack.counters["restarts learned from hosts"])
-    assert stack.service.dispatcher.router.hosts[again.id].since == begun
+    assert stack.service.dispatcher.router.hosts[again.id].started_at_ms == begun
 
 
 @story
