--- a/bench/drains.py
+++ b/bench/drains.py
@@ -1,18 +1,24 @@
-"""A site drained in four ways, at three loads, emulated: `python -m bench.drains [GATEWAYS [LOAD,... [SEED,...]]]`.
+"""Drains a zone in four ways, at three loads, emulated.
 
-With a fourth word, sockets, it is played on sockets: hard and by priority, as the daemon has no other way.
+Run ``python -m bench.drains [GATEWAYS [LOAD,... [SEED,...]]]``. With a fourth argument, sockets,
+it is rehearsed on sockets: the ways hard and priority alone, as the daemon has no other.
 
-hard: its hosts are set to drain in the list at once, as without any of this. at once: one wave, its copies ordered
-first. random: waves in the order of a hash. priority: as the daemon does it. `load` is of what the hosts that remain
-can do. Each way has the same events and functions by seed. Printed, a line each: what is due to the benefit lost, the
-share within target before the drain and in its worst ten seconds, loads, the store's most fetches at once (10 are its
-measure), s until gateways hold the site to be empty, and of the most beneficial quarter of events the share that is
-late.
+- hard: the zone's hosts are set to drain in the endpoint list at once, without a coordinated drain.
+- at once: one wave, its copies ordered first.
+- random: waves in the order of a hash.
+- priority: as the daemon does it.
+
+A load is a share of what the remaining hosts can serve. Each way has the same requests and
+functions by seed. Printed, a line each: priority weight lost of what was due, the share in time
+before the drain and in its worst ten seconds, loads, the most concurrent fetches of the store (10
+are its limit), seconds until gateways hold the zone to be empty, and of the requests with the
+highest weight the share that is late.
 """
 
 import json
 import sys
 import tempfile
+from contextlib import contextmanager
 from pathlib import Path
 from zlib import crc32
 
@@ -21,11 +27,16 @@
 from cherrydoor.rehearsal.audit import Audit
 from cherrydoor.rehearsal.conduct import rehearse
 from cherrydoor.rehearsal.day import read_day
-from cherrydoor.zone_drain import conducting
-from cherrydoor.zone_drain import plan as planning
-
-DRAIN, LENGTH = 8, 44  # s: when it begins, how long the day is
-DAY = """
+from cherrydoor.zone_drain import reported_loads, session_groups, wave_plan
+
+DRAIN_AT_S = 8
+SCENARIO_LENGTH_S = 44
+WORST_WINDOW_S = 10
+HOST_CAPACITY_PER_S = 40.0  # requests a second: two cores, 50 ms of work
+UNLIMITED_COPIES = 10**9  # for one wave to hold all
+WAYS = ("priority", "hard", "at once", "random")
+WAYS_ON_SOCKETS = ("priority", "hard")
+SCENARIO = """
 name: "drains"
 length: %(length)ds
 warm: 8s
@@ -47,102 +58,117 @@
 ration: {}
 troubles: [{at: %(drain)ds, what: "site-drain", lasts: %(lasts)ds, floor: 0, size: %(size)g}]
 """
-HOST = 40.0  # events a second: two cores, 50 ms of work
 
 
-def by_hash(lot):
-    return crc32(lot.function.encode())
+def hash_order(group):
+    """A move order that knows nothing of priority."""
+    return crc32(group.function.encode())
 
 
-def at_once(lots, room, step=1.0):
-    return planning.plan(lots, room, 1.0, 10**9)
+def plan_one_wave(groups, capacity_per_s, wave_share=1.0):
+    """Everything in one wave, whatever share is asked for."""
+    return wave_plan.plan_waves(groups, capacity_per_s, 1.0, UNLIMITED_COPIES)
 
 
-def play(gateways, way, load, seed, on_sockets=False):
-    hosts = 12 if gateways <= 8 else 24 if gateways <= 50 else 48
-    rate = load * HOST * hosts * 2 / 3
-    was = conducting.plan, planning.priority
+@contextmanager
+def planned(way):
+    """Drains are planned that way meanwhile."""
+    plan_before = reported_loads.plan_waves
+    order_before = session_groups.move_order
     try:
         if way == "at once":
-            conducting.plan = at_once
+            reported_loads.plan_waves = plan_one_wave
         elif way == "random":
-            planning.priority = by_hash
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "drains.day"
-            path.write_text(
-                DAY
-                % {
-                    "length": LENGTH,
-                    "hosts": hosts,
-                    "functions": 4 * hosts,
-                    "rate": rate,
-                    "documents": 2 * hosts,
-                    "gateways": gateways,
-                    "drain": DRAIN,
-                    "lasts": LENGTH - DRAIN,
-                    "size": 0.5 if way == "hard" else 2,
-                }
-            )
-            (rehearse if on_sockets else emulate)(read_day(path, seed=seed), Path(folder) / "out")
-            return figures(Audit(Path(folder) / "out"))
+            session_groups.move_order = hash_order
+        yield
     finally:
-        conducting.plan, planning.priority = was
-
-
-def figures(judge):
-    found = judge.report()
-    line, first = found["line"], int(judge.warm / 1000)
+        reported_loads.plan_waves = plan_before
+        session_groups.move_order = order_before
+
+
+def host_count(gateways):
+    """The size of the host pool for so many gateways."""
+    if gateways <= 8:
+        return 12
+    return 24 if gateways <= 50 else 48
+
+
+def scenario_text(gateways, way, load):
+    """The scenario of one drain."""
+    hosts = host_count(gateways)
+    return SCENARIO % {
+        "length": SCENARIO_LENGTH_S,
+        "hosts": hosts,
+        "functions": 4 * hosts,
+        "rate": load * HOST_CAPACITY_PER_S * hosts * 2 / 3,
+        "documents": 2 * hosts,
+        "gateways": gateways,
+        "drain": DRAIN_AT_S,
+        "lasts": SCENARIO_LENGTH_S - DRAIN_AT_S,
+        "size": 0.5 if way == "hard" else 2,
+    }
 
-    def share(a, b):
-        due = sum(line["due"][a:b])
-        return sum(line["in time"][a:b]) / due if due else 1.0
 
-    sites = [
-        (row["t"] - judge.begun - judge.warm - 1000 * DRAIN, row["fate"], row["function"])
-        for row in judge.seen.of("conductor", "site")
-    ]
-    empty = next((t for t, fate, _ in sites if fate == "empty"), None)
-    worth = found["service"]["benefit"]
-    begins = first + DRAIN
+def run_drain(gateways, way, load, seed, on_sockets=False):
+    """Runs one drain; its figures."""
+    with planned(way), tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "drains.day"
+        path.write_text(scenario_text(gateways, way, load))
+        run = rehearse if on_sockets else emulate
+        run(read_day(path, seed=seed), Path(folder) / "out")
+        return figures(Audit(Path(folder) / "out"))
+
+
+def share_in_time(line, first_s, end_s):
+    """The share in time of what was due in those seconds."""
+    due = sum(line["due"][first_s:end_s])
+    return sum(line["in time"][first_s:end_s]) / due if due else 1.0
+
+
+def store_peak(audit, since_ms):
+    """The most concurrent fetches of the store since then."""
+    fetches = audit.seen.of("store", "fetch")
+    return int(max((row["a"] for row in fetches if row["t"] >= since_ms), default=0))
+
+
+def figures(audit):
+    """What is printed of one drain."""
+    report = audit.report()
+    line = report["line"]
+    warm_up_s = int(audit.warm / 1000)
+    drain_at_s = warm_up_s + DRAIN_AT_S
+    drain_at_ms = audit.begun + audit.warm + 1000 * DRAIN_AT_S
+    drain_rows = list(audit.seen.of("conductor", "site"))
+    empty_at_ms = next((row["t"] for row in drain_rows if row["fate"] == "empty"), None)
+    empty_s = None if empty_at_ms is None else round((empty_at_ms - drain_at_ms) / 1000, 1)
+    weight = report["service"]["benefit"]
+    last_window = warm_up_s + SCENARIO_LENGTH_S - WORST_WINDOW_S + 1
+    worst = min(
+        share_in_time(line, second, second + WORST_WINDOW_S)
+        for second in range(drain_at_s, last_window)
+    )
     return {
-        "benefit lost": round(worth["lost"] / worth["due"], 4),
-        "before": round(share(first, begins), 4),
-        "worst 10 s": round(min(share(s, s + 10) for s in range(begins, first + LENGTH - 9)), 4),
-        "loads": found["loads"],
-        "store peak": int(
-            max(
-                (
-                    row["a"]
-                    for row in judge.seen.of("store", "fetch")
-                    if row["t"] >= judge.begun + 1000 * begins
-                ),
-                default=0,
-            )
-        ),
-        "empty s": None if empty is None else round(empty / 1000, 1),
-        "top quarter late": round(worth["lost of"]["sign-off"], 4),
-        "said": next((why for _, _, why in sites if why), ""),
-        "broken": len(found["broken"]),
+        "benefit lost": round(weight["lost"] / weight["due"], 4),
+        "before": round(share_in_time(line, warm_up_s, drain_at_s), 4),
+        "worst 10 s": round(worst, 4),
+        "loads": report["loads"],
+        "store peak": store_peak(audit, audit.begun + 1000 * drain_at_s),
+        "empty s": empty_s,
+        "top quarter late": round(weight["lost of"]["sign-off"], 4),
+        "said": next((row["function"] for row in drain_rows if row["function"]), ""),
+        "broken": len(report["broken"]),
     }
 
 
 def main(gateways=50, loads="0.5,0.7,0.9", seeds="1,2", sockets=""):
+    """Runs every way at every load and seed; prints a line each."""
     logs.set_up("error")
     for load in map(float, loads.split(",")):
-        for way in ("priority", "hard") if sockets else ("priority", "hard", "at once", "random"):
+        for way in WAYS_ON_SOCKETS if sockets else WAYS:
             for seed in map(int, seeds.split(",")):
-                print(
-                    json.dumps(
-                        {
-                            "gateways": int(gateways),
-                            "load": load,
-                            "way": way,
-                            "seed": seed,
-                            **play(int(gateways), way, load, seed, bool(sockets)),
-                        }
-                    ),
-                    flush=True,
-                )
+                found = run_drain(int(gateways), way, load, seed, bool(sockets))
+                setting = {"gateways": int(gateways), "load": load, "way": way, "seed": seed}
+                print(json.dumps(setting | found), flush=True)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/cherrydoor/zone_drain/attempt_rates.py
@@ -0,0 +1,72 @@
+"""How often a gateway attempts each function in each zone: the load that a drain has to move.
+
+Second workers and borrowed hosts count as well. Pure; times are ms of the caller's clock.
+"""
+
+from typing import NamedTuple
+
+HALF_LIFE_MS = 4000.0  # of a count: a drain is planned by the last seconds
+MAX_FUNCTIONS = 4000  # bounds the table
+FADED_COUNT = 0.05  # attempts below which a count is dropped
+LN_2 = 0.693
+
+
+class FunctionRate(NamedTuple):
+    """Attempts a second of one function in one zone."""
+
+    function: str
+    requests_per_s: float
+
+
+class AttemptRates:
+    """Owns the counts by function and zone; each halves every HALF_LIFE_MS.
+
+    Invariant: at most MAX_FUNCTIONS functions, each with at least one count that has not faded.
+    """
+
+    def __init__(self, now_ms: float):
+        self.counts: dict[str, dict[str, float]] = {}
+        self._faded_at_ms = now_ms
+        self._began_at_ms = now_ms
+
+    def attempt_started(self, function: str, zone: str) -> None:
+        """Counts an attempt; a new function is ignored once the table is full."""
+        by_zone = self.counts.get(function)
+        if by_zone is None:
+            if len(self.counts) >= MAX_FUNCTIONS:
+                return
+            by_zone = self.counts[function] = {}
+        by_zone[zone] = by_zone.get(zone, 0.0) + 1.0
+
+    def fade(self, now_ms: float) -> None:
+        """Lets counts decay; to be called now and then."""
+        factor = 0.5 ** ((now_ms - self._faded_at_ms) / HALF_LIFE_MS)
+        self._faded_at_ms = now_ms
+        for function in list(self.counts):
+            kept = {
+                zone: count * factor
+                for zone, count in self.counts[function].items()
+                if count * factor >= FADED_COUNT
+            }
+            if kept:
+                self.counts[function] = kept
+            else:
+                del self.counts[function]
+
+    def rates(self, now_ms: float, zone: str) -> list[FunctionRate]:
+        """Rates of the functions attempted in the zone, the busiest first.
+
+        >>> rates = AttemptRates(0.0)
+        >>> for t in range(0, 60000, 100): rates.fade(float(t)); rates.attempt_started("a", "z")
+        >>> [(name, round(rate)) for name, rate in rates.rates(60000.0, "z")]
+        [('a', 10)]
+        """
+        self.fade(now_ms)
+        counted_share = 1 - 0.5 ** ((now_ms - self._began_at_ms) / HALF_LIFE_MS)
+        window_s = HALF_LIFE_MS / 1000 / LN_2 * counted_share
+        found = [
+            FunctionRate(name, by_zone[zone] / max(window_s, 0.1))
+            for name, by_zone in self.counts.items()
+            if zone in by_zone
+        ]
+        return sorted(found, key=lambda one: (-one.requests_per_s, one.function))
--- /dev/null
+++ b/cherrydoor/zone_drain/coordinator.py
@@ -0,0 +1,289 @@
+"""A zone drain as its coordinator leads it: when a wave goes out, is taken back, or is the last.
+
+Participants go by the waves that they hear of, numbered under the lease's fencing token; they are
+not commanded. Whoever coordinates next goes on from the highest wave that anybody has, never back,
+and never with a wave under an old token. Pure; times are ms of the caller's clock.
+"""
+
+from collections.abc import Callable, Iterable, Sequence
+
+from cherrydoor.protocol.zone_drain import (
+    CoordinatorCommand,
+    DrainState,
+    DrainWave,
+    ParticipantReport,
+)
+from cherrydoor.zone_drain.drain_actions import DrainAction, PreloadCopy, QueryHost
+from cherrydoor.zone_drain.drain_record import CoordinatorState, DrainRecord
+from cherrydoor.zone_drain.in_flight_check import HostCount, InFlightCheck
+from cherrydoor.zone_drain.neighbour_capacity import NeighbourCapacity
+from cherrydoor.zone_drain.preload_tracker import PreloadTracker
+from cherrydoor.zone_drain.session_groups import LoadedCopy
+from cherrydoor.zone_drain.wave_observation import SETTLE_FACTOR_BEYOND_CAPACITY, WaveObservation
+from cherrydoor.zone_drain.wave_plan import WavePlan
+from cherrydoor.zone_drain.wave_progress import WaveProgress
+
+MAX_STEPS_BACK = 3  # after which the drain is paused until an operator resumes it
+MAX_NAMED = 3  # gateways that a reason names
+
+
+class DrainCoordinator:
+    """One drain under one fencing token, from the wave that was reached before.
+
+    Owns the state, and one owner for each table: `record` for what is announced, `progress` for
+    the waves, `observation` for what participants report, `preloads` for copies to be loaded,
+    `neighbours` for their capacity, `in_flight_check` for the hosts' own counts. Each method that
+    takes an event returns the actions that it leads to.
+    """
+
+    def __init__(
+        self,
+        zone: str,
+        fencing_token: int,
+        gateway: str,
+        plan: WavePlan,
+        living_gateways: Callable[[], Sequence[str]],
+        now_ms: float,
+        last: DrainWave | None = None,
+        copies: Iterable[LoadedCopy] = (),
+        listed_hosts: Callable[[], Sequence[str] | None] = lambda: (),
+    ):
+        """Takes over or begins; nothing is done before `start`.
+
+        Args:
+            zone: The zone to be drained.
+            fencing_token: Of the lease under which this coordinator acts.
+            gateway: The coordinator's own name.
+            plan: The waves, by what is known now.
+            living_gateways: Gives the names of gateways that are members now.
+            now_ms: Now.
+            last: The highest wave that anybody has; None at the beginning.
+            copies: Copies that are loaded outside the zone.
+            listed_hosts: Gives the zone's hosts in the endpoint list; None without a list.
+        """
+        loaded = list(copies)
+        self.plan = plan
+        self.record = DrainRecord(zone, fencing_token, gateway, last, loaded)
+        self.progress = WaveProgress(plan.waves, last)
+        self.observation = WaveObservation(now_ms, living_gateways)
+        self.preloads = PreloadTracker(copy.function for copy in loaded)
+        self.neighbours = NeighbourCapacity(zone)
+        self.in_flight_check = InFlightCheck(listed_hosts)
+        self.state = CoordinatorState.PRELOADING
+        self._is_undoing = last is not None and last.state == DrainState.UNDOING
+        self._starts_paused = False
+        if last is not None and last.state == DrainState.PAUSED:
+            self._starts_paused = True
+            self.record.reason = last.reason
+        self._steps_back = 0
+
+    @property
+    def has_moved_all(self) -> bool:
+        """Whether nothing is steered to the zone any more."""
+        return self.state in (CoordinatorState.EMPTYING, CoordinatorState.EMPTY)
+
+    @property
+    def is_beyond_capacity(self) -> bool:
+        """Whether more has moved than neighbours are known to bear."""
+        return self.progress.reached > self.plan.waves_within_capacity
+
+    # ---- events
+    def start(self, now_ms: float) -> list[DrainAction]:
+        """Goes on from where the drain is; a pause outlives the coordinator that began it."""
+        if self._is_undoing:
+            return self._undo(now_ms)
+        if self._starts_paused:
+            self._starts_paused = False
+            return self._pause(self.record.reason)
+        return self._go_on(now_ms)
+
+    def report_received(self, now_ms: float, report: ParticipantReport) -> list[DrainAction]:
+        """Takes a participant's report."""
+        return self.tick(now_ms) if self.observation.reports.add(now_ms, report) else []
+
+    def copy_loaded(
+        self, now_ms: float, function: str, host: str, version: str = ""
+    ) -> list[DrainAction]:
+        """A copy is loaded outside the zone; `version` is the name by which hosts know it."""
+        self.record.add_copy(version or function, host)
+        self.preloads.copy_loaded(function)
+        return self.tick(now_ms)
+
+    def host_answered(self, now_ms: float, host: str, count: HostCount | None) -> list[DrainAction]:
+        """Takes a host's own count; None where it gave none."""
+        self.in_flight_check.host_answered(now_ms, host, count)
+        return self.tick(now_ms)
+
+    def command(self, now_ms: float, command: CoordinatorCommand) -> list[DrainAction]:
+        """Takes an operator's command; one that does not fit the state changes nothing."""
+        if command == CoordinatorCommand.PAUSE:
+            can_pause = self.state in (CoordinatorState.PRELOADING, CoordinatorState.MOVING)
+            return self._pause("by an operator") if can_pause else []
+        if command == CoordinatorCommand.RESUME:
+            has_shed = bool(self.record.shed_functions) and self.has_moved_all
+            can_resume = self.state == CoordinatorState.PAUSED or has_shed
+            return self._resume(now_ms) if can_resume else []
+        return [] if self._is_undoing else self._undo(now_ms)
+
+    def _resume(self, now_ms: float) -> list[DrainAction]:
+        self.observation.regression.reset()
+        self._steps_back = 0
+        self.record.reason = ""
+        self.record.shed_functions = []
+        self.preloads.resume()
+        return self.start(now_ms)
+
+    def tick(self, now_ms: float) -> list[DrainAction]:
+        """Looks whether the next thing is due."""
+        if self._is_undoing or self.state == CoordinatorState.COMPLETED:
+            return self._after_wave(now_ms) if self.state == CoordinatorState.MOVING else []
+        if loss := self.neighbours.loss():
+            return self._neighbours_lost(now_ms, loss)
+        if self.record.reason.startswith("neighbours"):
+            self.record.reason = ""
+        if self.state == CoordinatorState.PRELOADING:
+            return self._check_preloads(now_ms)
+        if self.state == CoordinatorState.MOVING:
+            return self._after_wave(now_ms)
+        if self.has_moved_all and self._has_regressed_after_all_moved(now_ms):
+            return self._step_back(now_ms)
+        return self._check_empty(now_ms) if self.state == CoordinatorState.EMPTYING else []
+
+    # ---- the next wave
+    def _go_on(self, now_ms: float) -> list[DrainAction]:
+        if self.progress.is_finished:
+            return self._begin_emptying(now_ms)
+        self.state = CoordinatorState.PRELOADING
+        self.observation.begin_preloading(now_ms)
+        wanted = self.preloads.begin_wave(now_ms, self.progress.next_wave)
+        if wanted:
+            return [PreloadCopy(name) for name in wanted]
+        return self._send_next_wave(now_ms)
+
+    def _check_preloads(self, now_ms: float) -> list[DrainAction]:
+        is_last = self.progress.is_at_last_wave
+        overdue = self.preloads.overdue(now_ms, is_last)
+        for name in overdue.postpone:
+            remaining = self.preloads.postpone(name, self.progress.remaining_waves)
+            self.progress.replace_remaining(remaining)
+            self.record.reason = f"put off, as no copy stands: {' '.join(self.preloads.postponed)}"
+        if is_last and (reason := self.preloads.give_up(now_ms)):
+            return self._pause(reason)
+        if self.preloads.pending:
+            return [PreloadCopy(name) for name in overdue.order_again]
+        if self.progress.next_wave:
+            return self._send_next_wave(now_ms)
+        self.progress.skip()
+        return self._go_on(now_ms)
+
+    def _send_next_wave(self, now_ms: float) -> list[DrainAction]:
+        if self.neighbours.loss():
+            return []
+        self.progress.advance()
+        self.observation.set_baseline(now_ms)
+        return self._announce_move(now_ms, DrainState.MOVING)
+
+    # ---- what is announced
+    def _announce(self, state: DrainState) -> list[DrainAction]:
+        return self.record.announce(state, self.progress.announced_shares())
+
+    def _announce_move(self, now_ms: float, state: DrainState) -> list[DrainAction]:
+        self.state = CoordinatorState.MOVING
+        self.observation.begin_wave(now_ms)
+        return self._announce(state)
+
+    def _begin_emptying(self, now_ms: float) -> list[DrainAction]:
+        """All that has capacity elsewhere has moved; what is shed is rejected from here on."""
+        self.state = CoordinatorState.EMPTYING
+        self.observation.begin_wave(now_ms)
+        return self._announce(DrainState.EMPTYING)
+
+    def _pause(self, reason: str) -> list[DrainAction]:
+        """Sends no wave until an operator resumes; announced, so that successors pause as well."""
+        self.state = CoordinatorState.PAUSED
+        self.record.reason = reason
+        return self._announce(DrainState.PAUSED)
+
+    # ---- after a wave
+    def _after_wave(self, now_ms: float) -> list[DrainAction]:
+        is_careful = self.is_beyond_capacity and not self._is_undoing
+        settle_factor = SETTLE_FACTOR_BEYOND_CAPACITY if is_careful else 1
+        if self.observation.is_wave_underway(now_ms, self.record.version, settle_factor):
+            return []
+        if self._is_undoing:
+            return self._undo(now_ms)
+        if not self.observation.is_effect_measured(now_ms):
+            return []
+        if self.observation.has_regressed(now_ms, self.is_beyond_capacity):
+            regression = self.observation.regression
+            self.record.reason = regression.reason
+            return self._step_back(now_ms) if regression.persists(now_ms) else []
+        return self._go_on(now_ms)
+
+    def _has_regressed_after_all_moved(self, now_ms: float) -> bool:
+        """Whether a regression persists that the last wave may have caused and can be mended."""
+        can_mend = self.record.allow_shortfall or self.neighbours.can_take_back()
+        if not self.progress.reached or not can_mend:
+            return False
+        return self.observation.has_regressed_lately(now_ms, self.is_beyond_capacity)
+
+    def _step_back(self, now_ms: float) -> list[DrainAction]:
+        """Takes the last wave back; pauses after MAX_STEPS_BACK or once all had moved.
+
+        Where a shortfall is allowed, it and all below are shed instead, which ends the waves.
+        """
+        had_moved_all = self.has_moved_all
+        self.record.reason = self.observation.regression.reason
+        self.observation.expect_recovery()
+        self._steps_back += 1
+        self.progress.take_back_last()
+        if self.record.allow_shortfall:
+            self.record.shed_functions = self.progress.remaining_functions()
+            return self._begin_emptying(now_ms)
+        if had_moved_all or self._steps_back >= MAX_STEPS_BACK:
+            return self._pause(self.record.reason)
+        return self._announce_move(now_ms, DrainState.MOVING)
+
+    def _neighbours_lost(self, now_ms: float, loss: str) -> list[DrainAction]:
+        """Sends no wave; the zone takes back what the neighbours left cannot serve."""
+        if self.state == CoordinatorState.PAUSED:
+            return []
+        self.record.reason = loss
+        excess_per_s = self.neighbours.excess_per_s()
+        if not excess_per_s or not self.progress.reached or not self.neighbours.can_take_back():
+            return []
+        is_moving = self.state == CoordinatorState.MOVING
+        if is_moving and self.observation.is_wave_underway(now_ms, self.record.version):
+            return []
+        self.progress.take_back_rate(excess_per_s)
+        return self._announce_move(now_ms, DrainState.MOVING)
+
+    # ---- the end
+    def _check_empty(self, now_ms: float) -> list[DrainAction]:
+        """By the gateways' reports, then by the hosts' own counts."""
+        unconfirmed = self.observation.unconfirmed(self.record.version)
+        self.record.reason = ""
+        if unconfirmed and self.observation.may_still_confirm(now_ms):
+            return []
+        living = self.observation.living_gateways()
+        busy = self.observation.reports.with_requests_in_flight(living)
+        if busy:
+            self.record.reason = "in hand at " + " ".join(busy[:MAX_NAMED])
+            return []
+        if unconfirmed:
+            self.record.reason = "not confirmed by " + " ".join(unconfirmed[:MAX_NAMED])
+        hosts = self.in_flight_check.hosts_to_query(now_ms)
+        if not self.in_flight_check.is_empty(now_ms):
+            self.record.reason = self.in_flight_check.reason() or self.record.reason
+            return [QueryHost(name) for name in hosts]
+        self.state = CoordinatorState.EMPTY
+        return self._announce(DrainState.EMPTY)
+
+    def _undo(self, now_ms: float) -> list[DrainAction]:
+        """Takes the waves back in reverse, one at a time, each confirmed."""
+        self._is_undoing = True
+        if not self.progress.moved_shares:
+            self.state = CoordinatorState.COMPLETED
+            return self._announce(DrainState.COMPLETED)
+        self.progress.take_back_last()
+        return self._announce_move(now_ms, DrainState.UNDOING)
--- /dev/null
+++ b/cherrydoor/zone_drain/service.py
@@ -0,0 +1,275 @@
+"""Zone drains at one gateway: goes by waves, reports, and coordinates where it holds the lease."""
+
+from asyncio import TimerHandle
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple
+
+import structlog
+
+from cherrydoor.protocol.basics import SUCCEEDED
+from cherrydoor.protocol.zone_drain import (
+    CoordinatorCommand,
+    DrainState,
+    DrainWave,
+    OperatorCommand,
+    ParticipantReport,
+)
+from cherrydoor.zone_drain.coordination import DrainCoordinators
+from cherrydoor.zone_drain.drain_status import Table
+from cherrydoor.zone_drain.local_load import LocalLoad, ResponseCounts, zone_loads
+from cherrydoor.zone_drain.operator_commands import OperatorCommands
+from cherrydoor.zone_drain.participant import DrainDecision, Participant, unversioned
+from cherrydoor.zone_drain.participant_reports import report_interval_ms
+from cherrydoor.zone_drain.reported_loads import ReportedLoads
+
+log = structlog.get_logger()
+TICK_S = 0.25  # between looks at what is to be reported and what is due
+TIMER_TOLERANCE_MS = 1.0  # by which a tick may come early and still count as its time
+NO_RESPONSES = ResponseCounts(0, 0)
+
+
+class SentReport(NamedTuple):
+    """When this gateway last reported on a drain, and the version of the wave it went by."""
+
+    sent_at_ms: float
+    version: tuple[int, int]
+
+
+def version_reader(releases: Any) -> Callable[[str], str]:
+    """How names of functions are read: without their version where there are releases."""
+    return (lambda name: name) if releases is None else unversioned
+
+
+class ZoneDrainService:
+    """One gateway's part in zone drains, and the dispatcher's interface to them.
+
+    Owns the participant, the coordinators, the operators' commands and this gateway's own load.
+    """
+
+    def __init__(self, peers: Any, tenures: Any):
+        """Connects to the gateway's links and leases; `start` begins to report."""
+        self._peers = peers
+        self._tenures = tenures
+        self._service = peers.service
+        self._now = peers.now
+        self._loop = peers.loop
+        self._gateway = peers.me.name
+        self._timer: TimerHandle | None = None
+        self._sent_reports: dict[str, SentReport] = {}  # by zone; as many as there are drains
+        request_classes = {one.name: one for one in self._service.config.lease.request_classes}
+        self.participant = Participant()
+        self.load = LocalLoad(request_classes, self._service.config.benefits, self._now())
+        unversioned_name = version_reader(self._service.releases)
+        self._reported_loads = ReportedLoads(self._now, unversioned_name)
+        self.coordinators = DrainCoordinators(
+            peers,
+            tenures,
+            self._reported_loads,
+            lambda zone: self.participant.drains.get(zone),
+            lambda wave: self._wave_received("", wave),
+            unversioned_name,
+        )
+        self._operator_commands = OperatorCommands(
+            lambda: self._service.dispatcher,
+            lambda: self.participant,
+            self.coordinators,
+            self._reported_loads,
+            self._add_own_report,
+            self._send_command,
+        )
+        peers.linked.append(self._peer_linked)
+        peers.follow(DrainWave, self._wave_received)
+        peers.follow(ParticipantReport, self._report_received)
+        peers.follow(OperatorCommand, self._command_received)
+
+    @property
+    def follower(self) -> Participant:
+        """The participant, under the name by which peer services hand it on."""
+        return self.participant
+
+    @follower.setter
+    def follower(self, participant: Participant) -> None:
+        """The next incarnation of a gateway goes by the waves that the one before knew."""
+        self.participant = participant
+
+    def start(self) -> None:
+        """Begins to report and to coordinate."""
+        self._tick()
+
+    def close(self) -> None:
+        """Hands the leases over."""
+        if self._timer:
+            self._timer.cancel()
+        self.coordinators.release_leases()
+
+    def order(self, said: Mapping[str, Any]) -> Table:
+        """The answer to an operator's command (operator_commands.py)."""
+        return self._operator_commands.answer(said)
+
+    # ---- the dispatcher's interface
+    def _decide(self, request: Any) -> DrainDecision:
+        return self.load.decide(self.participant, self._now(), request)
+
+    def rejection_reason(self, request: Any) -> str:
+        """Why the request is rejected for a drain; "" where it is not."""
+        return self._decide(request).rejection_reason if self.participant.drains else ""
+
+    def drained_zone(self, request: Any, function: str) -> str:
+        """The zone that is not eligible for the request, if any.
+
+        Args:
+            request: The request.
+            function: As it is called: a version of the request's.
+        """
+        self.load.request_routed(function, request.request_class)
+        return self._decide(request).excluded_zone if self.participant.drains else ""
+
+    def draining_zones(self) -> list[str]:
+        """Zones of which sessions have moved: releases load ahead outside them, too."""
+        return self.participant.zones_with_moved_sessions()
+
+    def attempt_started(self, function: str, zone: str) -> None:
+        """An attempt goes to a host of the zone."""
+        self.load.attempt_rates.attempt_started(function, zone)
+
+    def request_finished(self, pending: Any, outcome: str, now_ms: float) -> None:
+        """A request has been answered."""
+        duration_ms = now_ms - pending.accepted_at_ms
+        request_class = pending.request.request_class
+        self.load.request_finished(request_class, outcome == SUCCEEDED, duration_ms)
+
+    def load_ended(self, function: str, host: str, is_success: bool) -> None:
+        """A load order of this gateway has ended; `function` is a version's name."""
+        self.coordinators.load_order_ended(function, host, is_success)
+
+    # ---- waves
+    def _wave_received(self, sender: str, wave: DrainWave) -> None:
+        """Goes by a wave that is new, and forwards it to everybody linked, once.
+
+        Args:
+            sender: The peer it came from; "" where this gateway announces it.
+            wave: The wave.
+        """
+        if not self.participant.accept_wave(self._now(), wave):
+            self._correct_sender(sender, wave)
+            return
+        self._tell_routing_of_copies(wave)
+        for name in list(self._peers.ends):
+            if name != sender:
+                self._peers.say(name, wave)
+        log.info(
+            "zone drain wave accepted",
+            gateway=self._gateway,
+            zone=wave.zone,
+            fencing_token=wave.fencing_token,
+            wave=wave.wave,
+            state=str(wave.state),
+            coordinator=wave.coordinator,
+            reason=wave.reason,
+        )
+        if wave.coordinator != self._gateway:
+            self.coordinators.higher_token_seen(wave.zone, wave.fencing_token)
+
+    def _correct_sender(self, sender: str, wave: DrainWave) -> None:
+        """A sender that is behind is told the wave that stands."""
+        known = self.participant.drains.get(wave.zone)
+        if known is not None and sender and known.version > wave.version:
+            self._peers.say(sender, known)
+
+    def _tell_routing_of_copies(self, wave: DrainWave) -> None:
+        dispatcher = self._service.dispatcher
+        for copy in wave.ready_copies:
+            if copy.function in dispatcher.router.history.functions:
+                self._service.post(dispatcher.copy_reported, copy.function, copy.host)
+
+    def _peer_linked(self, name: str) -> None:
+        """A peer that was away hears of the waves that stand from whom it meets first."""
+        for wave in self.participant.drains.values():
+            self._peers.say(name, wave)
+
+    # ---- reports
+    def _report(
+        self, zone: str, version: tuple[int, int], counts: ResponseCounts
+    ) -> ParticipantReport:
+        dispatcher = self._service.dispatcher
+        in_flight = sum(
+            len(link.out)
+            for host in dispatcher.hosts.values()
+            if host.row.zone == zone
+            for link in host.links
+        )
+        fencing_token, wave = version
+        return ParticipantReport(
+            gateway=self._gateway,
+            incarnation=self._peers.me.incarnation,
+            zone=zone,
+            fencing_token=fencing_token,
+            wave=wave,
+            in_flight=in_flight,
+            responses=counts.responses,
+            timely_responses=counts.timely_responses,
+            function_loads=self.load.function_loads(self._now(), zone, dispatcher.router.zone),
+            zone_loads=zone_loads(dispatcher.router.zone),
+        )
+
+    def _add_own_report(self, zone: str) -> None:
+        """For a plan that is asked for here."""
+        self._reported_loads.add(self._report(zone, (0, 0), NO_RESPONSES))
+
+    def _report_if_due(self, zone: str, wave: DrainWave, now_ms: float) -> None:
+        """The coordinator hears of a new wave at once, of an old one now and then."""
+        interval_ms = report_interval_ms(len(self._peers.members.living()))
+        sent = self._sent_reports.get(zone)
+        if sent is not None and sent.version == wave.version:
+            is_completed = wave.state == DrainState.COMPLETED  # reported once
+            if is_completed or now_ms - sent.sent_at_ms < interval_ms - TIMER_TOLERANCE_MS:
+                return
+        self._sent_reports[zone] = SentReport(now_ms, wave.version)
+        report = self._report(zone, wave.version, self.load.take_response_counts())
+        self._send(wave.coordinator, report)
+
+    def _report_received(self, sender: str, report: ParticipantReport) -> None:
+        """Takes a report, or forwards it as a voter."""
+        if report.recipient == self._gateway:
+            self.coordinators.report_received(report)
+        else:
+            self._peers.say(report.recipient, report)
+
+    def _command_received(self, sender: str, message: OperatorCommand) -> None:
+        """Takes an operator's command, or forwards it as a voter."""
+        if message.recipient == self._gateway:
+            self.coordinators.command_received(message.zone, message.command)
+        else:
+            self._peers.say(message.recipient, message)
+
+    def _send_command(self, coordinator: str, zone: str, command: CoordinatorCommand) -> None:
+        self._send(coordinator, OperatorCommand(zone, command))
+
+    def _send(self, coordinator: str, message: ParticipantReport | OperatorCommand) -> None:
+        """Sends to the coordinator: directly where it is linked, else by way of a voter."""
+        message.recipient = coordinator
+        if coordinator == self._gateway:
+            if isinstance(message, ParticipantReport):
+                self._loop.call_soon(self._report_received, "", message)
+            else:
+                self._loop.call_soon(self._command_received, "", message)
+        elif not self._peers.say(coordinator, message):
+            voters = self._tenures.keepers
+            forwarder = next((name for name in voters if name in self._peers.ends), None)
+            if forwarder is not None:
+                self._peers.say(forwarder, message)
+
+    # ---- the timer
+    def _tick(self) -> None:
+        if self._peers.closed:
+            return
+        self._timer = self._loop.call_later(TICK_S, self._tick)
+        now_ms = self._now()
+        self.load.attempt_rates.fade(now_ms)
+        is_voter = self._gateway in self._tenures.keepers
+        for zone, wave in list(self.participant.drains.items()):
+            self._report_if_due(zone, wave, now_ms)
+            is_active = wave.state != DrainState.COMPLETED
+            if is_active and is_voter and not self.coordinators.is_wanted(zone):
+                self.coordinators.request_lease(zone)  # voters take over from a lost coordinator
+        self.coordinators.tick()
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -1,55 +1,65 @@
-"""A drain's waves: in which order lots move, who follows what, and when the conductor goes on."""
+"""The waves of a drain: in which order session groups move, and what participants make of them."""
 
 from types import SimpleNamespace
 
 import pytest
+from coordinator_trial import GROUPS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from cherrydoor.gateway.dispatcher import Dispatcher
-from cherrydoor.protocol.zone_drain import DrainWave, FunctionLoad, MovedShare
-from cherrydoor.zone_drain import follow
-from cherrydoor.zone_drain.conducting import plain
-from cherrydoor.zone_drain.neighbours import Site, gathered_sites, room_of
-from cherrydoor.zone_drain.plan import REST, Lot, gathered, merged, plan, served
-
-LOTS = [
-    Lot("gold", 10.0, 5.0, hosts=("h1",)),
-    Lot("iron", 20.0, 1.0),
-    Lot("lead", 10.0, 0.5, hosts=("h2",)),
-]
-
-
-def test_waves_go_by_benefit_then_by_what_moving_costs_and_are_bounded():
-    made = plan(LOTS, 100.0, 0.25)
-    assert [[(s.function, round(s.share, 2), s.opens) for s in wave] for wave in made.waves] == [
+from cherrydoor.protocol.zone_drain import DrainWave, FunctionLoad, MovedShare, ZoneLoad
+from cherrydoor.zone_drain.neighbour_capacity import ZoneState, combined_zones, spare_capacity
+from cherrydoor.zone_drain.participant import Participant, session_key
+from cherrydoor.zone_drain.service import version_reader
+from cherrydoor.zone_drain.session_groups import (
+    OTHER_FUNCTIONS,
+    SessionGroup,
+    combined_sessions,
+    ordered_groups,
+)
+from cherrydoor.zone_drain.wave_plan import plan_waves, served_weight_per_s
+
+
+def test_waves_go_by_priority_then_by_the_cost_of_moving_and_are_bounded():
+    plan = plan_waves(GROUPS, 100.0, 0.25)
+    steps = [[(s.function, round(s.share, 2), s.needs_copy) for s in wave] for wave in plan.waves]
+    assert steps == [
         [("gold", 1.0, False)],
         [("iron", 0.5, True)],
         [("iron", 1.0, False)],
         [("lead", 1.0, False)],
     ]
-    assert made.missing == 0.0 and made.sure == len(made.waves)
+    assert plan.shortfall_per_s == 0.0
+    assert plan.waves_within_capacity == len(plan.waves)
 
 
-def test_what_goes_beyond_the_room_that_is_known_goes_last_and_in_smaller_waves():
-    made = plan(LOTS, 25.0, 0.5)
-    assert [[(s.function, round(s.share, 2)) for s in wave] for wave in made.waves] == [
+def test_what_exceeds_the_known_capacity_moves_last_and_in_smaller_waves():
+    plan = plan_waves(GROUPS, 25.0, 0.5)
+    assert [[(s.function, round(s.share, 2)) for s in wave] for wave in plan.waves] == [
         [("gold", 1.0), ("iron", 0.5)],
         [("iron", 0.75)],
         [("iron", 1.0), ("lead", 0.5)],
         [("lead", 1.0)],
     ]
-    assert made.sure == 2 and made.missing == 15.0 and "15.0 are missing" in made.refusal()
+    assert plan.waves_within_capacity == 2
+    assert plan.shortfall_per_s == 15.0
+    assert "15.0 are missing" in plan.refusal()
 
 
-def test_few_copies_are_opened_at_a_time():
-    made = plan([Lot(f"f{i}", 1.0) for i in range(20)], 100.0, 1.0, copies=4)
-    assert [sum(s.opens for s in wave) for wave in made.waves] == [4, 4, 4, 4, 4]
+def test_few_copies_are_loaded_at_a_time():
+    plan = plan_waves([SessionGroup(f"f{i}", 1.0) for i in range(20)], 100.0, 1.0, max_copies=4)
+    assert [sum(s.needs_copy for s in wave) for wave in plan.waves] == [4, 4, 4, 4, 4]
 
 
-def test_what_is_too_small_to_stand_by_itself_goes_as_the_rest():
-    lots = gathered([Lot("big", 100.0), *(Lot(f"f{i}", 0.5, 1.0, "keyed") for i in range(10))])
-    assert {lot.function: lot.kind for lot in lots} == {"big": "redeliverable", REST: "keyed"}
+def test_groups_that_are_too_small_move_together_as_the_rest():
+    groups = ordered_groups(
+        [SessionGroup("big", 100.0), *(SessionGroup(f"f{i}", 0.5, 1.0, "keyed") for i in range(10))]
+    )
+    assert {group.function: group.retry_safety for group in groups} == {
+        "big": "redeliverable",
+        OTHER_FUNCTIONS: "keyed",
+    }
 
 
 @given(
@@ -57,131 +67,162 @@
     st.floats(0.0, 200.0),
 )
 @settings(max_examples=200, deadline=None)
-def test_greedy_by_benefit_is_what_a_fractional_knapsack_would_take(given_, room):
-    """Shares can be split, so the order of benefit is the best there is: the gap to a solver's bound is none."""
-    lots = [Lot(f"f{i}", rate, benefit) for i, (rate, benefit) in enumerate(given_)]
-    best, left = 0.0, room
-    for lot in sorted(gathered(lots), key=lambda lot: -lot.benefit):
-        best += lot.benefit * min(lot.rate, left)
-        left = max(0.0, left - lot.rate)
-    assert served(plan(lots, room), lots) == pytest.approx(best, abs=1e-6)
-
-
-def test_room_is_what_busy_neighbours_leave_and_unknown_where_none_tells():
+def test_the_move_order_serves_as_much_weight_as_a_fractional_knapsack(loads, capacity):
+    """Shares can be split, so the order of priority is optimal: no gap to a solver's bound."""
+    groups = [SessionGroup(f"f{i}", rate, weight) for i, (rate, weight) in enumerate(loads)]
+    best = 0.0
+    remaining = capacity
+    for group in sorted(ordered_groups(groups), key=lambda group: -group.priority_weight):
+        best += group.priority_weight * min(group.requests_per_s, remaining)
+        remaining = max(0.0, remaining - group.requests_per_s)
+    served = served_weight_per_s(plan_waves(groups, capacity), groups)
+    assert served == pytest.approx(best, abs=1e-6)
+
+
+def test_spare_capacity_is_what_utilization_leaves_and_unknown_where_no_zone_has_one():
     assert (
-        room_of({"a": Site(4, 50.0, 0.9), "b": Site(4, 40.0, 0.5), "c": Site(4, 40.0, None)}, "a")
+        spare_capacity(
+            {
+                "a": ZoneState(4, 50.0, 0.9),
+                "b": ZoneState(4, 40.0, 0.5),
+                "c": ZoneState(4, 40.0, None),
+            },
+            "a",
+        )
         == 32.0
     )
-    assert room_of({"a": Site(4, 50.0, 0.9), "b": Site(4, 40.0, None)}, "a") is None
+    assert (
+        spare_capacity({"a": ZoneState(4, 50.0, 0.9), "b": ZoneState(4, 40.0, None)}, "a") is None
+    )
 
 
-def test_one_gateway_that_hears_nobody_makes_nobody_think_a_site_is_lost():
-    blind, well = [("east", 0.0, None, 0)], [("east", 5.0, 0.5, 4)]
-    assert gathered_sites([blind, well, well])["east"].hosts == 4
-    assert gathered_sites([blind, blind, well])["east"].hosts == 0
+def test_one_gateway_that_is_cut_off_makes_nobody_think_that_a_zone_is_lost():
+    blind = [ZoneLoad("east", 0.0, None, 0)]
+    well = [ZoneLoad("east", 5.0, 0.5, 4)]
+    assert combined_zones([blind, well, well])["east"].hosts == 4
+    assert combined_zones([blind, blind, well])["east"].hosts == 0
 
 
 def test_versions_of_a_function_move_as_one_and_copies_stay_each_versions_own():
-    told = [
-        FunctionLoad("deed@1", 2.0, hosts=["h1"]),
-        FunctionLoad("deed@2", 1.0, 3.0, "keyed", hosts=["h2"]),
+    loads = [
+        FunctionLoad("deed@1", 2.0, hosts_with_copy=["h1"]),
+        FunctionLoad("deed@2", 1.0, 3.0, "keyed", hosts_with_copy=["h2"]),
         FunctionLoad("other", 1.0),
     ]
-    lots, copies = merged(told, plain(object()))
-    assert [(lot.function, lot.rate, lot.benefit, lot.kind) for lot in lots] == [
+    groups, copies = combined_sessions(loads, version_reader(object()))
+    assert [
+        (group.function, group.requests_per_s, group.priority_weight, group.retry_safety)
+        for group in groups
+    ] == [
         ("deed", 3.0, 3.0, "keyed"),
         ("other", 1.0, 1.0, "redeliverable"),
     ]
     assert copies == [("deed", "deed@1", "h1"), ("deed", "deed@2", "h2")]
-    assert [lot.function for lot in merged(told, plain(None))[0]] == [
+    assert [group.function for group in combined_sessions(loads, version_reader(None)).groups] == [
         "deed@1",
         "deed@2",
         "other",
     ], "no releases here"
 
 
-def test_a_release_loads_ahead_outside_a_site_whose_sessions_have_moved_as_well():
+def test_a_release_preloads_also_outside_a_zone_whose_sessions_have_moved():
     dispatcher = SimpleNamespace(
         router_messages=[], zone_drain=SimpleNamespace(draining_zones=lambda: ["s"])
     )
     Dispatcher.function_expected(dispatcher, "deed@2")
-    assert [(note.function, note.drained_zone) for note in dispatcher.router_messages] == [
+    assert [(message.function, message.drained_zone) for message in dispatcher.router_messages] == [
         ("deed@2", ""),
         ("deed@2", "s"),
     ]
     dispatcher.router_messages.clear()
     Dispatcher.function_expected(dispatcher, "deed@2", "s")
-    assert [note.drained_zone for note in dispatcher.router_messages] == ["s"], (
+    assert [message.drained_zone for message in dispatcher.router_messages] == ["s"], (
         "a drain's own copy is wanted outside alone"
     )
 
 
-# ---- those who follow
-def wave(number, of, state="moving", shed=(), **shares):
-    return DrainWave(
-        "s", number, of, "c", state, [MovedShare(k, v) for k, v in shares.items()], list(shed)
-    )
+# ---- participants
+def wave(token, number, state="moving", shed=(), **shares):
+    moved = [MovedShare(function, share) for function, share in shares.items()]
+    return DrainWave("s", token, number, "c", state, moved, list(shed))
 
 
-def away(follower, function="f", one="x", now=1000.0, kind="redeliverable", memory=0.0):
-    return follower.tells(now, function, kind, memory, one)
+def decision(
+    participant,
+    function="f",
+    session="x",
+    now_ms=1000.0,
+    retry_safety="redeliverable",
+    dedup_window_ms=0.0,
+):
+    return participant.decide(now_ms, function, retry_safety, dedup_window_ms, session)
 
 
-def test_a_wave_under_an_old_number_or_an_older_one_undoes_nothing():
-    follower = follow.Follower()
-    assert follower.hear(0.0, wave(2, 3, f=0.5)) and follower.hear(1.0, wave(3, 3, f=0.5))
+def test_a_wave_with_an_old_token_or_an_older_number_changes_nothing():
+    participant = Participant()
+    assert participant.accept_wave(0.0, wave(2, 3, f=0.5))
+    assert participant.accept_wave(1.0, wave(3, 3, f=0.5))
     for old in (wave(3, 3), wave(2, 9), wave(3, 2)):
-        assert not follower.hear(2.0, old)
-    assert follower.drains["s"].number == 3
+        assert not participant.accept_wave(2.0, old)
+    assert participant.drains["s"].fencing_token == 3
 
 
-def test_shares_are_nested_who_is_away_stays_away_and_others_agree():
-    one, other = follow.Follower(), follow.Follower()
+def test_shares_are_nested_so_moved_sessions_stay_moved_and_participants_agree():
+    one = Participant()
+    other = Participant()
     sessions = [f"doc{i}" for i in range(400)]
     before: set = set()
     for number, share in enumerate((0.1, 0.4, 0.8), 1):
-        for follower in (one, other):
-            follower.hear(0.0, wave(1, number, f=share))
-        now_away = {s for s in sessions if away(one, one=s).away == "s"}
-        assert before <= now_away == {s for s in sessions if away(other, one=s).away}
-        assert abs(len(now_away) / 400 - share) < 0.08
-        before = now_away
-    assert not any(away(one, "other", s).away for s in sessions)
-
-
-def test_what_has_moved_is_where_a_release_loads_ahead_as_well():
-    follower = follow.Follower()
-    assert follower.moving() == []
-    follower.hear(0.0, wave(1, 1))
-    assert follower.moving() == []
-    follower.hear(0.0, wave(1, 2, f=0.5))
-    assert follower.moving() == ["s"]
-    follower.hear(0.0, wave(1, 3, "over"))
-    assert follower.moving() == []
-
-
-def test_what_is_shed_is_deferred_at_the_end_and_not_before():
-    follower = follow.Follower()
-    follower.hear(0.0, wave(1, 1, shed=["lead"], gold=1.0))
-    assert away(follower, "gold").away == "s" and not away(follower, "lead").defer
-    follower.hear(0.0, wave(1, 2, "emptying", ["lead"], gold=1.0))
-    assert "no room" in away(follower, "lead").defer and not away(follower, "gold").defer
-    assert away(follower, "unheard of").away == "s", (
+        for participant in (one, other):
+            participant.accept_wave(0.0, wave(1, number, f=share))
+        moved_now = {s for s in sessions if decision(one, session=s).excluded_zone == "s"}
+        assert before <= moved_now
+        assert moved_now == {s for s in sessions if decision(other, session=s).excluded_zone}
+        assert abs(len(moved_now) / 400 - share) < 0.08
+        before = moved_now
+    assert not any(decision(one, "other", s).excluded_zone for s in sessions)
+
+
+def test_a_zone_has_moved_sessions_from_its_first_share_until_the_drain_is_over():
+    participant = Participant()
+    assert participant.zones_with_moved_sessions() == []
+    participant.accept_wave(0.0, wave(1, 1))
+    assert participant.zones_with_moved_sessions() == []
+    participant.accept_wave(0.0, wave(1, 2, f=0.5))
+    assert participant.zones_with_moved_sessions() == ["s"]
+    participant.accept_wave(0.0, wave(1, 3, "over"))
+    assert participant.zones_with_moved_sessions() == []
+
+
+def test_shed_functions_are_rejected_once_the_zone_empties_and_not_before():
+    participant = Participant()
+    participant.accept_wave(0.0, wave(1, 1, shed=["lead"], gold=1.0))
+    assert decision(participant, "gold").excluded_zone == "s"
+    assert not decision(participant, "lead").rejection_reason
+    participant.accept_wave(0.0, wave(1, 2, "emptying", ["lead"], gold=1.0))
+    assert "no room" in decision(participant, "lead").rejection_reason
+    assert not decision(participant, "gold").rejection_reason
+    assert decision(participant, "unheard of").excluded_zone == "s", (
         "nothing new is steered there once it is to be empty"
     )
 
 
-def test_a_keyed_event_does_not_move_while_a_part_of_the_hosts_remembers_its_mark():
-    follower = follow.Follower()
-    follower.hear(1000.0, wave(1, 1, f=1.0))
-    assert "marks" in away(follower, kind="keyed", memory=5000.0, now=5900.0).defer
-    assert not away(follower, kind="keyed", memory=5000.0, now=6100.0).defer
-    assert not away(follower, kind="keyed", memory=0.0, now=1100.0).defer, "all hosts remember it"
-
-
-def test_a_session_is_a_document_else_a_party_and_function():
+def test_a_keyed_request_is_rejected_while_a_part_of_the_hosts_remembers_its_key():
+    participant = Participant()
+    participant.accept_wave(1000.0, wave(1, 1, f=1.0))
     assert (
-        follow.session("doc", "p", "f")
-        == follow.session("doc", "q", "g")
-        != follow.session("", "p", "f")
+        "marks"
+        in decision(
+            participant, retry_safety="keyed", dedup_window_ms=5000.0, now_ms=5900.0
+        ).rejection_reason
     )
+    assert not decision(
+        participant, retry_safety="keyed", dedup_window_ms=5000.0, now_ms=6100.0
+    ).rejection_reason
+    assert not decision(
+        participant, retry_safety="keyed", dedup_window_ms=0.0, now_ms=1100.0
+    ).rejection_reason, "all hosts remember it"
+
+
+def test_a_session_is_an_affinity_key_else_a_tenant_and_function():
+    assert session_key("doc", "p", "f") == session_key("doc", "q", "g") != session_key("", "p", "f")
