--- a/cherrydoor/cli/keys.py
+++ b/cherrydoor/cli/keys.py
@@ -15,11 +15,11 @@
 
 def in_folder(do):
     """Runs do(folder) on the folder of keys; its faults in one line."""
-    from cherrydoor.tls.make import CannotMake
+    from cherrydoor.tls.errors import LocalAuthorityError
 
     try:
         said = do()
-    except (CannotMake, OSError, ValueError) as error:
+    except (LocalAuthorityError, OSError, ValueError) as error:
         print(error, file=sys.stderr)
         sys.exit(1)
     if said:
@@ -27,9 +27,9 @@
 
 
 def folder_of(path):
-    from cherrydoor.tls.make import Folder
+    from cherrydoor.tls.local_authority import LocalAuthority
 
-    return Folder(path)
+    return LocalAuthority(path)
 
 
 @keys.command()
@@ -114,12 +114,12 @@
 def show_keys(folder, lease_file, as_json):
     """Show what there is, and when each ends; 1 where something is wrong or has ended."""
     from cherrydoor.config import Problems
-    from cherrydoor.tls.show import rows_of
+    from cherrydoor.tls.inventory import list_credentials
 
     if (folder is None) == (lease_file is None):
         raise click.UsageError("FOLDER or --lease FILE, one of them")
     try:
-        rows = rows_of(folder, lease_file)
+        rows = list_credentials(folder, lease_file)
     except Problems as error:
         problems(error, as_json)
     if as_json:
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -7,9 +7,9 @@
 
 from cherrydoor.admission import decide as d
 from cherrydoor.admission.listener import rejection_bytes
-from cherrydoor.failover.fellows import Fellows
+from cherrydoor.failover.peer_services import PeerServices
 from cherrydoor.gateway.service import GatewayService
-from cherrydoor.leader_election import decide
+from cherrydoor.leader_election.messages import Votes
 
 
 class Clock:
@@ -77,7 +77,7 @@
 
     def read(self):
         kept = self.disk.get(self.path)
-        return msgspec.json.decode(kept, type=decide.Promises) if kept else None
+        return msgspec.json.decode(kept, type=Votes) if kept else None
 
     def save(self, promises, then):
         self.disk[self.path] = msgspec.json.encode(promises)
@@ -137,7 +137,7 @@
             None
             if disk is None
             else lambda service, incarnation=0: (
-                Fellows(service, incarnation, lambda path, name: Promises(disk, path, name))
+                PeerServices(service, incarnation, lambda path, name: Promises(disk, path, name))
                 if service.config.peers["door"]
                 else None
             ),
@@ -190,7 +190,7 @@
             if end
         ]
         found += (
-            [end.transport for end in self.peer_services.peers.ends.values()]
+            [end.transport for end in self.peer_services.peers.connections.values()]
             if self.peer_services
             else []
         )
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -24,25 +24,28 @@
 from cherrydoor.config import figures as configuration
 from cherrydoor.fakes import record
 from cherrydoor.gateway.endpoint_watch import EndpointWatch
-from cherrydoor.leader_election import decide as election
-from cherrydoor.leader_election import promises as vote_file
+from cherrydoor.leader_election import messages as election
+from cherrydoor.leader_election import vote_store
 from cherrydoor.protocol import messages
 from cherrydoor.rehearsal import day as rehearsal_day
 from cherrydoor.rehearsal import seen
-from cherrydoor.releases import decide as versions
-from cherrydoor.releases import feed
+from cherrydoor.releases import release, state_file
+from cherrydoor.releases.controller import RolloutController
+from cherrydoor.releases.messages import ReleaseState
 from cherrydoor.routing import messages as interface
-from cherrydoor.tls import files as key_files
-from cherrydoor.tls import make as key_maker
+from cherrydoor.tls import credential_files as key_files
+from cherrydoor.tls.local_authority import LocalAuthority
+from cherrydoor.tls.peer_authentication import TOKEN_AUDIENCE
+from cherrydoor.tls.tls_context import make_context
 
 STORED = Path(__file__).with_name("stored")
 NOW = 1_700_000_000_000.0
 
-VOTES = election.Promises(
+VOTES = election.Votes(
     7,
     {
-        "drain zone-1": election.Promise(12, "g1", 3000.5, 2500.0),
-        "in hand of g2": election.Promise(13),
+        "drain zone-1": election.Vote(12, "g1", 3000.5, 2500.0),
+        "in hand of g2": election.Vote(13),
     },
 )
 HOSTS = [
@@ -130,27 +133,27 @@
 
 
 def restored_versions(data):
-    restored = versions.Versions(NOW)
-    restored.take_back(feed.unseal(data))
+    restored = RolloutController(NOW)
+    restored.restore(state_file.unseal(data))
     return restored
 
 
 # ---- leader election
 def test_stored_votes_are_read():
-    found = vote_file.unseal("g0", (STORED / "votes").read_bytes())
+    found = vote_store.decode_votes("g0", (STORED / "votes").read_bytes())
     assert msgspec.structs.astuple(found)[0] == 7
     assert found == VOTES
 
 
 def test_votes_are_written_as_before(tmp_path):
     path = tmp_path / "votes"
-    vote_file.sync(path, vote_file.seal("g0", VOTES))
+    vote_store.write_synced(path, vote_store.encode_votes("g0", VOTES))
     assert path.read_bytes() == (STORED / "votes").read_bytes()
 
 
 def test_stored_votes_of_another_voter_are_refused():
-    with pytest.raises(vote_file.Unsound):
-        vote_file.unseal("g1", (STORED / "votes").read_bytes())
+    with pytest.raises(vote_store.InvalidVoteFileError):
+        vote_store.decode_votes("g1", (STORED / "votes").read_bytes())
 
 
 # ---- releases
@@ -162,8 +165,8 @@
             "deed-00001",
             5,
             4,
-            versions.TRIAL,
-            versions.SHARES[2],
+            ReleaseState.CANARY,
+            release.TRAFFIC_SHARES[2],
             True,
             "held by hand",
             0.0,
@@ -175,7 +178,7 @@
             "deed-00003",
             2,
             1,
-            versions.ANNOUNCED,
+            ReleaseState.ANNOUNCED,
             0.0,
             False,
             "",
@@ -189,7 +192,7 @@
 
 def test_releases_are_written_as_before():
     data = (STORED / "releases").read_bytes()
-    assert feed.seal(restored_versions(data).kept()) == data
+    assert state_file.seal(restored_versions(data).stored()) == data
 
 
 # ---- the list of hosts
@@ -209,7 +212,7 @@
 
 # ---- keys
 def test_stored_authorities_are_read():
-    _, found, _ = key_files.authorities(STORED / "keys" / "authorities.pem")
+    _, found, _ = key_files.read_authorities(STORED / "keys" / "authorities.pem")
     assert [astuple(one)[1:] for one in found] == [
         (name, KEYS_BEGIN, KEYS_END) for name in AUTHORITY_NAMES
     ]
@@ -218,18 +221,18 @@
 @pytest.mark.parametrize("name", ["g0", "h1", "harbour", "meadow"])
 def test_stored_pairs_are_read_and_make_contexts(name):
     folder = STORED / "keys"
-    _, facts, chain, secret = key_files.pair(folder / f"{name}.pem", folder / f"{name}.key")
+    _, facts, chain, secret = key_files.read_pair(folder / f"{name}.pem", folder / f"{name}.key")
     assert astuple(facts)[1:] == (name, KEYS_BEGIN, KEYS_END, True)
-    _, _, trusted = key_files.authorities(folder / "authorities.pem")
-    context = key_files.context(True, chain, secret, trusted)
+    _, _, trusted = key_files.read_authorities(folder / "authorities.pem")
+    context = make_context(True, chain, secret, trusted)
     assert len(context.get_ca_certs()) == 2
 
 
 def test_stored_revocations_are_read():
     folder = STORED / "keys"
-    _, _, trusted = key_files.authorities(folder / "authorities.pem")
-    _, found = key_files.revoked(folder / "revoked.pem", trusted)
-    _, facts, _, _ = key_files.pair(folder / "meadow.pem", folder / "meadow.key")
+    _, _, trusted = key_files.read_authorities(folder / "authorities.pem")
+    _, found = key_files.read_revocations(folder / "revoked.pem", trusted)
+    _, facts, _, _ = key_files.read_pair(folder / "meadow.pem", folder / "meadow.key")
     assert [astuple(one)[1:] for one in found] == [
         (1, frozenset(), True),
         (1, frozenset([astuple(facts)[0]]), True),
@@ -237,11 +240,11 @@
 
 
 def test_stored_token_keys_are_read_and_the_stored_token_holds():
-    _, facts, keys = key_files.tokens(STORED / "keys" / "tokens.jwks")
+    _, facts, keys = key_files.read_token_keys(STORED / "keys" / "tokens.jwks")
     assert [astuple(one) for one in facts] == [("all", ()), ("one", ("harbour", "meadow"))]
     token = (STORED / "keys" / "token.txt").read_text()
     said = jwt.decode(
-        token, keys["one"], ["EdDSA"], audience=key_maker.AUDIENCE, options={"verify_iat": False}
+        token, keys["one"], ["EdDSA"], audience=TOKEN_AUDIENCE, options={"verify_iat": False}
     )
     assert said["sub"] == "harbour"
 
@@ -249,15 +252,15 @@
 def test_a_stored_folder_of_keys_is_carried_on(tmp_path):
     path = tmp_path / "keys"
     shutil.copytree(STORED / "keys", path)
-    folder = key_maker.Folder(path, KEYS_MADE)
+    folder = LocalAuthority(path, KEYS_MADE)
     folder.issue("client", "newcomer", CENTURY)
     folder.revoke("newcomer")
     folder.token_key("another")
     assert folder.token("all", "harbour", CENTURY).count(".") == 2
-    _, _, trusted = key_files.authorities(path / "authorities.pem")
-    _, found = key_files.revoked(path / "revoked.pem", trusted)
+    _, _, trusted = key_files.read_authorities(path / "authorities.pem")
+    _, found = key_files.read_revocations(path / "revoked.pem", trusted)
     assert [len(astuple(one)[2]) for one in found] == [0, 2]
-    assert [astuple(one)[0] for one in key_files.tokens(path / "tokens.jwks")[1]] == [
+    assert [astuple(one)[0] for one in key_files.read_token_keys(path / "tokens.jwks")[1]] == [
         "all",
         "one",
         "another",
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.gateway.dispatcher import Dispatcher
+from cherrydoor.gateway.load_orders import LoadOrders
 from cherrydoor.protocol.zone_drain import DrainWave, FunctionLoad, MovedShare, ZoneLoad
 from cherrydoor.zone_drain.neighbour_capacity import ZoneState, combined_zones, spare_capacity
 from cherrydoor.zone_drain.participant import Participant, session_key
@@ -129,13 +129,13 @@
     dispatcher = SimpleNamespace(
         router_messages=[], zone_drain=SimpleNamespace(draining_zones=lambda: ["s"])
     )
-    Dispatcher.function_expected(dispatcher, "deed@2")
+    LoadOrders(dispatcher).function_expected("deed@2")
     assert [(message.function, message.drained_zone) for message in dispatcher.router_messages] == [
         ("deed@2", ""),
         ("deed@2", "s"),
     ]
     dispatcher.router_messages.clear()
-    Dispatcher.function_expected(dispatcher, "deed@2", "s")
+    LoadOrders(dispatcher).function_expected("deed@2", "s")
     assert [message.drained_zone for message in dispatcher.router_messages] == ["s"], (
         "a drain's own copy is wanted outside alone"
     )
