--- a/cherrydoor/zone_drain/coordination.py
+++ b/cherrydoor/zone_drain/coordination.py
@@ -5,6 +5,8 @@
 
 import structlog
 
+from cherrydoor.leader_election.service import LeaseService
+from cherrydoor.membership.service import MembershipService
 from cherrydoor.protocol.failover import CountInFlight, InFlightCount
 from cherrydoor.protocol.zone_drain import (
     CoordinatorCommand,
@@ -39,8 +41,8 @@
 
     def __init__(
         self,
-        peers: Any,
-        tenures: Any,
+        peers: MembershipService,
+        leases: LeaseService,
         loads: ReportedLoads,
         last_wave: Callable[[str], DrainWave | None],
         publish: Callable[[DrainWave], None],
@@ -50,16 +52,16 @@
 
         Args:
             peers: The gateway's links, clock and event loop.
-            tenures: Its leases.
+            leases: Its leases.
             loads: What all gateways report.
             last_wave: Gives the latest wave that this gateway knows of a zone.
             publish: Tells a wave to this gateway and every other.
             unversioned: Gives the function that a version is of.
         """
         self._peers = peers
-        self._tenures = tenures
+        self._leases = leases
         self._service = peers.service
-        self._gateway = peers.me.name
+        self._gateway = peers.local.name
         self._now = peers.now
         self._loads = loads
         self._last_wave = last_wave
@@ -92,7 +94,7 @@
     def request_lease(self, zone: str) -> None:
         """Requests the lease, to coordinate as soon as it is granted."""
         self._wanted[zone] = None
-        self._tenures.hold(
+        self._leases.hold(
             lease_name(zone),
             lambda fencing_token: self._lease_granted(zone, fencing_token),
             lambda fencing_token: self._lease_lost(zone),
@@ -127,17 +129,17 @@
         self._requested.pop(zone, None)
         self._coordinators.pop(zone, None)
         self._loads.forget(zone)
-        self._tenures.release(lease_name(zone))
+        self._leases.release(lease_name(zone))
 
     def release_leases(self) -> None:
         """Hands all leases over, as the gateway closes."""
         for zone in list(self._wanted):
-            self._tenures.release(lease_name(zone))
+            self._leases.release(lease_name(zone))
 
     def higher_token_seen(self, zone: str, fencing_token: int) -> None:
         """Another gateway announced a wave of a drain that may be coordinated here."""
         if zone in self._coordinators:
-            self._tenures.outdone(lease_name(zone), fencing_token)
+            self._leases.on_higher_token(lease_name(zone), fencing_token)
 
     # ---- coordinating
     def tick(self) -> None:
@@ -145,7 +147,7 @@
         now_ms = self._now()
         for zone, granted_at_ms in list(self._wanted.items()):
             coordinator = self._coordinators.get(zone)
-            fencing_token = self._tenures.number(lease_name(zone))
+            fencing_token = self._leases.fencing_token(lease_name(zone))
             if coordinator is not None:
                 if coordinator.record.fencing_token == fencing_token:
                     self._look(zone, coordinator)
@@ -177,7 +179,7 @@
             fencing_token,
             self._gateway,
             plan,
-            self._peers.members.living,
+            self._peers.members.alive_names,
             self._now(),
             last,
             [copy for copy in planned.copies if copy.function != OTHER_FUNCTIONS],
@@ -249,7 +251,7 @@
         for action in actions:
             if coordinator is None:
                 return
-            if self._tenures.number(lease_name(zone)) != coordinator.record.fencing_token:
+            if self._leases.fencing_token(lease_name(zone)) != coordinator.record.fencing_token:
                 return
             if isinstance(action, PreloadCopy):
                 self._preload(zone, action.function)
--- a/cherrydoor/zone_drain/service.py
+++ b/cherrydoor/zone_drain/service.py
@@ -6,6 +6,8 @@
 
 import structlog
 
+from cherrydoor.leader_election.service import LeaseService
+from cherrydoor.membership.service import MembershipService
 from cherrydoor.protocol.basics import SUCCEEDED
 from cherrydoor.protocol.zone_drain import (
     CoordinatorCommand,
@@ -46,14 +48,14 @@
     Owns the participant, the coordinators, the operators' commands and this gateway's own load.
     """
 
-    def __init__(self, peers: Any, tenures: Any):
+    def __init__(self, peers: MembershipService, leases: LeaseService):
         """Connects to the gateway's links and leases; `start` begins to report."""
         self._peers = peers
-        self._tenures = tenures
+        self._leases = leases
         self._service = peers.service
         self._now = peers.now
         self._loop = peers.loop
-        self._gateway = peers.me.name
+        self._gateway = peers.local.name
         self._timer: TimerHandle | None = None
         self._sent_reports: dict[str, SentReport] = {}  # by zone; as many as there are drains
         request_classes = {one.name: one for one in self._service.config.lease.request_classes}
@@ -63,7 +65,7 @@
         self._reported_loads = ReportedLoads(self._now, unversioned_name)
         self.coordinators = DrainCoordinators(
             peers,
-            tenures,
+            leases,
             self._reported_loads,
             lambda zone: self.participant.drains.get(zone),
             lambda wave: self._wave_received("", wave),
@@ -77,10 +79,10 @@
             self._add_own_report,
             self._send_command,
         )
-        peers.linked.append(self._peer_linked)
-        peers.follow(DrainWave, self._wave_received)
-        peers.follow(ParticipantReport, self._report_received)
-        peers.follow(OperatorCommand, self._command_received)
+        peers.link_listeners.append(self._peer_linked)
+        peers.subscribe(DrainWave, self._wave_received)
+        peers.subscribe(ParticipantReport, self._report_received)
+        peers.subscribe(OperatorCommand, self._command_received)
 
     @property
     def follower(self) -> Participant:
@@ -154,9 +156,9 @@
             self._correct_sender(sender, wave)
             return
         self._tell_routing_of_copies(wave)
-        for name in list(self._peers.ends):
+        for name in list(self._peers.connections):
             if name != sender:
-                self._peers.say(name, wave)
+                self._peers.send(name, wave)
         log.info(
             "zone drain wave accepted",
             gateway=self._gateway,
@@ -174,7 +176,7 @@
         """A sender that is behind is told the wave that stands."""
         known = self.participant.drains.get(wave.zone)
         if known is not None and sender and known.version > wave.version:
-            self._peers.say(sender, known)
+            self._peers.send(sender, known)
 
     def _tell_routing_of_copies(self, wave: DrainWave) -> None:
         dispatcher = self._service.dispatcher
@@ -185,7 +187,7 @@
     def _peer_linked(self, name: str) -> None:
         """A peer that was away hears of the waves that stand from whom it meets first."""
         for wave in self.participant.drains.values():
-            self._peers.say(name, wave)
+            self._peers.send(name, wave)
 
     # ---- reports
     def _report(
@@ -201,7 +203,7 @@
         fencing_token, wave = version
         return ParticipantReport(
             gateway=self._gateway,
-            incarnation=self._peers.me.incarnation,
+            incarnation=self._peers.local.incarnation,
             zone=zone,
             fencing_token=fencing_token,
             wave=wave,
@@ -218,7 +220,7 @@
 
     def _report_if_due(self, zone: str, wave: DrainWave, now_ms: float) -> None:
         """The coordinator hears of a new wave at once, of an old one now and then."""
-        interval_ms = report_interval_ms(len(self._peers.members.living()))
+        interval_ms = report_interval_ms(len(self._peers.members.alive_names()))
         sent = self._sent_reports.get(zone)
         if sent is not None and sent.version == wave.version:
             is_completed = wave.state == DrainState.COMPLETED  # reported once
@@ -233,14 +235,14 @@
         if report.recipient == self._gateway:
             self.coordinators.report_received(report)
         else:
-            self._peers.say(report.recipient, report)
+            self._peers.send(report.recipient, report)
 
     def _command_received(self, sender: str, message: OperatorCommand) -> None:
         """Takes an operator's command, or forwards it as a voter."""
         if message.recipient == self._gateway:
             self.coordinators.command_received(message.zone, message.command)
         else:
-            self._peers.say(message.recipient, message)
+            self._peers.send(message.recipient, message)
 
     def _send_command(self, coordinator: str, zone: str, command: CoordinatorCommand) -> None:
         self._send(coordinator, OperatorCommand(zone, command))
@@ -253,20 +255,20 @@
                 self._loop.call_soon(self._report_received, "", message)
             else:
                 self._loop.call_soon(self._command_received, "", message)
-        elif not self._peers.say(coordinator, message):
-            voters = self._tenures.keepers
-            forwarder = next((name for name in voters if name in self._peers.ends), None)
+        elif not self._peers.send(coordinator, message):
+            voters = self._leases.voters
+            forwarder = next((name for name in voters if name in self._peers.connections), None)
             if forwarder is not None:
-                self._peers.say(forwarder, message)
+                self._peers.send(forwarder, message)
 
     # ---- the timer
     def _tick(self) -> None:
-        if self._peers.closed:
+        if self._peers.is_closed:
             return
         self._timer = self._loop.call_later(TICK_S, self._tick)
         now_ms = self._now()
         self.load.attempt_rates.fade(now_ms)
-        is_voter = self._gateway in self._tenures.keepers
+        is_voter = self._gateway in self._leases.voters
         for zone, wave in list(self.participant.drains.items()):
             self._report_if_due(zone, wave, now_ms)
             is_active = wave.state != DrainState.COMPLETED
