--- a/cherrydoor/protocol/zone_drain.py
+++ b/cherrydoor/protocol/zone_drain.py
@@ -37,7 +37,7 @@
 class MovedShare(Struct, array_like=True, gc=False):
     """Sessions of the function whose hash is below the share are served outside the zone.
 
-    The function "" stands for all functions that are not named.
+    The function "" means all functions that are not named.
     """
 
     function: Name
@@ -52,7 +52,7 @@
 
 
 class DrainWave(Message, tag="wave"):
-    """The whole of a drain as it stands after one wave; forwarded along every link once.
+    """The whole state of a drain after one wave; forwarded along every link once.
 
     Attributes:
         zone: The zone that is drained.
@@ -62,7 +62,7 @@
         state: Where the drain is.
         moved_shares: Sessions that are served elsewhere.
         shed_functions: Functions whose remaining sessions are rejected while the zone empties.
-        ready_copies: Copies outside the zone, told to routing.
+        ready_copies: Copies outside the zone, reported to routing.
         reason: Why the drain waits or paused, for people.
         wave_share: Share of the zone's traffic that a wave moves at most.
         allow_shortfall: Whether to go on where neighbours lack capacity for all.
--- a/cherrydoor/zone_drain/coordination.py
+++ b/cherrydoor/zone_drain/coordination.py
@@ -18,13 +18,15 @@
 from cherrydoor.zone_drain.drain_actions import AnnounceWave, DrainAction, PreloadCopy, QueryHost
 from cherrydoor.zone_drain.drain_record import RequestedDrain, takeover_wave
 from cherrydoor.zone_drain.in_flight_check import HostCount
+from cherrydoor.zone_drain.listed_hosts import listed_hosts
 from cherrydoor.zone_drain.reported_loads import ReportedLoads
 from cherrydoor.zone_drain.session_groups import OTHER_FUNCTIONS
+from cherrydoor.zone_drain.wave_plan import WavePlan
 
 log = structlog.get_logger()
 LISTEN_MS = 1500.0  # for which a new coordinator receives reports before it plans
 HOST_QUERY_TIMEOUT_MS = 1000.0  # for which a host's own count is waited for
-LEASE_RETENTION_S = 2.0  # after the last wave, so that all hear of it under its fencing token
+LEASE_RETENTION_S = 2.0  # after the last wave, so that all receive it under its fencing token
 
 
 def lease_name(zone: str) -> str:
@@ -55,7 +57,7 @@
             leases: Its leases.
             loads: What all gateways report.
             last_wave: Gives the latest wave that this gateway knows of a zone.
-            publish: Tells a wave to this gateway and every other.
+            publish: Applies a wave here and sends it to every other gateway.
             unversioned: Gives the function that a version is of.
         """
         self._peers = peers
@@ -164,15 +166,7 @@
         planned = self._loads.plan(zone, last.wave_share)
         plan = planned.plan
         if not last.wave and plan.is_refused(last.allow_shortfall):
-            shortfall = round(plan.shortfall_per_s, 1)
-            log.warning(
-                "zone drain refused", gateway=self._gateway, zone=zone, shortfall_per_s=shortfall
-            )
-            refusal = DrainWave(
-                zone, fencing_token, 1, self._gateway, DrainState.COMPLETED, reason=plan.refusal()
-            )
-            self._publish(refusal)
-            self.stop(zone)
+            self._refuse(zone, fencing_token, plan)
             return
         coordinator = DrainCoordinator(
             zone,
@@ -183,7 +177,7 @@
             self._now(),
             last,
             [copy for copy in planned.copies if copy.function != OTHER_FUNCTIONS],
-            lambda: self._listed_hosts(zone),
+            lambda: listed_hosts(self._dispatcher, zone),
         )
         self._coordinators[zone] = coordinator
         coordinator.neighbours.update(self._loads.zones(zone))
@@ -199,15 +193,19 @@
         )
         self._carry_out(zone, coordinator.start(self._now()))
 
-    def _listed_hosts(self, zone: str) -> list[str] | None:
-        """The zone's hosts in the endpoint list, draining ones too; None without a list."""
-        if not self._dispatcher.hosts:
-            return None
-        return [
-            host.id
-            for host in self._dispatcher.hosts.values()
-            if host.row.zone == zone and host.row.state != "gone"
-        ]
+    def _refuse(self, zone: str, fencing_token: int, plan: WavePlan) -> None:
+        """Ends a drain before anything has moved, for lack of known capacity."""
+        log.warning(
+            "zone drain refused",
+            gateway=self._gateway,
+            zone=zone,
+            shortfall_per_s=round(plan.shortfall_per_s, 1),
+        )
+        refusal = DrainWave(
+            zone, fencing_token, 1, self._gateway, DrainState.COMPLETED, reason=plan.refusal()
+        )
+        self._publish(refusal)
+        self.stop(zone)
 
     def _look(self, zone: str, coordinator: DrainCoordinator) -> None:
         """Reports may show a copy that nobody ordered: a request that moved had it loaded."""
--- a/cherrydoor/zone_drain/coordinator.py
+++ b/cherrydoor/zone_drain/coordinator.py
@@ -1,6 +1,6 @@
 """A zone drain as its coordinator leads it: when a wave goes out, is taken back, or is the last.
 
-Participants go by the waves that they hear of, numbered under the lease's fencing token; they are
+Participants apply the waves that they receive, numbered under the lease's fencing token; they are
 not commanded. Whoever coordinates next goes on from the highest wave that anybody has, never back,
 and never with a wave under an old token. Pure; times are ms of the caller's clock.
 """
--- a/cherrydoor/zone_drain/drain_actions.py
+++ b/cherrydoor/zone_drain/drain_actions.py
@@ -12,7 +12,7 @@
 
 
 class AnnounceWave(Struct, frozen=True):
-    """The wave is to be told to every gateway."""
+    """The wave is to be sent to every gateway."""
 
     wave: DrainWave
 
--- a/cherrydoor/zone_drain/drain_record.py
+++ b/cherrydoor/zone_drain/drain_record.py
@@ -30,7 +30,7 @@
 
 
 class DrainRecord:
-    """Owns the number of the last wave and what waves say beside the moved shares.
+    """Owns the number of the last wave and what waves contain beside the moved shares.
 
     Invariant: the wave number only grows.
 
@@ -70,7 +70,7 @@
         return self.fencing_token, self.wave
 
     def add_copy(self, version: str, host: str) -> None:
-        """Further waves tell of this copy."""
+        """Further waves list this copy."""
         self._ready_copies.append(ReadyCopy(version, host))
 
     def announce(self, state: DrainState, moved_shares: list[MovedShare]) -> list[DrainAction]:
@@ -95,7 +95,7 @@
 def takeover_wave(
     zone: str, fencing_token: int, gateway: str, last: DrainWave | None, requested: RequestedDrain
 ) -> DrainWave:
-    """The drain as it stands, under a new coordinator's token.
+    """The current state of the drain, under a new coordinator's token.
 
     Args:
         zone: The zone to be drained.
--- a/cherrydoor/zone_drain/drain_status.py
+++ b/cherrydoor/zone_drain/drain_status.py
@@ -18,7 +18,7 @@
 
 
 def shown_function(function: str) -> str:
-    """The name of a function, or what stands for the rest."""
+    """The name of a function, or the label of the rest."""
     return OTHER_FUNCTIONS_SHOWN if function == OTHER_FUNCTIONS else function
 
 
--- a/cherrydoor/zone_drain/neighbour_capacity.py
+++ b/cherrydoor/zone_drain/neighbour_capacity.py
@@ -24,7 +24,7 @@
     Attributes:
         hosts: Hosts that are available.
         requests_per_s: Requests a second that go there.
-        utilization: Share of the capacity in use, at the most; None where nothing tells it.
+        utilization: Share of the capacity in use, at the most; None where it is unknown.
     """
 
     hosts: int
@@ -90,7 +90,7 @@
 def spare_capacity(zones: Mapping[str, ZoneState], drained_zone: str) -> float | None:
     """Requests a second that other zones are known to serve beyond their load.
 
-    They are filled to MAX_UTILIZATION. None where nothing tells their utilization.
+    They are filled to MAX_UTILIZATION. None where no utilization is known.
 
     >>> spare_capacity({"a": ZoneState(4, 50.0, 0.9), "b": ZoneState(4, 40.0, 0.5),
     ...     "c": ZoneState(4, 40.0, None)}, "a")
--- a/cherrydoor/zone_drain/operator_commands.py
+++ b/cherrydoor/zone_drain/operator_commands.py
@@ -8,6 +8,7 @@
 from cherrydoor.zone_drain.coordination import LISTEN_MS, DrainCoordinators
 from cherrydoor.zone_drain.drain_record import RequestedDrain
 from cherrydoor.zone_drain.drain_status import Table, drain_table, plan_table
+from cherrydoor.zone_drain.listed_hosts import listed_zones
 from cherrydoor.zone_drain.participant import Participant
 from cherrydoor.zone_drain.reported_loads import PlannedDrain, ReportedLoads
 from cherrydoor.zone_drain.wave_plan import wave_share_within
@@ -84,13 +85,8 @@
             return self._drain(zone, request)
         return self._forward(zone, name)
 
-    def _zones(self) -> set[str]:
-        return {
-            host.row.zone for host in self._dispatcher().hosts.values() if host.row.state != "gone"
-        }
-
     def _require_known_zone(self, zone: str) -> None:
-        zones = self._zones()
+        zones = listed_zones(self._dispatcher())
         if zone not in zones:
             raise CommandRefusedError(
                 f"no host of the list is at site {zone!r}; "
@@ -113,7 +109,7 @@
 
     def _drain(self, zone: str, request: Mapping[str, Any]) -> Table:
         self._require_no_drain(zone)
-        if len(self._zones()) < 2:
+        if len(listed_zones(self._dispatcher())) < 2:
             raise CommandRefusedError(f"{zone} has no neighbour")
         wave_share = _wave_share(request)
         if wave_share is None:
--- a/cherrydoor/zone_drain/participant.py
+++ b/cherrydoor/zone_drain/participant.py
@@ -1,9 +1,9 @@
-"""A zone drain as each participant applies it: which wave stands, and where a request may go. Pure.
+"""A zone drain as each participant applies it: the current wave, and where a request may go.
 
-Of two waves the one with the higher (fencing token, number) stands, whatever order they come in. A
-gateway that hears nothing stays at its wave and serves. Sessions move by hash in nested shares:
-one that has moved stays moved as the share grows, and no table grows with sessions. Times are ms
-of the caller's clock.
+Of two waves the one with the higher (fencing token, number) applies, whatever order they come in. A
+gateway that receives nothing stays at its wave and serves. Sessions move by hash in nested shares:
+one that has moved stays moved as the share grows, and no table grows with sessions. Pure; times are
+ms of the caller's clock.
 """
 
 from collections import Counter
@@ -34,7 +34,7 @@
 
 
 def hash_position(zone: str, session: str) -> float:
-    """Where a session stands between 0 and 1, alike at every gateway.
+    """The position of a session between 0 and 1, alike at every gateway.
 
     >>> hash_position("z", "a") == hash_position("z", "a") and 0.0 <= hash_position("z", "a") < 1.0
     True
--- a/cherrydoor/zone_drain/reported_loads.py
+++ b/cherrydoor/zone_drain/reported_loads.py
@@ -19,7 +19,7 @@
 )
 from cherrydoor.zone_drain.wave_plan import WavePlan, plan_waves
 
-UNLIMITED_CAPACITY_PER_S = 1e9  # where nothing tells the neighbours' capacity: none is missed
+UNLIMITED_CAPACITY_PER_S = 1e9  # where it is unknown: no drain is refused for it
 
 
 class PlannedDrain(NamedTuple):
--- a/cherrydoor/zone_drain/service.py
+++ b/cherrydoor/zone_drain/service.py
@@ -18,6 +18,7 @@
 )
 from cherrydoor.zone_drain.coordination import DrainCoordinators
 from cherrydoor.zone_drain.drain_status import Table
+from cherrydoor.zone_drain.listed_hosts import calls_in_flight
 from cherrydoor.zone_drain.local_load import LocalLoad, ResponseCounts, zone_loads
 from cherrydoor.zone_drain.operator_commands import OperatorCommands
 from cherrydoor.zone_drain.participant import DrainDecision, Participant, unversioned
@@ -155,7 +156,7 @@
         if not self.participant.accept_wave(self._now(), wave):
             self._correct_sender(sender, wave)
             return
-        self._tell_routing_of_copies(wave)
+        self._report_copies_to_routing(wave)
         for name in list(self._peers.connections):
             if name != sender:
                 self._peers.send(name, wave)
@@ -173,19 +174,19 @@
             self.coordinators.higher_token_seen(wave.zone, wave.fencing_token)
 
     def _correct_sender(self, sender: str, wave: DrainWave) -> None:
-        """A sender that is behind is told the wave that stands."""
+        """A sender that is behind receives the current wave."""
         known = self.participant.drains.get(wave.zone)
         if known is not None and sender and known.version > wave.version:
             self._peers.send(sender, known)
 
-    def _tell_routing_of_copies(self, wave: DrainWave) -> None:
+    def _report_copies_to_routing(self, wave: DrainWave) -> None:
         dispatcher = self._service.dispatcher
         for copy in wave.ready_copies:
             if copy.function in dispatcher.router.history.functions:
                 self._service.post(dispatcher.copy_reported, copy.function, copy.host)
 
     def _peer_linked(self, name: str) -> None:
-        """A peer that was away hears of the waves that stand from whom it meets first."""
+        """A peer that was away receives the current waves from the first that it links to."""
         for wave in self.participant.drains.values():
             self._peers.send(name, wave)
 
@@ -194,12 +195,6 @@
         self, zone: str, version: tuple[int, int], counts: ResponseCounts
     ) -> ParticipantReport:
         dispatcher = self._service.dispatcher
-        in_flight = sum(
-            len(link.out)
-            for host in dispatcher.hosts.values()
-            if host.row.zone == zone
-            for link in host.links
-        )
         fencing_token, wave = version
         return ParticipantReport(
             gateway=self._gateway,
@@ -207,7 +202,7 @@
             zone=zone,
             fencing_token=fencing_token,
             wave=wave,
-            in_flight=in_flight,
+            in_flight=calls_in_flight(dispatcher, zone),
             responses=counts.responses,
             timely_responses=counts.timely_responses,
             function_loads=self.load.function_loads(self._now(), zone, dispatcher.router.zone),
@@ -219,7 +214,7 @@
         self._reported_loads.add(self._report(zone, (0, 0), NO_RESPONSES))
 
     def _report_if_due(self, zone: str, wave: DrainWave, now_ms: float) -> None:
-        """The coordinator hears of a new wave at once, of an old one now and then."""
+        """Confirms a new wave to the coordinator at once; repeats at intervals."""
         interval_ms = report_interval_ms(len(self._peers.members.alive_names()))
         sent = self._sent_reports.get(zone)
         if sent is not None and sent.version == wave.version:
