--- a/Makefile
+++ b/Makefile
@@ -3,10 +3,13 @@
 READY := .venv/ready
 
 # Tests that start no process and serve no real client: seconds, for small steps. `make test` stays the whole.
-CHECK := tests/behaviour tests/compatibility tests/routing tests/protocol tests/config tests/admission/test_decide.py \
-	tests/releases/test_decide.py tests/tls/test_ring.py tests/membership/test_statements.py \
-	tests/leader_election/test_one_holder.py tests/failover/test_verdicts.py tests/failover/test_claims.py \
-	tests/zone_drain/test_conductor.py tests/zone_drain/test_waves.py tests/zone_drain/test_room.py
+CHECK := tests/behaviour tests/compatibility tests/routing tests/protocol tests/config tests/admission/test_controller.py \
+	tests/releases/test_rollouts.py tests/releases/test_evidence.py tests/tls/test_credential_store.py \
+	tests/membership/test_member_table.py tests/membership/test_peer_links.py \
+	tests/leader_election/test_candidates_and_voters.py tests/failover/test_takeover_decisions.py \
+	tests/failover/test_response_claims.py tests/failover/test_replication.py \
+	tests/zone_drain/test_coordinator.py tests/zone_drain/test_waves.py \
+	tests/zone_drain/test_neighbours_and_emptying.py tests/zone_drain/test_operator_commands.py
 
 .PHONY: service rehearse check test lint ci bench bench-doors bench-releases fleet fleet-full variants clean
 # what the platform's gateway needs, and its byte code, as the file system is read-only in service
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -11,7 +11,7 @@
 from cherrydoor.leader_election.service import LeaseService
 from cherrydoor.leader_election.vote_store import VoteStore
 from cherrydoor.membership.service import MembershipService
-from cherrydoor.zone_drain.shell import Sites
+from cherrydoor.zone_drain.service import ZoneDrainService
 
 log = structlog.get_logger()
 STOOD_STILL = "it stood still for longer than its witnesses wait"
@@ -38,7 +38,7 @@
             self.peers, service.config.tenures, vote_store or VoteStore
         )
         self.failover = FailoverService(self.peers, self.tenures)
-        self.zone_drains: Any = Sites(self.peers, self.tenures)
+        self.zone_drains: Any = ZoneDrainService(self.peers, self.tenures)
         self.control: Any = None
         if settings["control"]:
             self.control = ControlSocket(settings["control"], self.obey)
@@ -54,7 +54,7 @@
 
     def goes_on_from(self, before: "PeerServices") -> None:
         """Take over the zone drains known to the incarnation before, of the same process."""
-        self.zone_drains.follower = before.zone_drains.follower
+        self.zone_drains.participant = before.zone_drains.participant
 
     async def start(self) -> None:
         """Open the listener for peers, and begin all services."""
@@ -167,10 +167,10 @@
         return {
             "name": member.name,
             "life": member.incarnation,
-            "at": member.at,
-            "site": member.site,
+            "at": member.address,
+            "site": member.zone,
             "state": member.state,
-            "keeper": member.keeper,
+            "keeper": member.is_voter,
             "linked": self.peers.links.is_up(member.name),
             "since": round(now - self.peers.members.changed_ms[member.name], 1),
         }
--- a/cherrydoor/gateway/incarnations.py
+++ b/cherrydoor/gateway/incarnations.py
@@ -145,7 +145,7 @@
         ended.abort()
         service.peer_services = None
         next_services = None
-        if not ended.peers.members.doubled:
+        if not ended.peers.members.is_duplicated:
             incarnation = max(ended.incarnation + 1, int(service.clock.now()))
             next_services = service.join_peers(service, incarnation)
         if next_services:
--- a/cherrydoor/leader_election/service.py
+++ b/cherrydoor/leader_election/service.py
@@ -254,22 +254,3 @@
             "asked for": sorted(task for task in self.wanted if task not in self.holding),
             "keeper": voter_table(self.voter, now_ms) if self.voter else None,
         }
-
-    # ---- names that other packages still call
-    @property
-    def keepers(self) -> list[str]:
-        """`voters`, as the failover and zone drain packages call it."""
-        return self.voters
-
-    @property
-    def refusing(self) -> list[Callable[[str], str]]:
-        """`vetoes`, as the failover package calls it."""
-        return self.vetoes
-
-    def number(self, task: str) -> int | None:
-        """`fencing_token`, as the failover and zone drain packages call it."""
-        return self.fencing_token(task)
-
-    def outdone(self, task: str, highest_token: int) -> None:
-        """`on_higher_token`, as the failover and zone drain packages call it."""
-        self.on_higher_token(task, highest_token)
--- a/cherrydoor/membership/member_table.py
+++ b/cherrydoor/membership/member_table.py
@@ -112,9 +112,6 @@
         self.updates: dict[str, Member] = {}
         self.counters: Counter[str] = Counter()
         self.is_duplicated = False  # another process claims this name and incarnation
-        # Names that the failover, zone drain and gateway packages still use.
-        self.members = self.rows
-        self.since = self.changed_ms
 
     # ---- statements
     def merge_all(self, now_ms: float, statements: Iterable[Member]) -> list[str]:
@@ -252,18 +249,3 @@
     def voters(self) -> list[str]:
         """Returns the names of the other gateways that are voters of leader elections."""
         return [name for name, row in self.rows.items() if row.is_voter and name != self.local.name]
-
-    # ---- names that the failover, zone drain and gateway packages still use
-    over = mark_over
-    whole = all_rows
-    living = alive_names
-
-    @property
-    def doubled(self) -> bool:
-        """`is_duplicated`, as the gateway package calls it."""
-        return self.is_duplicated
-
-    @property
-    def ended(self) -> bool:
-        """`has_ended`, as the failover package calls it."""
-        return self.has_ended
--- a/cherrydoor/membership/peer_links.py
+++ b/cherrydoor/membership/peer_links.py
@@ -274,16 +274,3 @@
         if link is None or not link.is_up or link.incarnation != incarnation:
             return False
         return self.now_ms - link.received_ms <= self.suspect_after_ms
-
-    # ---- names that the failover package still uses
-    recent = is_recent
-
-    @property
-    def witnesses(self) -> list[str]:
-        """`replicas`, as the failover package calls them."""
-        return self.replicas
-
-    @property
-    def silent(self) -> float:
-        """`suspect_after_ms`, as the failover package calls it."""
-        return self.suspect_after_ms
--- a/cherrydoor/membership/service.py
+++ b/cherrydoor/membership/service.py
@@ -69,12 +69,6 @@
         self.duplicate_was_logged = False
         self.frames_sent = 0
         self.bytes_sent = 0
-        # Names that the failover, zone drain and emulator packages still use.
-        self.me = self.local
-        self.said = self.settings
-        self.ends = self.connections
-        self.changed = self.change_listeners
-        self.linked = self.link_listeners
 
     def now(self) -> float:
         """Returns the time in ms, of the gateway's clock."""
@@ -260,24 +254,3 @@
             self.carry_out(
                 self.links.on_dial_failed(self.now(), connection.dialled_name, is_refused)
             )
-
-    # ---- names that the failover, zone drain and emulator packages still use
-    say = send
-    say_all = send_to_all
-    ask = want_link
-    follow = subscribe
-
-    @property
-    def frames(self) -> int:
-        """`frames_sent`, as the failover package calls it."""
-        return self.frames_sent
-
-    @property
-    def bytes(self) -> int:
-        """`bytes_sent`, as the failover package calls it."""
-        return self.bytes_sent
-
-    @property
-    def closed(self) -> bool:
-        """`is_closed`, as the failover and zone drain packages call it."""
-        return self.is_closed
--- a/cherrydoor/protocol/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -58,22 +58,6 @@
         final_rank = state_rank if state_rank >= FIRST_FINAL_STATE else 0
         return self.incarnation, final_rank, self.refutation, state_rank, self.address, self.zone
 
-    # ---- names that the failover package still uses
-    @property
-    def at(self) -> str:
-        """`address`, as the failover package calls it."""
-        return self.address
-
-    @property
-    def site(self) -> str:
-        """`zone`, as the failover package calls it."""
-        return self.zone
-
-    @property
-    def keeper(self) -> bool:
-        """`is_voter`, as the failover package calls it."""
-        return self.is_voter
-
 
 class MembershipUpdate(Message, tag="members"):
     """Statements new since the last update on this link; all of them at its start."""
