--- a/docs/conftest.py
+++ b/docs/conftest.py
@@ -1,7 +1,7 @@
-"""Examples of these pages run by `make test`, each against real code: a page that lies is red.
+"""Examples of these pages run by `make test`, each against real code: a page with a wrong example fails.
 
-`lease` blocks are read as parts of a lease; `sh` blocks are run, line by line, in a folder with a gateway that has
-fellows, and each has to end with 0; `python` blocks are executed.
+`lease` blocks are read as parts of a configuration; `sh` blocks are run, line by line, in a folder with a gateway that
+has peers, and each has to end with 0; `python` blocks are executed.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 from cherrydoor.config.records import read
 
 ROOT = Path(__file__).resolve().parent.parent
-BASE = """
+BASE_CONFIGURATION = """
 name: "g0"
 number: 0
 gateways: 3
@@ -34,17 +34,19 @@
 """
 
 
-class Place:
-    """A folder with three gateways that know of each other, started when an example first needs one."""
+class ExampleFolder:
+    """A folder with three gateways that are peers, started when an example first needs one."""
 
     def __init__(self):
-        self.folder, self.parts = Path(tempfile.mkdtemp()), []
+        self.folder = Path(tempfile.mkdtemp())
+        self.processes = []
         (self.folder / "keys").mkdir()
-        (self.folder / "door.lease").write_text(BASE % 9)
+        (self.folder / "door.lease").write_text(BASE_CONFIGURATION % 9)
 
-    def run(self, *words):
+    def run(self, *arguments):
+        """Runs a command of the program in the folder."""
         return subprocess.run(
-            [sys.executable, "-m", "cherrydoor", *words],
+            [sys.executable, "-m", "cherrydoor", *arguments],
             cwd=self.folder,
             capture_output=True,
             text=True,
@@ -52,33 +54,35 @@
             env=os.environ | {"PYTHONPATH": str(ROOT)},
         )
 
-    def ports(self, count):
-        held = [socket.socket() for _ in range(count)]
-        for one in held:
-            one.bind(("127.0.0.1", 0))
-        found = [one.getsockname()[1] for one in held]
-        for one in held:
-            one.close()
-        return found
-
-    def gateways(self):
-        """Up, and g0 holding the task TASK, as the pages have it."""
-        if self.parts:
+    def free_ports(self, count):
+        """Returns ports of loopback that were free a moment ago, each another."""
+        sockets = [socket.socket() for _ in range(count)]
+        for bound in sockets:
+            bound.bind(("127.0.0.1", 0))
+        ports = [bound.getsockname()[1] for bound in sockets]
+        for bound in sockets:
+            bound.close()
+        return ports
+
+    def start_gateways(self):
+        """Starts the gateways and waits until g0 holds the lease of the task TASK, as the pages have it."""
+        if self.processes:
             return
-        ports = self.ports(3)
-        keepers = ", ".join(
+        ports = self.free_ports(3)
+        voters = ", ".join(
             f'{{name: "g{i}", at: "127.0.0.1:{port}"}}' for i, port in enumerate(ports)
         )
         for i, port in enumerate(ports):
             path = self.folder / f"g{i}.lease"
             path.write_text(
-                BASE.replace('"g0"', f'"g{i}"').replace("number: 0", f"number: {i}") % 9
+                BASE_CONFIGURATION.replace('"g0"', f'"g{i}"').replace("number: 0", f"number: {i}")
+                % 9
                 + f"""
-peers: {{door: "127.0.0.1:{port}", keepers: [{keepers}], control: "g{i}.sock"}}
+peers: {{door: "127.0.0.1:{port}", keepers: [{voters}], control: "g{i}.sock"}}
 tenures: {{promises: "g{i}.promises", term: 500ms, margin: 20ms, longest: 500ms}}
 """
             )
-            self.parts.append(
+            self.processes.append(
                 subprocess.Popen(
                     [
                         sys.executable,
@@ -97,64 +101,73 @@
                     env=os.environ | {"PYTHONPATH": str(ROOT)},
                 )
             )
-        for part in self.parts:
-            part.stdout.readline()
-        end = time.monotonic() + 30
-        while '"TASK"' not in (held := asyncio.run(self.ask())) and time.monotonic() < end:
+        for process in self.processes:
+            process.stdout.readline()
+        deadline_s = time.monotonic() + 30
+        while (
+            '"TASK"' not in (leases := asyncio.run(self.leases())) and time.monotonic() < deadline_s
+        ):
             time.sleep(0.05)
-        assert '"held": [{"task": "TASK"' in held, held
+        assert '"held": [{"task": "TASK"' in leases, leases
 
-    async def ask(self):
-        here = Path.cwd()
+    async def leases(self):
+        """Has g0 request the lease and returns its leases as JSON; "" while it holds none."""
+        working_directory = Path.cwd()
         os.chdir(self.folder)  # a socket's path is short
         try:
             reader, writer = await asyncio.open_unix_connection("g0.sock")
         finally:
-            os.chdir(here)
+            os.chdir(working_directory)
         writer.write(b'{"do": "hold", "task": "TASK"}\n{"do": "tenures"}\n')
         await reader.readline()
-        found = (await reader.readline()).decode()
+        leases = (await reader.readline()).decode()
         writer.close()
-        return found if '"held": [{"task"' in found else ""
+        return leases if '"held": [{"task"' in leases else ""
 
     def close(self):
-        for part in self.parts:
-            part.kill()
-            part.wait()
+        """Ends the gateways."""
+        for process in self.processes:
+            process.kill()
+            process.wait()
 
 
-def lease(example):
-    """A whole lease, or a part of one that agrees with all else."""
-    text = example.parsed if "clauses:" in example.parsed else BASE % 9 + example.parsed
+def check_configuration(example):
+    """Checks a whole configuration, or a part of one that is valid with all else."""
+    text = (
+        example.parsed if "clauses:" in example.parsed else BASE_CONFIGURATION % 9 + example.parsed
+    )
     problems = problems_of(read(text, example.path, schema("lease.schema"), "#Lease"), example.path)
     assert not problems, "\n".join(map(str, problems))
 
 
-def shell(example):
-    place = example.namespace["place"]
+def run_commands(example):
+    """Runs each line of a block; each command has to end with 0."""
+    folder = example.namespace["folder"]
     for line in example.parsed.splitlines():
-        words = shlex.split(line, comments=True)
-        if not words:
+        arguments = shlex.split(line, comments=True)
+        if not arguments:
             continue
-        assert words[0] == "cherrydoor", f"{words[0]} is not run here"
-        if "--control" in words:
-            place.gateways()
-        done = place.run(*words[1:])
+        assert arguments[0] == "cherrydoor", f"{arguments[0]} is not run here"
+        if "--control" in arguments:
+            folder.start_gateways()
+        done = folder.run(*arguments[1:])
         assert done.returncode == 0, f"{line}: {done.returncode}\n{done.stdout}{done.stderr}"
 
 
 def setup(namespace):
-    namespace["place"] = Place()
+    """Gives each page a folder of its own."""
+    namespace["folder"] = ExampleFolder()
 
 
 def teardown(namespace):
-    namespace["place"].close()
+    """Ends what the page's examples started."""
+    namespace["folder"].close()
 
 
 pytest_collect_file = Sybil(
     parsers=[
-        CodeBlockParser("lease", lease),
-        CodeBlockParser("sh", shell),
+        CodeBlockParser("lease", check_configuration),
+        CodeBlockParser("sh", run_commands),
         PythonCodeBlockParser(),
     ],
     patterns=["*.md"],
