--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -5,11 +5,12 @@
 
 import msgspec
 
-from cherrydoor.admission import decide as d
-from cherrydoor.admission.listener import rejection_bytes
-from cherrydoor.failover.fellows import Fellows
+from cherrydoor.admission.connections import AdmittedConnection
+from cherrydoor.admission.incoming_connection import rejection_bytes
+from cherrydoor.admission.messages import ConnectionAccepted, UsageMeasured
+from cherrydoor.failover.peer_services import PeerServices
 from cherrydoor.gateway.service import GatewayService
-from cherrydoor.leader_election import decide
+from cherrydoor.leader_election.messages import Votes
 
 
 class Clock:
@@ -26,7 +27,7 @@
     """Nothing is short here."""
 
     def measure(self):
-        return d.UsageMeasured(0.0, 0.0, 0.0)
+        return UsageMeasured(0.0, 0.0, 0.0)
 
     def take_back(self):
         pass
@@ -43,7 +44,7 @@
 
     def __init__(self, service, make, pipe):
         self.listeners, self.make, self.pipe, self.end = service.listeners, make, pipe, None
-        self.connection = d.AdmittedConnection(
+        self.connection = AdmittedConnection(
             pipe.other.address, service.listeners.clock.now(), self
         )
 
@@ -77,7 +78,7 @@
 
     def read(self):
         kept = self.disk.get(self.path)
-        return msgspec.json.decode(kept, type=decide.Promises) if kept else None
+        return msgspec.json.decode(kept, type=Votes) if kept else None
 
     def save(self, promises, then):
         self.disk[self.path] = msgspec.json.encode(promises)
@@ -137,7 +138,7 @@
             None
             if disk is None
             else lambda service, incarnation=0: (
-                Fellows(service, incarnation, lambda path, name: Promises(disk, path, name))
+                PeerServices(service, incarnation, lambda path, name: Promises(disk, path, name))
                 if service.config.peers["door"]
                 else None
             ),
@@ -149,7 +150,7 @@
 
         def accept(pipe):
             pipe.frozen = self.stands
-            self.listeners.post(d.ConnectionAccepted(Arrival(self, make, pipe).connection))
+            self.listeners.post(ConnectionAccepted(Arrival(self, make, pipe).connection))
 
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
@@ -175,7 +176,7 @@
         found = [end.transport for end in self.client_listener.ends]
         found += [
             caller.wire.end.transport
-            for caller in list(self.listeners.controller.pending.unshown)
+            for caller in list(self.listeners.controller.pending.unidentified)
             if caller.wire.end
         ]
         found += [
@@ -190,7 +191,7 @@
             if end
         ]
         found += (
-            [end.transport for end in self.peer_services.peers.ends.values()]
+            [end.transport for end in self.peer_services.peers.connections.values()]
             if self.peer_services
             else []
         )
--- a/cherrydoor/gateway/attempts.py
+++ b/cherrydoor/gateway/attempts.py
@@ -6,7 +6,7 @@
 from cherrydoor.gateway.tables import CallKind, HostCall, PendingRequest
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.protocol.basics import FinalOutcome
-from cherrydoor.releases import decide as releases
+from cherrydoor.releases import messages as releases
 from cherrydoor.routing import messages as routing
 from cherrydoor.routing.messages import AttemptOutcome
 
@@ -88,8 +88,8 @@
         slow_after_ms = 0.0
         if versions is not None:
             if any(other.outcome == AttemptOutcome.ERROR for other in pending.attempts):
-                call.called_function = versions.again(pending.function)
-            slow_after_ms = versions.usual(request.function)
+                call.called_function = versions.version_for_retry(pending.function)
+            slow_after_ms = versions.slow_above_ms(request.function)
         return protocol.Attempt(
             call.id,
             request.id,
@@ -253,7 +253,7 @@
         assert call.pending is not None, "an attempt belongs to a request"
         copy = message.copy if message is not None else 0
         self.dispatcher.call_ended(
-            releases.Ended(
+            releases.AttemptEnded(
                 call.called_function,
                 host_id,
                 outcome,
--- a/cherrydoor/gateway/host_calls.py
+++ b/cherrydoor/gateway/host_calls.py
@@ -11,7 +11,7 @@
     HostRecord,
 )
 from cherrydoor.protocol import messages as protocol
-from cherrydoor.releases import decide as releases
+from cherrydoor.releases import messages as releases
 from cherrydoor.routing import messages as routing
 from cherrydoor.routing.messages import AttemptOutcome
 
@@ -222,7 +222,7 @@
     ) -> None:
         """Notifies releases and the zone drain of the end of a load order."""
         dispatcher = self.dispatcher
-        dispatcher.call_ended(releases.Loaded(call.function, outcome, took_ms))
+        dispatcher.call_ended(releases.LoadEnded(call.function, outcome, took_ms))
         if dispatcher.zone_drain is not None:
             dispatcher.zone_drain.load_ended(
                 call.function, host_id, outcome == AttemptOutcome.SUCCEEDED
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -149,7 +149,7 @@
         pending.adopted = False
         pending.attempts = []
         if dispatcher.releases is not None:
-            pending.function = dispatcher.releases.choose(
+            pending.function = dispatcher.releases.version_for(
                 request.function,
                 request.affinity_key or request.idempotency_key or pending.client.name,
             )
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -23,8 +23,6 @@
     UnloadIdle,
 )
 from cherrydoor.releases.state_file import StateFile
-from cherrydoor.releases.state_file import seal as seal  # tests/compatibility import both from here
-from cherrydoor.releases.state_file import unseal as unseal
 
 log = structlog.get_logger()
 
@@ -68,7 +66,7 @@
         self._state_file = StateFile(Path(settings["saved"])) if settings["saved"] else None
         self._control: Any = None
         if settings["control"]:
-            self._control = ControlSocket(settings["control"], self.execute_command)  # type: ignore[no-untyped-call]
+            self._control = ControlSocket(settings["control"], self.execute_command)
         self._disconnected: asyncio.Future[None]
         self._restore()
 
@@ -189,7 +187,7 @@
         connection.write(protocol.Watch())
 
     def _new_connection(self) -> FramedConnection:
-        return FramedConnection(self, protocol.FROM_FEED, self.service.hello)  # type: ignore[no-untyped-call]
+        return FramedConnection(self, protocol.FROM_FEED, self.service.hello)
 
     def greeted(self, end: Any, hello: Any) -> None:
         """The connection's peer has said who it is; one that is no feed is sent away."""
@@ -240,6 +238,3 @@
                 row for row in self.versions.table() if function in (None, row["function"])
             ],
         }
-
-
-Releases = ReleaseService  # the name that the gateway's service imports
