--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,8 +1,9 @@
-"""Measures the daemon beside its limits, in one run: the module alone, a bare relay on the same loop and frames, and
-the daemon itself. `make bench` prints the tables that docs/measurements.md keeps.
+"""Measures the daemon beside its limits, in one run: the module alone, a bare relay on the same
+loop and frames, and the daemon itself. `make bench` prints the tables that docs/measurements.md
+keeps.
 
-One process is measured; clients and hosts run in another one, on sockets, and answer at once. CPU is the measured
-process's own, so what the far ends take does not count.
+One process is measured; clients and hosts run in another one, on sockets, and answer at once.
+CPU is the measured process's own, so what the far ends take does not count.
 """
 
 import asyncio
--- a/bench/mass/__init__.py
+++ b/bench/mass/__init__.py
@@ -1,1 +1,3 @@
-"""Where the late events of a day of hundreds of gateways come from: a developers' tool, no part of the gateway."""
+"""Where the late events of a day of hundreds of gateways come from: a developers' tool, no part
+of the gateway.
+"""
--- a/bench/mass/account.py
+++ b/bench/mass/account.py
@@ -1,8 +1,10 @@
-"""`python -m bench.mass.account FOLDER ...`: where the late events of days come from, by the logs of traced gateways.
+"""`python -m bench.mass.account FOLDER ...`: where the late events of days come from, by the
+logs of traced gateways.
 
-A day is played for it by the operators' kit with `--deploy deploy/trace.toml --logs FOLDER`. Printed for each folder:
-tries and what became of them, then a line a cause with how many tries, their share of all that were not in time, and
-what became of those. docs/studies/mass-days.md has the method.
+A day is played for it by the operators' kit with `--deploy deploy/trace.toml --logs FOLDER`.
+Printed for each folder: tries and what became of them, then a line a cause with how many tries,
+their share of all that were not in time, and what became of those. docs/studies/mass-days.md has
+the method.
 """
 
 import sys
--- a/bench/mass/causes.py
+++ b/bench/mass/causes.py
@@ -1,7 +1,9 @@
-"""Rules that give each event of a day that was not handled within its target one first cause. Pure, over trace lines.
+"""Rules that give each event of a day that was not handled within its target one first cause.
+Pure, over trace lines.
 
-All lines of all gateways are known here, so that "somebody knew" is told from "nobody could". An event is one try of
-a client: a client that comes again sends another, under another id, and nothing in it says so.
+All lines of all gateways are known here, so that "somebody knew" is told from "nobody could". An
+event is one try of a client: a client that comes again sends another, under another id, and
+nothing in it says so.
 """
 
 import bisect
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -1,10 +1,13 @@
-"""`python -m bench.mass.trace`: the platform's gateway, with a line on standard error for each event that is over.
-
-The line, a JSON list: ["event", at, clause, function, mark of the body, ms the client waits, target, fate, ms to the
-answer, routes, launches]. A route is what the module decided then: [ms since the event came, host chosen or "", wait it
-was predicted, whether a copy was known to stand there, whether its customer was in overload, whether the event yields].
-A launch: [ms since the event came, host, ms out, fate, copy, crowd, whether a copy was known to stand, the host's
-level, ms since the host's last answer here or -1, launches out there]. Times of the line itself are Unix ms.
+"""`python -m bench.mass.trace`: the platform's gateway, with a line on standard error for each
+event that is over.
+
+The line, a JSON list: ["event", at, clause, function, mark of the body, ms the client waits,
+target, fate, ms to the answer, routes, launches]. A route is what the module decided then: [ms
+since the event came, host chosen or "", wait it was predicted, whether a copy was known to stand
+there, whether its customer was in overload, whether the event yields]. A launch: [ms since the
+event came, host, ms out, fate, copy, crowd, whether a copy was known to stand, the host's level,
+ms since the host's last answer here or -1, launches out there]. Times of the line itself are
+Unix ms.
 """
 
 import json
--- a/bench/mistakes.py
+++ b/bench/mistakes.py
@@ -1,5 +1,6 @@
-"""Lives ended and estates taken over though nobody was lost, by the share of frames lost between gateways:
-`python -m bench.mistakes [SECONDS]`. Eight gateways with work in hand, three keepers, silent after 700 ms.
+"""Lives ended and estates taken over though nobody was lost, by the share of frames lost between
+gateways: `python -m bench.mistakes [SECONDS]`. Eight gateways with work in hand, three keepers,
+silent after 700 ms.
 """
 
 import asyncio
--- a/conftest.py
+++ b/conftest.py
@@ -1,8 +1,10 @@
-"""Known failing tests: KNOWN-RED.txt lists them, one a line, as `test id | cause | issue`, three at most.
+"""Known failing tests: KNOWN-RED.txt lists them, one a line, as `test id | cause | issue`, three
+at most.
 
-A listed test runs as a strict expected failure, so that one which passes again is red until its line goes, and each is
-printed with its cause and issue at the end of the run. A malformed line, a fourth line and a test that does not exist
-end the run with an error. No file, or an empty one, means that there are none.
+A listed test runs as a strict expected failure, so that one which passes again is red until its
+line goes, and each is printed with its cause and issue at the end of the run. A malformed line,
+a fourth line and a test that does not exist end the run with an error. No file, or an empty one,
+means that there are none.
 """
 
 from dataclasses import dataclass
--- a/docs/conftest.py
+++ b/docs/conftest.py
@@ -1,7 +1,8 @@
-"""Examples of these pages run by `make test`, each against real code: a page with a wrong example fails.
+"""Examples of these pages run by `make test`, each against real code: a page with a wrong
+example fails.
 
-`lease` blocks are read as parts of a configuration; `sh` blocks are run, line by line, in a folder with a gateway that
-has peers, and each has to end with 0; `python` blocks are executed.
+`lease` blocks are read as parts of a configuration; `sh` blocks are run, line by line, in a
+folder with a gateway that has peers, and each has to end with 0; `python` blocks are executed.
 """
 
 import asyncio
--- a/tests/behaviour/module_world.py
+++ b/tests/behaviour/module_world.py
@@ -248,7 +248,7 @@
         attempt = request.attempts[index]
         name, sent, ended = attempt
         if ended:
-            return
+            return None
         host = self.hosts[name]
         if fate in (n.HANDLED, n.ERROR) and host.silent_until > self.now:
             return self.later(
@@ -271,6 +271,7 @@
                 *self.report(host, request, fate, copy),
             )
         )
+        return None
 
     def report(self, host, request, fate, copy):
         if fate not in (n.HANDLED, n.ERROR, n.FULL, n.MISSING):
--- a/tests/behaviour/plain.py
+++ b/tests/behaviour/plain.py
@@ -1,7 +1,9 @@
-"""A canonical form of actions and messages that contains no class name, no field name and no constant's text.
+"""A canonical form of actions and messages that contains no class name, no field name and no
+constant's text.
 
-A digest over this form stays the same when classes, fields, functions or constants are renamed, when a tuple with names
-becomes a dataclass, or when a string constant becomes a member of an Enum.
+A digest over this form stays the same when classes, fields, functions or constants are renamed,
+when a tuple with names becomes a dataclass, or when a string constant becomes a member of an
+Enum.
 """
 
 import dataclasses
@@ -25,8 +27,9 @@
     constants: constant -> number, for strings that belong to an enumeration.
     entities: classes whose objects are numbered in order of first appearance.
 
-    Any other text is numbered in order of first appearance, so that only equal or not equal is kept of it. A type that
-    is not known here is an error: the form must never depend on a repr that contains a name.
+    Any other text is numbered in order of first appearance, so that only equal or not equal is
+    kept of it. A type that is not known here is an error: the form must never depend on a repr
+    that contains a name.
     """
 
     def __init__(self, kinds, constants=None, entities=()):
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -1,8 +1,9 @@
 """Digests of what the pure state machines decide over seeded random histories.
 
-Each history has its own random generator and its own virtual time. Actions are brought into the canonical form of
-plain.py, so that a digest changes when a decision changes, and not when something is renamed. A rename touches only
-the imports, the tables of kinds and constants, and the factories and accessors at the top of each section.
+Each history has its own random generator and its own virtual time. Actions are brought into the
+canonical form of plain.py, so that a digest changes when a decision changes, and not when
+something is renamed. A rename touches only the imports, the tables of kinds and constants, and
+the factories and accessors at the top of each section.
 """
 
 from random import Random
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -202,7 +202,7 @@
 
 
 def test_version_and_longest_frame_stay():
-    assert [basics.VERSION, basics.DEFAULT_MAX_FRAME_BYTES, codec.PREFIX] == GOLDEN["figures"]
+    assert GOLDEN["figures"] == [basics.VERSION, basics.DEFAULT_MAX_FRAME_BYTES, codec.PREFIX]
 
 
 def test_everything_sent_on_the_platform_keeps_its_bytes():
--- a/tests/config/test_records.py
+++ b/tests/config/test_records.py
@@ -1,4 +1,6 @@
-"""What records come to, and that whatever is wrong with a file is told in one go, with its place."""
+"""What records come to, and that whatever is wrong with a file is told in one go, with its
+place.
+"""
 
 import time
 
--- a/tests/emulator/test_drains.py
+++ b/tests/emulator/test_drains.py
@@ -1,4 +1,6 @@
-"""A site's drain in virtual time while pieces break: a store that stops, a site's own loss, a mass release."""
+"""A site's drain in virtual time while pieces break: a store that stops, a site's own loss, a
+mass release.
+"""
 
 import asyncio
 
--- a/tests/emulator/test_heirs.py
+++ b/tests/emulator/test_heirs.py
@@ -1,4 +1,6 @@
-"""Takeovers in virtual time: seeded histories of the daemon's own text, in seconds, judged as rehearsals are."""
+"""Takeovers in virtual time: seeded histories of the daemon's own text, in seconds, judged as
+rehearsals are.
+"""
 
 from cherrydoor.emulator.play import emulate
 from cherrydoor.rehearsal.audit import audit
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -1,4 +1,6 @@
-"""Good and hostile bytes, split anywhere: what was whole before a fault is given, nothing after it."""
+"""Good and hostile bytes, split anywhere: what was whole before a fault is given, nothing after
+it.
+"""
 
 import msgspec
 from hypothesis import given, settings
--- a/tests/rehearsal/test_audit.py
+++ b/tests/rehearsal/test_audit.py
@@ -1,4 +1,6 @@
-"""Each judge is shown traffic in which one event breaks its rule, and says which; truthful traffic breaks none."""
+"""Each judge is shown traffic in which one event breaks its rule, and says which; truthful
+traffic breaks none.
+"""
 
 import pytest
 from traffic import Run
@@ -144,7 +146,7 @@
     for i in range(6):
         run.event(200 + i, 20000.0 + i, host="h3")
         run.find("launch", 200 + i)["b"] = 600.0
-    assert [b for b in run.judge(tmp_path)[0]] == []
+    assert list(run.judge(tmp_path)[0]) == []
     run.event(220, 20010.0, host="h3")
     run.find("launch", 220)["b"] = 6000.0
     assert run.judge(tmp_path / "more")[0] == [(4, 220)]
--- a/tests/rehearsal/test_audit_estates.py
+++ b/tests/rehearsal/test_audit_estates.py
@@ -1,4 +1,6 @@
-"""The judge over all gateways is shown traffic of a takeover, truthful and doctored, and says which is which."""
+"""The judge over all gateways is shown traffic of a takeover, truthful and doctored, and says
+which is which.
+"""
 
 import pytest
 from traffic import Run
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -1,4 +1,6 @@
-"""A whole day in little: processes start, troubles strike, the audit judges, nothing is left running."""
+"""A whole day in little: processes start, troubles strike, the audit judges, nothing is left
+running.
+"""
 
 import json
 import os
--- a/tests/rehearsal/traffic.py
+++ b/tests/rehearsal/traffic.py
@@ -1,4 +1,6 @@
-"""A small truthful run, written as the far ends would, for the audit to judge; tests doctor one row of it."""
+"""A small truthful run, written as the far ends would, for the audit to judge; tests doctor one
+row of it.
+"""
 
 import json
 
@@ -81,15 +83,15 @@
 
     def launch(self, number, t, clause="draft", host="h1", took=90.0, fate="handled", work=50.0):
         self.launch_ids += 1
-        same = dict(
-            who=host,
-            peer="g0",
-            id=self.launch_ids,
-            event=number,
-            function="f",
-            clause=clause,
-            mark=f"m{number}",
-        )
+        same = {
+            "who": host,
+            "peer": "g0",
+            "id": self.launch_ids,
+            "event": number,
+            "function": "f",
+            "clause": clause,
+            "mark": f"m{number}",
+        }
         self.add("host", "launch", t, a=2400.0, b=work, **same)
         if fate:
             if fate == "handled":
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,6 @@
-"""KNOWN-RED.txt, as conftest.py at the root reads it: a small project with one test that passes and one that fails."""
+"""KNOWN-RED.txt, as conftest.py at the root reads it: a small project with one test that passes
+and one that fails.
+"""
 
 import subprocess
 import sys
