--- a/cherrydoor/protocol/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -185,7 +185,7 @@
 
 
 class SuccessorAnnounced(Message, tag="heir"):
-    """An in-flight set is being taken over, or has been (docs/custody.md).
+    """An in-flight set is being taken over, or has been (docs/failover.md).
 
     Attributes:
         owner: Gateway whose in-flight set it is.
--- a/tests/failover/test_every_order.py
+++ b/tests/failover/test_every_order.py
@@ -18,7 +18,7 @@
 from cherrydoor.protocol.failover import AttemptsReport, HostAttempt
 from cherrydoor.protocol.peers import ReplicatedRequest
 
-MAX_STATES = 2500  # of each class in `make test`: docs/custody.md has what larger searches found
+MAX_STATES = 2500  # of each class in `make test`: docs/failover.md has what larger searches found
 POLICIES = {
     "draft": RetryPolicy(),
     "sign": RetryPolicy("keyed", "all", 1e6),
