--- a/cherrydoor/failover/service.py
+++ b/cherrydoor/failover/service.py
@@ -32,8 +32,7 @@
 )
 
 CHECK_INTERVAL_S = 0.05  # between two checks of in-flight sets and claims
-# By which each further replica applies for a takeover later than the one before it.
-TAKEOVER_STAGGER_MS = 400.0
+TAKEOVER_STAGGER_MS = 400.0  # by which each further replica applies later than the one before
 
 
 class FailoverService:
--- a/tests/leader_election/test_candidates_and_voters.py
+++ b/tests/leader_election/test_candidates_and_voters.py
@@ -17,7 +17,7 @@
 from cherrydoor.leader_election.voter import Voter
 from cherrydoor.protocol.peers import LeaseGranted, LeaseRequest
 
-MAX_STATES = 4500  # looked at in the three searches: the bound that is stated in docs/leader-election.md
+MAX_STATES = 4500  # looked at in the three searches, as docs/leader-election.md states
 PAUSES_MS = (450.0, 1100.0)
 
 
