--- a/bench/admission.py
+++ b/bench/admission.py
@@ -79,13 +79,13 @@
 class NoOwner:
     """The owner of connections on the bare server: does nothing."""
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         """A hello has come."""
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         """A message has come."""
 
-    def lost(self, end):
+    def connection_ended(self, end):
         """The connection is closed."""
 
 
@@ -143,16 +143,16 @@
         self.closed = asyncio.get_running_loop().create_future()
         self.admitted = False
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         """The gateway has answered the hello."""
         self.admitted = True
         end.write(protocol.CancelRequest(1))
         asyncio.get_running_loop().call_later(HOLD_S, end.close)
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         """Nothing else is expected."""
 
-    def lost(self, end):
+    def connection_ended(self, end):
         """The connection is closed."""
         if not self.closed.done():
             self.closed.set_result(end)
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -113,13 +113,13 @@
     def __init__(self, wait):
         self.wait, self.loop = wait / 1000, asyncio.get_running_loop()
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def lost(self, end):
+    def connection_ended(self, end):
         pass
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         kind = type(message)
         if kind is protocol.Attempt:
             if self.wait:
@@ -138,14 +138,14 @@
     def __init__(self, rows):
         self.rows = rows
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if type(message) is protocol.Watch:
             end.write(protocol.EndpointUpdate(1, "whole", self.rows))
 
-    def lost(self, end):
+    def connection_ended(self, end):
         pass
 
 
@@ -162,7 +162,7 @@
         )
         self.took, self.at, self.over, self.fates = [], {}, self.loop.create_future(), {}
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.end, self.begun = end, now()
         if self.rate:
             self.loop.call_soon(self.tick)
@@ -194,7 +194,7 @@
             )
             self.sent += 1
 
-    def heard(self, end, answer):
+    def message_received(self, end, answer):
         self.took.append(now() - self.at.pop(answer.id))
         self.fates[answer.outcome] = self.fates.get(answer.outcome, 0) + 1
         self.done += 1
@@ -203,7 +203,7 @@
         elif not self.rate:
             self.send(now())
 
-    def lost(self, end):
+    def connection_ended(self, end):
         pass
 
 
@@ -286,13 +286,13 @@
         )
         return server.sockets[0].getsockname()[1]
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def lost(self, end):
+    def connection_ended(self, end):
         pass
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if type(message) is protocol.Request:
             self.next += 1
             self.out[self.next] = end, message.id
--- a/bench/replication_cost.py
+++ b/bench/replication_cost.py
@@ -86,14 +86,14 @@
             int(port),
         )
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.end = end
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if type(message) is protocol.Response:
             self.response_times_ms.append(now_ms() - self.sent_at_ms.pop(message.id))
 
-    def lost(self, end):
+    def connection_ended(self, end):
         pass
 
     async def load(self, seconds):
--- a/cherrydoor/admission/connections.py
+++ b/cherrydoor/admission/connections.py
@@ -33,10 +33,10 @@
 class ConnectionHandler(Protocol):
     """The I/O side of a connection, to which the listener passes the controller's actions."""
 
-    def let_in(self) -> None:
+    def start_handshake(self) -> None:
         """Starts the handshake, or reads the hello where there is no handshake."""
 
-    def seat(self, longest_frame_bytes: int, /) -> None:
+    def admit(self, longest_frame_bytes: int, /) -> None:
         """The connection is admitted; frames up to this length are read from it."""
 
     def refuse(self, reason: str, retry_after_ms: float, /) -> None:
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -35,7 +35,7 @@
         sock: The socket, until the protocol is made.
         end: The protocol, from connection_made on; it sets this itself.
         task: The task of the handshake.
-        waited: For how long the connection waited to be accepted, in ms at the most.
+        waited_ms: For how long at the most the connection waited to be accepted.
         connection: The connection as the controller has it.
     """
 
@@ -52,10 +52,10 @@
         self.sock: socket.socket | None = sock
         self.end: Any = None
         self.task: asyncio.Task[None] | None = None
-        self.waited = now - listener.since if listener.since is not None else 0.0
+        self.waited_ms = now - listener.since if listener.since is not None else 0.0
         self.connection = AdmittedConnection(address, now, self)
 
-    def let_in(self) -> None:
+    def start_handshake(self) -> None:
         """Starts the handshake, or makes the protocol at once where there is none."""
         self.task = asyncio.get_running_loop().create_task(self._connect())
 
@@ -63,7 +63,8 @@
         """Puts the protocol on the socket; closes the socket where that fails."""
         sock = self.sock
         self.sock = None
-        assert sock is not None  # let_in is called once, on a connection that is not closed
+        # start_handshake is called once, on a connection that is not closed
+        assert sock is not None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             context = self.listener.context() if self.listener.context else None
@@ -81,9 +82,9 @@
             sock.close()
             raise
 
-    def seat(self, longest_frame_bytes: int) -> None:
+    def admit(self, longest_frame_bytes: int) -> None:
         """The connection is admitted."""
-        self.end.seated(longest_frame_bytes)
+        self.end.admitted(longest_frame_bytes)
 
     def refuse(self, reason: str, retry_after_ms: float) -> None:
         """Tells the client the reason where that can be done, and closes.
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -48,10 +48,10 @@
     def measure(self) -> UsageMeasured:
         """What is in use now."""
 
-    def take_back(self) -> None:
+    def reserve_spare_descriptor(self) -> None:
         """Takes a spare descriptor, if there is none."""
 
-    def let_go(self) -> bool:
+    def release_spare_descriptor(self) -> bool:
         """Releases the spare descriptor."""
 
 
@@ -153,7 +153,7 @@
         """The pause is over."""
         self._resume_timer = None
         if self.sock is not None:
-            self.listeners.uses.take_back()
+            self.listeners.usage.reserve_spare_descriptor()
             self._loop.add_reader(self.sock, self.ready)
 
     def close(self) -> None:
@@ -175,7 +175,7 @@
     Attributes:
         controller: Decides.
         listeners: The listening sockets; each adds itself.
-        uses: What the process has in use.
+        usage: What the process has in use.
         timer: Of the next measurement.
     """
 
@@ -183,13 +183,13 @@
         self,
         client_limits: ClientLimits,
         clock: Clock,
-        uses: Usage,
+        usage: Usage,
         log: Callable[..., None] = log_to_structlog,
     ) -> None:
         self.log = log
         self.controller = AdmissionController(client_limits, clock.now())
         self.clock = clock
-        self.uses = uses
+        self.usage = usage
         self.listeners: list[Listener] = []
         self.loop = asyncio.get_running_loop()
         # For each reason: when it was logged last, and how many rejections there were since.
@@ -205,9 +205,9 @@
         """The one place where actions find what they act on."""
         match action:
             case StartHandshake():
-                action.connection.wire.let_in()
+                action.connection.wire.start_handshake()
             case Admit():
-                action.connection.wire.seat(action.longest_frame_bytes)
+                action.connection.wire.admit(action.longest_frame_bytes)
             case Reject():
                 self._log_rejection(action.reason, action.connection)
                 action.connection.wire.refuse(action.reason, action.retry_after_ms)
@@ -226,8 +226,8 @@
 
     def _measure(self) -> None:
         """Posts what is in use."""
-        self.uses.take_back()
-        self.post(self.uses.measure())
+        self.usage.reserve_spare_descriptor()
+        self.post(self.usage.measure())
 
     def _log_rejection(self, reason: str, connection: AdmittedConnection) -> None:
         """Logs each reason once in ten seconds, with how often it was given in between."""
@@ -248,7 +248,7 @@
 
     def needs_descriptor(self) -> None:
         """An upstream connection found no descriptor: one is freed for it."""
-        self.uses.let_go()
+        self.usage.release_spare_descriptor()
         self.post(DescriptorsExhausted(needed=True))
 
     def close(self) -> None:
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -73,7 +73,7 @@
             return 0
         return int(os.pread(self._statm, 128, 0).split()[1]) * self._page_bytes
 
-    def let_go(self) -> bool:
+    def release_spare_descriptor(self) -> bool:
         """Releases the spare descriptor; True where it was still held."""
         if self._spare is None:
             return False
@@ -81,14 +81,14 @@
         self._spare = None
         return True
 
-    def take_back(self) -> None:
+    def reserve_spare_descriptor(self) -> None:
         """Takes a spare descriptor again, where there is one."""
         if self._spare is None:
             self._spare = _open_or_none(os.devnull)
 
     def close(self) -> None:
         """Closes all descriptors of its own; measure() then goes on without them."""
-        self.let_go()
+        self.release_spare_descriptor()
         if self._schedstat is not None:
             os.close(self._schedstat)
             self._schedstat = None
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -69,7 +69,7 @@
             except TimeoutError:
                 break
         for number in list(self.sent):
-            self.add(number, "no answer", end.why)
+            self.add(number, "no answer", end.close_reason)
         end.close()
         return self.answers
 
@@ -86,17 +86,17 @@
             }
         )
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if type(message) is protocol.Response and message.id in self.sent:
             self.add(
                 message.id, message.outcome, message.reason, message.body, message.retry_after_ms
             )
             self.changed.set()
 
-    def lost(self, end):
+    def connection_ended(self, end):
         for number in list(self.sent):
-            self.add(number, "no answer", f"the connection is gone {end.why}")
+            self.add(number, "no answer", f"the connection is gone {end.close_reason}")
         self.changed.set()
--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -37,14 +37,14 @@
 class ConnectionOwner(Protocol):
     """What a `FramedConnection` calls on the object that it belongs to."""
 
-    def greeted(self, end: Any, hello: Any) -> None:
+    def hello_received(self, end: Any, hello: Any) -> None:
         """The peer's hello, which is always its first message."""
 
-    def heard(self, end: Any, message: Any) -> None:
+    def message_received(self, end: Any, message: Any) -> None:
         """A message after the hello."""
 
-    def lost(self, end: Any) -> None:
-        """The connection has ended; `end.why` holds the reason."""
+    def connection_ended(self, end: Any) -> None:
+        """The connection has ended; `end.close_reason` holds the reason."""
 
 
 class FramedConnection(asyncio.BaseProtocol):
@@ -54,7 +54,7 @@
         owner: Receives the hello, the messages and the end of the connection.
         reader: Decodes input; holds the peer's hello.
         transport: The asyncio transport, None until the connection is made.
-        why: Why the connection ended; empty where the peer simply closed it.
+        close_reason: Why the connection ended; empty where the peer simply closed it.
         peer_max_frame_bytes: Longest frame body that the peer accepts, by its hello.
     """
 
@@ -83,7 +83,7 @@
         self.max_write_buffer_bytes = max_write_buffer_bytes
         self.reader = codec.FrameReader(message_types, max_frame_bytes)
         self.transport = None
-        self.why = ""
+        self.close_reason = ""
         self.peer_max_frame_bytes = protocol.DEFAULT_MAX_FRAME_BYTES
 
     def connection_made(self, transport: Any) -> None:
@@ -117,13 +117,13 @@
                 self.peer_max_frame_bytes = (
                     message.max_frame_bytes or protocol.DEFAULT_MAX_FRAME_BYTES
                 )
-                owner.greeted(self, message)
+                owner.hello_received(self, message)
             elif message_type is protocol.GoAway:
-                self.why = self.why or f"peer: {message.reason}"
+                self.close_reason = self.close_reason or f"peer: {message.reason}"
                 self.transport.close()
                 return 0
             else:
-                owner.heard(self, message)
+                owner.message_received(self, message)
         if self.reader.fault:
             self.close(self.reader.fault)
         return len(messages)
@@ -159,14 +159,14 @@
         """
         if self.transport is not None and not self.transport.is_closing():
             if reason:
-                self.why = self.why or reason
+                self.close_reason = self.close_reason or reason
                 notice = protocol.GoAway(reason[:MAX_REASON_CHARACTERS], retry_after_ms)
                 self.transport.write(codec.encode(notice))
             self.transport.close()
 
-    def abort(self, why: str = "") -> None:
+    def abort(self, reason: str = "") -> None:
         """Closes at once and drops unsent output; the peer is sent nothing."""
-        self.why = self.why or why
+        self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.abort()
 
@@ -178,7 +178,7 @@
         """Records why the connection ended and notifies the owner."""
         self.hello_timer.cancel()
         if error is not None:
-            self.why = self.why or str(error)
+            self.close_reason = self.close_reason or str(error)
         if fault := self.reader.end():
-            self.why = self.why or fault
-        self.owner.lost(self)
+            self.close_reason = self.close_reason or fault
+        self.owner.connection_ended(self)
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -29,10 +29,10 @@
     def measure(self):
         return UsageMeasured(0.0, 0.0, 0.0)
 
-    def take_back(self):
+    def reserve_spare_descriptor(self):
         pass
 
-    def let_go(self):
+    def release_spare_descriptor(self):
         return False
 
     def close(self):
@@ -48,19 +48,19 @@
             pipe.other.address, service.listeners.clock.now(), self
         )
 
-    def let_in(self):
+    def start_handshake(self):
         self.pipe.world.call_soon(
             lambda: self.pipe.closing or self.pipe.world.attach(self.pipe, self.make(self))
         )
 
-    def seat(self, largest):
-        self.end.seated(largest)
+    def admit(self, largest):
+        self.end.admitted(largest)
 
-    def refuse(self, word, stay_away):
+    def refuse(self, word, retry_after_ms):
         if self.end is not None:
-            return self.end.close(word, stay_away)
+            return self.end.close(word, retry_after_ms)
         self.pipe.protocol = asyncio.BaseProtocol()
-        self.pipe.write(rejection_bytes(word, -(-stay_away // 10) * 10.0))
+        self.pipe.write(rejection_bytes(word, -(-retry_after_ms // 10) * 10.0))
         self.pipe.close()
 
     def pause(self):
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -180,7 +180,7 @@
         """As an operator's socket answers, by the first gateway that runs."""
         for _, service in sorted(self.shells.items()):
             if not service.dead and not service.stands and service.peer_services:
-                return service.peer_services.obey(said)
+                return service.peer_services.run_command(said)
         return None
 
     async def do_kill_gateway(self, gateway):
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -34,14 +34,12 @@
         settings = service.config.peers
         self.service = service
         self.peers: Any = MembershipService(service, settings, incarnation)
-        self.tenures: Any = LeaseService(
-            self.peers, service.config.tenures, vote_store or VoteStore
-        )
-        self.failover = FailoverService(self.peers, self.tenures)
-        self.zone_drains: Any = ZoneDrainService(self.peers, self.tenures)
+        self.leases: Any = LeaseService(self.peers, service.config.tenures, vote_store or VoteStore)
+        self.failover = FailoverService(self.peers, self.leases)
+        self.zone_drains: Any = ZoneDrainService(self.peers, self.leases)
         self.control: Any = None
         if settings["control"]:
-            self.control = ControlSocket(settings["control"], self.obey)
+            self.control = ControlSocket(settings["control"], self.run_command)
         self.peers.change_listeners.append(self._connections_checked)
         self.last_check_ms: float = self.peers.now()
         self.suspect_after_ms: float = settings["silent"]
@@ -52,7 +50,7 @@
         incarnation: int = self.peers.local.incarnation
         return incarnation
 
-    def goes_on_from(self, before: "PeerServices") -> None:
+    def continue_from(self, before: "PeerServices") -> None:
         """Take over the zone drains known to the incarnation before, of the same process."""
         self.zone_drains.participant = before.zone_drains.participant
 
@@ -68,29 +66,29 @@
             gateway=self.peers.local.name,
             address=self.peers.settings["door"],
             incarnation=self.incarnation,
-            voters=len(self.tenures.voters),
+            voters=len(self.leases.voters),
         )
 
     def after_tick(self) -> None:
         """Send what a tick of the event loop has changed."""
         self.failover.after_tick()
 
-    def reclaim(self, end: Any, message: Any) -> None:
+    def claim_response(self, end: Any, message: Any) -> None:
         """Handle a client's claim of the response that another gateway owed it."""
-        self.failover.reclaim(end, message)
+        self.failover.claim_response(end, message)
 
     def _connections_checked(self) -> None:
         """End this incarnation if the process stood still, or if others declared it over."""
         if self.service.peer_services is not self:
             return
-        if self.stood_still():
+        if self.was_suspended():
             self.service.end_incarnation(STOOD_STILL)
             return
         self.failover.connections_changed()
         if self.peers.members.has_ended:
             self.service.end_incarnation(DECLARED_OVER)
 
-    def stood_still(self) -> bool:
+    def was_suspended(self) -> bool:
         """Return whether this process was stopped for so long that others may have taken over.
 
         Asked before anything else is done: hosts would refuse what it sends. Guards against two
@@ -102,14 +100,14 @@
         self.last_check_ms = now
         return bool(stopped_ms > self.suspect_after_ms and self.failover.has_in_flight)
 
-    def stay_away(self, number: int) -> float:
+    def reconnect_delay_ms(self, number: int) -> float:
         """Return after how many ms a client of this incarnation, now over, may reconnect."""
         return reconnect_delay_ms(self.service.config.seed + self.incarnation, number)
 
     def close(self) -> None:
         """Leave: what is held is handed over, and every connected peer is told."""
         self.zone_drains.close()
-        self.tenures.close()
+        self.leases.close()
         self.failover.close()
         self.peers.close()
         if self.control:
@@ -118,14 +116,14 @@
     def abort(self) -> None:
         """End without telling anybody; the next incarnation announces itself."""
         self.zone_drains.close()
-        self.tenures.abort()
+        self.leases.abort()
         self.failover.close()
         self.peers.abort()
         if self.control:
             self.control.close()
 
     # ---- for operators
-    def obey(self, command: dict[str, Any]) -> Any:
+    def run_command(self, command: dict[str, Any]) -> Any:
         """Carry out a command of the control socket; return its JSON answer."""
         match command["do"]:
             case "peers":
@@ -135,20 +133,20 @@
             case "custody":
                 return self.failover.table()
             case "tenures":
-                return self.tenures.table()
+                return self.leases.table()
             case "hold":
-                self.tenures.hold(str(command["task"]), _ignore, _ignore)
-                return self.tenures.table()
+                self.leases.hold(str(command["task"]), _ignore, _ignore)
+                return self.leases.table()
             case "yield":
                 return self._release(str(command["task"]))
             case unknown:
                 return {"error": f"unknown: {unknown}"}
 
     def _release(self, task: str) -> Any:
-        if task not in self.tenures.holding:
+        if task not in self.leases.holding:
             return {"error": f"{task} is not held here"}
-        self.tenures.release(task)
-        return self.tenures.table()
+        self.leases.release(task)
+        return self.leases.table()
 
     def table(self) -> dict[str, Any]:
         """Return the members and connections, as the control socket shows them."""
--- a/cherrydoor/failover/running_takeover.py
+++ b/cherrydoor/failover/running_takeover.py
@@ -22,7 +22,7 @@
         if type(message) is Response:
             self.running.respond(self.entry, message)
 
-    def close(self, reason: str = "", stay_away: float = 0.0) -> None:
+    def close(self, reason: str = "", retry_after_ms: float = 0.0) -> None:
         """Do nothing: there is no connection."""
 
 
--- a/cherrydoor/failover/service.py
+++ b/cherrydoor/failover/service.py
@@ -43,12 +43,12 @@
 
     Args:
         peers: Connections to the other gateways, and the membership.
-        tenures: The fleet's leases.
+        leases: The fleet's leases.
     """
 
-    def __init__(self, peers: Any, tenures: Any) -> None:
+    def __init__(self, peers: Any, leases: Any) -> None:
         self.peers = peers
-        self.tenures = tenures
+        self.leases = leases
         self.service = peers.service
         self.loop = peers.loop
         self.now: Callable[[], float] = peers.now
@@ -62,7 +62,7 @@
         self.replicas = ReplicaStore()
         self.claims = ResponseClaims()
         self.successor = Successor(
-            peers, tenures, self.policies, self.replicas, self.claims, self._successor_known
+            peers, leases, self.policies, self.replicas, self.claims, self._successor_known
         )
         self.forwarder = ClaimForwarder(peers, self.claims, self.successor.table)
         self.timer: Any = None
@@ -75,7 +75,7 @@
         peers.subscribe(SuccessorAnnounced, self.successor.announced)
         peers.subscribe(ClaimRequest, self.forwarder.claim_received)
         peers.subscribe(ClaimReply, self.forwarder.reply_received)
-        self.tenures.vetoes.append(self.reason_to_refuse)
+        self.leases.vetoes.append(self.reason_to_refuse)
         # What was under way on the connection before is lost: all is sent on each that comes up.
         peers.link_listeners += [self.successor.peer_connected, self.owner.forget_replica]
 
@@ -240,7 +240,7 @@
             now, members, self.peers.connections, self.peers.links.suspect_after_ms
         )
         for in_flight in candidates.wanted:
-            self.tenures.hold(
+            self.leases.hold(
                 in_flight.task,
                 partial(self.successor.lease_granted, in_flight),
                 partial(self.successor.lease_lost, in_flight),
@@ -248,11 +248,11 @@
             )
         for in_flight in candidates.unwanted:
             task = in_flight.task
-            if task in self.tenures.wanted and not self.successor.is_running(task):
-                self.tenures.release(task)
+            if task in self.leases.wanted and not self.successor.is_running(task):
+                self.leases.release(task)
 
     # ---- called by PeerServices
-    def reclaim(self, end: Any, message: Any) -> None:
+    def claim_response(self, end: Any, message: Any) -> None:
         """Handle a client's claim of the response that another gateway owed it."""
         self.forwarder.claim_for_client(end, message)
 
--- a/cherrydoor/failover/successor.py
+++ b/cherrydoor/failover/successor.py
@@ -36,7 +36,7 @@
 
     Args:
         peers: Connections to the other gateways, and the membership.
-        tenures: The fleet's leases.
+        leases: The fleet's leases.
         policies: Retry policy by name of request class.
         replicas: In-flight sets held here.
         claims: Where responses of taken-over requests are kept.
@@ -46,14 +46,14 @@
     def __init__(
         self,
         peers: Any,
-        tenures: Any,
+        leases: Any,
         policies: Mapping[str, RetryPolicy],
         replicas: ReplicaStore,
         claims: ResponseClaims,
         successor_known: Callable[[str, int], None],
     ) -> None:
         self.peers = peers
-        self.tenures = tenures
+        self.leases = leases
         self.service = peers.service
         self.now: Callable[[], float] = peers.now
         self.policies = policies
@@ -89,7 +89,7 @@
             task = takeover_task(owner, incarnation)
             # Guards against each further replica taking over what is completed.
             if task not in self.running:
-                self.tenures.release(task)
+                self.leases.release(task)
         self.successor_known(owner, incarnation)
 
     def _announce(
@@ -171,13 +171,13 @@
         self._query_hosts(running, running.takeover.host_reported(host, report))
         higher_fencing_token = running.takeover.higher_fencing_token
         if higher_fencing_token:
-            self.tenures.on_higher_token(running.in_flight.task, higher_fencing_token)
+            self.leases.on_higher_token(running.in_flight.task, higher_fencing_token)
 
     def tick(self, now: float) -> None:
         """Decide where hosts have reported, start retries within the bounds, end what completed."""
         for task, running in list(self.running.items()):
             takeover = running.takeover
-            if self.tenures.fencing_token(task) != takeover.fencing_token:
+            if self.leases.fencing_token(task) != takeover.fencing_token:
                 continue
             if takeover.can_decide(now):
                 running.first_decision_at_ms = now
@@ -262,7 +262,7 @@
             counts=dict(takeover.counters),
         )
         self._announce(takeover, True)
-        self.tenures.release(in_flight.task)
+        self.leases.release(in_flight.task)
 
     def lease_lost(self, in_flight: InFlightSet, fencing_token: int) -> None:
         """Drop a takeover: nothing more is done under its fencing token."""
--- a/cherrydoor/fakes/crowd.py
+++ b/cherrydoor/fakes/crowd.py
@@ -47,16 +47,16 @@
         self.crowd, self.begun, self.gateway, self.office = crowd, begun, gateway, office
         self.end, self.told, self.took = None, False, 0.0
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.end, self.took = end, now() - self.begun
         self.crowd.loop.call_later(0.5, self.tell, "let in", "")
         self.crowd.loop.call_later(2.0, end.close)
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         pass
 
-    def lost(self, end):
-        self.tell("refused", end.why or "closed")
+    def connection_ended(self, end):
+        self.tell("refused", end.close_reason or "closed")
 
     def tell(self, fate, why):
         """Let in is who is still there after half a second."""
--- a/cherrydoor/fakes/feed.py
+++ b/cherrydoor/fakes/feed.py
@@ -44,13 +44,13 @@
         self.drawn += 1
         return crc32(f"feed/{self.seed}/{self.drawn}".encode()) / 2.0**32
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def lost(self, end):
+    def connection_ended(self, end):
         self.followers.pop(end, None)
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if type(message) is protocol.Watch:
             self.followers[end] = now()
             self.tell(end, "whole", list(self.releases.values()))
--- a/cherrydoor/fakes/host.py
+++ b/cherrydoor/fakes/host.py
@@ -94,7 +94,7 @@
         self.ends.clear()
 
     # ---- connections
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         if self.refuse or not self.up:
             return end.abort()
         end.name, end.incarnation = hello.name, hello.incarnation
@@ -102,7 +102,7 @@
             return end.close(custody.INCARNATION_ENDED)
         self.ends.add(end)
 
-    def lost(self, end):
+    def connection_ended(self, end):
         self.ends.discard(end)
         if getattr(
             end, "incarnation", 0
@@ -114,7 +114,7 @@
             )
             self.let_go(job)
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if not self.up:
             return
         kind = type(message)
--- a/cherrydoor/fakes/host_pool.py
+++ b/cherrydoor/fakes/host_pool.py
@@ -22,15 +22,15 @@
         self.calls[self.ids] = then
         self.end.write(protocol.FetchFunction(self.ids, function))
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.end = end
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         then = self.calls.pop(message.id, None)
         if then:
             then(message)
 
-    def lost(self, end):
+    def connection_ended(self, end):
         self.end, calls, self.calls = None, self.calls, {}
         for then in calls.values():
             then(protocol.FetchResult(0, "error"))
--- a/cherrydoor/fakes/roll.py
+++ b/cherrydoor/fakes/roll.py
@@ -36,14 +36,14 @@
         self.drawn += 1
         return crc32(f"{self.seed}/{self.drawn}".encode()) / 2.0**32
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.ends.add(end)
 
-    def lost(self, end):
+    def connection_ended(self, end):
         self.ends.discard(end)
         self.followers.pop(end, None)
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         name = end.reader.hello.name
         if type(message) is protocol.Watch:
             self.followers[end] = now()
--- a/cherrydoor/fakes/store.py
+++ b/cherrydoor/fakes/store.py
@@ -34,13 +34,13 @@
     def speed(self):
         return 0.0 if self.stopped else 1.0 / self.slow
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def lost(self, end):
+    def connection_ended(self, end):
         pass
 
-    def heard(self, end, fetch):
+    def message_received(self, end, fetch):
         self.record.add(
             "fetch",
             peer=end.reader.hello.name,
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -84,7 +84,7 @@
             message_count += self.process_data(b"")  # what came along with the hello
         self.holds(len(self.reader.held), message_count)
 
-    def seated(self, max_frame_bytes: int) -> None:
+    def admitted(self, max_frame_bytes: int) -> None:
         """Admission control has admitted the client: larger frames are read from now on."""
         self.reader.largest = min(max_frame_bytes, self.owner.service.bounds.frame)
         self.owner.admitted(self)
@@ -103,7 +103,7 @@
         self.ends: OrderedSet[ClientProtocol] = OrderedSet()
 
     # ---- what connections report
-    def greeted(self, end: ClientProtocol, hello: protocol.Hello) -> None:
+    def hello_received(self, end: ClientProtocol, hello: protocol.Hello) -> None:
         """Identifies a client by its certificate or token; admission control then decides on it."""
         service = self.service
         if hello.role != "client":
@@ -126,7 +126,7 @@
         service.tls.post(credentials.ConnectionOpened(end, **end.credential_facts))
         service.post(service.dispatcher.client_connected, end.client, end.reader.hello)
 
-    def heard(self, end: ClientProtocol, message: Any) -> None:
+    def message_received(self, end: ClientProtocol, message: Any) -> None:
         """Hands a client's message to the dispatcher; a request counts against its read quota."""
         service = self.service
         message_type = type(message)
@@ -144,11 +144,11 @@
         elif message_type is protocol.CancelRequest:
             service.post(service.dispatcher.request_withdrawn, end.client, message.id)
         elif service.peer_services:
-            service.peer_services.reclaim(end, message)
+            service.peer_services.claim_response(end, message)
         else:
             end.write(failover_messages.ResponseUnknown(message.id, "this gateway is alone"))
 
-    def lost(self, end: ClientProtocol) -> None:
+    def connection_ended(self, end: ClientProtocol) -> None:
         """Notifies admission control, credentials and dispatcher of a connection that has ended."""
         service = self.service
         service.listeners.post(admission.ConnectionClosed(end.arrival.connection))
@@ -156,8 +156,8 @@
             self.ends.discard(end)
             service.tls.post(credentials.ConnectionClosed(end))
             service.post(service.dispatcher.client_disconnected, end.client)
-        if end.why and not end.why.startswith("[Errno"):
-            log.info("client connection closed", client=end.client.name, why=end.why)
+        if end.close_reason and not end.close_reason.startswith("[Errno"):
+            log.info("client connection closed", client=end.client.name, why=end.close_reason)
 
     # ---- connections that the gateway ends
     def close_with_incarnation(
--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -130,7 +130,7 @@
         self.endpoints_requested = self.endpoint_list.requested
         self.endpoint_poll_failed = self.endpoint_list.poll_failed
         self.endpoints = self.endpoint_list.rows
-        self.order = self.load_orders.order
+        self.order_load = self.load_orders.order_load
         self.function_expected = self.load_orders.function_expected
         self.copy_reported = self.load_orders.copy_reported
         self.unload = self.load_orders.unload
@@ -149,13 +149,13 @@
             routing.SetTimer: self.set_router_timer,
             routing.CheckHealth: self.calls.check_health,
             routing.CheckLease: self.calls.check_lease,
-            routing.OrderLoad: self.load_orders.order,
+            routing.OrderLoad: self.load_orders.order_load,
             routing.PollEndpoints: self.request_endpoints,
             routing.LogMessage: self.count_log_message,
         }
 
     @property
-    def behind(self) -> float:
+    def timer_lag_ms(self) -> float:
         """How many ms late timers have lately fired."""
         return self.timers.lag_ms
 
--- a/cherrydoor/gateway/endpoint_watch.py
+++ b/cherrydoor/gateway/endpoint_watch.py
@@ -56,7 +56,7 @@
         self.polls = polls
         self.end: EndpointListProtocol | None = None
         self.task: asyncio.Task[None] | None = None
-        self.connection_ended: asyncio.Future[None] | None = None
+        self.connection_end: asyncio.Future[None] | None = None
         self.failure_logged = False
         self.save_scheduled = False
 
@@ -117,7 +117,7 @@
             OSError: The connection failed.
         """
         loop = asyncio.get_running_loop()
-        self.connection_ended = ended = loop.create_future()
+        self.connection_end = ended = loop.create_future()
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, self.end = await loop.create_connection(
                 lambda: EndpointListProtocol(self, protocol.FROM_LIST, self.service.hello),
@@ -157,12 +157,12 @@
             self.service.post(self.service.dispatcher.endpoint_poll_failed)
 
     # ---- what the connection reports
-    def greeted(self, end: EndpointListProtocol, hello: protocol.Hello) -> None:
+    def hello_received(self, end: EndpointListProtocol, hello: protocol.Hello) -> None:
         """A peer that is no endpoint list is refused."""
         if hello.role != "list":
             end.close(f"a list is expected here, not a {hello.role}")
 
-    def heard(self, end: EndpointListProtocol, message: Any) -> None:
+    def message_received(self, end: EndpointListProtocol, message: Any) -> None:
         """Queues an update for the next tick."""
         self.service.post(self.apply_update, end, message)
 
@@ -189,11 +189,13 @@
         end.write(protocol.UpdateAcknowledged(update.revision))
         self.schedule_save()
 
-    def lost(self, end: EndpointListProtocol) -> None:
+    def connection_ended(self, end: EndpointListProtocol) -> None:
         """Reports the loss to the dispatcher and lets `keep_connected` go on."""
         if self.end is end:
             self.end = None
             self.service.post(self.service.dispatcher.endpoint_poll_failed)
-            log.warning("connection to the endpoint list lost", address=self.where, why=end.why)
-        if self.connection_ended is not None and not self.connection_ended.done():
-            self.connection_ended.set_result(None)
+            log.warning(
+                "connection to the endpoint list lost", address=self.where, why=end.close_reason
+            )
+        if self.connection_end is not None and not self.connection_end.done():
+            self.connection_end.set_result(None)
--- a/cherrydoor/gateway/incarnations.py
+++ b/cherrydoor/gateway/incarnations.py
@@ -57,7 +57,7 @@
             requests=len(service.dispatcher.requests),
         )
         retry_after_ms = {
-            end: peer_services.stay_away(number)
+            end: peer_services.reconnect_delay_ms(number)
             for number, end in enumerate(service.client_listener.ends)
         }
         self.answer_own_requests(peer_services, retry_after_ms)
@@ -149,5 +149,5 @@
             incarnation = max(ended.incarnation + 1, int(service.clock.now()))
             next_services = service.join_peers(service, incarnation)
         if next_services:
-            next_services.goes_on_from(ended)
+            next_services.continue_from(ended)
         self.peer_start = service.loop.create_task(service.start_peer_services(next_services))
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -19,7 +19,7 @@
     def __init__(self, dispatcher: "Dispatcher") -> None:
         self.dispatcher = dispatcher
 
-    def order(self, action: routing.OrderLoad) -> None:
+    def order_load(self, action: routing.OrderLoad) -> None:
         """Orders a host to load copies of a function, as the router decided."""
         self.dispatcher.counters["load orders"] += 1
         self.dispatcher.calls.ask(
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -102,7 +102,7 @@
             self.request = event
             self.arrival.listeners.post(admission.ClientIdentified(self.arrival.connection, ""))
 
-    def seated(self, max_frame_bytes: int) -> None:
+    def admitted(self, max_frame_bytes: int) -> None:
         """Admission control has admitted the scrape: responds."""
         target = self.request.target.split(b"?")[0]
         if self.request.method == b"GET" and target in METRICS_TARGETS:
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -209,7 +209,7 @@
     # ---- ticks
     def tick(self) -> None:
         """Runs the dispatcher once, unless peers may have taken over during a suspension."""
-        if self.peer_services and self.peer_services.stood_still():
+        if self.peer_services and self.peer_services.was_suspended():
             self.tick_scheduled = False
             self.end_incarnation("the process was suspended")
             return
--- a/cherrydoor/gateway/upstream.py
+++ b/cherrydoor/gateway/upstream.py
@@ -76,14 +76,14 @@
         finally:
             self.connecting.discard(asyncio.current_task())
 
-    def greeted(self, end: HostProtocol, hello: protocol.Hello) -> None:
+    def hello_received(self, end: HostProtocol, hello: protocol.Hello) -> None:
         """A peer that is no host is refused."""
         if hello.role != "host":
             end.close(f"a host is expected here, not a {hello.role}")
             return
         self.service.post(self.service.dispatcher.host_greeted, end.link, hello)
 
-    def heard(self, end: HostProtocol, message: Any) -> None:
+    def message_received(self, end: HostProtocol, message: Any) -> None:
         """Hands a host's message to the dispatcher."""
         self.service.post(self.service.dispatcher.host_replied, end.link, message)
 
@@ -100,10 +100,10 @@
             protocol.AttemptResult(message.id, "full"),
         )
 
-    def lost(self, end: HostProtocol) -> None:
+    def connection_ended(self, end: HostProtocol) -> None:
         """Notifies the dispatcher, or ends an incarnation that the host reports as taken over."""
         if (
-            failover_messages.INCARNATION_ENDED in end.why
+            failover_messages.INCARNATION_ENDED in end.close_reason
             and self.service.peer_services
             and self.service.incarnation == end.incarnation
         ):
--- a/cherrydoor/membership/service.py
+++ b/cherrydoor/membership/service.py
@@ -200,7 +200,7 @@
         if connection.reader.hello is None and not self.is_closed:
             connection.abort(NO_HELLO_REASON)
 
-    def greeted(self, connection: PeerConnection, hello: Hello) -> None:
+    def hello_received(self, connection: PeerConnection, hello: Hello) -> None:
         """Takes a peer's hello; called by `FramedConnection`."""
         reason = rejection_reason(connection, hello, self.local.name, self.service.tls)
         if reason:
@@ -229,7 +229,7 @@
         for on_linked in self.link_listeners:
             on_linked(hello.name)
 
-    def heard(self, connection: PeerConnection, message: Any) -> None:
+    def message_received(self, connection: PeerConnection, message: Any) -> None:
         """Takes a peer's message; called by `FramedConnection`."""
         if not connection.is_kept or self.is_closed:
             return
@@ -240,7 +240,7 @@
         elif message_type in self.handlers:
             self.handlers[message_type](connection.name, message)
 
-    def lost(self, connection: PeerConnection) -> None:
+    def connection_ended(self, connection: PeerConnection) -> None:
         """Takes the end of a connection; called by `FramedConnection`."""
         if self.is_closed:
             return
@@ -250,7 +250,9 @@
         elif connection.dialled_name:
             # Who closes before its hello is no gateway any more: a proxy in front of it has nobody
             # to forward us to. That counts as refused, unless it was we who gave up.
-            is_refused = connection.reader.hello is None and connection.why != NO_HELLO_REASON
+            is_refused = (
+                connection.reader.hello is None and connection.close_reason != NO_HELLO_REASON
+            )
             self.carry_out(
                 self.links.on_dial_failed(self.now(), connection.dialled_name, is_refused)
             )
--- a/cherrydoor/peer_services.py
+++ b/cherrydoor/peer_services.py
@@ -30,16 +30,16 @@
     def after_tick(self) -> None:
         """Called at the end of each tick of the event loop."""
 
-    def reclaim(self, end: Any, message: Any) -> None:
+    def claim_response(self, end: Any, message: Any) -> None:
         """Answers a client that asks what became of a request which another gateway had taken."""
 
-    def stood_still(self) -> bool:
+    def was_suspended(self) -> bool:
         """Whether the process was suspended so long that peers may have taken over its requests."""
 
-    def goes_on_from(self, before: Any) -> None:
+    def continue_from(self, before: Any) -> None:
         """Takes over the drains that the gateway's previous incarnation knew."""
 
-    def stay_away(self, number: int) -> float:
+    def reconnect_delay_ms(self, number: int) -> float:
         """Time in ms after which the client of that number may reconnect.
 
         The times are spread so that not all clients come back at once.
--- a/cherrydoor/platform/client_connection.py
+++ b/cherrydoor/platform/client_connection.py
@@ -30,7 +30,7 @@
         conversation: The HTTP codec, with what is pipelined.
         client: The dispatcher's record of this connection.
         awaiting_id: Id of the request that a response is owed for.
-        admitted: Whether admission gave it a connection slot.
+        is_admitted: Whether admission gave it a connection slot.
         closing: Whether nothing more is read or written.
     """
 
@@ -43,7 +43,7 @@
         self.closing = False
         self.client = ClientConnection(self, has_closed=self.has_closed)
         self.awaiting_id: int | None = None
-        self.admitted = False
+        self.is_admitted = False
         arrival.connection.open = self.client.open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -69,9 +69,9 @@
         elif message is not None and self.listener.admit(self):
             self.listener.message_received(self, message)
 
-    def seated(self, largest: int) -> None:
+    def admitted(self, largest: int) -> None:
         """Notes that admission gave this connection a slot."""
-        self.admitted = True
+        self.is_admitted = True
 
     def write(self, message: Any) -> None:
         """Writes a response of the dispatcher; its other messages have no form on this wire."""
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -52,8 +52,8 @@
         now_ms: When it came, in Unix ms.
         arrival: Admission's record of the connection.
     """
-    timeout_ms = max(MIN_TIMEOUT_MS, call.patience - arrival.waited)
-    arrival.waited = 0.0
+    timeout_ms = max(MIN_TIMEOUT_MS, call.patience - arrival.waited_ms)
+    arrival.waited_ms = 0.0
     return protocol.Request(
         int(call.id, 16),
         call.kind,
@@ -94,16 +94,16 @@
 
     def admit(self, connection: ClientProtocol) -> bool:
         """Has admission decide at the first complete request; returns whether it may go on."""
-        if not connection.admitted:
+        if not connection.is_admitted:
             service = self.service
             service.listeners.post(ClientIdentified(connection.arrival.connection, ""))
-            if connection.admitted:
+            if connection.is_admitted:
                 service.post(
                     service.dispatcher.client_connected,
                     connection.client,
                     protocol.Hello(protocol.VERSION, "client", "", service.clock.now()),
                 )
-        return connection.admitted and not connection.closing
+        return connection.is_admitted and not connection.closing
 
     def message_received(
         self, connection: ClientProtocol, message: invoke.Call | invoke.Ping
@@ -149,7 +149,7 @@
 
     def client_closed(self, connection: ClientProtocol) -> None:
         """Notifies the dispatcher that a client waits no longer."""
-        if connection.admitted:
+        if connection.is_admitted:
             self.service.post(self.service.dispatcher.client_disconnected, connection.client)
 
     def connection_lost(self, connection: ClientProtocol) -> None:
--- a/cherrydoor/platform/configuration_reload.py
+++ b/cherrydoor/platform/configuration_reload.py
@@ -62,9 +62,9 @@
     def read(self) -> configuration.Configuration:
         """Reads the file, also where clients have all descriptors."""
         service = self.service
-        service.usage.let_go()
+        service.usage.release_spare_descriptor()
         try:
             current = service.configuration
             return configuration.read(self.path, current.listen, current.descriptors)
         finally:
-            service.usage.take_back()
+            service.usage.reserve_spare_descriptor()
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -54,7 +54,7 @@
     def hello(self):
         return protocol.Hello(protocol.VERSION, "client", f"c{self.number}", now())
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.end, self.leaving, self.name, self.incarnation = (
             end,
             False,
@@ -65,7 +65,7 @@
             "connected", peer=hello.name, party=self.office, a=now() - self.begun
         )
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         kind = type(message)
         if kind is protocol.Response:
             self.clients.answered(self, message)
@@ -76,11 +76,15 @@
         elif kind is protocol.StreamStarted:
             self.clients.started(self, message)
 
-    def lost(self, end):
+    def connection_ended(self, end):
         if self.end is end:
             self.end = None
-        if end.reader.fault is None and end.why.startswith("peer: ") and now() - self.begun < 1000:
-            self.failed(end.why)
+        if (
+            end.reader.fault is None
+            and end.close_reason.startswith("peer: ")
+            and now() - self.begun < 1000
+        ):
+            self.failed(end.close_reason)
         for one in list(self.open.values()):
             self.clients.cut(self, one)
         if not self.gone.done():
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -189,13 +189,13 @@
     def _new_connection(self) -> FramedConnection:
         return FramedConnection(self, protocol.FROM_FEED, self.service.hello)
 
-    def greeted(self, end: Any, hello: Any) -> None:
+    def hello_received(self, end: Any, hello: Any) -> None:
         """The connection's peer has said who it is; one that is no feed is sent away."""
         self.end = end
         if hello.role != "feed":
             end.close(f"a feed is expected here, not a {hello.role}")
 
-    def heard(self, end: Any, message: protocol.ReleaseUpdate) -> None:
+    def message_received(self, end: Any, message: protocol.ReleaseUpdate) -> None:
         """The feed has sent an update."""
         for release in message.releases:
             self.post(
@@ -203,7 +203,7 @@
             )
         end.write(protocol.UpdateAcknowledged(message.revision))
 
-    def lost(self, end: Any) -> None:
+    def connection_ended(self, end: Any) -> None:
         """The connection is closed."""
         if self.end is end:
             self.end = None
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -253,7 +253,8 @@
     flooding = await Client().connect(stack.service.port)
     stack.opened.append(flooding)
     fair_reading = stack.service.listeners.controller.fair_reading
-    stack.service.listeners.uses.measure = lambda: UsageMeasured(0.0, 0.0, 1.0)  # the core is short
+    # the core is short
+    stack.service.listeners.usage.measure = lambda: UsageMeasured(0.0, 0.0, 1.0)
     sent = []
     while not stack.service.listeners.controller.counters.get("read quota exceeded"):
         sent += [flooding.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -69,14 +69,14 @@
         return end
 
     # ---- called by its connections
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         pass
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if hasattr(message, "id"):
             self.answers.setdefault(message.id, []).append(message)
 
-    def lost(self, end):
+    def connection_ended(self, end):
         self.lost_ends.append(end)
 
     # ---- called by tests
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -67,15 +67,15 @@
         self.ends = []
         self.lost_ends = 0
 
-    def greeted(self, end, hello):
+    def hello_received(self, end, hello):
         self.ends.append(end)
         self.stir()
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         self.heard_all.append((end, message))
         self.stir()
 
-    def lost(self, end):
+    def connection_ended(self, end):
         self.lost_ends += 1
         self.stir()
 
@@ -137,8 +137,8 @@
         self.id = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
 
-    def heard(self, end, message):
-        super().heard(end, message)
+    def message_received(self, end, message):
+        super().message_received(end, message)
         if self.answers and type(message) is protocol.Attempt:
             end.write(protocol.AttemptResult(message.id, self.answers, 1, 0, None, message.body))
         elif type(message) is protocol.HealthCheck and self.answers:
@@ -181,8 +181,8 @@
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def heard(self, end, message):
-        super().heard(end, message)
+    def message_received(self, end, message):
+        super().message_received(end, message)
         if type(message) in (protocol.Watch, protocol.Poll):
             end.write(protocol.EndpointUpdate(self.revision, "whole", list(self.rows.values())))
 
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -341,7 +341,7 @@
     first = await stack.start(Host("handled"), bounds="bounds: {connections: 1}")
     second = await Client().connect(stack.service.port)
     await second.until(lambda: second.lost_ends)
-    assert "too many connections from this network" in second.end.why
+    assert "too many connections from this network" in second.end.close_reason
     assert (await first.answer(first.send())).outcome == "handled"
 
 
@@ -352,7 +352,7 @@
     bad_client = await stack.client()
     bad_client.end.write_bytes(b"\x00\x00\x00\x02hi")
     await bad_client.until(lambda: bad_client.lost_ends)
-    assert bad_client.end.why.startswith("peer: ")
+    assert bad_client.end.close_reason.startswith("peer: ")
     assert (await client.answer(client.send())).outcome == "handled"
 
 
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -97,7 +97,7 @@
         service.clock.now() - 60.0, service.dispatcher.router_messages.clear
     )
     service.timer_fired()
-    await until(lambda: service.dispatcher.behind > 50.0)
+    await until(lambda: service.dispatcher.timer_lag_ms > 50.0)
     second.call()
     await until(lambda: len(service.dispatcher.requests) == 2)
     [_, late] = service.dispatcher.requests.values()
@@ -171,7 +171,7 @@
         protocol.Request(7, "draft", FUNCTION, 2000.0, service.clock.now(), "acme"),
     )
     service.dispatcher.post(
-        service.dispatcher.order,
+        service.dispatcher.order_load,
         type("Order", (), {"host": "a", "function": FUNCTION, "copies": 1}),
     )
     service.post(
@@ -180,7 +180,7 @@
         [protocol.Endpoint("a", "draining", 0.0, "east", 0)],
     )
     service.dispatcher.post(
-        service.dispatcher.order,
+        service.dispatcher.order_load,
         type("Order", (), {"host": "a", "function": FUNCTION, "copies": 1}),
     )
     assert b"HTTP/1.1 503" in await client.answer()
--- a/tests/releases/test_release_service.py
+++ b/tests/releases/test_release_service.py
@@ -29,13 +29,13 @@
         self.tallies = {}
         self.unloaded = []
 
-    def heard(self, end, message):
+    def message_received(self, end, message):
         if type(message) is protocol.Attempt:
             self.answer(end, message)
             return
         if type(message) is protocol.Unload:
             self.unloaded.append(message.function)
-        super().heard(end, message)
+        super().message_received(end, message)
 
     def answer(self, end, attempt):
         self.heard_all.append((end, attempt))
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -59,7 +59,7 @@
     ):
         refused = await connect_tls(stack, tmp, "", token)
         await refused.until(lambda refused=refused: refused.lost_ends)
-        assert why in refused.ends[0].why
+        assert why in refused.ends[0].close_reason
 
 
 @with_folder
@@ -109,7 +109,7 @@
                 assert client.answers(number)[0].outcome == "handled"
                 answered += 1
             else:  # ended before its request was accepted: then no host has received it
-                assert "has changed" in client.end.why
+                assert "has changed" in client.end.close_reason
                 ended += 1
             client.end.close()
 
@@ -153,7 +153,7 @@
     local_authority.retire()
     await stack.settled(lambda: len(store.authorities) == 1)
     await old.until(lambda: old.lost_ends)
-    assert "service no more" in old.end.why or "has changed" in old.end.why
+    assert "service no more" in old.end.close_reason or "has changed" in old.end.close_reason
     assert (await new.answer(new.send())).outcome == "handled"
 
 
@@ -165,10 +165,10 @@
     other = await connect_tls(stack, tmp, "meadow")
     local_authority.revoke("harbour")
     await client.until(lambda: client.lost_ends)
-    assert "revoked" in client.end.why
+    assert "revoked" in client.end.close_reason
     again = await connect_tls(stack, tmp, "harbour")
     await again.until(lambda: again.lost_ends)
-    assert "revoked" in again.ends[0].why and not other.lost_ends
+    assert "revoked" in again.ends[0].close_reason and not other.lost_ends
 
 
 @with_folder
