--- a/cherrydoor/admission/__init__.py
+++ b/cherrydoor/admission/__init__.py
@@ -1,5 +1,5 @@
 """Admission of client connections: who gets a slot, who waits, who is rejected or closed.
 
-Begin at controller.py, which decides; messages.py is what it takes and gives, listener.py carries
-its actions out.
+Start reading at controller.py, which makes the decisions. messages.py defines its inputs and the
+actions that it returns; listener.py carries those actions out.
 """
--- a/cherrydoor/admission/chunked_reading.py
+++ b/cherrydoor/admission/chunked_reading.py
@@ -1,4 +1,4 @@
-"""The base of client protocols: reads in chunks, and counts unfinished input."""
+"""Base class of client protocols: reads in chunks, and counts the bytes of unfinished frames."""
 
 import asyncio
 from typing import Any
@@ -6,20 +6,21 @@
 from cherrydoor.admission.incoming_connection import IncomingConnection
 from cherrydoor.admission.messages import BufferLimitExceeded
 
-CHUNK_BYTES = 16 * 1024  # read from one client in one pass, so that all have their turn
+CHUNK_BYTES = 16 * 1024  # read at most from one client in one event loop pass, for fairness
 
 
 class ChunkedReading(asyncio.BaseProtocol):
-    """A base of buffered protocols for client connections.
+    """Base class of the buffered protocols of client connections.
 
     A subclass sets `arrival`, `chunk` and `transport`, defines data_received(data), and calls
-    holds() with the bytes of its unfinished frame.
+    holds() with the size of its unfinished frame.
 
     Attributes:
-        arrival: The connection on the side of admission.
-        chunk: The buffer that is read into; it may be shared, as what is read is copied out at
-            once.
-        reading_paused: Reading is paused.
+        arrival: The connection's I/O side in admission.
+        chunk: The buffer that the event loop reads into. Connections may share it, as the data is
+            copied out immediately.
+        transport: The transport, from connection_made() on.
+        reading_paused: Whether reading is paused.
     """
 
     arrival: IncomingConnection
@@ -28,25 +29,25 @@
     reading_paused = False
 
     def data_received(self, data: bytes) -> Any:
-        """Takes what was read."""
+        """Handles the bytes that were read."""
         raise NotImplementedError
 
     def get_buffer(self, hint: int) -> memoryview:
-        """Where the event loop reads into."""
+        """Returns the buffer that the event loop reads into."""
         return memoryview(self.chunk)
 
     def buffer_updated(self, count: int) -> None:
-        """The event loop has read so many bytes."""
+        """Passes on the `count` bytes that the event loop has read into the buffer."""
         connection = self.arrival.connection
         self.data_received(bytes(memoryview(self.chunk)[:count]))
         connection.used = self.arrival.listeners.clock.now()
 
     def holds(self, size: int, finished: Any) -> None:
-        """Counts unfinished input, and reports where the group holds too much.
+        """Records the unfinished frame, and reports if its group is above its limit.
 
         Args:
-            size: Bytes of the unfinished frame.
-            finished: Truthy where a frame was completed since the last call.
+            size: Bytes of the unfinished frame; 0 if there is none.
+            finished: Truthy if a frame was completed since the last call.
         """
         connection = self.arrival.connection
         if size and (finished or not connection.partial):
@@ -62,13 +63,13 @@
             self.arrival.listeners.post(BufferLimitExceeded(connection))
 
     def pause(self) -> None:
-        """Reads nothing more for now."""
+        """Stops reading until resume()."""
         if not self.reading_paused and not self.transport.is_closing():
             self.reading_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Reads on."""
+        """Resumes reading."""
         if self.reading_paused and not self.transport.is_closing():
             self.reading_paused = False
             self.transport.resume_reading()
--- a/cherrydoor/admission/client_limits.py
+++ b/cherrydoor/admission/client_limits.py
@@ -1,4 +1,4 @@
-"""The limits of admission, from a gateway's configuration."""
+"""Makes the limits of admission from a gateway's configuration."""
 
 from typing import Any
 
@@ -6,16 +6,16 @@
 
 
 def client_limits_of(config: Any) -> ClientLimits:
-    """What admission goes by at the gateway with this GatewayConfig."""
+    """Returns the limits of admission at the gateway with this GatewayConfig."""
     settings = config.admission
     known = tuple(
         KnownClientSettings(
-            name=one["name"],
-            reserved_slots=one["places"],
-            slot_limit=one["most"] or 2 * one["places"],
-            addresses=tuple(one["addresses"]),
+            name=client["name"],
+            reserved_slots=client["places"],
+            slot_limit=client["most"] or 2 * client["places"],
+            addresses=tuple(client["addresses"]),
         )
-        for one in settings["known"]
+        for client in settings["known"]
     )
     return ClientLimits(
         connection_slots=config.bounds.connections,
--- a/cherrydoor/admission/connection_slots.py
+++ b/cherrydoor/admission/connection_slots.py
@@ -1,4 +1,4 @@
-"""Connection slots: who holds one, and who has to leave for whom."""
+"""Connection slots: which connections hold one, and which are evicted for others."""
 
 from collections.abc import Iterable, Iterator
 from heapq import heapify, heappop, heappush
@@ -10,16 +10,19 @@
 from cherrydoor.admission.limits import ClientLimits
 
 SHED_NEW_CLIENTS_STEP = 2  # load-shedding step from which unknown clients get no new slot
-OWN_IDLE_DIVISOR = 5  # of `idle_ms`: a connection makes room sooner for one of the same owner
-STALE_ENTRIES = 64  # entries of the idle heap beyond twice the connections, before it is made anew
+# `idle_ms` divided by this is the idle time after which a connection may be evicted for another of
+# the same owner (known client or network), which is sooner than for a connection of anyone else.
+SAME_OWNER_IDLE_DIVISOR = 5
+# The idle heap is rebuilt when it has more entries than twice the connections and this many more.
+MAX_STALE_HEAP_ENTRIES = 64
 
 
 class SlotGrant(NamedTuple):
-    """What asking for a slot came to.
+    """The result of a request for a slot.
 
     Attributes:
-        refusal: Why there is none, as it is sent to the client; "" where there is one.
-        victim: An idle connection to be closed to make room, or None.
+        refusal: Reason for the refusal, as it is sent to the client; "" if a slot was granted.
+        victim: An idle connection that has to be closed to make room, or None.
     """
 
     refusal: str
@@ -36,9 +39,9 @@
 class ConnectionSlots:
     """The slots of a gateway: those reserved for known clients, and the common ones.
 
-    Invariant: acquire() is the only way to a slot, so that the reserved slots of a known client are
-    kept from all others; unknown clients and known ones beyond their own together hold no more than
-    `common` slots, once the victims that were named have left.
+    Invariants: Slots are granted by acquire() alone, so that no other client gets the reserved
+    slots of a known client. Once the victims that acquire() named are closed, no more than `common`
+    slots are held by unknown clients and, beyond their reserved slots, by known clients together.
     """
 
     def __init__(self, client_limits: ClientLimits, now: float) -> None:
@@ -46,21 +49,22 @@
         self.known_clients = KnownClientTable(client_limits, now)
         self.common = max(0, client_limits.connection_slots - self.known_clients.reserved_slots)
         self.unknown: dict[AdmittedConnection, bool] = {}
-        # Connections of unknown clients by when they were used; an entry may be out of date.
+        # Connections of unknown clients by the time of their last use, which may be out of date:
+        # longest_idle_unknown() corrects it.
         self.idle_heap: list[tuple[float, int, AdmittedConnection]] = []
-        self._entries_made = 0
+        self._entry_count = 0
 
     def common_used(self) -> int:
-        """Common slots that are taken."""
+        """Returns the number of common slots in use."""
         return len(self.unknown) + self.known_clients.common_slots_used()
 
     def acquire(self, connection: AdmittedConnection, now: float, step: int) -> SlotGrant:
-        """Gives the connection a slot of its known client, or a common one, where that can be done.
+        """Gives the connection a slot of its known client, or a common slot, if one can be had.
 
         Args:
-            connection: Its `known_client` says whose slot it is to hold.
+            connection: Its `known_client` names whose slot it takes; None for a common slot.
             now: Time in ms.
-            step: The step of load shedding.
+            step: The current load-shedding step.
         """
         if connection.known_client is not None:
             return self._acquire_known(connection, connection.known_client, now)
@@ -83,7 +87,7 @@
     def _grant_common(
         self, connection: AdmittedConnection, victim: AdmittedConnection | None
     ) -> SlotGrant:
-        """The connection of an unknown client holds a slot from now on."""
+        """Gives the connection of an unknown client a common slot."""
         self.unknown[connection] = True
         for prefix in connection.networks:
             prefix.admitted[connection] = True
@@ -93,10 +97,11 @@
     def _acquire_known(
         self, connection: AdmittedConnection, client: KnownClient, now: float
     ) -> SlotGrant:
-        """A slot for a known client.
+        """Gives the connection of a known client a slot.
 
-        Beyond its reserved slots an idle unknown client makes room, else an idle connection of its
-        own: after an outage on its side its old connections look open for a while.
+        Beyond its reserved slots, if no common slot is free, an idle connection of an unknown
+        client is evicted or, failing that, an idle connection of the client itself: after an outage
+        on the client's side its old connections still look open for a while.
         """
         held = len(client.admitted)
         within_limit = held < client.slot_limit
@@ -114,21 +119,24 @@
         return SlotGrant("", victim) if victim is not None else FREE_SLOT
 
     def release(self, connection: AdmittedConnection) -> None:
-        """The connection holds no slot any more; one that held none is left as it is."""
+        """Releases the slot of the connection, if it holds one."""
         if connection.known_client is not None:
             connection.known_client.admitted.pop(connection, None)
         elif self.unknown.pop(connection, None):
             for prefix in connection.networks:
                 prefix.admitted.pop(connection, None)
-            if len(self.idle_heap) > 2 * len(self.unknown) + STALE_ENTRIES:
+            if len(self.idle_heap) > 2 * len(self.unknown) + MAX_STALE_HEAP_ENTRIES:
                 self.idle_heap = [entry for entry in self.idle_heap if entry[2] in self.unknown]
                 heapify(self.idle_heap)
 
     def _longest_idle(
         self, connections: Iterable[AdmittedConnection], now: float
     ) -> AdmittedConnection | None:
-        """The longest idle of these, if any has been idle for a while."""
-        idle_ms = self.client_limits.idle_ms / OWN_IDLE_DIVISOR
+        """Returns the longest idle of these connections, or None.
+
+        None is returned if none has been idle for `idle_ms / SAME_OWNER_IDLE_DIVISOR`.
+        """
+        idle_ms = self.client_limits.idle_ms / SAME_OWNER_IDLE_DIVISOR
         idle = [
             connection
             for connection in connections
@@ -139,9 +147,10 @@
         return min(idle, key=lambda one: (one.used, one.accepted_at_ms), default=None)
 
     def longest_idle_unknown(self, now: float) -> AdmittedConnection | None:
-        """The longest idle connection of all unknown clients, if any has been idle for `idle_ms`.
+        """Returns the longest idle connection of all unknown clients, or None.
 
-        Entries whose connection was used since are put back where they belong.
+        None is returned if none has been idle for `idle_ms`. A heap entry whose connection has been
+        used since is pushed again with its later time.
         """
         for _ in range(len(self.idle_heap)):
             used, _, connection = self.idle_heap[0]
@@ -158,16 +167,23 @@
         return None
 
     def _push_idle(self, since: float, connection: AdmittedConnection) -> None:
-        """Entries of the same time stay in the order in which they were made."""
-        self._entries_made += 1
-        heappush(self.idle_heap, (since, self._entries_made, connection))
+        """Adds a heap entry; entries with the same time keep the order in which they were added."""
+        self._entry_count += 1
+        heappush(self.idle_heap, (since, self._entry_count, connection))
 
     def longest_unused_unknown(self) -> AdmittedConnection | None:
-        """Any unknown client: one without an open request first, the longest unused of those."""
+        """Returns the connection of an unknown client to close when a descriptor has to be freed.
+
+        Connections without a request in flight come first, and of those the longest unused.
+        """
         return max(self.unknown, key=lambda one: (not one.open, -one.used), default=None)
 
     def largest_holder(self, group: ReadGroup) -> AdmittedConnection | None:
-        """Who holds most bytes of the group or of all unknown clients, if these are too many."""
+        """Returns the connection that holds the most bytes of unfinished frames, or None.
+
+        It is chosen from the group if that is above its limit, else from all unknown clients if
+        these together are above theirs.
+        """
         candidates: Iterable[AdmittedConnection]
         if group.held_bytes > group.held_bytes_limit:
             candidates = group.connections
@@ -178,7 +194,7 @@
         return max(candidates, key=lambda one: (one.held, one.accepted_at_ms))
 
     def unfinished_since(self, before: float) -> list[AdmittedConnection]:
-        """Connections with a frame that was begun before this time and is not complete."""
+        """Returns the connections with an unfinished frame that began before this time in ms."""
         return [
             connection
             for connection in self._admitted()
@@ -186,7 +202,7 @@
         ]
 
     def _admitted(self) -> Iterator[AdmittedConnection]:
-        """All connections that hold a slot."""
+        """Yields all connections that hold a slot."""
         yield from self.unknown
         for client in self.known_clients.by_name.values():
             yield from client.admitted
--- a/cherrydoor/admission/connections.py
+++ b/cherrydoor/admission/connections.py
@@ -1,4 +1,4 @@
-"""A client connection as admission sees it, and what connections are counted by."""
+"""Client connections as admission sees them, and the groups and networks that they count in."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class ConnectionState(StrEnum):
-    """Where a connection stands in admission."""
+    """The state of a connection in admission."""
 
     NEW = "new"
-    WAITING = "waiting"  # for a connection slot of its known client, or for its handshake
-    PENDING = "porch"  # in its handshake, or before its hello
+    WAITING = "waiting"  # for a slot of its known client, or for its handshake to start
+    PENDING = "porch"  # in its handshake, or waiting for its hello
     ADMITTED = "seated"
     CLOSED = "over"
 
 
-# The members by themselves: reading them from the class takes ten times as long in Python 3.11, and
-# admission compares states several times for each connection.
+# Module-level names for the members: reading a member from the class takes ten times as long in
+# Python 3.11, and admission compares states several times for each connection.
 NEW: Final = ConnectionState.NEW
 WAITING: Final = ConnectionState.WAITING
 PENDING: Final = ConnectionState.PENDING
@@ -31,38 +31,38 @@
 
 
 class ConnectionHandler(Protocol):
-    """The I/O side of a connection, to which the listener passes the controller's actions."""
+    """The I/O side of a connection: the listener passes the controller's actions to it."""
 
     def start_handshake(self) -> None:
-        """Starts the handshake, or reads the hello where there is no handshake."""
+        """Starts the TLS handshake, or reads the hello if the listener has no TLS."""
 
     def admit(self, longest_frame_bytes: int, /) -> None:
-        """The connection is admitted; frames up to this length are read from it."""
+        """Admits the connection; frames up to this length in bytes are accepted from it."""
 
     def refuse(self, reason: str, retry_after_ms: float, /) -> None:
-        """Tells the client the reason where that can be done, and closes."""
+        """Sends the client the reason if possible, and closes the connection."""
 
     def pause(self) -> None:
-        """Reads nothing from the connection."""
+        """Stops reading from the connection."""
 
     def resume(self) -> None:
-        """Reads from the connection again."""
+        """Resumes reading from the connection."""
 
 
 class ReadGroup:
-    """Connections that share a read quota and a bound on unfinished bytes.
+    """Connections that share a read quota and a limit on the bytes of unfinished frames.
 
-    There is one for each known client, one for each network prefix of an unknown client, and one
-    above all of the latter. The listener counts `read`; FairReading owns `allowed`, `paused` and
-    `connections`.
+    There is one for each known client, one for each network prefix of unknown clients, and one that
+    is the parent of all of the latter. The listener's side counts `read`; FairReading sets
+    `allowed`, `paused` and `connections`.
 
     Attributes:
         read: Requests read in the current window.
-        allowed: Requests that may be read in one window, or None for any number.
-        paused: Nothing more is read in the current window.
+        allowed: Requests that may be read in one window; None for no limit.
+        paused: Whether reading is paused for the rest of the current window.
         held_bytes: Bytes of unfinished frames held for all connections of the group.
-        held_bytes_limit: Above this the connection that holds most is closed.
-        parent: The group that holds the same bytes once more, or None.
+        held_bytes_limit: Above this many bytes the connection that holds the most is closed.
+        parent: A wider group that counts the same bytes too, or None.
         connections: Admitted connections, in the order of their admission.
     """
 
@@ -86,10 +86,10 @@
         self.connections: dict[AdmittedConnection, bool] = {}
 
     def add_held_bytes(self, change: int) -> bool:
-        """Counts bytes of unfinished frames, here and in the parent.
+        """Adds to the bytes of unfinished frames, in this group and its parent.
 
         Returns:
-            True where this group or its parent holds more than it may.
+            Whether this group or its parent is above its limit.
         """
         self.held_bytes += change
         exceeded = self.held_bytes > self.held_bytes_limit
@@ -99,14 +99,15 @@
 
 
 class NetworkPrefix:
-    """The counts of one network at one of the three prefix widths.
+    """The connections of one network prefix, which has one of three widths.
 
     Attributes:
-        width: Index of the width, 0 for the narrowest.
-        key: IP version and leading bits.
-        pending: Connections in PendingConnections.
+        width: Index of the width, 0 for the narrowest prefix.
+        key: IP version and the leading bits of the addresses.
+        bucket: Rate limiter for its new connections.
+        pending: Number of its connections in `PendingConnections.slots`.
         admitted: Connections of unknown clients that hold a slot.
-        group: The read group of unknown clients; only that of the narrowest width is used.
+        group: Read group of its unknown clients; only that of the narrowest width is used.
     """
 
     __slots__ = ("width", "key", "bucket", "pending", "admitted", "group")
@@ -121,27 +122,27 @@
 
 
 class AdmittedConnection:
-    """One client connection, from its acceptance to its end.
+    """One client connection, from the time it is accepted until it is closed.
 
-    The listener's side keeps `used`, `open`, `partial` and `held`; everything else is the
-    controller's.
+    The listener's side updates `used`, `open`, `partial` and `held`; the controller updates all
+    other attributes.
 
     Attributes:
         address: The client's IP address, as text.
         networks: Its network prefixes, the narrowest first.
-        known_client: Whose slot it holds; None for an unknown client, or for none.
-        presumed_client: The known client that it seems to be by its address, before it has proved
-            anything.
-        state: Where it stands.
-        accepted_at_ms: When it was accepted.
-        used: When something was last read from it or written to it, in ms.
-        open: Requests that wait for an answer; falsy where there are none.
-        partial: Since when a frame is unfinished, in ms; 0 for none.
+        known_client: The known client whose slot it holds or is about to ask for; else None.
+        presumed_client: The known client that its address suggests, before it has proved its
+            identity.
+        state: Its state in admission.
+        accepted_at_ms: Time at which it was accepted.
+        used: Time of the last read or write on it, in ms.
+        open: Its requests that wait for a response; falsy if there are none.
+        partial: Time at which its unfinished frame began, in ms; 0 if there is no such frame.
         held: Bytes of that frame.
-        group: Its read group, once it is admitted.
-        wire: The I/O side.
-        pending_index: Its index in PendingConnections.slots.
-        needs_handshake: It begins with a TLS handshake.
+        group: Its read group; None until it is admitted.
+        wire: Its I/O side.
+        pending_index: Its index in `PendingConnections.slots`.
+        needs_handshake: Whether it starts with a TLS handshake.
     """
 
     __slots__ = (
--- a/cherrydoor/admission/controller.py
+++ b/cherrydoor/admission/controller.py
@@ -1,9 +1,9 @@
-"""The admission controller of a gateway: takes messages with the time, and gives actions.
+"""The admission controller of a gateway: takes a message and the current time, returns actions.
 
-It does no I/O and reads no clock. Its parts each own one table: NetworkTable, ConnectionSlots,
-PendingConnections, LoadShedding and FairReading. Connections live in them as long as they are open;
-network prefixes without connections age and are bounded in number, as are the addresses learned of
-known clients.
+It does no I/O and reads no clock. Its parts each own one piece of state: NetworkTable,
+ConnectionSlots, PendingConnections, LoadShedding and FairReading. They keep a connection for as
+long as it is open. Network prefixes without connections expire and are bounded in number, and so
+are the verified addresses of known clients.
 """
 
 from collections import deque
@@ -11,7 +11,7 @@
 
 from cherrydoor.admission import reasons
 from cherrydoor.admission.accept_rates import AcceptBackoff, ConnectionRates
-from cherrydoor.admission.connection_slots import OWN_IDLE_DIVISOR, ConnectionSlots
+from cherrydoor.admission.connection_slots import SAME_OWNER_IDLE_DIVISOR, ConnectionSlots
 from cherrydoor.admission.connections import (
     ADMITTED,
     CLOSED,
@@ -42,12 +42,16 @@
 from cherrydoor.admission.network_table import NetworkTable, parse_address
 from cherrydoor.admission.pending_connections import PendingConnections
 
-SWEEP_MS = 500.0  # between looks at all connections for frames that are not finished
-LEAST_HANDSHAKE_CAPACITY = 8.0  # queued handshakes that count as full use, whatever their rate
+SWEEP_INTERVAL_MS = 500.0  # between scans of all admitted connections for unfinished frames
+MIN_HANDSHAKE_CAPACITY = 8.0  # queued handshakes that count as full use, however low their rate
 
 
 class AdmissionController:
-    """Decides about the client connections of one gateway; `counters` counts what happened."""
+    """Decides about the client connections of one gateway.
+
+    Attributes:
+        counters: How often each kind of event has happened, by its name in the metrics.
+    """
 
     def __init__(self, client_limits: ClientLimits, now: float) -> None:
         self.client_limits = client_limits
@@ -62,27 +66,32 @@
         self.fair_reading = FairReading()
         self.counters: dict[str, int] = {}
         self._actions: list[Action] = []
-        # Known clients with a freed slot and waiting connections, served after each message.
-        self._with_freed_slot: deque[KnownClient] = deque()
-        self._swept_at_ms = now
+        # Known clients that have waiting connections and from which a connection has been removed.
+        # Their waiting connections are admitted after the current message.
+        self._clients_with_freed_slot: deque[KnownClient] = deque()
+        self._last_sweep_at_ms = now
 
     def take(self, now: float, message: Message) -> list[Action]:
         """Decides what follows from one message.
 
         Args:
-            now: Time in ms; a clock that is set back stands still here.
+            now: Time in ms. A time earlier than that of a previous message is replaced by the
+                latest time seen.
             message: What has happened.
+
+        Returns:
+            The actions to carry out, in this order.
         """
         self.now = max(now, self.now)
         self._handle(message)
-        while self._with_freed_slot:
-            self._admit_waiting(self._with_freed_slot.popleft())
+        while self._clients_with_freed_slot:
+            self._admit_waiting(self._clients_with_freed_slot.popleft())
         actions = self._actions
         self._actions = []
         return actions
 
     def _handle(self, message: Message) -> None:
-        """The one place where messages find their methods."""
+        """Dispatches a message to its method."""
         match message:
             case ConnectionAccepted():
                 self._connection_accepted(message.connection, message.needs_handshake)
@@ -100,50 +109,56 @@
                 self._usage_measured(message)
 
     def count(self, what: str) -> None:
-        """Counts once more what has happened, for metrics."""
+        """Adds one to the counter of this event in the metrics."""
         self.counters[what] = self.counters.get(what, 0) + 1
 
     def _connection_accepted(self, connection: AdmittedConnection, needs_handshake: bool) -> None:
-        """Rejects a connection that comes too soon; others start, or wait for a slot."""
+        """Rejects a connection above the rate limits; others start, or wait for a slot."""
         connection.needs_handshake = needs_handshake
         version, bits = parse_address(connection.address)
         connection.networks = self.networks.prefixes_of(version, bits, self.now)
-        listed = self.known_clients.with_network_of(version, bits)
-        # Set before the rates are looked at: a rejection then gives those that wait for a slot
-        # another try.
-        connection.known_client = listed
-        connection.presumed_client = listed or self.known_clients.verified_from(
+        network_owner = self.known_clients.find_by_network(version, bits)
+        # Set before the rate limits are checked, so that a rejection by them also makes this
+        # client's waiting connections try again for a slot.
+        connection.known_client = network_owner
+        connection.presumed_client = network_owner or self.known_clients.find_by_verified_address(
             connection.address, self.now
         )
-        too_soon = self.rates.check(connection, self.load_shedding, self.now)
-        if too_soon is not None:
-            self._reject(connection, too_soon.reason, too_soon.retry_after_ms)
+        rejection = self.rates.check(connection, self.load_shedding, self.now)
+        if rejection is not None:
+            self._reject(connection, rejection.reason, rejection.retry_after_ms)
             return
-        if listed is not None:
-            self._take_listed(connection, listed)
+        if network_owner is not None:
+            self._accept_from_known_network(connection, network_owner)
             return
-        victim = self.pending.enter(connection)
+        victim = self.pending.add(connection)
         if victim is not None:
             self._close(victim, reasons.PENDING_EVICTED, reasons.RETRY_PENDING_EVICTED_MS)
         self.pending.unidentified[connection] = True
         self._start(connection)
 
-    def _take_listed(self, connection: AdmittedConnection, client: KnownClient) -> None:
-        """Gives a slot to a connection from a configured network, before it has proved anything."""
+    def _accept_from_known_network(
+        self, connection: AdmittedConnection, client: KnownClient
+    ) -> None:
+        """Gives a connection from a known client's network a slot before it proves its identity."""
         refusal = self._acquire_slot(connection)
         if not refusal:
             self.pending.unidentified[connection] = True
             self._start(connection)
         elif len(client.waiting) >= client.slot_limit:
-            self._reject(connection, refusal, self.client_limits.idle_ms / OWN_IDLE_DIVISOR)
+            self._reject(connection, refusal, self.client_limits.idle_ms / SAME_OWNER_IDLE_DIVISOR)
         else:
-            # Old connections of this client may have ended though nobody has seen it yet.
+            # Old connections of this client may already be dead without the gateway having noticed.
             client.waiting.append(connection)
             connection.state = WAITING
             self.pending.unidentified[connection] = True
 
     def _acquire_slot(self, connection: AdmittedConnection) -> str:
-        """Gives the connection a slot and closes whoever makes room; gives the refusal or ""."""
+        """Gives the connection a slot, and closes the connection that is evicted for it.
+
+        Returns:
+            The reason why there is no slot, or "" where the connection has one.
+        """
         grant = self.connection_slots.acquire(connection, self.now, self.load_shedding.step)
         if grant.refusal:
             connection.known_client = None
@@ -152,7 +167,7 @@
         return grant.refusal
 
     def _admit_waiting(self, client: KnownClient) -> None:
-        """The next that wait for a slot of this known client get what is free."""
+        """Gives free slots to the waiting connections of this known client, oldest first."""
         waiting = client.waiting
         while waiting:
             connection = waiting[0]
@@ -164,7 +179,7 @@
             waiting.popleft()
 
     def _start(self, connection: AdmittedConnection) -> None:
-        """The connection queues for its handshake, or goes on to its hello where there is none."""
+        """Queues the connection for its TLS handshake; without TLS it goes on to its hello."""
         if connection.needs_handshake:
             connection.state = WAITING
             self.pending.queue_handshake(connection)
@@ -174,17 +189,17 @@
             self._actions.append(StartHandshake(connection))
 
     def _start_handshakes(self) -> None:
-        """Starts the handshakes that the rate allows now."""
+        """Starts as many queued handshakes as the rate limit allows now."""
         while (connection := self.pending.next_handshake(self.now)) is not None:
             connection.state = PENDING
             self._actions.append(StartHandshake(connection))
 
     def _client_identified(self, connection: AdmittedConnection, name: str) -> None:
-        """Admits or rejects the connection; what was proved goes before where it comes from."""
+        """Admits or rejects the connection; a proved identity takes precedence over the network."""
         if connection.state is not PENDING:
             return
         self.pending.unidentified.pop(connection, None)
-        self.pending.leave(connection)
+        self.pending.remove(connection)
         proved = self.known_clients.by_name.get(name)
         if proved is not None:
             proved.remember(connection.address, self.now)
@@ -201,7 +216,7 @@
         self._admit(connection)
 
     def _admit(self, connection: AdmittedConnection) -> None:
-        """The connection holds a slot and has said who it is."""
+        """Admits a connection that holds a slot and has sent its hello."""
         connection.state = ADMITTED
         connection.used = self.now
         client = connection.known_client
@@ -216,27 +231,27 @@
         self._actions.append(Admit(connection, longest_frame_bytes))
 
     def _reject(self, connection: AdmittedConnection, reason: str, retry_after_ms: float) -> None:
-        """The connection gets no slot."""
+        """Rejects a connection that gets no slot."""
         self.count(f"refused: {reason}")
         self._forget(connection)
         self._actions.append(Reject(connection, reason, retry_after_ms))
 
     def _close(self, connection: AdmittedConnection, reason: str, retry_after_ms: float) -> None:
-        """Closes a connection; its slot is free at once, before ConnectionClosed comes."""
+        """Closes a connection; its slot is free immediately, before ConnectionClosed arrives."""
         self.count(f"closed: {reason}")
         self._forget(connection)
         self._actions.append(Reject(connection, reason, retry_after_ms))
 
     def _forget(self, connection: AdmittedConnection) -> None:
-        """The one place where a connection stops being counted."""
+        """Removes a connection from all tables; it is the only method that does."""
         if connection.state is CLOSED:
             return
         self.pending.unidentified.pop(connection, None)
-        self.pending.leave(connection)
+        self.pending.remove(connection)
         self.connection_slots.release(connection)
         client = connection.known_client
         if client is not None and client.waiting:
-            self._with_freed_slot.append(client)
+            self._clients_with_freed_slot.append(client)
         if connection.group is not None:
             connection.group.add_held_bytes(-connection.held)
             connection.held = 0
@@ -244,13 +259,16 @@
         connection.state = CLOSED
 
     def _read_quota_exceeded(self, connection: AdmittedConnection) -> None:
-        """Nothing more is read from the connection's group in this window."""
+        """Pauses reading from the connection's group for the rest of this window."""
         if connection.state is ADMITTED and connection.group is not None:
             self._actions.extend(self.fair_reading.pause(connection.group))
             self.count("read quota exceeded")
 
     def _buffer_limit_exceeded(self, connection: AdmittedConnection) -> None:
-        """Closes the connection that holds most, whose bytes are freed at once."""
+        """Closes the connection that holds the most bytes of unfinished frames.
+
+        Its bytes are freed immediately.
+        """
         group = connection.group
         if connection.state is not ADMITTED or group is None:
             return
@@ -259,10 +277,11 @@
             self._close(largest, reasons.UNFINISHED_BYTES, reasons.RETRY_CLOSED_MS)
 
     def _descriptors_exhausted(self, needed: bool) -> None:
-        """Frees a descriptor, and pauses accepting for longer each time that it comes again soon.
+        """Closes a connection to free a descriptor, and pauses accepting.
 
-        An idle unknown client is closed, else a pending connection; for an upstream connection any
-        unknown client.
+        Closed is an idle connection of an unknown client or, if there is none, a pending
+        connection. For an upstream connection it may be any connection of an unknown client. The
+        pause becomes longer if descriptors are exhausted again soon.
         """
         self.count("descriptors ran out")
         victim = self.connection_slots.longest_idle_unknown(self.now)
@@ -272,27 +291,28 @@
             victim = self.connection_slots.longest_unused_unknown()
         if victim is not None:
             self._close(victim, reasons.NO_DESCRIPTORS, reasons.RETRY_NO_DESCRIPTORS_MS)
-        pause_ms = self.accept_backoff.exhausted(self.now)
+        pause_ms = self.accept_backoff.next_pause_ms(self.now)
         if not needed:
             self._actions.append(PauseAccepting(pause_ms))
 
     def _usage_measured(self, usage: UsageMeasured) -> None:
-        """A window is over: sets the step and the read level, and closes what is overdue."""
-        handshake_capacity = max(LEAST_HANDSHAKE_CAPACITY, self.client_limits.handshake_rate)
+        """Ends a window: updates load shedding and the read level, closes overdue connections."""
+        handshake_capacity = max(MIN_HANDSHAKE_CAPACITY, self.client_limits.handshake_rate)
         handshakes = self.pending.handshakes_waiting() / handshake_capacity
         self.load_shedding.update(self.now, max(usage.descriptors, usage.memory, handshakes))
         self._start_handshakes()
         for connection in self.pending.overdue(self.now, self.load_shedding.step):
             self._close(connection, reasons.NO_HELLO, reasons.RETRY_CLOSED_MS)
         self._actions.extend(self.fair_reading.end_window(usage.busy))
-        if self.now - self._swept_at_ms >= SWEEP_MS:
-            self._swept_at_ms = self.now
-            # Guards against frames that never end; harms a client on a very slow link.
+        if self.now - self._last_sweep_at_ms >= SWEEP_INTERVAL_MS:
+            self._last_sweep_at_ms = self.now
+            # A client that never completes its frames would hold their bytes until it disconnects.
+            # The cost is that a client on a very slow link is disconnected too.
             begun_before = self.now - self.client_limits.frame_timeout_ms
             for connection in self.connection_slots.unfinished_since(begun_before):
                 self._close(connection, reasons.UNFINISHED_FRAME, reasons.RETRY_CLOSED_MS)
             self.networks.sweep(self.now)
 
     def gauges(self) -> Iterator[tuple[str, float]]:
-        """What an operator watches, as (name, figure)."""
+        """Yields the gauges for metrics, as (name, value)."""
         return gauges_of(self)
--- a/cherrydoor/admission/descriptors.py
+++ b/cherrydoor/admission/descriptors.py
@@ -1,15 +1,21 @@
-"""How a process divides its descriptors and its connection slots, at its start."""
+"""Divides the file descriptors and the connection slots of a process at its start."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
-FEWEST_SPARE = 4  # descriptors for files, the endpoint list and logs, at the least
-MOST_SPARE = 64  # and at the most: more are never open at a time
-MOST_CONNECTIONS_PER_HOST = 12  # more to one host would not be used
+MIN_SPARE_DESCRIPTORS = 4  # for files, the endpoint list and logs
+MAX_SPARE_DESCRIPTORS = 64  # files, endpoint list and logs never have more open at a time
+MAX_CONNECTIONS_PER_HOST = 12  # further connections to one host would not be used
 
 
 class DescriptorShares(NamedTuple):
-    """Descriptors of a process: for upstream, for clients of each gateway, and spare ones."""
+    """Descriptors of a process.
+
+    Attributes:
+        upstream: For upstream connections.
+        client_slots: For admitted client connections, at each gateway.
+        spare: For everything else.
+    """
 
     upstream: int
     client_slots: int
@@ -17,7 +23,13 @@
 
 
 class PlatformSlots(NamedTuple):
-    """Descriptors of a platform gateway: client slots, pending connections, those to one host."""
+    """Descriptors of a platform gateway.
+
+    Attributes:
+        client_slots: For admitted client connections.
+        pending: For pending connections.
+        per_host: For upstream connections to one host.
+    """
 
     client_slots: int
     pending: int
@@ -29,14 +41,15 @@
 ) -> DescriptorShares:
     """Divides the descriptors of one process.
 
-    Upstream connections come first, with up to half of what is free; an eighth, 4 to 64, stays
-    spare. Beside the client slots there is room for an eighth as many pending connections.
+    Upstream connections get up to half of the free descriptors. An eighth of the free ones, at
+    least 4 and at most 64, stays spare. The rest is for clients: their slots, and an eighth as many
+    pending connections.
 
     Args:
         limit: RLIMIT_NOFILE.
-        used: Descriptors that are open at the start.
-        gateways: Gateways in this process.
-        upstream_limit: Upstream connections that the configuration could ask for.
+        used: Descriptors already in use.
+        gateways: Number of gateways in this process.
+        upstream_limit: Upstream connections that the configuration allows at most.
 
     >>> tuple(divide_descriptors(256, 16, 1, 80))
     (80, 115, 30)
@@ -44,7 +57,7 @@
     (500, 193, 64)
     """
     free = max(0, limit - used)
-    spare = min(MOST_SPARE, max(FEWEST_SPARE, free // 8))
+    spare = min(MAX_SPARE_DESCRIPTORS, max(MIN_SPARE_DESCRIPTORS, free // 8))
     upstream = min(upstream_limit, free // 2)
     client_slots = max(1, (free - spare - upstream) // max(1, gateways) * 8 // 9)
     return DescriptorShares(upstream, client_slots, spare)
@@ -53,14 +66,14 @@
 def platform_slots(limit: int, reserve: int, hosts: int) -> PlatformSlots:
     """Divides the descriptors of a gateway whose clients come through a front proxy.
 
-    The proxy's connections take up to a third of the limit and all have a slot; beside them there
-    is room for half as many that have said nothing yet. Hosts share what is left but for an eighth
-    that stays free.
+    The proxy's connections get 7/20 of the limit, about a third, and all have a slot. In addition
+    there is room for half as many pending connections. An eighth of the limit stays free, and the
+    hosts share the rest.
 
     Args:
-        limit: Descriptors that the process may have.
-        reserve: Those that the process itself needs.
-        hosts: Hosts on the endpoint list.
+        limit: Descriptors that the process may have open.
+        reserve: Descriptors that the process itself needs.
+        hosts: Number of hosts on the endpoint list.
 
     >>> tuple(platform_slots(256, 12, 12))
     (89, 44, 6)
@@ -70,20 +83,22 @@
     client_slots = limit * 7 // 20
     pending = client_slots // 2
     left = limit * 7 // 8 - reserve - client_slots - pending
-    per_host = max(1, min(MOST_CONNECTIONS_PER_HOST, left // max(1, hosts)))
+    per_host = max(1, min(MAX_CONNECTIONS_PER_HOST, left // max(1, hosts)))
     return PlatformSlots(client_slots, pending, per_host)
 
 
 def scale_reserved_slots(wanted: Sequence[int], capacity: int) -> list[int]:
-    """Scales reserved slots down alike to three quarters of the capacity; none below one.
+    """Scales reserved slots down in proportion, so that their sum fits the capacity.
+
+    The sum may be up to three quarters of the capacity; each client keeps at least one slot.
 
     >>> scale_reserved_slots([10, 30], 100)
     [10, 30]
     >>> scale_reserved_slots([100, 300], 100)
     [18, 56]
     """
-    most = capacity * 3 // 4
+    max_reserved = capacity * 3 // 4
     total = sum(wanted)
-    if total <= most:
+    if total <= max_reserved:
         return list(wanted)
-    return [max(1, slots * most // total) for slots in wanted]
+    return [max(1, slots * max_reserved // total) for slots in wanted]
--- a/cherrydoor/admission/gauges.py
+++ b/cherrydoor/admission/gauges.py
@@ -1,4 +1,4 @@
-"""What an operator watches of admission."""
+"""Gauges of admission for metrics."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def gauges_of(controller: AdmissionController) -> Iterator[tuple[str, float]]:
-    """The present state of a controller, as (name, figure)."""
+    """Yields the current state of a controller, as (name, value)."""
     yield "load shedding step", controller.load_shedding.step
     yield "connection slots: common", controller.connection_slots.common
     yield "connection slots: common in use", controller.connection_slots.common_used()
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -1,4 +1,4 @@
-"""The I/O side of a client connection: first a bare socket, then a protocol on a transport."""
+"""The I/O side of a client connection: a bare socket at first, then a protocol on a transport."""
 
 from __future__ import annotations
 
@@ -15,28 +15,30 @@
 if TYPE_CHECKING:
     from cherrydoor.admission.listener import Listener, ListenerSet
 
-TLS_HANDSHAKE_TIMEOUT_S = 30.0  # beyond any time for a hello: the controller closes sooner
+TLS_HANDSHAKE_TIMEOUT_S = 30.0  # above any hello timeout, by which the controller closes sooner
 TLS_SHUTDOWN_TIMEOUT_S = 1.0
-RETRY_AFTER_UNIT_MS = 10  # sent in whole units, so that few different rejections are encoded
-DISCARDED_BYTES = 4096  # unread input that is read before a rejected socket is closed
+# The retry-after time that is sent is rounded up to a multiple of this, so that the cache of
+# encoded rejections is hit more often.
+RETRY_AFTER_UNIT_MS = 10
+MAX_DISCARDED_BYTES = 4096  # of unread input, read before a rejected socket is closed
 
 
 @lru_cache(maxsize=256)
 def rejection_bytes(reason: str, retry_after_ms: float) -> bytes:
-    """The bytes of a rejection in our own protocol."""
+    """Returns a rejection as a frame of this project's own protocol."""
     encoded: bytes = codec.encode(protocol.GoAway(reason, retry_after_ms))
     return encoded
 
 
 class IncomingConnection:
-    """The I/O side of an AdmittedConnection; it carries out the actions on it.
+    """The I/O side of an AdmittedConnection; it carries out the controller's actions.
 
     Attributes:
-        sock: The socket, until the protocol is made.
-        end: The protocol, from connection_made on; it sets this itself.
-        task: The task of the handshake.
-        waited_ms: For how long at the most the connection waited to be accepted.
-        connection: The connection as the controller has it.
+        sock: The socket; None once the handshake starts or the connection is closed.
+        end: The protocol, which sets this itself in connection_made(); None until then.
+        task: The task that runs the handshake; None until it starts.
+        waited_ms: Upper bound of the time that it waited to be accepted.
+        connection: The connection in the controller's tables.
     """
 
     def __init__(
@@ -56,24 +58,24 @@
         self.connection = AdmittedConnection(address, now, self)
 
     def start_handshake(self) -> None:
-        """Starts the handshake, or makes the protocol at once where there is none."""
+        """Starts the TLS handshake, or makes the protocol directly if the listener has no TLS."""
         self.task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
-        """Puts the protocol on the socket; closes the socket where that fails."""
+        """Makes the protocol on the socket; closes the socket if that fails."""
         sock = self.sock
         self.sock = None
-        # start_handshake is called once, on a connection that is not closed
+        # start_handshake() is called once, and not after refuse() has closed the socket.
         assert sock is not None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            context = self.listener.context() if self.listener.context else None
+            context = self.listener.tls_context() if self.listener.tls_context else None
             timeouts = {}
             if context:
                 timeouts["ssl_handshake_timeout"] = TLS_HANDSHAKE_TIMEOUT_S
                 timeouts["ssl_shutdown_timeout"] = TLS_SHUTDOWN_TIMEOUT_S
             await asyncio.get_running_loop().connect_accepted_socket(
-                lambda: self.listener.make(self), sock, ssl=context, **timeouts
+                lambda: self.listener.make_protocol(self), sock, ssl=context, **timeouts
             )
         except (OSError, ssl.SSLError, TimeoutError) as error:
             sock.close()
@@ -83,14 +85,14 @@
             raise
 
     def admit(self, longest_frame_bytes: int) -> None:
-        """The connection is admitted."""
+        """Tells the protocol that the connection is admitted."""
         self.end.admitted(longest_frame_bytes)
 
     def refuse(self, reason: str, retry_after_ms: float) -> None:
-        """Tells the client the reason where that can be done, and closes.
+        """Sends the client the reason if possible, and closes the connection.
 
-        What the client has sent is read first: a close over unread bytes makes the kernel answer
-        with a reset, which would destroy the rejection on its way.
+        What the client has sent is read before the close: if a socket is closed with unread input,
+        the kernel sends a reset, and the client may lose the rejection.
         """
         if self.end is not None:
             self.end.close(reason, retry_after_ms)
@@ -103,17 +105,17 @@
             return
         rounded_up_ms = -(-retry_after_ms // RETRY_AFTER_UNIT_MS) * float(RETRY_AFTER_UNIT_MS)
         try:
-            sock.send(self.listener.rejection(reason, rounded_up_ms))
+            sock.send(self.listener.encode_rejection(reason, rounded_up_ms))
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(DISCARDED_BYTES)
+            sock.recv(MAX_DISCARDED_BYTES)
         except OSError:
             pass
         sock.close()
 
     def pause(self) -> None:
-        """Reads nothing from the connection."""
+        """Stops reading from the connection."""
         self.end.pause()
 
     def resume(self) -> None:
-        """Reads from the connection again."""
+        """Resumes reading from the connection."""
         self.end.resume()
--- a/cherrydoor/admission/known_clients.py
+++ b/cherrydoor/admission/known_clients.py
@@ -1,4 +1,4 @@
-"""Known clients: their reserved slots, and the addresses by which they are recognised."""
+"""Known clients: their reserved slots, and the addresses by which they are recognized."""
 
 from collections import OrderedDict, deque
 from ipaddress import ip_network
@@ -8,21 +8,27 @@
 from cherrydoor.admission.leaky_bucket import LeakyBucket
 from cherrydoor.admission.limits import ClientLimits, KnownClientSettings
 
-MOST_VERIFIED_ADDRESSES = 64  # for each known client, so that its table stays small
-VERIFIED_ADDRESS_AGE_MS = 12 * 3600 * 1000.0  # within a working day the same machines come back
+MAX_VERIFIED_ADDRESSES = 64  # per known client, which bounds its table
+# The same machines reconnect within a working day.
+VERIFIED_ADDRESS_AGE_MS = 12 * 3600 * 1000.0
 
 
 class KnownClient:
     """A known client and its connections.
 
     Attributes:
-        reserved_slots: Slots that nobody else takes.
-        slot_limit: Slots that it may have together with common ones; never fewer than the reserved
-            ones.
+        name: Its name, as in certificates and tokens.
+        reserved_slots: Slots that no other client may take.
+        slot_limit: Slots that it may hold in all, including common ones; at least
+            `reserved_slots`.
+        networks: Its configured networks, as (IP version, first address, last address).
+        bucket: Rate limiter for its new connections.
+        group: Read group of its connections.
         admitted: Its connections that hold a slot.
-        verified_addresses: When it last proved itself from an address, oldest first.
-        waiting: Connections that wait for one of its slots: no more than `slot_limit`, none longer
-            than the time for a hello.
+        verified_addresses: Addresses from which it has proved its identity, with the time in ms at
+            which it last did, oldest first.
+        waiting: Connections that wait for one of its slots: at most `slot_limit`, and none for
+            longer than the hello timeout.
     """
 
     __slots__ = (
@@ -44,7 +50,9 @@
         self.reserved_slots = reserved_slots
         self.slot_limit = max(reserved_slots, settings.slot_limit)
         networks = [ip_network(text, strict=False) for text in settings.addresses]
-        self.networks = [(one.version, int(one[0]), int(one[-1])) for one in networks]
+        self.networks = [
+            (network.version, int(network[0]), int(network[-1])) for network in networks
+        ]
         self.bucket = LeakyBucket(now)
         self.group = ReadGroup(held_bytes_limit)
         self.admitted: dict[AdmittedConnection, bool] = {}
@@ -52,19 +60,19 @@
         self.waiting: deque[AdmittedConnection] = deque()
 
     def common_slots_used(self) -> int:
-        """Common slots that it holds beyond its reserved ones."""
+        """Returns the number of common slots that it holds beyond its reserved ones."""
         return max(0, len(self.admitted) - self.reserved_slots)
 
     def remember(self, address: str, now: float) -> None:
-        """It has proved itself from this address."""
+        """Records that it has proved its identity from this address."""
         self.verified_addresses[address] = now
         self.verified_addresses.move_to_end(address)
-        while len(self.verified_addresses) > MOST_VERIFIED_ADDRESSES:
+        while len(self.verified_addresses) > MAX_VERIFIED_ADDRESSES:
             self.verified_addresses.popitem(last=False)
 
 
 class KnownClientTable:
-    """All known clients of a gateway, fixed at the start; only their connections change."""
+    """All known clients of a gateway. The set of clients is fixed when the gateway starts."""
 
     def __init__(self, client_limits: ClientLimits, now: float) -> None:
         reserved = scale_reserved_slots(
@@ -78,24 +86,25 @@
         self.reserved_slots = sum(reserved)
 
     def common_slots_used(self) -> int:
-        """Common slots that known clients hold."""
+        """Returns the number of common slots that known clients hold."""
         return sum(client.common_slots_used() for client in self.by_name.values())
 
-    def with_network_of(self, version: int, bits: int) -> KnownClient | None:
-        """The known client that has this address in a configured network (see parse_address)."""
+    def find_by_network(self, version: int, bits: int) -> KnownClient | None:
+        """Returns the known client with this address in its networks (see parse_address)."""
         for client in self.by_name.values():
             for network_version, first, last in client.networks:
                 if network_version == version and first <= bits <= last:
                     return client
         return None
 
-    def verified_from(self, address: str, now: float) -> KnownClient | None:
-        """The known client that proved itself from this very address not long ago.
+    def find_by_verified_address(self, address: str, now: float) -> KnownClient | None:
+        """Returns the known client that recently proved its identity from this address, or None.
 
-        It still has to prove itself, but is not counted with unknown clients until then. Guards a
-        known client without configured networks against a flood from its own network; harms where
-        an address changes hands within VERIFIED_ADDRESS_AGE_MS, and then by pending connections
-        only.
+        A new connection from there still has to prove its identity, but until then it does not
+        count against the rate limits of unknown clients. Otherwise a flood from its own network
+        would lock out a known client without configured networks. The cost: if the address passes
+        to another machine within VERIFIED_ADDRESS_AGE_MS, that machine has the same preference for
+        its pending connections, but no slot.
         """
         for client in self.by_name.values():
             verified_at_ms = client.verified_addresses.get(address)
--- a/cherrydoor/admission/leaky_bucket.py
+++ b/cherrydoor/admission/leaky_bucket.py
@@ -1,11 +1,12 @@
-"""The rate limiter that admission uses for new connections and for TLS handshakes."""
+"""The rate limiter for new connections and for TLS handshakes."""
 
 
 class LeakyBucket:
-    """A leaky bucket; rate and depth are the caller's and may differ from call to call.
+    """A leaky bucket; the caller passes rate and depth, which may differ from call to call.
 
-    Invariant: `level` is never negative, and `at_ms` is the time up to which leaking has been
-    counted.
+    Attributes:
+        level: Units in the bucket; never negative.
+        at_ms: Time up to which the leak has been taken off `level`.
     """
 
     __slots__ = ("level", "at_ms")
@@ -15,15 +16,15 @@
         self.at_ms = now
 
     def wait_ms(self, now: float, rate: float, depth: float) -> float:
-        """Leaks up to now, and says how long until one more has room.
+        """Applies the leak up to now, and returns the time until one more unit fits.
 
         Args:
-            now: Time in ms; a clock that is set back leaks nothing.
-            rate: What leaks, in units per second.
-            depth: How many the bucket holds.
+            now: Time in ms; if it is earlier than at the last call, nothing leaks.
+            rate: Leak rate in units per second.
+            depth: Units that the bucket holds.
 
         Returns:
-            Ms until one more has room; 0 where it has room now.
+            Time in ms until one more unit fits; 0 if it fits now.
         """
         if now > self.at_ms:
             self.level = max(0.0, self.level - (now - self.at_ms) * rate / 1000)
@@ -31,5 +32,5 @@
         return max(0.0, (self.level + 1 - depth) / rate * 1000)
 
     def add(self) -> None:
-        """Counts one more."""
+        """Adds one unit."""
         self.level += 1
--- a/cherrydoor/admission/limits.py
+++ b/cherrydoor/admission/limits.py
@@ -1,21 +1,21 @@
-"""The limits that admission decides by."""
+"""The configured limits of admission."""
 
 from dataclasses import dataclass
 
-# Of the common slots, the part that one network prefix of each width may fill: an owner of a whole
-# /16 is left half, so that no single network keeps all others out.
+# Fraction of the common slots that one network prefix of each width may hold, narrowest first. Even
+# the owner of a whole /16 gets only half, so that no single network can keep all others out.
 NETWORK_PARTS = (1 / 8, 1 / 4, 1 / 2)
 
 
 @dataclass(slots=True)
 class KnownClientSettings:
-    """A known client as configured.
+    """The settings of a known client.
 
     Attributes:
-        name: Its name, as certificates and tokens have it.
-        reserved_slots: Connection slots that are kept for it alone.
-        slot_limit: Connections that it may have in all, with common slots.
-        addresses: Networks by which it is recognised before it has proved who it is.
+        name: Its name, as in certificates and tokens.
+        reserved_slots: Connection slots reserved for it.
+        slot_limit: Connections that it may have in all, including those with common slots.
+        addresses: Networks by which it is recognized before it has proved its identity.
     """
 
     name: str
@@ -26,27 +26,27 @@
 
 @dataclass(slots=True)
 class ClientLimits:
-    """What admission goes by at one gateway. The order of the fields is part of the interface.
+    """The limits of admission at one gateway. The order of the fields is part of the interface.
 
     Attributes:
         connection_slots: Connections that may be admitted at a time.
         known: Known clients.
-        connection_rate: New connections a second from one address of an unknown client.
-        connection_burst: How many of them may come at once.
-        known_client_rate: New connections a second from one known client.
-        handshake_rate: TLS handshakes a second.
-        hello_timeout_ms: Time for handshake and hello.
-        frame_timeout_ms: Time in which a frame that has begun must be complete.
-        idle_ms: An unknown client's connection without use for so long makes room for others.
-        unknown_frame_bytes: Longest frame of an unknown client.
-        known_frame_bytes: Longest frame of a known client.
+        connection_rate: New connections per second from one address of unknown clients.
+        connection_burst: New connections that may come from it at once.
+        known_client_rate: New connections per second from one known client.
+        handshake_rate: TLS handshakes per second.
+        hello_timeout_ms: Time from the accept until the hello must have come.
+        frame_timeout_ms: Time from the first byte of a frame until it must be complete.
+        idle_ms: Time without use after which an unknown client's connection may be evicted.
+        unknown_frame_bytes: Longest frame that an unknown client may send.
+        known_frame_bytes: Longest frame that a known client may send.
         stranger_bytes: Bytes of unfinished frames for one address of unknown clients.
         unknown_clients_bytes: The same for all unknown clients together.
         known_client_bytes: The same for one known client.
-        seed: Seed of the draws among pending connections.
-        parts: Part of the common slots that one network prefix of each width may fill; 1 for each
-            where all clients come through one front proxy.
-        pending: Capacity for pending connections; 0 for an eighth of `connection_slots`.
+        seed: Seed of the random draws among pending connections.
+        parts: Fraction of the common slots that one network prefix of each width may hold; 1 for
+            each width where all clients come through one front proxy.
+        pending: Capacity for pending connections; 0 means an eighth of `connection_slots`.
     """
 
     connection_slots: int
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -1,4 +1,4 @@
-"""The sockets of admission: listens, accepts, and carries out the controller's actions."""
+"""Listening sockets: accept connections, and carry out the admission controller's actions."""
 
 import asyncio
 import errno
@@ -29,35 +29,35 @@
 from cherrydoor.gateway.sockets import after_input, has_pending_connection
 
 NO_DESCRIPTORS = {errno.EMFILE, errno.ENFILE}
-NO_ROOM = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
-ACCEPTED_AT_ONCE = 8  # in one pass of the loop: timers that are due are not kept waiting by a flood
-BACKLOG = 1024  # connections that the kernel accepts for us until we do
-SAME_REASON_LOGGED_AFTER_MS = 10_000
+RESOURCE_ERRNOS = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
+MAX_ACCEPTS_PER_PASS = 8  # per event loop pass, so that a flood does not delay due timers
+BACKLOG = 1024  # connections in the kernel's accept queue
+REJECTION_LOG_INTERVAL_MS = 10_000  # between log lines with the same reason
 
 
 class Clock(Protocol):
     """The gateway's clock."""
 
     def now(self) -> float:
-        """Time in ms."""
+        """Returns the time in ms."""
 
 
 class Usage(Protocol):
-    """What a ListenerSet asks of ProcessUsage, or of what stands for it in the emulator."""
+    """The methods of ProcessUsage that a ListenerSet uses; the emulator has its own class."""
 
     def measure(self) -> UsageMeasured:
-        """What is in use now."""
+        """Returns the current resource usage."""
 
     def reserve_spare_descriptor(self) -> None:
-        """Takes a spare descriptor, if there is none."""
+        """Opens the spare descriptor if it is not held."""
 
     def release_spare_descriptor(self) -> bool:
-        """Releases the spare descriptor."""
+        """Releases the spare descriptor; returns whether it was held."""
 
 
 def log_to_structlog(event: str, **values: Any) -> None:
     """Writes one line to the structured log."""
-    import structlog  # here, as a process that has another log need not load it
+    import structlog  # imported here, as a process with another log does not need it
 
     structlog.get_logger().info(event, **values)
 
@@ -66,36 +66,45 @@
     """One listening socket.
 
     Attributes:
-        make: Gives the protocol for an IncomingConnection.
-        context: Gives the TLS context to use now; None where the listener has no TLS.
-        rejection: Gives the bytes of a rejection, from reason and retry-after in ms.
+        make_protocol: Makes the protocol of an IncomingConnection.
+        tls_context: Returns the TLS context to use now; None if the listener has no TLS.
+        encode_rejection: Returns the bytes of a rejection, given the reason and the retry-after
+            time in ms.
         sock: The socket; None once it is closed.
         port: The port that it listens on.
-        since: Since when more wait to be accepted than one pass takes in, in ms; None
-            where none do.
+        since: Time in ms at which a pass first left connections waiting to be accepted; None once a
+            pass leaves none.
     """
 
     def __init__(
         self,
         listeners: "ListenerSet",
-        where: tuple[str, int],
-        make: Callable[[IncomingConnection], asyncio.BaseProtocol],
-        context: Callable[[], ssl.SSLContext] | None = None,
+        address: tuple[str, int],
+        make_protocol: Callable[[IncomingConnection], asyncio.BaseProtocol],
+        tls_context: Callable[[], ssl.SSLContext] | None = None,
         backlog: int = BACKLOG,
         word: Callable[[str, float], bytes] = rejection_bytes,
     ) -> None:
-        """Listens at once.
+        """Binds the address and starts to listen.
+
+        Args:
+            listeners: The set that this listener adds itself to.
+            address: Host and port to bind; port 0 takes a free one.
+            make_protocol: Makes the protocol of an IncomingConnection.
+            tls_context: Returns the TLS context to use now; None for plain TCP.
+            backlog: Length of the kernel's accept queue.
+            word: Returns the bytes of a rejection, given the reason and the retry-after time in ms.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The address cannot be bound.
         """
         self.listeners = listeners
-        self.make = make
-        self.context = context
-        self.rejection = word
+        self.make_protocol = make_protocol
+        self.tls_context = tls_context
+        self.encode_rejection = word
         self.since: float | None = None
         self._resume_timer: asyncio.TimerHandle | None = None
-        host, port = where
+        host, port = address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self.sock: socket.socket | None = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -111,9 +120,9 @@
         self._loop.add_reader(self.sock, self.ready)
         listeners.listeners.append(self)
 
-    def ready(self, most: int = ACCEPTED_AT_ONCE) -> None:
-        """Accepts connections until none waits, the most is reached, or accepting is paused."""
-        for _ in range(most):
+    def ready(self, max_accepts: int = MAX_ACCEPTS_PER_PASS) -> None:
+        """Accepts connections until none is left, accepting is paused or the maximum is reached."""
+        for _ in range(max_accepts):
             if self._resume_timer is not None:
                 return
             if not self._accept():
@@ -125,39 +134,39 @@
             self.since = self.listeners.clock.now()
 
     def _accept(self) -> bool:
-        """Accepts one connection; False where no other waits."""
+        """Accepts one connection; returns False if there is none to accept."""
         listeners = self.listeners
-        assert self.sock is not None  # it is closed only once it is read no more
+        assert self.sock is not None  # its reader is removed before it is closed
         try:
             sock, peer = self.sock.accept()
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as error:
-            if error.errno in NO_ROOM:
+            if error.errno in RESOURCE_ERRNOS:
                 listeners.post(DescriptorsExhausted(needed=False))
                 return False
-            return True  # it was gone before it was accepted
+            return True  # that connection was closed before it was accepted
         sock.setblocking(False)
         address = peer[0].partition("%")[0]
         incoming = IncomingConnection(listeners, self, sock, address, listeners.clock.now())
-        listeners.post(ConnectionAccepted(incoming.connection, self.context is not None))
+        listeners.post(ConnectionAccepted(incoming.connection, self.tls_context is not None))
         return True
 
     def pause_accepting(self, duration_ms: float) -> None:
-        """Accepts nothing for so long; a pause that has begun is not made longer."""
+        """Stops accepting for this time; a pause in progress is not extended."""
         if self._resume_timer is None and self.sock is not None:
             self._loop.remove_reader(self.sock)
             self._resume_timer = self._loop.call_later(duration_ms / 1000, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
-        """The pause is over."""
+        """Accepts connections again after a pause."""
         self._resume_timer = None
         if self.sock is not None:
             self.listeners.usage.reserve_spare_descriptor()
             self._loop.add_reader(self.sock, self.ready)
 
     def close(self) -> None:
-        """Closes, once what the kernel has accepted is accepted: closing would reset that."""
+        """Accepts what is in the kernel's accept queue, which closing would reset, then closes."""
         if self.sock is None:
             return
         self.ready(BACKLOG)
@@ -173,10 +182,10 @@
     """The admission controller of one gateway with its listeners.
 
     Attributes:
-        controller: Decides.
+        controller: Makes the decisions.
         listeners: The listening sockets; each adds itself.
-        usage: What the process has in use.
-        timer: Of the next measurement.
+        usage: Measures the resource usage of the process.
+        timer: Timer of the next measurement.
     """
 
     def __init__(
@@ -192,17 +201,17 @@
         self.usage = usage
         self.listeners: list[Listener] = []
         self.loop = asyncio.get_running_loop()
-        # For each reason: when it was logged last, and how many rejections there were since.
+        # By reason: when it was last logged, and the number of rejections since then.
         self._logged_reasons: dict[str, tuple[float, int]] = {}
         self.timer = self.loop.call_later(WINDOW_MS / 1000, self._end_window)
 
     def post(self, message: Message) -> None:
-        """Gives the controller a message, and carries out what it decides."""
+        """Passes a message to the controller, and carries out the actions that it returns."""
         for action in self.controller.take(self.clock.now(), message):
             self._carry_out(action)
 
     def _carry_out(self, action: Action) -> None:
-        """The one place where actions find what they act on."""
+        """Dispatches an action to the connection or listeners that it is for."""
         match action:
             case StartHandshake():
                 action.connection.wire.start_handshake()
@@ -220,39 +229,42 @@
                     listener.pause_accepting(action.duration_ms)
 
     def _end_window(self) -> None:
-        """Measures once all that is ready has been read: silent clients may have spoken."""
+        """Measures usage, after the input that is ready has been read.
+
+        A hello or a frame that has already arrived is then not timed out.
+        """
         self.timer = self.loop.call_later(WINDOW_MS / 1000, self._end_window)
         after_input(self.loop, self._measure)
 
     def _measure(self) -> None:
-        """Posts what is in use."""
+        """Measures the resource usage, and posts it to the controller."""
         self.usage.reserve_spare_descriptor()
         self.post(self.usage.measure())
 
     def _log_rejection(self, reason: str, connection: AdmittedConnection) -> None:
-        """Logs each reason once in ten seconds, with how often it was given in between."""
+        """Logs a reason at most once in ten seconds, with its number of rejections in between."""
         now = self.clock.now()
         logged_at_ms, count = self._logged_reasons.get(reason, (-1e18, 0))
-        if now - logged_at_ms >= SAME_REASON_LOGGED_AFTER_MS:
+        if now - logged_at_ms >= REJECTION_LOG_INTERVAL_MS:
             self.log("clients are refused", why=reason, address=connection.address, more=count)
             self._logged_reasons[reason] = now, 0
         else:
             self._logged_reasons[reason] = logged_at_ms, count + 1
 
     def handshake_failed(self, incoming: IncomingConnection, error: Exception) -> None:
-        """A connection ended in its handshake."""
+        """Handles a connection whose handshake failed."""
         self.controller.count("handshakes failed")
         if getattr(error, "errno", None) in NO_DESCRIPTORS:
             self.post(DescriptorsExhausted(needed=False))
         self.post(ConnectionClosed(incoming.connection))
 
     def needs_descriptor(self) -> None:
-        """An upstream connection found no descriptor: one is freed for it."""
+        """Frees a descriptor for an upstream connection that found none."""
         self.usage.release_spare_descriptor()
         self.post(DescriptorsExhausted(needed=True))
 
     def close(self) -> None:
-        """Closes all listeners; connections stay as they are."""
+        """Closes all listeners; connections stay open."""
         self.timer.cancel()
         for listener in self.listeners:
             listener.close()
--- a/cherrydoor/admission/messages.py
+++ b/cherrydoor/admission/messages.py
@@ -1,4 +1,7 @@
-"""What the admission controller takes (messages) and gives (actions). Times are in ms."""
+"""The messages that the admission controller takes, and the actions that it returns.
+
+Times are in ms.
+"""
 
 from dataclasses import dataclass
 
@@ -7,7 +10,7 @@
 
 @dataclass(slots=True)
 class ConnectionAccepted:
-    """A connection has been accepted; `needs_handshake` where it begins with TLS."""
+    """A connection has been accepted; `needs_handshake` if it starts with a TLS handshake."""
 
     connection: AdmittedConnection
     needs_handshake: bool = False
@@ -15,7 +18,7 @@
 
 @dataclass(slots=True)
 class ClientIdentified:
-    """The hello has come; `known_client` has proved itself, or is "" for anybody else."""
+    """The hello has come; `known_client` is the client that proved its identity, else ""."""
 
     connection: AdmittedConnection
     known_client: str
@@ -23,40 +26,40 @@
 
 @dataclass(slots=True)
 class ConnectionClosed:
-    """The connection is closed, by either end."""
+    """The connection has been closed by either side."""
 
     connection: AdmittedConnection
 
 
 @dataclass(slots=True)
 class ReadQuotaExceeded:
-    """As many requests have been read from the connection's group as it may send in this window."""
+    """The connection's group has used up its read quota of this window."""
 
     connection: AdmittedConnection
 
 
 @dataclass(slots=True)
 class BufferLimitExceeded:
-    """Unfinished frames of the group, or of all unknown clients, hold more than they may."""
+    """The unfinished frames of a group, or of all unknown clients, are above their byte limit."""
 
     connection: AdmittedConnection
 
 
 @dataclass(slots=True)
 class DescriptorsExhausted:
-    """A call found no descriptor; `needed` where an upstream connection waits for one."""
+    """A call failed for lack of a descriptor; `needed` if an upstream connection needs one."""
 
     needed: bool
 
 
 @dataclass(slots=True)
 class UsageMeasured:
-    """Use of the process, once each window, as fractions from 0 to 1.
+    """Resource usage of the process, measured once per window, as fractions from 0 to 1.
 
     Attributes:
-        descriptors: Open descriptors, of their limit.
-        memory: Memory held, of its limit.
-        busy: The part of the last window in which the process ran or waited for a core.
+        descriptors: Open descriptors, as a fraction of their limit.
+        memory: Memory in use, as a fraction of its limit.
+        busy: Fraction of the last window in which the process ran or waited for a core.
     """
 
     descriptors: float
@@ -77,14 +80,14 @@
 
 @dataclass(slots=True)
 class StartHandshake:
-    """Start the handshake, or read the hello where there is no handshake."""
+    """Start the TLS handshake, or read the hello if the listener has no TLS."""
 
     connection: AdmittedConnection
 
 
 @dataclass(slots=True)
 class Admit:
-    """The connection has a slot; frames up to `longest_frame_bytes` are read from it."""
+    """Admit the connection, which has a slot; accept frames up to `longest_frame_bytes`."""
 
     connection: AdmittedConnection
     longest_frame_bytes: int
@@ -92,7 +95,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Tell the client the reason and close; it may come back after `retry_after_ms`."""
+    """Send the client the reason and close; it may retry after `retry_after_ms`."""
 
     connection: AdmittedConnection
     reason: str
@@ -101,21 +104,21 @@
 
 @dataclass(slots=True)
 class PauseReading:
-    """Read nothing from the connection until ResumeReading."""
+    """Stop reading from the connection until ResumeReading."""
 
     connection: AdmittedConnection
 
 
 @dataclass(slots=True)
 class ResumeReading:
-    """Read from the connection again."""
+    """Resume reading from the connection."""
 
     connection: AdmittedConnection
 
 
 @dataclass(slots=True)
 class PauseAccepting:
-    """Accept no connection for so long."""
+    """Accept no connections for `duration_ms`."""
 
     duration_ms: float
 
--- a/cherrydoor/admission/network_table.py
+++ b/cherrydoor/admission/network_table.py
@@ -1,4 +1,4 @@
-"""Counts of connections by network, so that many addresses of one owner count as one."""
+"""Counts connections by network prefix, so that all addresses of one owner count together."""
 
 from collections import OrderedDict
 from ipaddress import IPv6Address
@@ -6,16 +6,18 @@
 from cherrydoor.admission.connections import NetworkPrefix, ReadGroup
 from cherrydoor.admission.limits import ClientLimits
 
-PREFIX_LENGTHS = {4: (32, 24, 16), 6: (64, 48, 32)}  # an owner has a /64 at the least in IPv6
+# By IP version, narrowest first. In IPv6 a single owner has at least a /64.
+PREFIX_LENGTHS = {4: (32, 24, 16), 6: (64, 48, 32)}
 LOOPBACK_KEY = (4, 127)  # at each width, as all of 127.0.0.0/8 is one machine
-RATE_FACTORS = (1, 4, 8)  # of the rate of one address, for each width
-MOST_UNUSED_PREFIXES = 4096  # prefixes without connections, at each width
-TRIMMED_PER_LOOKUP = 2  # both may go, so that a table shrinks faster than it grows
-TRIMMED_PER_SWEEP = 32  # at each width, so that a sweep stays short
+RATE_FACTORS = (1, 4, 8)  # rate and burst of each width, as a multiple of one address's
+MAX_UNUSED_PREFIXES = 4096  # prefixes without connections, at each width
+# Entries checked for removal when one is added. Two, so that a table shrinks faster than it grows.
+MAX_TRIMMED_PER_INSERT = 2
+MAX_CHECKS_PER_SWEEP = 32  # at each width, so that a sweep stays short
 
 
 def parse_address(address: str) -> tuple[int, int]:
-    """IP version and number of an address; an IPv4-mapped IPv6 address counts as IPv4.
+    """Returns IP version and numeric value of an address; IPv4-mapped IPv6 counts as IPv4.
 
     >>> parse_address("10.0.0.1"), parse_address("::ffff:10.0.0.1"), parse_address("::1")
     ((4, 167772161), (4, 167772161), (6, 1))
@@ -31,11 +33,16 @@
 
 
 class NetworkTable:
-    """Network prefixes at three widths, each a table in order of use.
+    """Network prefixes at three widths: one table for each width, in order of last use.
 
-    A prefix without connections is forgotten once its bucket is empty, or when there are too many:
-    an owner of many addresses is then still counted at the wider widths. Invariant: a prefix with
-    connections is never forgotten.
+    A prefix without connections is removed once its bucket is empty, or earlier if the table has
+    too many; connections of an owner of many addresses still count at the wider widths then.
+
+    Invariant: a prefix with connections is never removed.
+
+    Attributes:
+        tables: The prefixes by key, one table for each width, narrowest first.
+        unknown_clients: Parent of the read groups of all prefixes.
     """
 
     def __init__(self, client_limits: ClientLimits) -> None:
@@ -48,7 +55,13 @@
         self.unknown_clients = ReadGroup(client_limits.unknown_clients_bytes)
 
     def prefixes_of(self, version: int, bits: int, now: float) -> tuple[NetworkPrefix, ...]:
-        """The prefixes of an address (see parse_address), narrowest first; made where missing."""
+        """Returns the prefixes of an address, narrowest first; adds those that are missing.
+
+        Args:
+            version: IP version (see parse_address).
+            bits: Numeric value of the address.
+            now: Time in ms.
+        """
         is_loopback = version == 4 and bits >> 24 == 127
         address_bits = 32 if version == 4 else 128
         found = []
@@ -67,14 +80,14 @@
         return tuple(found)
 
     def _trim(self, table: OrderedDict[tuple[int, int], NetworkPrefix], now: float) -> None:
-        """Looks at the longest unused prefixes, and forgets them where that harms nothing."""
-        for _ in range(min(TRIMMED_PER_LOOKUP, len(table))):
+        """Checks the longest unused prefixes, and removes those that are no longer needed."""
+        for _ in range(min(MAX_TRIMMED_PER_INSERT, len(table))):
             key = next(iter(table))
             prefix = table[key]
             if prefix.pending or prefix.admitted:
-                table.move_to_end(key)  # in use: at most as many as there are slots
+                table.move_to_end(key)  # in use; there are no more of these than connections
             elif (
-                len(table) > MOST_UNUSED_PREFIXES
+                len(table) > MAX_UNUSED_PREFIXES
                 or prefix.bucket.wait_ms(now, self._rate(prefix), 1) == 0.0
             ):
                 del table[key]
@@ -82,9 +95,9 @@
                 return
 
     def sweep(self, now: float) -> None:
-        """Forgets what has aged, a little at a time."""
+        """Removes expired prefixes, a limited number per call."""
         for table in self.tables:
-            for _ in range(TRIMMED_PER_SWEEP):
+            for _ in range(MAX_CHECKS_PER_SWEEP):
                 before = len(table)
                 if before:
                     self._trim(table, now)
@@ -92,11 +105,11 @@
                     break
 
     def _rate(self, prefix: NetworkPrefix) -> float:
-        """New connections a second that this prefix may open."""
+        """Returns how many new connections per second this prefix may open."""
         return self.client_limits.connection_rate * RATE_FACTORS[prefix.width]
 
     def wait_ms(self, prefixes: tuple[NetworkPrefix, ...], now: float) -> float:
-        """Ms until all of these prefixes may open one more connection; nothing is counted here."""
+        """Returns the ms until all these prefixes may open another connection; counts nothing."""
         burst = self.client_limits.connection_burst
         return max(
             prefix.bucket.wait_ms(now, self._rate(prefix), burst * RATE_FACTORS[prefix.width])
--- a/cherrydoor/admission/pending_connections.py
+++ b/cherrydoor/admission/pending_connections.py
@@ -1,4 +1,4 @@
-"""Connections that have not yet said who they are, and the queue for handshakes."""
+"""Connections that have not sent their hello yet, and the queues for TLS handshakes."""
 
 from collections import OrderedDict, deque
 from zlib import crc32
@@ -7,31 +7,36 @@
 from cherrydoor.admission.leaky_bucket import LeakyBucket
 from cherrydoor.admission.limits import ClientLimits
 
-SLOTS_PER_PENDING = 8  # connection slots for each pending one, where no capacity is configured
-LEAST_CAPACITY = 2
-DRAWN = 4  # pending connections of which one leaves: enough to meet a network that floods
-HELLO_TIMEOUT_DIVISORS = (1, 2, 5, 10)  # of the time for a hello, by load-shedding step
-LEAST_HANDSHAKE_BURST = 4.0  # handshakes that may start at once, whatever the rate
-HANDSHAKE_BURST_DIVISOR = 10  # of the rate: a tenth of a second of handshakes may start at once
+# Connection slots for each pending connection, where no capacity for these is configured.
+SLOTS_PER_PENDING = 8
+MIN_CAPACITY = 2
+# Pending connections drawn at random, of which one is evicted. Four are enough that one of a
+# flooding network is very likely among them.
+EVICTION_CANDIDATES = 4
+HELLO_TIMEOUT_DIVISORS = (1, 2, 5, 10)  # of the hello timeout, by load-shedding step
+MIN_HANDSHAKE_BURST = 4.0  # handshakes that may start at once, however low the rate
+HANDSHAKE_BURST_DIVISOR = 10  # the handshakes of a tenth of a second may start at once
 
 
 class PendingConnections:
-    """Connections in their handshake or before their hello.
+    """Connections that are in their handshake or have not sent their hello.
 
     Attributes:
-        unidentified: All of them, in the order of arrival, also those that wait for a slot of their
+        unidentified: All of them in order of arrival, including those that wait for a slot of their
             known client.
-        slots: Those that count against `capacity`: all but those with a slot of a known client.
-        handshake_queues: Those that wait for a handshake; presumed known clients have a queue of
-            their own, which goes first. An entry may be of a connection that is closed.
+        slots: Those that count against `capacity`, which are all except connections from the
+            configured network of a known client.
+        handshake_queues: Those that wait for a handshake. Presumed known clients have their own
+            queue, which is served first. A queue may still contain connections that are closed.
 
-    Invariant: `slots` holds no more than `capacity`, and a connection in it knows its index there.
+    Invariant: `slots` holds no more than `capacity` connections, and `pending_index` of each is its
+    index there.
     """
 
     def __init__(self, client_limits: ClientLimits, now: float) -> None:
         self.client_limits = client_limits
         self.capacity = client_limits.pending or max(
-            LEAST_CAPACITY, client_limits.connection_slots // SLOTS_PER_PENDING
+            MIN_CAPACITY, client_limits.connection_slots // SLOTS_PER_PENDING
         )
         self.unidentified: OrderedDict[AdmittedConnection, bool] = OrderedDict()
         self.slots: list[AdmittedConnection] = []
@@ -40,25 +45,33 @@
             deque(),
         )
         self.handshake_bucket = LeakyBucket(now)
-        self._draws_made = 0
+        self._draw_count = 0
 
     def _draw(self) -> float:
-        """A number from 0 up to 1, by the seed and how many were drawn before."""
-        self._draws_made += 1
-        text = f"porch/{self.client_limits.seed}/{self._draws_made}"  # part of recorded decisions
+        """Returns the next pseudo-random number of the seed, at least 0 and below 1."""
+        self._draw_count += 1
+        text = (
+            f"porch/{self.client_limits.seed}/{self._draw_count}"  # recorded decisions depend on it
+        )
         return crc32(text.encode()) / 2.0**32
 
-    def enter(self, connection: AdmittedConnection) -> AdmittedConnection | None:
-        """Takes the connection in, and gives the one that has to leave for it, or None.
+    def add(self, connection: AdmittedConnection) -> AdmittedConnection | None:
+        """Adds the connection, and evicts another if the capacity is reached.
+
+        Of a few connections drawn at random the one is evicted whose network has the most pending
+        connections. With a predictable choice, clients could keep the slots occupied by staying
+        just as long as they may; the random draw prevents that. The cost is that a connection
+        that has just arrived from a flooding network may be evicted; one that sends its hello
+        immediately is rarely drawn.
 
-        Of some that are drawn by chance the one leaves whose network has most pending connections.
-        Chance guards against clients that stay just as long as they may. It harms one that has just
-        arrived from the network of a flood; one that says who it is at once is rarely among those
-        drawn.
+        Returns:
+            The evicted connection, which the caller has to close, or None.
         """
         victim = None
         if len(self.slots) >= self.capacity:
-            drawn = [self.slots[int(self._draw() * len(self.slots))] for _ in range(DRAWN)]
+            drawn = [
+                self.slots[int(self._draw() * len(self.slots))] for _ in range(EVICTION_CANDIDATES)
+            ]
             victim = max(
                 drawn,
                 key=lambda one: (
@@ -68,15 +81,15 @@
                     -one.accepted_at_ms,
                 ),
             )
-            self.leave(victim)
+            self.remove(victim)
         connection.pending_index = len(self.slots)
         self.slots.append(connection)
         for prefix in connection.networks:
             prefix.pending += 1
         return victim
 
-    def leave(self, connection: AdmittedConnection) -> None:
-        """The connection counts against the capacity no more; one that did not is left as it is."""
+    def remove(self, connection: AdmittedConnection) -> None:
+        """Removes the connection from `slots`, if it is there."""
         slots = self.slots
         index = connection.pending_index
         if index >= len(slots) or slots[index] is not connection:
@@ -89,7 +102,10 @@
             prefix.pending -= 1
 
     def overdue(self, now: float, step: int) -> list[AdmittedConnection]:
-        """Those whose time for a hello is over; it is shorter at a higher step of load shedding."""
+        """Returns the connections whose hello timeout is over.
+
+        The timeout is shorter at a higher load-shedding step.
+        """
         timeout_ms = self.client_limits.hello_timeout_ms / HELLO_TIMEOUT_DIVISORS[step]
         found = []
         for connection in self.unidentified:
@@ -99,15 +115,18 @@
         return found
 
     def queue_handshake(self, connection: AdmittedConnection) -> None:
-        """The connection waits for its handshake."""
+        """Queues the connection for its handshake."""
         known_first, unknown = self.handshake_queues
         queue = unknown if connection.presumed_client is None else known_first
         queue.append(connection)
 
     def next_handshake(self, now: float) -> AdmittedConnection | None:
-        """The connection that may begin its handshake now, if the rate allows one."""
+        """Takes from the queues the connection to start its handshake now; None if there is none.
+
+        None is also returned while the rate limit allows no handshake.
+        """
         rate = self.client_limits.handshake_rate
-        burst = max(LEAST_HANDSHAKE_BURST, rate / HANDSHAKE_BURST_DIVISOR)
+        burst = max(MIN_HANDSHAKE_BURST, rate / HANDSHAKE_BURST_DIVISOR)
         for queue in self.handshake_queues:
             while queue:
                 if queue[0].state is not WAITING:
@@ -120,5 +139,5 @@
         return None
 
     def handshakes_waiting(self) -> int:
-        """Entries in the queues for handshakes."""
+        """Returns the number of entries in the handshake queues."""
         return sum(map(len, self.handshake_queues))
--- a/cherrydoor/admission/reasons.py
+++ b/cherrydoor/admission/reasons.py
@@ -1,6 +1,6 @@
-"""Why connections are rejected or closed, as it is sent to clients, and when they may come back.
+"""Reasons for rejecting or closing connections, and the retry-after times sent with them.
 
-The texts cross the wire and stand in the operators' handbook: they are part of the interface.
+The texts are sent to clients and listed in the operators' handbook: they are part of the interface.
 """
 
 CONNECTS_TOO_OFTEN = "this client connects too often"
@@ -16,7 +16,7 @@
 UNFINISHED_BYTES = "too many bytes are unfinished"
 NO_DESCRIPTORS = "descriptors have run out"
 
-RETRY_PENDING_EVICTED_MS = 250.0  # pending connections change quickly
-RETRY_NO_SLOT_MS = 500.0  # at the least: load shedding may last longer
+RETRY_PENDING_EVICTED_MS = 250.0  # places for pending connections become free quickly
+RETRY_NO_SLOT_MS = 500.0  # minimum; load shedding may last longer
 RETRY_CLOSED_MS = 1000.0
-RETRY_NO_DESCRIPTORS_MS = 2000.0  # longer than any pause in accepting
+RETRY_NO_DESCRIPTORS_MS = 2000.0  # longer than any pause in accepting connections
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -1,4 +1,4 @@
-"""Measures what a process has in use: descriptors, memory and its core."""
+"""Measures the resource usage of the process: descriptors, memory and CPU core."""
 
 import os
 import resource
@@ -6,99 +6,99 @@
 
 from cherrydoor.admission.messages import UsageMeasured
 
-MEMORY_LIMIT_BYTES = 2 * 2**30  # where none is configured
-MEASURED_AGAIN_AFTER_S = 0.05  # gateways that ask within this time get the same measurement
-DESCRIPTORS_COUNTED_AFTER_S = 0.5  # counting them reads a directory
-SHORTEST_SPAN_S = 1e-3  # guards the division by the time between two measurements
+DEFAULT_MEMORY_LIMIT_BYTES = 2 * 2**30  # where no limit is configured
+MEASUREMENT_REUSE_S = 0.05  # gateways of one process that ask within this time share a measurement
+DESCRIPTOR_COUNT_INTERVAL_S = 0.5  # counting descriptors has to list a directory
+MIN_MEASUREMENT_SPAN_S = 1e-3  # prevents a division by zero
 
 
 class ProcessUsage:
-    """What this process has in use; one for all gateways of a process.
+    """The resource usage of this process; all gateways of the process share one instance.
 
-    It owns a spare descriptor, which can be released where one is missing for an upstream
-    connection.
+    It holds a spare descriptor open, which can be released when an upstream connection needs a
+    descriptor and none is free.
 
     Attributes:
         memory: Memory limit in bytes.
-        limit: Limit of open descriptors.
+        limit: Limit on open descriptors.
     """
 
-    def __init__(self, memory: float = MEMORY_LIMIT_BYTES) -> None:
+    def __init__(self, memory: float = DEFAULT_MEMORY_LIMIT_BYTES) -> None:
         self.memory = memory
         self.limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self._page_bytes = os.sysconf("SC_PAGE_SIZE")
-        self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
-        self._schedstat = _open_or_none("/proc/thread-self/schedstat")
-        self._statm = _open_or_none("/proc/thread-self/statm")
-        self._measured_at_s = time.monotonic()
-        self._core_s = self._core_time()
-        self._last: UsageMeasured | None = None
-        self._counted_at_s = 0.0
-        self._descriptors = 0
+        self._spare_fd: int | None = os.open(os.devnull, os.O_RDONLY)
+        self._schedstat_fd = _open_or_none("/proc/thread-self/schedstat")
+        self._statm_fd = _open_or_none("/proc/thread-self/statm")
+        self._last_measured_at_s = time.monotonic()
+        self._last_core_s = self._core_seconds()
+        self._last_usage: UsageMeasured | None = None
+        self._descriptors_counted_at_s = 0.0
+        self._descriptor_count = 0
 
     def used(self) -> int:
-        """Descriptors that are open now; the limit where even that cannot be found out."""
+        """Returns the number of open descriptors; the limit if they cannot be counted."""
         try:
             return len(os.listdir("/proc/self/fd")) - 1
         except OSError:
             return self.limit
 
-    def _core_time(self) -> float:
-        """Seconds in which this thread ran or waited for a core, as the kernel counts them."""
-        if self._schedstat is not None:
-            ran, waited, _ = os.pread(self._schedstat, 64, 0).split()
+    def _core_seconds(self) -> float:
+        """Returns the seconds in which this thread ran or waited for a core, by the kernel."""
+        if self._schedstat_fd is not None:
+            ran, waited, _ = os.pread(self._schedstat_fd, 64, 0).split()
             return (int(ran) + int(waited)) / 1e9
         return time.thread_time()
 
     def measure(self) -> UsageMeasured:
-        """A message for the controller; those who ask within the same moment get the same one."""
+        """Returns the usage as a message; calls within MEASUREMENT_REUSE_S return the same one."""
         now_s = time.monotonic()
-        if self._last is not None and now_s - self._measured_at_s < MEASURED_AGAIN_AFTER_S:
-            return self._last
-        core_s = self._core_time()
-        span_s = max(SHORTEST_SPAN_S, now_s - self._measured_at_s)
-        busy = min(1.0, (core_s - self._core_s) / span_s)
-        self._measured_at_s = now_s
-        self._core_s = core_s
-        if now_s - self._counted_at_s > DESCRIPTORS_COUNTED_AFTER_S:
-            self._counted_at_s = now_s
-            self._descriptors = self.used()
-        descriptors = self._descriptors / self.limit
-        self._last = UsageMeasured(descriptors, self.measure_held() / self.memory, busy)
-        return self._last
+        if self._last_usage is not None and now_s - self._last_measured_at_s < MEASUREMENT_REUSE_S:
+            return self._last_usage
+        core_s = self._core_seconds()
+        span_s = max(MIN_MEASUREMENT_SPAN_S, now_s - self._last_measured_at_s)
+        busy = min(1.0, (core_s - self._last_core_s) / span_s)
+        self._last_measured_at_s = now_s
+        self._last_core_s = core_s
+        if now_s - self._descriptors_counted_at_s > DESCRIPTOR_COUNT_INTERVAL_S:
+            self._descriptors_counted_at_s = now_s
+            self._descriptor_count = self.used()
+        descriptors = self._descriptor_count / self.limit
+        self._last_usage = UsageMeasured(descriptors, self.measure_held() / self.memory, busy)
+        return self._last_usage
 
     def measure_held(self) -> int:
-        """Bytes of memory; 0 where the kernel does not say."""
-        if self._statm is None:
+        """Returns the bytes of resident memory; 0 where /proc is not available."""
+        if self._statm_fd is None:
             return 0
-        return int(os.pread(self._statm, 128, 0).split()[1]) * self._page_bytes
+        return int(os.pread(self._statm_fd, 128, 0).split()[1]) * self._page_bytes
 
     def release_spare_descriptor(self) -> bool:
-        """Releases the spare descriptor; True where it was still held."""
-        if self._spare is None:
+        """Releases the spare descriptor; returns whether it was still held."""
+        if self._spare_fd is None:
             return False
-        os.close(self._spare)
-        self._spare = None
+        os.close(self._spare_fd)
+        self._spare_fd = None
         return True
 
     def reserve_spare_descriptor(self) -> None:
-        """Takes a spare descriptor again, where there is one."""
-        if self._spare is None:
-            self._spare = _open_or_none(os.devnull)
+        """Opens the spare descriptor again if a descriptor is free."""
+        if self._spare_fd is None:
+            self._spare_fd = _open_or_none(os.devnull)
 
     def close(self) -> None:
-        """Closes all descriptors of its own; measure() then goes on without them."""
+        """Closes its own descriptors; measure() still works, with fewer sources."""
         self.release_spare_descriptor()
-        if self._schedstat is not None:
-            os.close(self._schedstat)
-            self._schedstat = None
-        if self._statm is not None:
-            os.close(self._statm)
-            self._statm = None
+        if self._schedstat_fd is not None:
+            os.close(self._schedstat_fd)
+            self._schedstat_fd = None
+        if self._statm_fd is not None:
+            os.close(self._statm_fd)
+            self._statm_fd = None
 
 
 def _open_or_none(path: str) -> int | None:
-    """A descriptor for reading, or None where the file cannot be opened."""
+    """Returns a descriptor for reading the file, or None if it cannot be opened."""
     try:
         return os.open(path, os.O_RDONLY)
     except OSError:
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -13,7 +13,7 @@
     PauseAccepting,
     ReadQuotaExceeded,
 )
-from cherrydoor.admission.network_table import MOST_UNUSED_PREFIXES
+from cherrydoor.admission.network_table import MAX_UNUSED_PREFIXES
 
 # name, reserved slots, slot limit, networks
 HARBOUR = ("harbour", 10, 12, ("10.1.0.0/16",))
@@ -139,7 +139,9 @@
     assert harness.connect("127.9.9.9", "harbour").state == ConnectionState.ADMITTED
     harness.now += VERIFIED_ADDRESS_AGE_MS
     harness.wait(100)
-    assert harness.controller.known_clients.verified_from("127.9.9.9", harness.now) is None
+    assert (
+        harness.controller.known_clients.find_by_verified_address("127.9.9.9", harness.now) is None
+    )
 
 
 def test_a_proved_identity_goes_before_the_configured_network():
@@ -302,7 +304,7 @@
         harness.close(connection)
         if i % 100 == 0:
             harness.wait(100, windows=1)
-    assert max(map(len, harness.controller.networks.tables)) <= MOST_UNUSED_PREFIXES + 2
+    assert max(map(len, harness.controller.networks.tables)) <= MAX_UNUSED_PREFIXES + 2
     harness.wait(400000)
     assert max(map(len, harness.controller.networks.tables)) < 400, (
         "and they shrink once it is over"
@@ -317,7 +319,7 @@
             st.integers(0, 30),
             st.sampled_from(["", "", "harbour", "meadow", "nobody"]),
         ),
-        st.tuples(st.just("connect listed"), st.integers(0, 1), st.booleans()),
+        st.tuples(st.just("connect from known network"), st.integers(0, 1), st.booleans()),
         st.tuples(st.just("accept"), st.integers(0, 30), st.booleans()),
         st.tuples(st.just("close"), st.integers(0, 400), st.none()),
         st.tuples(st.just("use"), st.integers(0, 400), st.integers(0, 2)),
@@ -346,7 +348,7 @@
 def take_step(harness, kind, first, second):
     if kind == "connect":
         harness.connect(unknown_address(first), second)
-    elif kind == "connect listed":
+    elif kind == "connect from known network":
         connect_from_listed_network(harness, first, second)
     elif kind == "accept":
         harness.accept(unknown_address(first), needs_handshake=second)
