--- a/cherrydoor/admission/controller.py
+++ b/cherrydoor/admission/controller.py
@@ -199,7 +199,7 @@
         if connection.state is not PENDING:
             return
         self.pending.unidentified.pop(connection, None)
-        self.pending.remove(connection)
+        self.pending.discard(connection)
         proved = self.known_clients.by_name.get(name)
         if proved is not None:
             proved.remember(connection.address, self.now)
@@ -243,11 +243,11 @@
         self._actions.append(Reject(connection, reason, retry_after_ms))
 
     def _forget(self, connection: AdmittedConnection) -> None:
-        """Removes a connection from all tables; it is the only method that does."""
+        """Marks a connection as closed and removes it from all counts; no other method does."""
         if connection.state is CLOSED:
             return
         self.pending.unidentified.pop(connection, None)
-        self.pending.remove(connection)
+        self.pending.discard(connection)
         self.connection_slots.release(connection)
         client = connection.known_client
         if client is not None and client.waiting:
@@ -279,9 +279,10 @@
     def _descriptors_exhausted(self, needed: bool) -> None:
         """Closes a connection to free a descriptor, and pauses accepting.
 
-        Closed is an idle connection of an unknown client or, if there is none, a pending
-        connection. For an upstream connection it may be any connection of an unknown client. The
-        pause becomes longer if descriptors are exhausted again soon.
+        An idle connection of an unknown client is closed or, if there is none, a pending
+        connection. If neither exists and an upstream connection needs the descriptor, any
+        connection of an unknown client is closed. The pause becomes longer if descriptors are
+        exhausted again soon.
         """
         self.count("descriptors ran out")
         victim = self.connection_slots.longest_idle_unknown(self.now)
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -69,13 +69,13 @@
         assert sock is not None
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            context = self.listener.tls_context() if self.listener.tls_context else None
+            tls_context = self.listener.tls_context() if self.listener.tls_context else None
             timeouts = {}
-            if context:
+            if tls_context:
                 timeouts["ssl_handshake_timeout"] = TLS_HANDSHAKE_TIMEOUT_S
                 timeouts["ssl_shutdown_timeout"] = TLS_SHUTDOWN_TIMEOUT_S
             await asyncio.get_running_loop().connect_accepted_socket(
-                lambda: self.listener.make_protocol(self), sock, ssl=context, **timeouts
+                lambda: self.listener.make_protocol(self), sock, ssl=tls_context, **timeouts
             )
         except (OSError, ssl.SSLError, TimeoutError) as error:
             sock.close()
--- a/cherrydoor/admission/pending_connections.py
+++ b/cherrydoor/admission/pending_connections.py
@@ -81,14 +81,14 @@
                     -one.accepted_at_ms,
                 ),
             )
-            self.remove(victim)
+            self.discard(victim)
         connection.pending_index = len(self.slots)
         self.slots.append(connection)
         for prefix in connection.networks:
             prefix.pending += 1
         return victim
 
-    def remove(self, connection: AdmittedConnection) -> None:
+    def discard(self, connection: AdmittedConnection) -> None:
         """Removes the connection from `slots`, if it is there."""
         slots = self.slots
         index = connection.pending_index
--- a/tests/admission/controller_harness.py
+++ b/tests/admission/controller_harness.py
@@ -1,4 +1,4 @@
-"""An admission controller that a test drives: connections by address, with time moved by hand."""
+"""Drives an admission controller in tests: connections by address, with a manual clock."""
 
 from cherrydoor.admission.connections import AdmittedConnection, ConnectionState
 from cherrydoor.admission.controller import AdmissionController
@@ -16,13 +16,13 @@
 
 
 class ControllerHarness:
-    """Keeps what the listener would: open connections, rejections, and whose reading is paused."""
+    """Stands in for the listener: keeps open connections, rejections and paused connections."""
 
     def __init__(self, connection_slots=40, known=(), **limits):
         self.now = 1000.0
         self.controller = AdmissionController(
             ClientLimits(
-                connection_slots, tuple(KnownClientSettings(*one) for one in known), **limits
+                connection_slots, tuple(KnownClientSettings(*fields) for fields in known), **limits
             ),
             self.now,
         )
@@ -31,7 +31,7 @@
         self.paused = set()
 
     def post(self, message):
-        """Gives the controller a message, and carries out its actions."""
+        """Passes a message to the controller, and applies its actions."""
         actions = self.controller.take(self.now, message)
         for action in actions:
             connection = getattr(action, "connection", None)
@@ -47,40 +47,42 @@
         return actions
 
     def accept(self, address="10.0.0.1", needs_handshake=False):
-        """A connection that has been accepted and has said nothing yet."""
+        """Returns a new connection that has been accepted and has sent nothing yet."""
         connection = AdmittedConnection(address, self.now)
         self.open.append(connection)
         self.post(ConnectionAccepted(connection, needs_handshake))
         return connection
 
     def connect(self, address="10.0.0.1", known_client=""):
-        """A connection that has been accepted and has sent its hello, where it got so far."""
+        """Returns a new connection that has sent its hello, unless it is rejected or waits."""
         connection = self.accept(address)
         if connection.state == ConnectionState.PENDING:
             self.post(ClientIdentified(connection, known_client))
         return connection
 
     def close(self, connection):
-        """The client closes the connection."""
+        """Closes the connection, as the client would."""
         if connection in self.open:
             self.open.remove(connection)
         self.post(ConnectionClosed(connection))
 
     def wait(self, duration_ms, busy=0.0, descriptors=0.0, memory=0.0, windows=None):
-        """Time passes, with a measurement in each window."""
+        """Advances the time window by window, with a usage measurement in each."""
         for _ in range(windows or max(1, int(duration_ms / WINDOW_MS))):
             self.now += WINDOW_MS
             self.post(UsageMeasured(descriptors, memory, busy))
 
     def reason(self, connection):
-        """Why the connection was rejected or closed, or ""."""
+        """Returns why the connection was rejected or closed, or ""."""
         return self.rejections[connection].reason if connection in self.rejections else ""
 
     def admitted(self, connections):
-        """Those of the connections that hold a slot and have sent their hello."""
-        return [one for one in connections if one.state == ConnectionState.ADMITTED]
+        """Returns those of the connections that hold a slot and have sent their hello."""
+        return [
+            connection for connection in connections if connection.state == ConnectionState.ADMITTED
+        ]
 
 
 def unknown_address(number):
-    """Addresses that share no network at any width."""
+    """Returns the address of this number; different ones share no network prefix at any width."""
     return f"{20 + number // 256 % 90}.{number % 256}.{number * 7 % 256}.1"
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""What the admission controller decides, and properties that no order of messages may break."""
+"""Decisions of the admission controller, and invariants that hold for any order of messages."""
 
 from controller_harness import ControllerHarness, unknown_address
 from hypothesis import HealthCheck, given, settings
@@ -34,27 +34,31 @@
 
 def test_a_known_client_cannot_take_reserved_slots_of_another():
     harness = ControllerHarness(40, [HARBOUR, MEADOW])
-    greedy = [harness.connect("10.1.0.9") for _ in range(40)]
-    assert len(harness.admitted(greedy)) == 12, "its own and the common ones that it may have"
+    excessive = [harness.connect("10.1.0.9") for _ in range(40)]
+    assert len(harness.admitted(excessive)) == 12, (
+        "its reserved slots, and common ones up to its limit"
+    )
     assert len(harness.admitted([harness.connect("10.2.0.9") for _ in range(5)])) == 5
 
 
 def test_a_known_client_beyond_its_reserved_slots_takes_no_more_than_the_common_ones():
     harness = ControllerHarness(40, [HARBOUR, MEADOW])
     for i in range(25):
-        harness.connect(unknown_address(i)).open = 1  # busy: none of them makes room
+        harness.connect(
+            unknown_address(i)
+        ).open = 1  # with a request in flight, none of them can be evicted
     assert len(harness.admitted([harness.connect("10.1.0.9") for _ in range(12)])) == 10
     assert harness.controller.connection_slots.common_used() == 25
 
 
-def test_the_longest_idle_unknown_client_makes_room_first():
+def test_the_longest_idle_unknown_client_is_evicted_first():
     harness = ControllerHarness(20, [HARBOUR])
     unknown = []
     for i in range(10):
         unknown.append(harness.connect(unknown_address(i)))
         harness.wait(100)
-    unknown[0].used = harness.now  # it has just been used
-    unknown[1].open = 1  # it waits for an answer
+    unknown[0].used = harness.now  # used just now
+    unknown[1].open = 1  # waits for a response
     harness.wait(5000)
     unknown[0].used = harness.now
     new = harness.connect(unknown_address(99))
@@ -72,12 +76,12 @@
     for i in range(400):
         flood.append(harness.connect(f"2001:db8:1:2::{i:x}"))
         harness.wait(100, windows=1)
-    assert len(harness.admitted(flood)) == 10, "an eighth for one /64"
-    loop = []
+    assert len(harness.admitted(flood)) == 10, "an eighth of the common slots for one /64"
+    loopback = []
     for i in range(400):
-        loop.append(harness.connect(f"127.{i % 250}.7.{i % 199}"))
+        loopback.append(harness.connect(f"127.{i % 250}.7.{i % 199}"))
         harness.wait(100, windows=1)
-    assert len(harness.admitted(loop)) == 10, "all of loopback is one machine"
+    assert len(harness.admitted(loopback)) == 10, "all of loopback is one machine"
     assert harness.connect(unknown_address(3)).state == ConnectionState.ADMITTED
 
 
@@ -91,21 +95,20 @@
     harness.wait(1000)
     assert sum(harness.reason(harness.accept("10.9.9.9")) == "" for _ in range(100)) == 20
     spread = [harness.accept(f"77.7.{i // 250}.{i % 250 + 1}") for i in range(2000)]
-    let_in = [c for c in spread if not harness.reason(c).startswith("too many new")]
-    assert len(let_in) == 480, "eight times an address's burst for one /16"
+    accepted = [c for c in spread if not harness.reason(c).startswith("too many new")]
+    assert len(accepted) == 480, "eight times the burst of one address for one /16"
 
 
-def test_a_known_client_reconnects_at_once_and_its_idle_old_connections_make_room():
+def test_a_known_client_that_reconnects_evicts_its_idle_old_connections():
     harness = ControllerHarness(700, [("harbour", 500, 500, ("10.1.0.0/16",))])
     old = [harness.connect("10.1.0.9") for _ in range(500)]
     harness.wait(1100)
-    new = [
-        harness.connect("10.1.0.9") for _ in range(500)
-    ]  # the old ones look alive after an outage on its side
+    # After an outage on the client's side its old connections still look open.
+    new = [harness.connect("10.1.0.9") for _ in range(500)]
     assert len(harness.admitted(new)) == 500 and not harness.admitted(old)
 
 
-def test_a_known_client_waits_where_the_end_of_its_old_connections_is_not_yet_seen():
+def test_a_known_client_waits_until_its_old_connections_are_seen_to_be_closed():
     harness = ControllerHarness(20, [("harbour", 10, 10, ("10.1.0.0/16",))])
     old = [harness.connect("10.1.0.9") for _ in range(10)]
     new = [harness.accept("10.1.0.9") for _ in range(10)]
@@ -119,7 +122,7 @@
     assert {c.state for c in late} == {ConnectionState.CLOSED}
 
 
-def test_a_client_that_identifies_itself_passes_a_full_table_of_silent_pending_connections():
+def test_a_client_that_sends_its_hello_is_admitted_though_silent_connections_fill_the_table():
     harness = ControllerHarness(160, [("harbour", 10, 20)])
     silent = []
     for i in range(400):
@@ -131,7 +134,7 @@
     assert not harness.controller.pending.unidentified, "no hello in time"
 
 
-def test_a_verified_address_is_recognised_even_in_a_network_that_floods():
+def test_a_verified_address_is_recognized_even_in_a_network_that_floods():
     harness = ControllerHarness(160, [("harbour", 10, 20)])
     harness.close(harness.connect("127.9.9.9", "harbour"))
     flood = [harness.accept(f"127.{i % 200}.0.1") for i in range(800)]
@@ -144,7 +147,7 @@
     )
 
 
-def test_a_proved_identity_goes_before_the_configured_network():
+def test_a_proved_identity_takes_precedence_over_the_configured_network():
     harness = ControllerHarness(40, [HARBOUR, MEADOW])
     connection = harness.connect("10.1.0.9", "meadow")
     assert (
@@ -153,7 +156,7 @@
     )
 
 
-def test_handshakes_are_rate_limited_and_known_clients_go_first():
+def test_handshakes_are_rate_limited_and_known_clients_are_served_first():
     harness = ControllerHarness(800, [HARBOUR], handshake_rate=10.0)
     flood = [harness.accept(unknown_address(i), needs_handshake=True) for i in range(10)]
     known = harness.accept("10.1.0.9", needs_handshake=True)
@@ -170,7 +173,7 @@
     assert sum(c.state == ConnectionState.PENDING for c in flood) == 10
 
 
-def test_unknown_clients_are_shed_in_steps_near_a_limit_and_the_steps_end_by_themselves():
+def test_unknown_clients_are_shed_in_steps_near_a_limit_until_use_falls_again():
     harness = ControllerHarness(40, [HARBOUR])
     harness.wait(100, descriptors=0.92)
     assert harness.controller.load_shedding.step == 2
@@ -188,30 +191,30 @@
     )
 
 
-def test_load_shedding_does_not_flap_where_use_swings_about_a_threshold():
+def test_load_shedding_does_not_flap_when_use_swings_about_a_threshold():
     harness, changes, last = ControllerHarness(40), 0, 0
     for i in range(600):  # a minute
         harness.wait(100, windows=1, descriptors=0.92 if i // 3 % 2 else 0.6)
         changes += harness.controller.load_shedding.step != last
         last = harness.controller.load_shedding.step
     assert changes <= 2
-    for i in range(1200):  # calm for longer than the dwell, then up again, and so on
+    for i in range(1200):  # low for longer than the dwell, then high again, repeatedly
         harness.wait(100, windows=1, descriptors=0.82 if i % 15 == 0 else 0.1)
         changes += harness.controller.load_shedding.step != last
         last = harness.controller.load_shedding.step
-    assert changes <= 14, "the dwell doubles"
+    assert changes <= 14, "the dwell doubles each time"
     harness.wait(40000)
     assert harness.controller.load_shedding.step == 0
 
 
-def test_a_client_that_sends_too_much_is_read_less_and_a_quiet_one_as_before():
+def test_reading_is_limited_for_a_client_that_sends_too_much_but_not_for_a_quiet_one():
     harness = ControllerHarness(40, [HARBOUR])
     flooding, quiet = harness.connect(unknown_address(1)), harness.connect("10.1.0.9")
 
     def window(busy):
         read = 0
-        for connection, wants in ((flooding, 300), (quiet, 5)):
-            for _ in range(wants):
+        for connection, demand in ((flooding, 300), (quiet, 5)):
+            for _ in range(demand):
                 if connection in harness.paused:
                     break
                 connection.group.read += 1
@@ -226,34 +229,36 @@
         assert not quiet_paused
         return read
 
-    got = [window(1.0)] + [
+    read_per_window = [window(1.0)] + [
         window(0.9 if harness.controller.fair_reading.level else 1.0) for _ in range(10)
     ]
-    assert got[0] == 300 and max(got[1:]) <= 240
+    assert read_per_window[0] == 300 and max(read_per_window[1:]) <= 240
     for _ in range(60):
         last = window(0.3)
     assert last == 300 and harness.controller.fair_reading.level is None, (
-        "with the core idle nobody is held back"
+        "the limit ends once the core is idle"
     )
 
 
 def test_unfinished_frames_are_bounded_in_bytes_and_in_time():
     harness = ControllerHarness(40, stranger_bytes=1000, frame_timeout_ms=5000.0)
-    few, many = harness.connect("10.0.0.1"), harness.connect("10.0.0.1")
-    for connection, size in ((few, 300), (many, 800)):
+    small, large = harness.connect("10.0.0.1"), harness.connect("10.0.0.1")
+    for connection, size in ((small, 300), (large, 800)):
         connection.held = size
         if connection.group.add_held_bytes(size):
             harness.post(BufferLimitExceeded(connection))
     assert (
-        harness.reason(many) == "too many bytes are unfinished"
-        and few.state == ConnectionState.ADMITTED
+        harness.reason(large) == "too many bytes are unfinished"
+        and small.state == ConnectionState.ADMITTED
     )
-    few.partial = harness.now
+    small.partial = harness.now
     harness.wait(5700)
-    assert harness.reason(few) == "a frame was not finished in time" and few.group.held_bytes == 0
+    assert (
+        harness.reason(small) == "a frame was not finished in time" and small.group.held_bytes == 0
+    )
 
 
-def test_unknown_clients_are_closed_where_an_upstream_connection_needs_a_descriptor():
+def test_unknown_clients_are_closed_when_an_upstream_connection_needs_a_descriptor():
     harness = ControllerHarness(40, [HARBOUR])
     known, busy, idle = (
         harness.connect("10.1.0.9"),
@@ -278,10 +283,10 @@
         for a in harness.post(DescriptorsExhausted(False))
         if isinstance(a, PauseAccepting)
     ]
-    assert second > first, "accepting rests longer where it does not help"
+    assert second > first, "the pause in accepting becomes longer"
 
 
-def test_a_clock_that_is_set_back_or_far_ahead_rejects_nobody():
+def test_a_clock_that_jumps_back_or_far_ahead_causes_no_rejections():
     harness = ControllerHarness(40, [HARBOUR])
     harness.wait(1000)
     harness.now -= 900000
@@ -294,9 +299,8 @@
 
 
 def test_network_tables_stay_bounded_and_shrink_after_many_addresses():
-    harness = ControllerHarness(
-        400, connection_rate=0.2
-    )  # so slow that no bucket runs dry meanwhile
+    # At this rate no bucket becomes empty during the test.
+    harness = ControllerHarness(400, connection_rate=0.2)
     for i in range(60000):
         connection = harness.accept(
             f"{20 + i % 200}.{i // 200 % 256}.{i * 13 % 256}.{i * 31 % 256}"
@@ -307,11 +311,11 @@
     assert max(map(len, harness.controller.networks.tables)) <= MAX_UNUSED_PREFIXES + 2
     harness.wait(400000)
     assert max(map(len, harness.controller.networks.tables)) < 400, (
-        "and they shrink once it is over"
+        "the tables shrink after the flood"
     )
 
 
-# What may happen, with its arguments.
+# The steps that may happen, each with its arguments.
 STEPS = st.lists(
     st.one_of(
         st.tuples(
@@ -332,7 +336,7 @@
 
 
 def connect_from_listed_network(harness, which, needs_handshake):
-    """A known client with a free reserved slot is rejected for its rate alone."""
+    """Connects a known client; with a free reserved slot only its rate limit may reject it."""
     client = harness.controller.known_clients.by_name[("harbour", "meadow")[which]]
     has_free_slot = len(client.admitted) < client.reserved_slots
     connection = harness.accept(f"10.{which + 1}.0.9", needs_handshake=needs_handshake)
@@ -402,5 +406,5 @@
     assert not controller.pending.slots
     assert not controller.pending.unidentified
     assert not controller.fair_reading.groups
-    harness.wait(0, windows=400)  # a known client is never kept out for ever
+    harness.wait(0, windows=400)  # after which known clients must be admitted again
     assert all(harness.connect(f"10.{i}.0.9").state == ConnectionState.ADMITTED for i in (1, 2))
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -1,4 +1,4 @@
-"""Floods on real sockets: what is judged is what the known clients and the flood itself get."""
+"""Connection floods on real sockets: known clients are served, the flood is rejected."""
 
 import asyncio
 import json
@@ -18,14 +18,14 @@
 from cherrydoor.protocol import messages as protocol
 
 SO_MEMINFO = 55
-MEMINFO_DROPS = 8  # index in SO_MEMINFO of how many connections the kernel dropped
+MEMINFO_DROPS = 8  # index in SO_MEMINFO of the number of connections that the kernel dropped
 HARBOUR = (
     'admission: {known: [{name: "harbour", places: 20, most: 30, addresses: ["127.200.0.0/16"]}]}\n'
 )
 
 
-async def few_descriptors(stack, lease, most=256):
-    """The daemon with so many descriptors."""
+async def start_with_descriptor_limit(stack, lease, limit=256):
+    """Starts the daemon with this limit on open descriptors, and returns it."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -39,7 +39,7 @@
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
         env=environment(),
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
     )
     stack.opened.append(Ended(process))
     daemon = Daemon(process, [])
@@ -49,11 +49,12 @@
 
 
 class Flood:
-    """Opens raw connections from many addresses of loopback until it is stopped.
+    """Opens raw connections from many loopback addresses until it is stopped.
 
-    Some say nothing, some half a hello, some a whole one. With `waiting_limit` as many as that, and
-    no more, wait all the time to be accepted: it is then no slower than the listener and leaves
-    room in the kernel's queue, however fast either of them is.
+    A third of them send nothing, a third part of a hello, and a third a whole hello. With
+    `waiting_limit`, that many connections are kept waiting to be accepted at all times: the flood
+    then keeps up with the listener, however fast either is, and leaves room in the kernel's accept
+    queue.
     """
 
     def __init__(self, port, address_count=300, waiting_limit=None):
@@ -68,7 +69,10 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def waiting(self):
-        """How many wait to be accepted; whoever is accepted is sent a hello or a rejection."""
+        """Returns how many connections wait to be accepted.
+
+        An accepted connection is recognized by the hello or the rejection that it is sent.
+        """
         closed = self.opened - len(self.sockets)
         self.accepted = max(self.accepted, closed)
         while self.accepted < self.opened:
@@ -124,15 +128,15 @@
             sock.close()
 
     async def until_opened(self, count):
-        """Until so many more connections have been opened."""
+        """Waits until `count` more connections have been opened."""
         target = self.opened + count
         while self.opened < target:
             assert not self.task.done()
             await asyncio.sleep(0.005)
 
 
-async def known(stack, port, name="127.200.0.1"):
-    """A client from that address, or None where it was not let in."""
+async def connect_known(stack, port, address="127.200.0.1"):
+    """Connects a client from this address; returns None if it cannot connect."""
     from stack import Client
 
     client = Client()
@@ -146,7 +150,7 @@
             ),
             "127.0.0.1",
             port,
-            local_addr=(name, 0),
+            local_addr=(address, 0),
         )
     except OSError:
         return None
@@ -156,9 +160,9 @@
 
 
 @with_folder
-async def test_a_flood_up_to_the_descriptor_limit_keeps_no_known_client_out(stack, tmp):
+async def test_a_flood_up_to_the_descriptor_limit_does_not_lock_out_known_clients(stack, tmp):
     hosts = [Host("handled") for _ in range(4)]
-    daemon = await few_descriptors(
+    daemon = await start_with_descriptor_limit(
         stack, await given(stack, tmp, *hosts, more="bounds: {}\n" + HARBOUR)
     )
     flood = Flood(daemon.port)
@@ -166,13 +170,13 @@
     clients = []
     for i in range(20):
         await flood.until_opened(40)
-        clients.append(await known(stack, daemon.port))
+        clients.append(await connect_known(stack, daemon.port))
         client = clients[-1]
         answer = await client.answer(client.send(f"deed {i}", lasts=4000.0))
         assert answer.outcome == "handled"
-    assert not any(c.lost_ends for c in clients), "each of them keeps its slot"
+    assert not any(c.lost_ends for c in clients), "each known client keeps its slot"
     flood.stop()
-    assert flood.rejections_read > 0, "the flood is sent the reason"
+    assert flood.rejections_read > 0, "flooding clients are sent the reason"
     daemon.process.send_signal(15)
     code, errors = await daemon.end()
     assert code == 0 and "Traceback" not in errors
@@ -180,13 +184,13 @@
 
 @with_folder
 async def test_a_known_client_reconnects_with_all_its_connections_during_a_flood(stack, tmp):
-    daemon = await few_descriptors(
+    daemon = await start_with_descriptor_limit(
         stack, await given(stack, tmp, Host("handled"), more="bounds: {}\n" + HARBOUR)
     )
     flood = Flood(daemon.port)
     await flood.until_opened(800)
     for _ in range(3):
-        clients = await asyncio.gather(*(known(stack, daemon.port) for _ in range(20)))
+        clients = await asyncio.gather(*(connect_known(stack, daemon.port) for _ in range(20)))
         for number, client in [
             (client.send(f"deed {i}"), client) for i, client in enumerate(clients)
         ]:
@@ -198,30 +202,31 @@
 
 @with_folder
 async def test_an_upstream_connection_is_opened_when_descriptors_are_exhausted(stack, tmp):
-    late = Host("handled")
-    daemon = await few_descriptors(
-        stack, await given(stack, tmp, late, more="bounds: {}\n" + HARBOUR)
+    host = Host("handled")
+    daemon = await start_with_descriptor_limit(
+        stack, await given(stack, tmp, host, more="bounds: {}\n" + HARBOUR)
     )
-    unknown = [await known(stack, daemon.port, f"127.{i}.0.1") for i in range(1, 9)]
-    client = await known(stack, daemon.port)
-    held = {int(name) for name in os.listdir(f"/proc/{daemon.process.pid}/fd")}
-    gone = next(
-        n for n in range(1000) if n not in held
-    )  # no descriptor from here on, and none is free below
-    resource.prlimit(daemon.process.pid, resource.RLIMIT_NOFILE, (gone, gone))
+    unknown = [await connect_known(stack, daemon.port, f"127.{i}.0.1") for i in range(1, 9)]
+    client = await connect_known(stack, daemon.port)
+    open_descriptors = {int(name) for name in os.listdir(f"/proc/{daemon.process.pid}/fd")}
+    # With the lowest free descriptor as the limit, the process cannot open another one.
+    lowest_free = next(n for n in range(1000) if n not in open_descriptors)
+    resource.prlimit(daemon.process.pid, resource.RLIMIT_NOFILE, (lowest_free, lowest_free))
     assert (await client.answer(client.send("deed", lasts=4500.0))).outcome == "handled"
-    assert late.all(protocol.Attempt) and not client.lost_ends
+    assert host.all(protocol.Attempt) and not client.lost_ends
     daemon.process.send_signal(15)
     code, errors = await daemon.end()
     assert (
-        code == 0 and "descriptors have run out" in errors and any(one.lost_ends for one in unknown)
+        code == 0
+        and "descriptors have run out" in errors
+        and any(connection.lost_ends for connection in unknown)
     )
 
 
 @story
-async def test_a_hello_sent_a_byte_at_a_time_and_a_frame_that_never_ends_are_timed_out(stack):
-    quick = "bounds: {}\nadmission: {hello: 300ms, unfinished: 300ms}"
-    client = await stack.start(Host("handled"), bounds=quick)
+async def test_a_hello_sent_byte_by_byte_and_a_frame_that_is_never_completed_time_out(stack):
+    short_timeouts = "bounds: {}\nadmission: {hello: 300ms, unfinished: 300ms}"
+    client = await stack.start(Host("handled"), bounds=short_timeouts)
     loop = asyncio.get_running_loop()
     hello = codec.encode(protocol.Hello(protocol.VERSION, "client", "slow", now()))
     for first, rest in (
@@ -231,12 +236,12 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", stack.service.port)
         writer.write(first)
 
-        async def drip(writer=writer, rest=rest):
+        async def send_slowly(writer=writer, rest=rest):
             for i in range(len(rest) - 1):
                 writer.write(rest[i : i + 1])
                 await asyncio.sleep(0.05)
 
-        task = loop.create_task(drip())
+        task = loop.create_task(send_slowly())
         received = await asyncio.wait_for(reader.read(), 20)
         assert b"in time" in received
         task.cancel()
@@ -246,14 +251,14 @@
 
 
 @story
-async def test_a_flood_of_requests_on_one_connection_leaves_others_their_latency(stack):
+async def test_a_flood_of_requests_on_one_connection_does_not_delay_other_clients(stack):
     from stack import Client
 
     quiet = await stack.start(Host("handled"), Host("handled"))
     flooding = await Client().connect(stack.service.port)
     stack.opened.append(flooding)
     fair_reading = stack.service.listeners.controller.fair_reading
-    # the core is short
+    # Every measurement reports a fully busy core.
     stack.service.listeners.usage.measure = lambda: UsageMeasured(0.0, 0.0, 1.0)
     sent = []
     while not stack.service.listeners.controller.counters.get("read quota exceeded"):
@@ -264,12 +269,12 @@
     one = quiet.send("deed 1", lasts=5000.0)
     assert (await quiet.answer(one)).outcome == "handled"
     assert len(flooding.all(protocol.Response)) < len(sent), (
-        "the quiet one was answered while the other still waited to be read"
+        "the quiet client was answered while requests of the flood still waited to be read"
     )
     for number in sent:
         await flooding.answer(number)
     assert len(flooding.all(protocol.Response)) == len(sent), (
-        "each is answered once, none is lost by the waiting"
+        "each request is answered exactly once although it waited to be read"
     )
 
 
@@ -280,13 +285,15 @@
         'admission: {known: [{name: "harbour", places: 500, addresses: ["127.200.0.0/16"]}]}'
     )
     await stack.start(Host("handled"), bounds=known_part, plain=False)
-    waiting_limit = 400  # with five hundred beside them all find room in the kernel's queue
+    waiting_limit = 400  # with 500 more, all still fit in the kernel's accept queue
     flood = Flood(stack.service.port, waiting_limit=waiting_limit)
     admitted = stack.service.listeners.controller.known_clients.by_name["harbour"].admitted
     await flood.until_opened(2 * waiting_limit)
     for _ in range(2):
-        assert flood.waiting() > waiting_limit // 2, "the known clients connect behind a flood"
-        clients = await asyncio.gather(*(known(stack, stack.service.port) for _ in range(500)))
+        assert flood.waiting() > waiting_limit // 2, "the known clients queue behind a flood"
+        clients = await asyncio.gather(
+            *(connect_known(stack, stack.service.port) for _ in range(500))
+        )
         assert len(admitted) == 500 and not any(client.lost_ends for client in clients)
         sent = [
             (client, client.send(f"deed {i % 20}", lasts=4900.0))
@@ -302,28 +309,32 @@
     listening = stack.service.listeners.listeners[0].sock
     meminfo = listening.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, 64)
     dropped = struct.unpack_from("I", meminfo, 4 * MEMINFO_DROPS)[0]
-    assert dropped == 0, "what the kernel drops, no gateway can let in: the flood is to leave room"
+    assert dropped == 0, (
+        "the kernel dropped connections: the flood has to leave room in its accept queue"
+    )
 
 
 @story
-async def test_a_known_client_that_takes_too_much_harms_no_other(stack):
-    two = (
+async def test_a_known_client_with_too_many_connections_does_not_affect_another(stack):
+    two_known_clients = (
         "bounds: {connections: 60}\n"
         'admission: {known: [{name: "harbour", places: 20, addresses: ["127.200.0.0/16"]}, '
         '{name: "meadow", places: 20, addresses: ["127.201.0.0/16"]}]}'
     )
-    await stack.start(Host("handled"), bounds=two, plain=False)
-    greedy = [
+    await stack.start(Host("handled"), bounds=two_known_clients, plain=False)
+    excessive = [
         client
-        for client in await asyncio.gather(*(known(stack, stack.service.port) for _ in range(200)))
+        for client in await asyncio.gather(
+            *(connect_known(stack, stack.service.port) for _ in range(200))
+        )
         if client is not None
     ]
     known_clients = stack.service.listeners.controller.known_clients.by_name
-    assert len(known_clients["harbour"].admitted) == 40, "its reserved slots and the common ones"
+    assert len(known_clients["harbour"].admitted) == 40, "its reserved slots and all common ones"
     meadow = await asyncio.gather(
-        *(known(stack, stack.service.port, "127.201.0.1") for _ in range(20))
+        *(connect_known(stack, stack.service.port, "127.201.0.1") for _ in range(20))
     )
-    for client in greedy[:3]:
+    for client in excessive[:3]:
         for i in range(100):
             client.send(f"deed {i}", lasts=4900.0)
     for client in meadow:
