--- a/cherrydoor/protocol/__init__.py
+++ b/cherrydoor/protocol/__init__.py
@@ -1,4 +1,5 @@
-"""Our own wire, sans-I/O: length-prefixed MessagePack messages, typed, versioned and bounded.
+"""This project's own protocol: typed, length-prefixed MessagePack messages of limited size.
 
-Begin with `messages` (clients, hosts, endpoint list, release feed); `codec` turns them into bytes.
+The package does no I/O. Start reading at `messages` (clients, hosts, endpoint list, release feed);
+`codec` encodes and decodes the frames.
 """
--- a/cherrydoor/protocol/basics.py
+++ b/cherrydoor/protocol/basics.py
@@ -1,15 +1,15 @@
-"""Field types of all messages of our own wire, and the messages that any connection carries.
+"""Field types of all protocol messages, and the messages that any connection may carry.
 
-Each message class has the field's standard name. What the wire calls it stands beside it: the
-``tag`` of the class, and ``field(name=...)`` where a field's name on the wire differs.
+Classes and attributes have standard names. Where the encoded name differs, it is given by the
+``tag`` of the class and by ``field(name=...)`` of the attribute.
 """
 
 from typing import Annotated, Literal
 
 from msgspec import Meta, Struct, field
 
-VERSION = 1  # of the protocol
-DEFAULT_MAX_FRAME_BYTES = 16 * 2**20  # of one frame's body, unless a hello states less
+VERSION = 1  # protocol version
+DEFAULT_MAX_FRAME_BYTES = 16 * 2**20  # limit on the body of a frame, unless a hello states less
 
 Id = Annotated[int, Meta(ge=0, le=2**62)]
 Name = Annotated[str, Meta(max_length=256)]
@@ -29,22 +29,22 @@
 
 
 class Message(Struct, tag_field="is", omit_defaults=True, gc=False):
-    """Base of all messages: the wire's field ``is`` names the kind."""
+    """Base of all messages; the encoded field ``is`` holds the message's tag."""
 
 
 class Hello(Message, tag="hello"):
-    """First on each connection, from both ends: who speaks, and what it accepts.
+    """The first message on each connection, from both sides: who the sender is, what it accepts.
 
     Attributes:
         version: Protocol version.
-        role: What the sender is.
+        role: Role of the sender.
         name: Name of the sender.
-        clock_ms: The sender's clock as it wrote this.
-        started_at_ms: Start of a host, in ms since 1970; 0 elsewhere.
-        max_frame_bytes: Longest body that the sender accepts.
-        max_in_flight: Requests or attempts that it accepts at once; 0 states nothing.
+        clock_ms: Reading of the sender's clock when it sent this.
+        started_at_ms: Start time of a host, in ms since 1970; 0 for other roles.
+        max_frame_bytes: Longest frame body that the sender accepts.
+        max_in_flight: Requests or attempts that it accepts at once; 0 if not stated.
         token: A client's signed token (docs/operate/tls.md).
-        incarnation: Of a gateway with failover: which of its starts this is.
+        incarnation: Number of the sender's current start, if it is a gateway with failover.
     """
 
     version: Count
@@ -59,14 +59,14 @@
 
 
 class GoAway(Message, tag="fault"):
-    """Last on a connection: why the sender closes it, and when to come back."""
+    """The last message on a connection: why the sender closes it, and when to reconnect."""
 
     reason: Text
     retry_after_ms: DurationMs = field(default=0.0, name="stay_away")
 
 
 class Draining(Message, tag="leaving"):
-    """The gateway drains: it accepts nothing new, clients go elsewhere."""
+    """The gateway is draining: it accepts no new requests, and clients use another gateway."""
 
     reason: Text = ""
 
--- a/cherrydoor/protocol/codec.py
+++ b/cherrydoor/protocol/codec.py
@@ -1,9 +1,9 @@
-"""Frames of our own wire: bytes to messages and back, without I/O.
+"""Encodes messages as frames, and decodes frames, without I/O.
 
-A frame is four bytes of length, most significant first, then one MessagePack map. A `FrameReader`
-is fed bytes as they come and returns whole messages. Its first error is final: what stood before it
-in the stream has been returned, nothing after it is read, and the connection is to be closed with
-a `GoAway` that names it.
+A frame is its body's length in four bytes, most significant first, and then the body, one
+MessagePack map. A `FrameReader` is fed bytes as they arrive and returns whole messages. Its first
+error is final: the messages before it have been returned, nothing after it is read, and the
+connection has to be closed with a `GoAway` that gives the error as its reason.
 """
 
 from collections.abc import Iterable
@@ -15,17 +15,17 @@
 
 from cherrydoor.protocol.basics import DEFAULT_MAX_FRAME_BYTES, VERSION, Hello, Message
 
-PREFIX = 4  # bytes of the length before each body
-MAX_REASON_CHARS = 500  # of a decoding error that is passed on to the peer
+PREFIX = 4  # bytes that hold the length of the body
+MAX_REASON_CHARS = 500  # of a decoding error that is sent to the peer
 _encoder = msgspec.msgpack.Encoder()
 
 
 class ProtocolError(ValueError):
-    """Base of what can go wrong on our own wire."""
+    """Base of the errors of this protocol."""
 
 
 class FrameTooLargeError(ProtocolError):
-    """A message that cannot be sent: its body is longer than the peer accepts."""
+    """The message cannot be sent, as its body is longer than the peer accepts."""
 
 
 @lru_cache(maxsize=64)
@@ -37,11 +37,11 @@
     r"""Returns the message as one frame.
 
     Args:
-        message: Any message of the wire.
+        message: The message to encode.
         largest: Longest body that the peer accepts, in bytes.
 
     Raises:
-        FrameTooLargeError: The body is longer.
+        FrameTooLargeError: The body is longer than `largest`.
 
     >>> from cherrydoor.protocol.messages import Poll
     >>> encode(Poll())
@@ -57,17 +57,18 @@
 
 
 class FrameReader:
-    """Decodes one direction of one connection.
+    """Decodes the frames of one direction of a connection.
 
-    A hello must come first and come once; it is checked here, so that no end has to.
+    It also checks that a hello comes first and only once, so that its callers do not have to.
 
     Attributes:
-        largest: Longest body that is accepted, in bytes; it may be changed between two feeds.
-        halts: Return the hello alone, and the rest at the next feed: what may follow depends on
-            who says hello.
-        held: Bytes of an unfinished frame.
-        hello: The peer's hello, None until it has come.
-        fault: Why nothing more is read; None or empty while all is well.
+        largest: Longest body that is accepted, in bytes; it may change between two calls of feed().
+        halts: Whether feed() returns a hello alone, and the messages after it at the next call:
+            which of these are allowed depends on the sender of the hello.
+        held: Bytes that have not been decoded yet.
+        need: Number of held bytes below which no frame can be complete.
+        hello: The peer's hello; None until it has come.
+        fault: The error after which nothing is read; None or empty if there is none.
     """
 
     def __init__(
@@ -80,12 +81,12 @@
         self.decode = _decoder(tuple(kinds)).decode
         self.largest = largest
         self.held = bytearray()
-        self.need = PREFIX  # bytes that have to be held before a frame can be whole
+        self.need = PREFIX
         self.hello: Hello | None = None
         self.fault: str | None = None
 
     def feed(self, data: bytes) -> list[Any]:
-        """Returns the messages that these bytes complete, oldest first; none after a fault."""
+        """Returns the messages that these bytes complete, oldest first; none after an error."""
         if self.fault:
             return []
         held = self.held
@@ -117,7 +118,12 @@
         return found
 
     def end(self) -> str | None:
-        """Ends the stream; returns the fault, one where it stopped within a frame."""
+        """Ends the stream.
+
+        Returns:
+            The error that ended reading, which may be that the stream stops within a frame; None or
+            empty if there is none.
+        """
         if self.held and not self.fault:
             self.fault = f"the stream ends within a frame, {len(self.held)} bytes in"
         return self.fault
--- a/cherrydoor/protocol/failover.py
+++ b/cherrydoor/protocol/failover.py
@@ -1,7 +1,7 @@
-"""Messages about requests that outlive their gateway: between clients, gateways and hosts.
+"""Messages between clients, gateways and hosts about requests whose gateway has failed.
 
-An incarnation is one start of a gateway. A fencing token is the number of the lease under which the
-in-flight set of an incarnation is taken over.
+An incarnation is one start of a gateway. A fencing token is the number of the lease under which
+another gateway takes over the in-flight set of an incarnation.
 """
 
 from typing import Annotated, Literal
@@ -11,22 +11,22 @@
 from cherrydoor.protocol import messages
 from cherrydoor.protocol.basics import Count, Id, Message, Name, Text
 
-# A host's reason, in a fault, to a gateway whose in-flight set has been taken over.
+# The reason in a host's GoAway to a gateway whose in-flight set has been taken over.
 INCARNATION_ENDED = "that life is over"
 
 
 # ---- client and gateway
 class ClaimResponse(Message, tag="reclaim"):
-    """A client claims at one gateway the response that another gateway owed it.
+    """A client asks one gateway for the response to a request that another gateway accepted.
 
     Attributes:
-        id: Of the claim, on this connection.
+        id: Id of the claim on this connection.
         owner: Gateway that accepted the request, by the name in its hello.
-        incarnation: The owner's, by its hello.
+        incarnation: The owner's incarnation, by its hello.
         request_id: The request's id on the connection to the owner.
-        claim_key: The secret sent with the request.
-        remaining_ms: Time from `sent_at_ms` on until the client gives up.
-        sent_at_ms: The client's clock as it wrote this.
+        claim_key: The secret that was sent with the request.
+        remaining_ms: Time from `sent_at_ms` until the client stops waiting.
+        sent_at_ms: Reading of the client's clock when it sent this.
     """
 
     id: Id
@@ -39,7 +39,7 @@
 
 
 class ResponseUnknown(Message, tag="unknown"):
-    """Nothing is known here of what was claimed, or not by that key; it may have run or not."""
+    """No such request with this claim key is known here; it may have run or not."""
 
     id: Id
     reason: Text = ""
@@ -47,13 +47,13 @@
 
 # ---- gateway and host
 class EndIncarnation(Message, tag="over"):
-    """An incarnation is over: the host reports its attempts and refuses what still comes from it.
+    """An incarnation has ended: the host reports its attempts, and refuses new ones from it.
 
     Attributes:
-        id: Of this question.
-        owner: Gateway whose incarnation is over.
-        incarnation: The one that is over.
-        fencing_token: Under which its in-flight set is taken over.
+        id: Id of this query.
+        owner: Gateway whose incarnation has ended.
+        incarnation: The incarnation that has ended.
+        fencing_token: Fencing token under which its in-flight set is taken over.
     """
 
     id: Id
@@ -63,16 +63,16 @@
 
 
 class HostAttempt(Struct, omit_defaults=True, gc=False):
-    """One attempt of the in-flight set, as the host has it.
+    """One attempt of the in-flight set, as known to the host.
 
     Attributes:
-        attempt_id: The host's own number for it.
+        attempt_id: The host's own id for it.
         client: Name of the request's client.
         request_id: The client's id for the request.
         attempt: Which attempt of the request it is, from 0.
-        outcome: "" while it is running.
-        body: Of the response.
-        body_retained: False where the response's body is no longer held.
+        outcome: How it ended; "" while it runs.
+        body: Body of the response.
+        body_retained: Whether the host still has the body of the response.
     """
 
     attempt_id: Id = field(name="job")
@@ -88,9 +88,11 @@
     """A host's answer to `EndIncarnation`.
 
     Attributes:
-        id: Of the question.
-        highest_fencing_token: That the host goes by; above the one asked under it is a refusal.
-        attempts: That run here, or have ended and are remembered.
+        id: Id of the query.
+        highest_fencing_token: The highest token that the host has seen for the incarnation. If it
+            is above the token of the query, the report is a refusal.
+        attempts: The incarnation's attempts that run on the host, or have ended and are still
+            remembered.
     """
 
     id: Id
@@ -99,14 +101,14 @@
 
 
 class AdoptAttempt(Message, tag="adopt"):
-    """The outcome of that attempt goes to the sender, as of an attempt under this id."""
+    """The host is to send the outcome of that attempt to the sender, as an attempt with this id."""
 
     id: Id
     attempt_id: Id = field(name="job")
 
 
 class CountInFlight(Message, tag="count"):
-    """Asks a host how many attempts it has in flight, of whomever."""
+    """Asks a host how many attempts it has in flight, whichever gateway sent them."""
 
     id: Id
 
@@ -115,9 +117,9 @@
     """A host's answer to `CountInFlight`.
 
     Attributes:
-        id: Of the question.
-        in_hand: Attempts in flight.
-        came: Attempts that ever arrived.
+        id: Id of the query.
+        in_hand: Number of attempts in flight.
+        came: Number of attempts that have arrived since the host started.
         by: Gateways that own attempts in flight, or did within the last second.
     """
 
@@ -127,7 +129,7 @@
     by: list[Name] = []
 
 
-# What each end takes from each other end, beside what it always took.
+# Message types by sender or receiver: those of `messages`, and in addition those of failover.
 FROM_CLIENT = (*messages.FROM_CLIENT, ClaimResponse)
 TO_CLIENT = (*messages.TO_CLIENT, ResponseUnknown)
 TO_HOST = (*messages.TO_HOST, EndIncarnation, AdoptAttempt, CountInFlight)
--- a/cherrydoor/protocol/messages.py
+++ b/cherrydoor/protocol/messages.py
@@ -1,8 +1,9 @@
 """Messages between clients, gateways, hosts, the function store, the endpoint list and the feed.
 
-Times are ms with fractions. ``clock_ms`` and ``sent_at_ms`` are readings of the sender's own clock,
-of use only in differences; ``started_at_ms`` is ms since 1970. Ids are whole numbers that belong to
-the connection they are sent on. ``docs/wire.md`` describes the same messages.
+Times are in ms and may have fractions. ``clock_ms`` and ``sent_at_ms`` are readings of the sender's
+own clock, of which only differences have a meaning; ``started_at_ms`` is in ms since 1970. Ids are
+integers that are valid only on the connection on which they are sent. ``docs/wire.md`` describes
+the same messages.
 """
 
 from typing import Annotated, Literal
@@ -35,21 +36,21 @@
 
 # ---- client to gateway and back
 class Request(Message, tag="event"):
-    """A client asks for a function to be run.
+    """A client's request to run a function.
 
     Attributes:
-        id: Number of the request on this connection.
+        id: Id of the request on this connection.
         request_class: Name of its class in the gateway's configuration.
         function: Function to run.
-        timeout_ms: From ``sent_at_ms`` on, until the client stops waiting.
-        sent_at_ms: The client's clock as it sent this.
-        tenant: Name of the tenant it is accounted to.
-        idempotency_key: By which hosts recognise a repeat.
+        timeout_ms: Time from ``sent_at_ms`` until the client stops waiting.
+        sent_at_ms: Reading of the client's clock when it sent this.
+        tenant: Name of the tenant to which the request is accounted.
+        idempotency_key: Key by which hosts recognize a repeated request.
         copy_concurrency: Requests that one copy of the function runs at a time.
-        load_ms: Usual time of a load; 0 where not known.
+        load_ms: Usual time to load the function; 0 if not known.
         body: Input of the function.
         affinity_key: Requests with the same key get the same version of a function.
-        claim_key: By which its response can be claimed at another gateway; a secret of the client.
+        claim_key: Secret of the client, with which it can claim the response at another gateway.
     """
 
     id: Id
@@ -73,12 +74,12 @@
 
 
 class Response(Message, tag="answer"):
-    """The one final answer to a request.
+    """The final response to a request; there is exactly one.
 
     Attributes:
-        id: Number of the request on this connection.
+        id: Id of the request on this connection.
         outcome: Succeeded, rejected without effect, or failed.
-        retry_after_ms: With a rejection: retry no sooner.
+        retry_after_ms: With a rejection, the time to wait before a retry.
         reason: Why it was rejected or failed.
         body: Output of the function.
     """
@@ -98,22 +99,22 @@
 
 # ---- gateway to host and back
 class Attempt(Message, tag="launch"):
-    """One attempt to run a request at a host.
+    """One attempt to run a request on a host.
 
     Attributes:
-        id: Number of the attempt on this connection.
-        request_id: The client's id of the request.
+        id: Id of the attempt on this connection.
+        request_id: The client's id for the request.
         client: Name of the client.
         request_class: Name of the request's class.
-        function: Function to run, with its version.
-        timeout_ms: The gateway waits no longer than this.
-        attempt: Which attempt of the request this is, from 0.
-        idempotency_key: By which a repeat is recognised.
-        slow_after_ms: A run that takes longer counts as slow; 0 where not known.
+        function: Function to run, including its version.
+        timeout_ms: Time for which the gateway waits for the outcome.
+        attempt: Number of the attempt among those of the request, from 0.
+        idempotency_key: Key by which the host recognizes a repeated request.
+        slow_after_ms: Time above which the run counts as slow; 0 if not known.
         body: Input of the function.
-        owner: The gateway that accepted the request, where another has taken it over ...
-        incarnation: ... in which of its starts ...
-        fencing_token: ... and under which lease's fencing token.
+        owner: Gateway that accepted the request, if another gateway has taken it over; else "".
+        incarnation: Incarnation of the owner in which it accepted the request.
+        fencing_token: Fencing token under which the request was taken over.
     """
 
     id: Id
@@ -138,18 +139,20 @@
 
 
 class AttemptResult(Message, tag="outcome"):
-    """How an attempt ended, and what the host tells of itself with it.
+    """The outcome of an attempt, with a report of the host's load.
 
     Attributes:
-        id: Number of the attempt on this connection.
+        id: Id of the attempt on this connection.
         outcome: How it ended.
-        copy: 1 a copy was loaded, 2 it began a load, 3 it waited for one, 4 the load failed.
-        concurrency: Requests of the same function that the host held.
-        in_flight: Requests it held in all, by its last load report; None where it gives none.
+        copy: 1 if a copy was loaded, 2 if the attempt began a load, 3 if it waited for a load,
+            4 if the load failed; 0 if not stated.
+        concurrency: Requests for the same function that the host had in flight.
+        in_flight: All requests that the host had in flight at its last load report; None if it
+            reports none.
         body: Output of the function.
         version_counts: Runs, errors and slow runs of this version since the host started.
-        queued: Requests that waited, by the same report.
-        unevictable_memory: Share of its memory that cannot be freed.
+        queued: Requests that were queued at the host, by the same load report.
+        unevictable_memory: Fraction of the host's memory that cannot be freed.
     """
 
     id: Id
@@ -172,7 +175,7 @@
 
 
 class HealthCheck(Message, tag="probe"):
-    """Asks a host whether it works."""
+    """Checks whether a host is healthy."""
 
     id: Id
 
@@ -186,7 +189,7 @@
 
 
 class LoadOrder(Message, tag="order"):
-    """Orders the host to hold so many copies at least; 0 only asks how many it holds."""
+    """Orders the host to keep at least ``copies`` copies loaded; 0 only asks for their number."""
 
     id: Id
     function: Name
@@ -194,7 +197,7 @@
 
 
 class LoadOrderResult(Message, tag="ordered"):
-    """How a load order ended; ``copies`` are loaded now."""
+    """The outcome of a load order; ``copies`` is the number of copies that are loaded now."""
 
     id: Id
     outcome: AttemptOutcome = field(name="fate")
@@ -202,14 +205,14 @@
 
 
 class Unload(Message, tag="drop"):
-    """Lets the host free the function's idle copies."""
+    """Allows the host to unload the function's idle copies."""
 
     id: Id
     function: Name
 
 
 class UnloadResult(Message, tag="dropped"):
-    """How many copies of the function are still loaded."""
+    """The number of copies of the function that are still loaded."""
 
     id: Id
     copies: Count = 0
@@ -224,17 +227,17 @@
 
 
 class FetchResult(Message, tag="fetched"):
-    """A function as the store has it.
+    """A function as stored in the function store.
 
     Attributes:
-        id: Number of the fetch on this connection.
+        id: Id of the fetch on this connection.
         outcome: How the fetch ended.
         release: Number of the release.
         memory: Memory of one copy, in MB.
         lanes: Requests that one copy runs at a time.
-        work: Mean processor time of a request, in ms.
-        start: Time of a start once the image is there, in ms.
-        core: Part of the start that takes a core.
+        work: Mean CPU time of a request, in ms.
+        start: Time in ms that a copy takes to start once the image has been fetched.
+        core: Fraction of the start time in which it uses a CPU core.
     """
 
     id: Id
@@ -249,7 +252,7 @@
 
 # ---- gateway and endpoint list, gateway and release feed
 class Endpoint(Struct, omit_defaults=True, gc=False):
-    """One host of the endpoint list; ``host`` is its address and port, and its id."""
+    """One host of the endpoint list; ``host`` is its address and port, which are also its id."""
 
     host: Name
     state: HostState
@@ -259,15 +262,15 @@
 
 
 class Watch(Message, tag="follow"):
-    """Asks for everything, and for changes from then on."""
+    """Asks for the whole list or feed, and then for every change to it."""
 
 
 class Poll(Message, tag="ask"):
-    """Asks for the whole list, once."""
+    """Asks once for the whole list."""
 
 
 class EndpointUpdate(Message, tag="rows"):
-    """The endpoint list, or what has changed in it."""
+    """The whole endpoint list, or the endpoints that have changed."""
 
     revision: Count
     kind: UpdateKind = field(name="how")
@@ -283,7 +286,7 @@
 
 
 class ReleaseUpdate(Message, tag="releases"):
-    """All releases of the feed, or what has changed in them."""
+    """All releases of the feed, or those that have changed."""
 
     revision: Count
     kind: UpdateKind = field(name="how")
@@ -291,7 +294,7 @@
 
 
 class UpdateAcknowledged(Message, tag="heard"):
-    """The gateway has read that revision."""
+    """The gateway has processed the update with this revision."""
 
     revision: Count
 
@@ -322,7 +325,7 @@
     ReleaseUpdate,
     UpdateAcknowledged,
 )
-# What each end accepts from each other end; any other kind is unknown there.
+# Message types by sender or receiver; on that connection any other type is a protocol error.
 FROM_CLIENT = (*COMMON_MESSAGES, Request, CancelRequest)
 TO_CLIENT = (*COMMON_MESSAGES, Draining, Response, StreamStarted)
 TO_HOST = (*COMMON_MESSAGES, Attempt, CancelAttempt, HealthCheck, LoadOrder, Unload)
--- a/cherrydoor/protocol/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -20,7 +20,7 @@
 
 # ---- membership
 MemberState = Literal["here", "silent", "vanished", "left", "over"]
-# Rank of each state; from `FIRST_FINAL_STATE` on no refutation outranks it.
+# Rank of each state. No refutation outranks a state of rank `FIRST_FINAL_STATE` or higher.
 STATE_RANKS = {"here": 0, "silent": 1, "vanished": 2, "left": 3, "over": 4}
 FIRST_FINAL_STATE = 3
 
@@ -30,14 +30,14 @@
 
     Attributes:
         name: The gateway's name.
-        incarnation: Rises with each start of a process of that name.
+        incarnation: Number that is higher at each start of a process of that name.
         address: The address at which peers reach it.
-        zone: Where it is.
-        is_voter: Whether it is a voter of leader elections.
-        state: What is held of it: alive ("here"), suspected ("silent"), disconnected ("vanished"),
-            left, or "over".
-        refutation: Raised by the gateway itself to refute a suspicion, as the incarnation of SWIM
-            is.
+        zone: The zone that it is in.
+        is_voter: Whether it is a voter in leader elections.
+        state: Its state: alive ("here"), suspected ("silent"), disconnected ("vanished"), "left",
+            or "over", when its incarnation has ended.
+        refutation: Number that the gateway itself raises to refute a suspicion. It has the role of
+            the incarnation number in SWIM.
     """
 
     name: Name
@@ -49,10 +49,11 @@
     refutation: Id = field(default=0, name="word")
 
     def rank(self) -> tuple[int, int, int, int, str, str]:
-        """Returns what statements are compared by, alike in whatever order they are merged.
+        """Returns the key by which statements are compared; the one with the greater key wins.
 
-        A later incarnation comes first, then a final state, a higher refutation, a worse state. Of
-        one rank two statements differ in address alone, and the greater is taken.
+        Merging statements in any order therefore gives the same result. A later incarnation wins
+        over an earlier one; within an incarnation a final state wins, then a higher refutation,
+        then a worse state. Address and zone only break ties.
         """
         state_rank = STATE_RANKS[self.state]
         final_rank = state_rank if state_rank >= FIRST_FINAL_STATE else 0
@@ -60,25 +61,25 @@
 
 
 class MembershipUpdate(Message, tag="members"):
-    """Statements new since the last update on this link; all of them at its start."""
+    """The statements that are new since the last update on this link; at its start, all of them."""
 
     rows: list[Member] = []
 
 
 class Heartbeat(Message, tag="beat"):
-    """Sent on a link that has nothing else to send, so that its gateway is not suspected."""
+    """Sent on a link without other messages to send, so that the sender is not suspected."""
 
 
 # ---- leader election
 class LeaseRequest(Message, tag="seek"):
-    """Asks for the lease of a task under a fencing token, or renews it under the token that it has.
+    """Asks for the lease of a task under a new fencing token, or renews it under the current one.
 
     Attributes:
-        task: The task whose lease is wanted.
-        fencing_token: The token under which it would be held.
-        term_ms: How long the lease runs.
-        round: Comes back with the answer: one to an earlier round says nothing of how long this
-            one's lease holds.
+        task: The task whose lease is requested.
+        fencing_token: The token under which the lease would be held.
+        term_ms: Duration of the lease.
+        round: Number of the request round, which the answer repeats. An answer to an earlier round
+            does not tell for how long the lease of this round is valid.
     """
 
     task: Name
@@ -88,14 +89,14 @@
 
 
 class LeaseRelease(Message, tag="yield"):
-    """Gives back a lease that was granted, or was asked for in vain."""
+    """Releases a lease that was granted, or withdraws a request that did not succeed."""
 
     task: Name
     fencing_token: Id = field(name="number")
 
 
 class LeaseGranted(Message, tag="granted"):
-    """A voter's grant, for the round that asked for it."""
+    """A voter's grant of a lease, for the round in which it was requested."""
 
     task: Name
     fencing_token: Id = field(name="number")
@@ -103,15 +104,15 @@
 
 
 class LeaseRefused(Message, tag="refused"):
-    """A voter's refusal.
+    """A voter's refusal of a lease.
 
     Attributes:
-        task: The task whose lease was asked for.
+        task: The task whose lease was requested.
         fencing_token: The token of the request.
-        highest_token: The highest token granted for the task.
-        wait_ms: After which the task may be free, 0 where that is not known.
-        reason: Of a veto, "" where the task is held or the token too low.
-        round: Of the request.
+        highest_token: The highest token that the voter has granted for the task.
+        wait_ms: Time after which the task may be free; 0 if not known.
+        reason: Reason of a veto; "" if the lease is held or the token is too low.
+        round: The round of the request.
     """
 
     task: Name
@@ -124,22 +125,22 @@
 
 # ---- failover
 class ReplicatedRequest(Struct, omit_defaults=True, gc=False):
-    """A request in flight, with all that another gateway needs to take it over.
+    """A request in flight, with all data that another gateway needs to take it over.
 
     Attributes:
         number: The owner's own number for it.
         request_id: The client's id for it.
         client: Name of the client.
         request_class: Name of its request class.
-        function: Function that it asks for.
-        remaining_ms: Time left of the client's deadline as the owner sent this.
-        tenant: Tenant that it is accounted to.
-        idempotency_key: Key by which hosts drop repeats; "" without one.
-        claim_key: Secret by which its client may claim the response elsewhere.
-        affinity_key: Requests of one key go to one host where possible.
-        copy_concurrency: Requests that one copy of the function runs at once.
+        function: Function to run.
+        remaining_ms: Time until the client's deadline when the owner sent this.
+        tenant: Tenant to which it is accounted.
+        idempotency_key: Key by which hosts drop repeated requests; "" if it has none.
+        claim_key: Secret with which its client may claim the response at another gateway.
+        affinity_key: Requests with the same key go to the same host if possible.
+        copy_concurrency: Requests that one copy of the function runs at a time.
         load_ms: Time that a host takes to load the function.
-        body: Payload.
+        body: Input of the function.
     """
 
     number: Id
@@ -158,22 +159,22 @@
 
 
 class ReplicatedAttempt(Struct, array_like=True, gc=False):
-    """An attempt of a replicated request, and the host that it was sent to."""
+    """An attempt of a replicated request, with the host that it was sent to."""
 
     number: Id
     host: Name
 
 
 class ReplicationUpdate(Message, tag="entrust"):
-    """What changed in the owner's in-flight set within one tick of its event loop.
+    """The changes to the owner's in-flight set within one event loop tick.
 
     Attributes:
-        incarnation: The owner's.
-        rank: Which of the owner's replicas the receiver is, from 0; only with a snapshot.
-        snapshot: Whether this replaces all that was replicated before.
-        requests: Requests accepted.
-        attempts: Attempts started.
-        finished: The owner's numbers of requests that have their response.
+        incarnation: The owner's incarnation.
+        rank: Position of the receiver among the owner's replicas, from 0; only set in a snapshot.
+        snapshot: Whether this replaces everything replicated before.
+        requests: Requests that were accepted.
+        attempts: Attempts that were started.
+        finished: The owner's numbers of the requests that got their response.
     """
 
     incarnation: Id = field(name="life")
@@ -189,11 +190,11 @@
 
     Attributes:
         owner: Gateway whose in-flight set it is.
-        incarnation: The owner's, which is over.
-        fencing_token: Number of the lease under which it is taken over.
+        incarnation: The owner's incarnation, which has ended.
+        fencing_token: Fencing token of the lease under which it is taken over.
         successor: Gateway that takes it over.
-        completed: Whether every request of it has its response.
-        key_digests: Idempotency key digests of requests that must not run a second time.
+        completed: Whether all its requests have their responses.
+        key_digests: Digests of the idempotency keys of requests that must not run a second time.
     """
 
     owner: Name = field(name="gateway")
@@ -205,15 +206,15 @@
 
 
 class ClaimRequest(Message, tag="claim"):
-    """A client's claim of a response, passed on to the successor.
+    """A client's claim of a response, forwarded to the successor.
 
     Attributes:
-        id: The asking gateway's id for the claim.
+        id: The forwarding gateway's id for the claim.
         owner: Gateway that accepted the request.
-        incarnation: The owner's as it did.
+        incarnation: The owner's incarnation when it accepted the request.
         request_id: The client's id for the request at the owner.
-        claim_key: The secret sent with the request.
-        key_digest: Of a repeated request, in place of the request's id.
+        claim_key: The secret that was sent with the request.
+        key_digest: Digest of the idempotency key of a repeated request, in place of its id.
     """
 
     id: Id
@@ -228,12 +229,12 @@
     """The successor's reply to a claim.
 
     Attributes:
-        id: Of the claim.
-        known: Whether such a request was replicated and the claim key is its own.
-        outcome: Of the request.
-        retry_after_ms: After which the client may send it again.
+        id: Id of the claim.
+        known: Whether such a request was replicated, with this claim key.
+        outcome: Outcome of the request.
+        retry_after_ms: Time after which the client may retry the request.
         reason: Why it was rejected or failed, or why it is not known.
-        body: The response's payload.
+        body: Body of the response.
     """
 
     id: Id
--- a/cherrydoor/protocol/zone_drain.py
+++ b/cherrydoor/protocol/zone_drain.py
@@ -1,7 +1,7 @@
 """Messages by which gateways coordinate a zone drain: waves, participant reports, commands.
 
-Each field has its standard name; ``field(name=...)`` keeps the name that the wire has for it.
-The wire calls a zone a site, the coordinator a conductor and a fencing token a number.
+Attributes have standard names; ``field(name=...)`` gives the encoded name where it differs. In the
+encoded messages a zone is a site, the coordinator a conductor and a fencing token a number.
 """
 
 from enum import StrEnum
@@ -16,7 +16,7 @@
 
 
 class DrainState(StrEnum):
-    """What a wave announces."""
+    """The state of a drain, as announced by a wave."""
 
     MOVING = "moving"
     PAUSED = "held"
@@ -27,7 +27,7 @@
 
 
 class CoordinatorCommand(StrEnum):
-    """What an operator may ask of the coordinator of a drain that goes on."""
+    """What an operator may tell the coordinator of a running drain to do."""
 
     PAUSE = "hold"
     RESUME = "resume"
@@ -37,7 +37,7 @@
 class MovedShare(Struct, array_like=True, gc=False):
     """Sessions of the function whose hash is below the share are served outside the zone.
 
-    The function "" means all functions that are not named.
+    The function "" stands for all functions without a share of their own.
     """
 
     function: Name
@@ -45,27 +45,27 @@
 
 
 class ReadyCopy(Struct, array_like=True, gc=False):
-    """A host outside the zone where a copy of the function is known to be loaded."""
+    """A host outside the zone that is known to have a copy of the function loaded."""
 
     function: Name
     host: Name
 
 
 class DrainWave(Message, tag="wave"):
-    """The whole state of a drain after one wave; forwarded along every link once.
+    """The whole state of a drain after a wave; forwarded once along every link.
 
     Attributes:
         zone: The zone that is drained.
-        fencing_token: Of the coordinator's lease.
-        wave: Number of the wave; it only grows.
+        fencing_token: Fencing token of the coordinator's lease.
+        wave: Number of the wave; it only increases.
         coordinator: The gateway that announced the wave.
-        state: Where the drain is.
-        moved_shares: Sessions that are served elsewhere.
+        state: State of the drain.
+        moved_shares: Shares of sessions that are served outside the zone.
         shed_functions: Functions whose remaining sessions are rejected while the zone empties.
-        ready_copies: Copies outside the zone, reported to routing.
-        reason: Why the drain waits or paused, for people.
-        wave_share: Share of the zone's traffic that a wave moves at most.
-        allow_shortfall: Whether to go on where neighbours lack capacity for all.
+        ready_copies: Loaded copies outside the zone, for routing.
+        reason: Why the drain waits or is paused, for operators.
+        wave_share: Maximum share of the zone's traffic that one wave moves.
+        allow_shortfall: Whether to continue if the neighbours lack capacity for all traffic.
     """
 
     zone: Name = field(name="site")
@@ -82,20 +82,20 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Orders waves of one zone: by fencing token, then by number."""
+        """Returns the key that orders the waves of one zone: fencing token, then wave number."""
         return self.fencing_token, self.wave
 
 
 class FunctionLoad(Struct, omit_defaults=True, gc=False):
-    """A gateway's own requests of one function that it sends to the zone.
+    """The requests for one function that a gateway sends to the zone.
 
     Attributes:
-        function: Name of the function, a version among others.
-        requests_per_s: Attempts a second over the last seconds.
-        priority_weight: Lost with each request that is late.
-        retry_safety: The strictest of its request classes.
-        dedup_window_ms: For how long hosts remember idempotency keys.
-        hosts_with_copy: Hosts of other zones where copies are loaded.
+        function: Name of the function; each version has its own entry.
+        requests_per_s: Attempts per second over the last seconds.
+        priority_weight: Benefit that is lost with each request that is late.
+        retry_safety: The strictest retry safety of its request classes.
+        dedup_window_ms: Time for which hosts remember idempotency keys.
+        hosts_with_copy: Hosts in other zones that have a copy loaded.
     """
 
     function: Name
@@ -107,13 +107,13 @@
 
 
 class ZoneLoad(Struct, array_like=True, gc=False):
-    """What one gateway sends to a zone and knows of it.
+    """One gateway's traffic to a zone, and what it knows about the zone.
 
     Attributes:
         zone: Name of the zone.
-        requests_per_s: Requests a second that this gateway sends there.
-        response_time_ms: Mean response time; None where no host is available.
-        available_hosts: How many hosts this gateway holds to be available.
+        requests_per_s: Requests per second that this gateway sends there.
+        response_time_ms: Mean response time; None if no host is available.
+        available_hosts: Number of hosts that this gateway considers available.
     """
 
     zone: Name
@@ -123,19 +123,19 @@
 
 
 class ParticipantReport(Message, tag="followed"):
-    """From a participant to the coordinator, directly or by way of a voter.
+    """A participant's report to the coordinator, sent directly or through a voter.
 
     Attributes:
         gateway: The participant.
-        incarnation: Which of its starts this is.
+        incarnation: The participant's incarnation.
         zone: The zone that is drained.
-        fencing_token: Of the wave that it goes by.
-        wave: Number of the wave that it goes by.
-        in_flight: Attempts of this gateway in flight in the zone.
-        responses: Requests answered since its last report.
-        timely_responses: Those of them within their latency objective.
-        function_loads: The functions that it sends to the zone.
-        zone_loads: What it knows of all zones.
+        fencing_token: Fencing token of the wave that it has applied.
+        wave: Number of the wave that it has applied.
+        in_flight: This gateway's attempts in flight in the zone.
+        responses: Responses sent since its last report.
+        timely_responses: Number of these responses within their latency objective.
+        function_loads: Its load on the zone, by function.
+        zone_loads: Its load on each zone.
         recipient: The coordinator, for the voter that forwards the report.
     """
 
@@ -153,12 +153,12 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """The version of the wave that the participant goes by."""
+        """Returns the version of the wave that the participant has applied."""
         return self.fencing_token, self.wave
 
 
 class OperatorCommand(Message, tag="drain"):
-    """An operator's command to the coordinator, directly or by way of a voter."""
+    """An operator's command to the coordinator, sent directly or through a voter."""
 
     zone: Name = field(name="site")
     command: CoordinatorCommand = field(name="do")
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -1,5 +1,6 @@
-"""Good and hostile bytes, split anywhere: what was whole before a fault is given, nothing after
-it.
+"""The codec on valid and malicious bytes, split at any point.
+
+Messages that are complete before an error are returned, and nothing after it.
 """
 
 import msgspec
@@ -9,8 +10,8 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.protocol.codec import FrameReader, FrameTooLargeError, encode
 
-ids, spans, names = st.integers(0, 2**62), st.floats(0, 1e10), st.text(max_size=30)
-some = st.one_of(
+ids, durations_ms, names = st.integers(0, 2**62), st.floats(0, 1e10), st.text(max_size=30)
+any_message = st.one_of(
     st.builds(
         protocol.Request,
         ids,
@@ -21,11 +22,13 @@
         names,
         names,
         st.floats(0, 1e6),
-        spans,
+        durations_ms,
         st.binary(max_size=300),
     ),
     st.builds(protocol.CancelRequest, ids),
-    st.builds(protocol.Response, ids, st.sampled_from(["handled", "deferred"]), spans, names),
+    st.builds(
+        protocol.Response, ids, st.sampled_from(["handled", "deferred"]), durations_ms, names
+    ),
     st.builds(
         protocol.AttemptResult,
         ids,
@@ -45,23 +48,23 @@
 hello = protocol.Hello(protocol.VERSION, "client")
 
 
-def feed(data, cuts=(), kinds=protocol.ALL_MESSAGES, **more):
-    reader, found, edges = FrameReader(kinds, **more), [], [0, *sorted(cuts), len(data)]
-    for a, b in zip(edges, edges[1:], strict=False):
-        found += reader.feed(data[a:b])
+def feed(data, cuts=(), kinds=protocol.ALL_MESSAGES, **options):
+    reader, found, edges = FrameReader(kinds, **options), [], [0, *sorted(cuts), len(data)]
+    for start, end in zip(edges, edges[1:], strict=False):
+        found += reader.feed(data[start:end])
     return found, reader
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(some, max_size=5), st.data())
-def test_messages_come_out_as_they_went_in_at_every_split(messages, data):
+@given(st.lists(any_message, max_size=5), st.data())
+def test_messages_are_decoded_as_they_were_encoded_at_any_split(messages, data):
     raw = b"".join(encode(x) for x in (hello, *messages))
     cuts = data.draw(st.lists(st.integers(0, len(raw)), max_size=12))
     found, reader = feed(raw, cuts)
     assert found == [hello, *messages] and reader.fault is None and reader.end() is None
 
 
-def test_every_single_byte_split():
+def test_messages_are_decoded_when_the_bytes_arrive_one_by_one():
     raw = (
         encode(hello)
         + encode(protocol.CancelRequest(7))
@@ -78,15 +81,15 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=6))
-def test_hostile_bytes_end_in_a_fault_or_in_messages_never_in_an_exception(junk, cuts):
+def test_malicious_bytes_give_an_error_or_messages_but_never_an_exception(junk, cuts):
     found, reader = feed(encode(hello) + encode(protocol.CancelRequest(1)) + junk, cuts)
     assert found[:2] == [hello, protocol.CancelRequest(1)]
     assert reader.fault is None or reader.feed(encode(protocol.CancelRequest(2))) == []
 
 
 @settings(max_examples=60, deadline=None)
-@given(some, st.integers(0, 250), st.integers(0, 255))
-def test_one_byte_changed_is_never_fatal(message, at, byte):
+@given(any_message, st.integers(0, 250), st.integers(0, 255))
+def test_one_changed_byte_never_raises_an_exception(message, at, byte):
     raw = bytearray(encode(message))
     raw[at % len(raw)] = byte
     feed(encode(hello) + bytes(raw))
@@ -98,7 +101,7 @@
     )[1].fault
 
 
-def test_each_kind_of_bad_frame_has_its_reason():
+def test_each_kind_of_invalid_frame_has_its_own_reason():
     pack = msgspec.msgpack.encode
     assert "'nonsense'" in fault(pack({"is": "nonsense"}))
     assert "ask" in fault(pack({"is": "ask"}), kinds=protocol.FROM_CLIENT)
@@ -128,14 +131,14 @@
     ] == protocol.CancelRequest(3)
 
 
-def test_hello_comes_first_comes_once_and_speaks_our_version():
+def test_a_hello_must_come_first_and_once_and_with_a_supported_version():
     assert feed(encode(protocol.CancelRequest(1)))[1].fault == "a hello must come first"
     assert feed(encode(hello) * 2)[1].fault == "a second hello"
     found, reader = feed(encode(protocol.Hello(9, "client")) + encode(protocol.CancelRequest(1)))
     assert found == [] and "version 9" in reader.fault
 
 
-def test_a_frame_too_long_is_refused_before_its_body_comes():
+def test_a_frame_that_is_too_long_is_rejected_before_its_body_arrives():
     found, reader = feed(encode(hello) + (1001).to_bytes(4, "big"), largest=1000)
     assert "1001 bytes" in reader.fault and found == [hello]
     try:
@@ -146,10 +149,10 @@
         raise AssertionError
 
 
-def test_a_stream_cut_within_a_frame_says_so():
+def test_a_stream_that_ends_within_a_frame_gives_an_error():
     raw = encode(hello) + encode(protocol.CancelRequest(1))
     assert "ends within a frame" in feed(raw[:-1])[1].end()
 
 
-def test_deep_nesting_is_a_fault():
+def test_deep_nesting_gives_an_error():
     assert fault(b"\x91" * 100000)
