--- a/cherrydoor/admission/connection_slots.py
+++ b/cherrydoor/admission/connection_slots.py
@@ -69,8 +69,8 @@
         if connection.known_client is not None:
             return self._acquire_known(connection, connection.known_client, now)
         for prefix in connection.networks:
-            most = max(1, int(self.common * self.client_limits.parts[prefix.width]))
-            if len(prefix.admitted) >= most:
+            max_admitted = max(1, int(self.common * self.client_limits.parts[prefix.width]))
+            if len(prefix.admitted) >= max_admitted:
                 victim = self._longest_idle(prefix.admitted, now)
                 if victim is None:
                     return REFUSED_FOR_NETWORK
--- a/cherrydoor/admission/controller.py
+++ b/cherrydoor/admission/controller.py
@@ -202,7 +202,7 @@
         self.pending.discard(connection)
         proved = self.known_clients.by_name.get(name)
         if proved is not None:
-            proved.remember(connection.address, self.now)
+            proved.record_verified_address(connection.address, self.now)
             if connection.known_client is not None and proved is not connection.known_client:
                 self.connection_slots.release(connection)
                 connection.known_client = None
--- a/cherrydoor/admission/known_clients.py
+++ b/cherrydoor/admission/known_clients.py
@@ -63,7 +63,7 @@
         """Returns the number of common slots that it holds beyond its reserved ones."""
         return max(0, len(self.admitted) - self.reserved_slots)
 
-    def remember(self, address: str, now: float) -> None:
+    def record_verified_address(self, address: str, now: float) -> None:
         """Records that it has proved its identity from this address."""
         self.verified_addresses[address] = now
         self.verified_addresses.move_to_end(address)
@@ -90,7 +90,12 @@
         return sum(client.common_slots_used() for client in self.by_name.values())
 
     def find_by_network(self, version: int, bits: int) -> KnownClient | None:
-        """Returns the known client with this address in its networks (see parse_address)."""
+        """Returns the known client with this address in its networks, or None.
+
+        Args:
+            version: IP version (see parse_address).
+            bits: Numeric value of the address.
+        """
         for client in self.by_name.values():
             for network_version, first, last in client.networks:
                 if network_version == version and first <= bits <= last:
--- a/cherrydoor/admission/load_shedding.py
+++ b/cherrydoor/admission/load_shedding.py
@@ -27,9 +27,9 @@
 
     def update(self, now: float, use: float) -> None:
         """Sets the step from the use of the scarcest resource, from 0 to 1."""
-        wanted = sum(use >= threshold for threshold in STEP_UP_AT)
-        if wanted > self.step:
-            self._step_up(now, wanted)
+        target_step = sum(use >= threshold for threshold in STEP_UP_AT)
+        if target_step > self.step:
+            self._step_up(now, target_step)
         elif self.step and use >= STEP_DOWN_BELOW[self.step - 1]:
             self.calm_since_ms = now
         elif self.step and now - self.calm_since_ms >= self.dwell_ms:
--- a/cherrydoor/admission/network_table.py
+++ b/cherrydoor/admission/network_table.py
@@ -11,9 +11,10 @@
 LOOPBACK_KEY = (4, 127)  # at each width, as all of 127.0.0.0/8 is one machine
 RATE_FACTORS = (1, 4, 8)  # rate and burst of each width, as a multiple of one address's
 MAX_UNUSED_PREFIXES = 4096  # prefixes without connections, at each width
-# Entries checked for removal when one is added. Two, so that a table shrinks faster than it grows.
-MAX_TRIMMED_PER_INSERT = 2
-MAX_CHECKS_PER_SWEEP = 32  # at each width, so that a sweep stays short
+# Entries that a call of _trim() checks, and may remove. There is one call for each entry that is
+# added, so with two a table shrinks faster than it grows.
+MAX_CHECKS_PER_TRIM = 2
+MAX_TRIMS_PER_SWEEP = 32  # at each width, so that a sweep stays short
 
 
 def parse_address(address: str) -> tuple[int, int]:
@@ -81,11 +82,11 @@
 
     def _trim(self, table: OrderedDict[tuple[int, int], NetworkPrefix], now: float) -> None:
         """Checks the longest unused prefixes, and removes those that are no longer needed."""
-        for _ in range(min(MAX_TRIMMED_PER_INSERT, len(table))):
+        for _ in range(min(MAX_CHECKS_PER_TRIM, len(table))):
             key = next(iter(table))
             prefix = table[key]
             if prefix.pending or prefix.admitted:
-                table.move_to_end(key)  # in use; there are no more of these than connections
+                table.move_to_end(key)  # in use; the slots bound the number of these
             elif (
                 len(table) > MAX_UNUSED_PREFIXES
                 or prefix.bucket.wait_ms(now, self._rate(prefix), 1) == 0.0
@@ -97,7 +98,7 @@
     def sweep(self, now: float) -> None:
         """Removes expired prefixes, a limited number per call."""
         for table in self.tables:
-            for _ in range(MAX_CHECKS_PER_SWEEP):
+            for _ in range(MAX_TRIMS_PER_SWEEP):
                 before = len(table)
                 if before:
                     self._trim(table, now)
--- a/cherrydoor/admission/pending_connections.py
+++ b/cherrydoor/admission/pending_connections.py
@@ -15,7 +15,7 @@
 EVICTION_CANDIDATES = 4
 HELLO_TIMEOUT_DIVISORS = (1, 2, 5, 10)  # of the hello timeout, by load-shedding step
 MIN_HANDSHAKE_BURST = 4.0  # handshakes that may start at once, however low the rate
-HANDSHAKE_BURST_DIVISOR = 10  # the handshakes of a tenth of a second may start at once
+HANDSHAKE_BURST_DIVISOR = 10  # of the rate: handshakes of a tenth of a second may start at once
 
 
 class PendingConnections:
@@ -50,9 +50,8 @@
     def _draw(self) -> float:
         """Returns the next pseudo-random number of the seed, at least 0 and below 1."""
         self._draw_count += 1
-        text = (
-            f"porch/{self.client_limits.seed}/{self._draw_count}"  # recorded decisions depend on it
-        )
+        # Recorded decisions depend on this text.
+        text = f"porch/{self.client_limits.seed}/{self._draw_count}"
         return crc32(text.encode()) / 2.0**32
 
     def add(self, connection: AdmittedConnection) -> AdmittedConnection | None:
--- a/cherrydoor/protocol/failover.py
+++ b/cherrydoor/protocol/failover.py
@@ -101,7 +101,7 @@
 
 
 class AdoptAttempt(Message, tag="adopt"):
-    """The host is to send the outcome of that attempt to the sender, as an attempt with this id."""
+    """Asks a host to send the outcome of that attempt to the sender, under this id."""
 
     id: Id
     attempt_id: Id = field(name="job")
@@ -119,7 +119,7 @@
     Attributes:
         id: Id of the query.
         in_hand: Number of attempts in flight.
-        came: Number of attempts that have arrived since the host started.
+        came: Number of attempts that have ever arrived.
         by: Gateways that own attempts in flight, or did within the last second.
     """
 
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -44,9 +44,8 @@
 def test_a_known_client_beyond_its_reserved_slots_takes_no_more_than_the_common_ones():
     harness = ControllerHarness(40, [HARBOUR, MEADOW])
     for i in range(25):
-        harness.connect(
-            unknown_address(i)
-        ).open = 1  # with a request in flight, none of them can be evicted
+        # With a request in flight, none of these can be evicted.
+        harness.connect(unknown_address(i)).open = 1
     assert len(harness.admitted([harness.connect("10.1.0.9") for _ in range(12)])) == 10
     assert harness.controller.connection_slots.common_used() == 25
 
