--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -187,7 +187,7 @@
         ]
         found += [
             end.transport
-            for end in (self.endpoint_watch.end, self.releases and self.releases.end)
+            for end in (self.endpoint_watch.end, self.releases and self.releases.connection)
             if end
         ]
         found += (
--- a/cherrydoor/releases/__init__.py
+++ b/cherrydoor/releases/__init__.py
@@ -1,4 +1,4 @@
-"""Canary rollouts: a new version of a function gets a growing traffic share while it proves itself.
+"""Canary rollouts: a new version of a function gets a growing share of traffic while it does well.
 
-Begin with `controller.py`, which decides; `feed.py` is the I/O around it.
+Start reading at `controller.py`, which makes the decisions; `feed.py` does the I/O around it.
 """
--- a/cherrydoor/releases/controller.py
+++ b/cherrydoor/releases/controller.py
@@ -1,10 +1,12 @@
 """The rollout controller: one gateway's decisions about releases.
 
-It decides which version of a function a request calls, and what becomes of each release. Pure:
-messages come in with the time, actions go out. Times are ms since 1970, so that what is stored
-outlives a restart. Tables: `functions` has the size of the release feed; evidence is kept for
-releases in progress alone, one entry a host that answered; the traffic table forgets functions that
-are no longer called.
+It decides which version of a function a request calls, and how each release proceeds. It does no
+I/O: callers pass in messages with the current time and carry out the actions that are returned.
+Times are ms since 1970, so that stored times are still valid after a restart.
+
+Memory: `functions` has one entry for each function in the release feed. Evidence is kept only for
+releases in progress, with one entry for each host that answered. The traffic table drops functions
+that are no longer called.
 """
 
 from typing import assert_never
@@ -24,34 +26,38 @@
     version_name,
 )
 from cherrydoor.releases.release import FunctionVersions, Release
-from cherrydoor.releases.rollouts import MOST_LOAD_FAILURES, Rollouts
+from cherrydoor.releases.rollouts import MAX_LOAD_FAILURES, Rollouts
 from cherrydoor.releases.status import ReleaseStatus, status_rows
 from cherrydoor.releases.stored_state import StoredFunction, from_stored, to_stored
-from cherrydoor.releases.traffic import HALVING_MS, TrafficTable
+from cherrydoor.releases.traffic import HALVING_INTERVAL_MS, TrafficTable
 from cherrydoor.routing.messages import AttemptOutcome
 
-# Read for each request: in Python 3.11 a global is several times as fast as an enum's member.
+# Read for every request. In Python 3.11, reading a global is several times faster than reading an
+# enum member.
 _SUCCEEDED = AttemptOutcome.SUCCEEDED
 _CANARY = ReleaseState.CANARY
 _LOADING = ReleaseState.LOADING
 _ROLLED_BACK = ReleaseState.ROLLED_BACK
 
-EVALUATION_GROWTH = 1.02  # evidence is evaluated again once it has grown by this factor
+# Evidence is evaluated again once the number of requests has grown by this factor.
+EVALUATION_GROWTH = 1.02
 
 
 class RolloutController:
-    """All releases as one gateway sees them: messages in, transitions by `Rollouts`, actions out.
+    """All releases as one gateway sees them.
+
+    Turns messages into state transitions, made by `Rollouts`, and returns the resulting actions.
 
     Attributes:
-        now: The latest time seen, ms since 1970.
+        now: The latest time passed in, ms since 1970.
         rollouts: The releases and their transitions.
-        functions: The table of `rollouts`, read only here but for `restore`.
-        slow_above_ms: Takes a function; returns the ms beyond which its request is slow, 0 where
-            too little is known.
+        functions: The table of `rollouts`. Here it is only read, except in `restore`.
+        slow_above_ms: `TrafficTable.slow_above_ms`: the latency in ms above which a request of the
+            given function is slow, or 0 if there are too few observations.
     """
 
     def __init__(self, now: float) -> None:
-        """Start without a release."""
+        """Create a controller without releases."""
         self.now = now
         self._traffic = TrafficTable()
         self.rollouts = Rollouts(now, self._traffic)
@@ -60,7 +66,7 @@
         self.slow_above_ms = self._traffic.slow_above_ms
 
     def take(self, now: float, message: Message) -> list[Action]:
-        """Take one message; return what is to be done."""
+        """Process one message; return the actions to carry out."""
         self.now = max(now, self.now)
         self.rollouts.now = self.now
         match message:
@@ -80,7 +86,7 @@
 
     # ---- which version a request calls
     def version_for(self, function: str, affinity_key: str) -> str:
-        """Count a call; return the name of the version that it gets."""
+        """Count a call; return the name of the version that serves it."""
         self._traffic.add_call(function)
         versions = self.functions.get(function)
         if versions is None:
@@ -95,9 +101,9 @@
         return version_name(function, versions.version)
 
     def version_for_retry(self, name: str) -> str:
-        """Return what a retry calls after an attempt at `name`.
+        """Return the name of the version that a retry calls after an attempt at `name`.
 
-        That is the version before where `name` is a canary or was rolled back, else the same.
+        It is the previous version if `name` is a canary or was rolled back, otherwise `name`.
         """
         function, _, version = name.partition("@")
         if not version:
@@ -134,7 +140,7 @@
             and release.state is not ReleaseState.ROLLED_BACK
         ):
             self.rollouts.roll_back(release, "by whoever released it")
-        elif versions.version == version:  # in service here without having been a canary
+        elif versions.version == version:  # in service, but never a canary at this gateway
             versions.version = 0
             versions.rolled_back[version] = "withdrawn by whoever released it"
             self.rollouts.has_unsaved_changes = True
@@ -163,8 +169,8 @@
                 self.rollouts.roll_back(release, "by hand")
         elif action in (OperatorAction.PAUSE, OperatorAction.RESUME):
             release.paused = action == OperatorAction.PAUSE
-            release.since_at_ms = self.now
-            self.rollouts.report(release, str(action))
+            release.phase_started_at_ms = self.now
+            self.rollouts.record_change(release, str(action))
         elif action == OperatorAction.ROLL_BACK:
             self.rollouts.roll_back(release, "by hand")
         elif action == OperatorAction.COMPLETE:
@@ -205,25 +211,25 @@
         release.hosts[attempt.host] = None
         if attempt.load_failed:
             release.load_failures += 1
-            if release.load_failures >= MOST_LOAD_FAILURES and release.state is ReleaseState.CANARY:
-                self.rollouts.found_bad(release, "it does not load")
+            if release.load_failures >= MAX_LOAD_FAILURES and release.state is ReleaseState.CANARY:
+                self.rollouts.roll_back_automatically(release, "it does not load")
                 return
         elif attempt.outcome == _SUCCEEDED:
             release.load_failures = 0
         release.canary.add(attempt, slow_above_ms)
         requests = release.canary.count("errors").total + release.canary.lost.total
         if requests < EVALUATION_GROWTH * release.evaluated_requests:
-            return  # with many answers not each of them is worth an evaluation
+            return  # with many requests counted, a few more hardly change the verdict
         release.evaluated_requests = requests
-        worse_in = release.verdict()
-        if worse_in:
-            self.rollouts.found_bad(release, f"worse in {worse_in}")
+        worse_measure = release.verdict()
+        if worse_measure:
+            self.rollouts.roll_back_automatically(release, f"worse in {worse_measure}")
         else:
             self.rollouts.advance(release)
 
     # ---- time
     def _tick(self) -> None:
-        if self.now - self._halved_at_ms >= HALVING_MS:
+        if self.now - self._halved_at_ms >= HALVING_INTERVAL_MS:
             self._halved_at_ms = self.now
             self.rollouts.background.halve()
             self._traffic.halve()
@@ -235,24 +241,25 @@
                 self.rollouts.advance(versions.release)
         self.rollouts.start_loads()
 
-    # ---- over a restart, and for the operator
+    # ---- persistence and operator status
     @property
     def has_unsaved_changes(self) -> bool:
-        """Whether a state has changed since `stored` was called."""
+        """Whether any state has changed since the last call of `stored`."""
         return self.rollouts.has_unsaved_changes
 
     def stored(self) -> dict[str, StoredFunction]:
-        """Return all that a restart needs, as plain values."""
+        """Return the state that must survive a restart, as plain values."""
         self.rollouts.has_unsaved_changes = False
         return {
             versions.function: to_stored(versions, self.now) for versions in self.functions.values()
         }
 
     def restore(self, stored: dict[str, StoredFunction]) -> None:
-        """Take what `stored` gave before the restart.
+        """Restore the state that `stored` returned before the restart.
 
         Raises:
-            KeyError, TypeError, ValueError, AttributeError: It is not what `stored` gives.
+            KeyError, TypeError, ValueError, AttributeError: The value does not have the shape that
+                `stored` returns.
         """
         for function, values in stored.items():
             versions = from_stored(function, values, self.now, self.rollouts.background)
@@ -262,5 +269,5 @@
                 self.rollouts.loads.add(release)
 
     def table(self) -> list[ReleaseStatus]:
-        """Return what an operator is shown: a row for each function with a release."""
+        """Return the operator's status table: one row for each function that has a release."""
         return status_rows(self.functions.values(), self._traffic)
--- a/cherrydoor/releases/evidence.py
+++ b/cherrydoor/releases/evidence.py
@@ -1,8 +1,8 @@
-"""Evidence about one version: outcomes observed here, and counts reported by hosts.
+"""Evidence about one version: outcomes observed at this gateway, and counts reported by hosts.
 
-Gateways share nothing; but a function has one home host for all of them, whose answers carry a
-tally of all requests of that version it ran. So each gateway that is answered weighs nearly the
-same evidence and reaches the same verdict.
+Gateways share no state. However, all gateways use the same home host for a function, and each of
+its answers carries a tally of all requests that it ran with that version. Every gateway that
+receives answers therefore evaluates nearly the same evidence and reaches the same verdict.
 """
 
 from typing import Literal
@@ -14,7 +14,8 @@
 Measure = Literal["errors", "slow", "lost"]
 StoredEvidence = dict[Measure, list[int]]
 
-# Read for each request: in Python 3.11 a global is several times as fast as an enum's member.
+# Read for every request. In Python 3.11, reading a global is several times faster than reading an
+# enum member.
 _SUCCEEDED = AttemptOutcome.SUCCEEDED
 _ERROR = AttemptOutcome.ERROR
 _CONNECTION_LOST = AttemptOutcome.CONNECTION_LOST
@@ -23,28 +24,30 @@
 
 
 class HostTallies:
-    """What hosts have reported of one version since its evidence began.
+    """Counts that hosts have reported for one version since collection of its evidence began.
 
-    Invariant: both tables have the same hosts; a host's part is its last report less its base.
+    Hosts report cumulative counts, so the counts from before that time (`_base`) are subtracted
+    from each host's last report (`_last`). Invariant: both tables have the same hosts.
     """
 
     def __init__(self) -> None:
-        """Start without a report."""
+        """Create an empty table."""
         self._base: dict[str, HostTally] = {}
         self._last: dict[str, HostTally] = {}
 
     def add(self, host: str, tally: HostTally, error: bool) -> None:
-        """Take a host's report; one that was overtaken by a later report is ignored.
+        """Add a host's report; a report that arrives after a newer one is ignored.
 
         Args:
             host: The host that reported.
             tally: Its counts since it started.
-            error: Whether the attempt that brought the report was an error; it counts already.
+            error: Whether the attempt that carried the report was an error. The report already
+                includes that attempt.
         """
         previous = self._last.get(host)
         if previous is None:
             self._base[host] = (tally[0] - 1, tally[1] - error, tally[2])
-        elif tally[0] < previous[0] / 2:  # the host was restarted: what it reported before stands
+        elif tally[0] < previous[0] / 2:  # the host restarted: keep the counts it reported before
             base = self._base[host]
             self._base[host] = (
                 base[0] - previous[0],
@@ -56,7 +59,7 @@
         self._last[host] = tally
 
     def totals(self) -> HostTally:
-        """Return runs, errors and slow runs over all hosts."""
+        """Return the total runs, errors and slow runs of all hosts."""
         runs = errors = slow = 0
         for host, last in self._last.items():
             base = self._base[host]
@@ -66,19 +69,20 @@
         return runs, errors, slow
 
     def clear(self) -> None:
-        """Drop all reports."""
+        """Remove all reports."""
         self._base = {}
         self._last = {}
 
 
 class VersionEvidence:
-    """Evidence about one version since a moment.
+    """Evidence about one version, collected since some point in time.
 
-    It holds the counts that hosts reported, those observed at this gateway, and errors by tenant.
+    It holds the counts reported by hosts, the counts observed at this gateway, and the errors of
+    each tenant.
     """
 
     def __init__(self) -> None:
-        """Start without an observation."""
+        """Create empty evidence."""
         self.reported_errors = FailureCount()
         self.reported_slow = FailureCount()
         self.local_errors = FailureCount()
@@ -88,11 +92,11 @@
         self._tallies = HostTallies()
 
     def add(self, attempt: AttemptEnded, slow_above_ms: float) -> None:
-        """Count an attempt and the host's report that came with it.
+        """Count an attempt and the host's report that it carried.
 
         Args:
-            attempt: How it ended.
-            slow_above_ms: Beyond it a success is slow; 0 where that is not known yet.
+            attempt: The attempt and its outcome.
+            slow_above_ms: Latency above which a success is slow; 0 if not known yet.
         """
         if not self.add_local(attempt, slow_above_ms, attempt.tenant) or attempt.tally is None:
             return
@@ -103,7 +107,7 @@
         self.reported_slow = FailureCount(slow, max(0, runs - errors))
 
     def add_local(self, attempt: AttemptEnded, slow_above_ms: float, tenant: str) -> bool:
-        """Count an attempt without its report; return whether it was answered."""
+        """Count an attempt without the host's report; return whether the host answered it."""
         if attempt.outcome not in COUNTED_OUTCOMES:
             return False
         lost = attempt.outcome == _CONNECTION_LOST
@@ -118,9 +122,9 @@
         return True
 
     def count(self, measure: Measure) -> FailureCount:
-        """Return the larger of the reported and the local count.
+        """Return the reported or the local count, whichever has more observations.
 
-        Where hosts report, the local one is a part of theirs.
+        If hosts report, their counts include those observed at this gateway.
         """
         if measure == "lost":
             return self.lost
@@ -133,19 +137,19 @@
         return reported if reported.total >= local.total else local
 
     def halve(self) -> None:
-        """Forget half of the local counts, and those by tenant."""
+        """Halve the local counts and drop the counts of each tenant."""
         self.local_errors.halve()
         self.local_slow.halve()
         self.lost.halve()
         self.errors_by_tenant = {}
 
     def drop_details(self) -> None:
-        """Keep the sums, which are still shown, and drop what they were made of."""
+        """Keep the totals, which are still shown, and drop the counts of each host and tenant."""
         self._tallies.clear()
         self.errors_by_tenant = {}
 
     def stored(self) -> StoredEvidence:
-        """Return the sums as plain values."""
+        """Return the totals as plain values."""
         return {
             "errors": [self.count("errors").failures, self.count("errors").total],
             "slow": [self.count("slow").failures, self.count("slow").total],
@@ -153,7 +157,7 @@
         }
 
     def restore(self, stored: StoredEvidence) -> None:
-        """Take stored sums as local counts; hosts report the rest again."""
+        """Restore stored totals as local counts; hosts report their counts again."""
         self.local_errors = FailureCount(*stored["errors"])
         self.local_slow = FailureCount(*stored["slow"])
         self.lost = FailureCount(*stored["lost"])
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -1,4 +1,4 @@
-"""The I/O around the rollout controller: release feed, state file, operator's socket."""
+"""The I/O around the rollout controller: release feed, state file, control socket."""
 
 import asyncio
 from pathlib import Path
@@ -26,41 +26,42 @@
 
 log = structlog.get_logger()
 
-TICK_S = 0.5  # between two looks of the controller at its timeouts
-# Between requests for the whole feed: an update that was lost on the way is seen then. While half
-# of the gateways call another version, hosts hold both.
-RESYNC_S = 10.0
+TICK_INTERVAL_S = 0.5  # how often the controller checks its timeouts
+# How often the whole feed is requested, which recovers updates that were lost. Until a lost update
+# is recovered, gateways call different versions and hosts must keep both loaded.
+RESYNC_INTERVAL_S = 10.0
 CONNECT_TIMEOUT_S = 5.0
-FIRST_BACKOFF_S = 0.1  # before the feed is connected to again ...
-BACKOFF_FACTOR = 1.5  # ... growing with each failure by this factor ...
-LONGEST_BACKOFF_S = 2.0  # ... up to this
+INITIAL_BACKOFF_S = 0.1  # delay before the first reconnection to the feed
+BACKOFF_FACTOR = 1.5  # growth of the delay with each failed connection
+MAX_BACKOFF_S = 2.0
 
-# What a state file of the wrong shape may raise when it is restored.
-UNUSABLE_STATE = (OSError, ValueError, KeyError, TypeError, AttributeError)
+# Errors that reading or restoring a malformed state file may raise.
+INVALID_STATE_ERRORS = (OSError, ValueError, KeyError, TypeError, AttributeError)
 
 
 class ReleaseService:
-    """One gateway's rollouts on its event loop.
+    """Runs the rollout controller of one gateway on its event loop.
 
-    It owns the connection to the feed, two tasks and the state file.
+    It owns the connection to the feed, two tasks, the state file and the control socket.
 
     Attributes:
-        versions: The controller; the dispatcher asks it which version a request calls.
-        end: The connection to the feed, None while there is none.
-        tasks: What runs until `close`.
+        versions: The controller. The dispatcher asks it which version a request calls.
+        connection: The connection to the feed; None while disconnected.
+        tasks: The background tasks, which run until `close`.
     """
 
     def __init__(self, service: Any, settings: dict[str, Any]) -> None:
-        """Restore the state.
+        """Restore the state from the state file, if there is one.
 
         Args:
-            service: The gateway, for its clock, dispatcher, hello and configuration.
-            settings: `releases` of the configuration: feed, saved, control.
+            service: The gateway, used for its clock, dispatcher, hello and configuration.
+            settings: The `releases` section of the configuration, with the keys `feed` (address),
+                `saved` (path of the state file) and `control` (path of the control socket).
         """
         self.service = service
         self._now_ms = service.clock.now
         self.versions = RolloutController(self._now_ms())
-        self.end: Any = None
+        self.connection: Any = None
         self.tasks: list[asyncio.Task[None]] = []
         self._feed_address: str = settings["feed"]
         self._state_file = StateFile(Path(settings["saved"])) if settings["saved"] else None
@@ -71,7 +72,7 @@
         self._restore()
 
     async def start(self) -> None:
-        """Follow the feed, tick, and listen for the operator."""
+        """Start following the feed, ticking, and listening on the control socket."""
         loop = asyncio.get_running_loop()
         self.tasks = [
             loop.create_task(self._follow_feed()),
@@ -81,18 +82,18 @@
             await self._control.start()
 
     def close(self) -> None:
-        """Stop all of it and save the state."""
+        """Stop the tasks, close the connections and save the state."""
         for task in self.tasks:
             task.cancel()
-        if self.end is not None:
-            self.end.close()
+        if self.connection is not None:
+            self.connection.close()
         if self._control:
             self._control.close()
         self._save()
 
     # ---- decisions
     def post(self, message: Message) -> None:
-        """Give the controller a message and carry out what it decides."""
+        """Pass a message to the controller and carry out the resulting actions."""
         for action in self.versions.take(self._now_ms(), message):
             self._carry_out(action)
 
@@ -118,15 +119,15 @@
         loop = asyncio.get_running_loop()
         requested_at_s = loop.time()
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             self.post(Tick())
-            if self.end is not None and loop.time() - requested_at_s >= RESYNC_S:
+            if self.connection is not None and loop.time() - requested_at_s >= RESYNC_INTERVAL_S:
                 requested_at_s = loop.time()
-                self.end.write(protocol.Watch())
+                self.connection.write(protocol.Watch())
             if self.versions.has_unsaved_changes:
                 self._save()
 
-    # ---- over a restart
+    # ---- persistence
     def _save(self) -> None:
         if self._state_file is None:
             return
@@ -140,15 +141,15 @@
             )
 
     def _restore(self) -> None:
-        """Restore the state; a file that cannot be used is set aside.
+        """Restore the state from the state file; rename the file if it is not valid.
 
-        Then the versions before are called until the feed has been read.
+        Without a valid file, the unversioned functions are called until the feed has been read.
         """
         if self._state_file is None or not self._state_file.exists():
             return
         try:
             self.versions.restore(self._state_file.read())
-        except UNUSABLE_STATE as error:
+        except INVALID_STATE_ERRORS as error:
             self.versions = RolloutController(self._now_ms())
             log.error(
                 "release state cannot be read, file set aside",
@@ -158,12 +159,12 @@
 
     # ---- the feed
     async def _follow_feed(self) -> None:
-        backoff_s = FIRST_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         unreachable_logged = False
         while True:
             try:
                 await self._connect()
-                backoff_s = FIRST_BACKOFF_S
+                backoff_s = INITIAL_BACKOFF_S
                 unreachable_logged = False
                 await self._disconnected
             except (TimeoutError, OSError) as error:
@@ -175,7 +176,7 @@
                     )
                 unreachable_logged = True
             await asyncio.sleep(backoff_s)
-            backoff_s = min(LONGEST_BACKOFF_S, backoff_s * BACKOFF_FACTOR)
+            backoff_s = min(MAX_BACKOFF_S, backoff_s * BACKOFF_FACTOR)
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
@@ -189,47 +190,48 @@
     def _new_connection(self) -> FramedConnection:
         return FramedConnection(self, protocol.FROM_FEED, self.service.hello)
 
-    def hello_received(self, end: Any, hello: Any) -> None:
-        """The connection's peer has said who it is; one that is no feed is sent away."""
-        self.end = end
+    def hello_received(self, connection: Any, hello: Any) -> None:
+        """Handle the peer's hello; close the connection if the peer is not a feed."""
+        self.connection = connection
         if hello.role != "feed":
-            end.close(f"a feed is expected here, not a {hello.role}")
+            connection.close(f"a feed is expected here, not a {hello.role}")
 
-    def message_received(self, end: Any, message: protocol.ReleaseUpdate) -> None:
-        """The feed has sent an update."""
+    def message_received(self, connection: Any, message: protocol.ReleaseUpdate) -> None:
+        """Pass the feed's update to the controller and acknowledge it."""
         for release in message.releases:
             self.post(
                 ReleaseUpdated(release.function, release.version, ReleaseState(release.state))
             )
-        end.write(protocol.UpdateAcknowledged(message.revision))
+        connection.write(protocol.UpdateAcknowledged(message.revision))
 
-    def connection_ended(self, end: Any) -> None:
-        """The connection is closed."""
-        if self.end is end:
-            self.end = None
+    def connection_ended(self, connection: Any) -> None:
+        """Handle the end of the connection, which lets `_follow_feed` reconnect."""
+        if self.connection is connection:
+            self.connection = None
         if not self._disconnected.done():
             self._disconnected.set_result(None)
 
     # ---- the operator
     def execute_command(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out an operator's command; return the answer.
+        """Carry out an operator's command; return the response.
 
         Args:
-            command: `do`: announce, show or an `OperatorAction`; `function`; `version` to announce.
+            command: The command, with the keys `do` (`announce`, `show` or the value of an
+                `OperatorAction`), `function` and, for `announce`, `version`.
 
         Raises:
-            KeyError, TypeError, ValueError: A part of it is missing or has the wrong type.
+            KeyError, TypeError, ValueError: A key is missing or its value has the wrong type.
         """
-        what = command["do"]
-        if what == "announce":
+        verb = command["do"]
+        if verb == "announce":
             self.post(ReleaseUpdated(str(command["function"]), int(command["version"])))
-        elif what in tuple(OperatorAction):
+        elif verb in tuple(OperatorAction):
             versions = self.versions.functions.get(command["function"])
             if versions is None or versions.release is None:
                 return {"error": f"no release of {command['function']} is known here"}
-            self.post(OperatorCommand(command["function"], OperatorAction(what)))
-        elif what != "show":
-            return {"error": f"unknown: {what}"}
+            self.post(OperatorCommand(command["function"], OperatorAction(verb)))
+        elif verb != "show":
+            return {"error": f"unknown command: {verb}"}
         self._save()
         function = command.get("function")
         return {
--- a/cherrydoor/releases/messages.py
+++ b/cherrydoor/releases/messages.py
@@ -1,8 +1,8 @@
 """Messages into the rollout controller, actions out of it, and the states of a release.
 
-Types only. Points in time (`*_at_ms`) are ms since 1970, spans end in `_ms`. The values of the
-enums are stored and cross the wire. The order of fields is part of the interface: callers build
-these messages by position.
+Only types and names are defined here. Points in time (`*_at_ms`) are ms since 1970; durations end
+in `_ms`. The values of the enums are stored in files and sent on the wire. The order of fields is
+part of the interface, because callers build these messages from positional arguments.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class ReleaseState(StrEnum):
-    """Where a release stands. The values are stored, logged and on the wire."""
+    """State of a release. The values are stored, logged and sent on the wire."""
 
     ANNOUNCED = "announced"
     LOADING = "loading"
@@ -26,7 +26,7 @@
 
 
 class OperatorAction(StrEnum):
-    """What an operator may order. The values are those of the control socket."""
+    """Operator command. The values are those of the control socket."""
 
     PAUSE = "hold"
     RESUME = "go on"
@@ -35,7 +35,7 @@
 
 
 def version_name(function: str, version: int) -> str:
-    """Return what hosts and the decision module call a function's version; 0 is the bare function.
+    """Return the name of a function's version for hosts and routing; version 0 has no suffix.
 
     >>> version_name("resize", 0), version_name("resize", 7)
     ('resize', 'resize@7')
@@ -44,7 +44,7 @@
 
 
 def split_version_name(name: str) -> tuple[str, int]:
-    """Return the function and the version of a name; 0 where it names no version.
+    """Return the function and the version of a name; version 0 if the name has no suffix.
 
     >>> split_version_name("resize"), split_version_name("resize@7")
     (('resize', 0), ('resize', 7))
@@ -54,10 +54,11 @@
 
 
 def canary_position(function: str, version: int, affinity_key: str) -> float:
-    """Return the position, 0 to 1, at which a growing traffic share reaches this affinity key.
+    """Return the traffic share, 0 to 1, above which this affinity key gets the canary.
 
-    It is the same at every gateway and step, so the shares nest. By SHA-1, as home hosts are: a
-    checksum would give keys with similar names similar positions.
+    It is the same at every gateway and step, so each share contains the keys of smaller shares.
+    Like the choice of home hosts it uses SHA-1, because a checksum would give keys with similar
+    names similar positions.
 
     >>> 0 <= canary_position("resize", 7, "d1") < 1
     True
@@ -69,7 +70,7 @@
 # ---- messages in
 @dataclass(slots=True)
 class ReleaseUpdated:
-    """From the feed: this version is announced, rolled back or completed by whoever releases it."""
+    """From the feed: the releasing party announces, rolls back or completes this version."""
 
     function: str
     version: int
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class OperatorCommand:
-    """From the operator: what is to be done with the function's release."""
+    """From the operator: a command for the function's release."""
 
     function: str
     action: OperatorAction
@@ -89,15 +90,15 @@
     """An attempt has ended.
 
     Attributes:
-        name: The version's name.
-        host: Where it ran.
-        outcome: How it ended; only successes, errors and lost connections count as evidence.
-        took_ms: How long it took.
+        name: The version's name, as returned by `version_name`.
+        host: The host that ran it.
+        outcome: The outcome; only successes, errors and lost connections count as evidence.
+        took_ms: The duration.
         cold: Whether it started a load or waited for one.
         load_failed: Whether the load itself failed.
-        tally: Counts of this version at the host since the host started, over all gateways; None
-            where not reported.
-        tenant: Whose request it was.
+        tally: Counts of this version at the host since the host started, for all gateways; None
+            if the host did not report them.
+        tenant: The tenant that sent the request.
     """
 
     name: str
@@ -127,7 +128,7 @@
 # ---- actions out
 @dataclass(slots=True)
 class LoadAhead:
-    """Load this version before requests are sent to it."""
+    """Preload this version: load it before requests are routed to it."""
 
     name: str
 
@@ -145,10 +146,11 @@
     """A change of state, for the log and the counters.
 
     Attributes:
-        function: The function released; empty for what concerns all of them.
-        version: Its version.
-        state: A `ReleaseState`'s value, for a canary with its traffic share, or what was done.
-        reason: Why; may be empty.
+        function: The released function; empty if the change concerns all functions.
+        version: The released version.
+        state: The value of the `ReleaseState`, for a canary followed by its traffic share; or
+            "held off" when new rollouts are stopped.
+        reason: The reason; may be empty.
     """
 
     function: str
--- a/cherrydoor/releases/sequential_analysis.py
+++ b/cherrydoor/releases/sequential_analysis.py
@@ -1,21 +1,27 @@
-"""Sequential tests of failure rates: evidence that may be evaluated after every answer.
+"""Sequential tests of failure rates, which may be evaluated after every answer.
 
-The bound is Robbins' method of mixtures with a beta mixture (Robbins 1970; Howard, Ramdas,
-McAuliffe, Sekhon 2021): the chance that the true rate is ever, at any number of answers, outside
-the interval is at most alpha. A fixed-sample test evaluated repeatedly would roll back good
-versions; this one does not.
+The confidence bounds use Robbins' method of mixtures with a beta mixture (Robbins 1970; Howard,
+Ramdas, McAuliffe, Sekhon 2021). The probability that the true rate lies outside the interval at any
+time, however many answers there are, is at most alpha. A fixed-sample test that is evaluated
+repeatedly would exceed its error rate and roll back good versions.
 """
 
 from math import exp, inf, lgamma, log, log1p
 
-UNKNOWN_BASELINE_RATE = 0.5  # failure rate assumed at most of a baseline without observations
-MIXTURE_A = 0.5  # parameters of the beta mixture: the bound is tightest at failure rates near 0
+UNKNOWN_BASELINE_RATE = 0.5  # upper bound of the failure rate of a baseline without observations
+# Parameters a and b of the beta mixture. These make the bounds tightest for failure rates near 0.
+MIXTURE_A = 0.5
 MIXTURE_B = 2.0
-FEWEST_CANARY_OBSERVATIONS = 2  # below it nothing is concluded about a canary
-BISECTION_STEPS = 40  # halvings of [0, 1]: an interval's end is known to 1e-12
-CARRIED_ALPHA = 0.05  # of the baseline's bound that a finished step's evidence is taken against
-LEAST_CARRIED_EVIDENCE = -1.0  # a finished step in favour of the canary lowers the sum by this much
-EVIDENCE_OF_LOWER_RATE = -0.5  # carried from a step whose canary failed no more than the baseline
+MIN_CANARY_OBSERVATIONS = 2  # with fewer, the canary is never considered worse
+BISECTION_STEPS = 40  # each step halves the interval [0, 1], which gives a precision of 1e-12
+# Significance level of the baseline's upper bound, against which a finished step's evidence is
+# computed.
+CARRIED_ALPHA = 0.05
+# Lower limit of the log evidence of a finished step. It limits how much one step in favour of the
+# canary lowers the sum.
+MIN_CARRIED_EVIDENCE = -1.0
+# Log evidence of a finished step whose canary failed no more often than the baseline's upper bound.
+EVIDENCE_OF_LOWER_RATE = -0.5
 
 
 def log_beta(a: float, b: float) -> float:
@@ -24,9 +30,9 @@
 
 
 def log_evidence(failures: int, successes: int, rate: float) -> float:
-    """Return the log likelihood ratio of the mixture over `rate`.
+    """Return the log likelihood ratio of the mixture against `rate`.
 
-    It is large where the observations speak against `rate`.
+    It is large if the observations contradict `rate`.
     """
     if rate <= 0.0:
         if failures:
@@ -45,12 +51,13 @@
 
 
 def confidence_bounds(failures: int, successes: int, alpha: float) -> tuple[float, float]:
-    """Return the (least, greatest) failure rate that is not ruled out.
+    """Return the (lowest, highest) failure rate that is not ruled out.
 
     Args:
-        failures: Observations that failed.
-        successes: Observations that did not.
-        alpha: Chance that the true rate is ever outside the interval, at any number of looks.
+        failures: Number of observations that failed.
+        successes: Number of observations that did not fail.
+        alpha: Probability that the true rate is ever outside the interval, however often the
+            interval is evaluated.
 
     >>> [round(x, 3) for x in confidence_bounds(0, 200, 0.01)]
     [0.0, 0.034]
@@ -84,12 +91,12 @@
 
 
 class FailureCount:
-    """How many of the observations failed. Invariant: 0 <= failures <= total."""
+    """Number of observations and of failures among them. Invariant: 0 <= failures <= total."""
 
     __slots__ = ("failures", "total")
 
     def __init__(self, failures: int = 0, total: int = 0) -> None:
-        """Start from what was counted already."""
+        """Start with the given counts."""
         self.failures = failures
         self.total = total
 
@@ -99,12 +106,12 @@
         self.total += 1
 
     def halve(self) -> None:
-        """Forget half of the observations, so that old ones fade."""
+        """Halve both counts, so that old observations lose weight."""
         self.failures //= 2
         self.total //= 2
 
     def bounds(self, alpha: float) -> tuple[float, float]:
-        """Return the (least, greatest) failure rate that is not ruled out at this alpha."""
+        """Return the (lowest, highest) failure rate that is not ruled out at this alpha."""
         return confidence_bounds(self.failures, self.total - self.failures, alpha)
 
 
@@ -115,34 +122,34 @@
     margin: float,
     carried_evidence: float = 0.0,
 ) -> bool:
-    """Return whether the canary surely fails more often than the baseline, by more than the margin.
+    """Return whether the canary's failure rate is significantly above the baseline's plus margin.
 
-    Each side errs with at most alpha/2, so a canary that is no worse is held to be worse with at
-    most alpha, at any number of looks.
+    Each of the two bounds is wrong with probability at most alpha/2, so a canary that is no worse
+    is considered worse with probability at most alpha, however often the test is evaluated.
 
     Args:
         canary: Observations of the new version.
-        baseline: Observations of the version before.
-        alpha: Chance of a false alarm that is allowed.
-        margin: Difference of the rates that is tolerated.
-        carried_evidence: Log evidence of earlier steps. It multiplies, as it was gathered from
-            other requests.
+        baseline: Observations of the previous version.
+        alpha: Allowed probability of a false alarm.
+        margin: Tolerated difference of the rates.
+        carried_evidence: Log evidence of earlier steps. It comes from other requests and is
+            therefore independent, so that the likelihood ratios are multiplied.
     """
-    if canary.total < FEWEST_CANARY_OBSERVATIONS or not canary.failures:
+    if canary.total < MIN_CANARY_OBSERVATIONS or not canary.failures:
         return False
-    canary_least, _ = canary.bounds(min(0.5, alpha / 2 * exp(carried_evidence)))
-    if canary_least <= margin:
+    canary_lower, _ = canary.bounds(min(0.5, alpha / 2 * exp(carried_evidence)))
+    if canary_lower <= margin:
         return False
-    baseline_greatest = UNKNOWN_BASELINE_RATE
+    baseline_upper = UNKNOWN_BASELINE_RATE
     if baseline.total:
-        _, baseline_greatest = baseline.bounds(alpha / 2)
-    return canary_least > baseline_greatest + margin
+        _, baseline_upper = baseline.bounds(alpha / 2)
+    return canary_lower > baseline_upper + margin
 
 
 def evidence_to_carry(canary: FailureCount, baseline: FailureCount, margin: float) -> float:
-    """Return the log evidence of a finished step.
+    """Return the log evidence of a finished step that the canary's failure rate is too high.
 
-    It speaks against the canary's rate being within the margin of the baseline's.
+    Too high means above the upper bound of the baseline's rate plus the margin.
     """
     if not canary.total or not baseline.total:
         return 0.0
@@ -150,13 +157,13 @@
     if canary.failures <= rate * canary.total:
         return EVIDENCE_OF_LOWER_RATE
     return max(
-        LEAST_CARRIED_EVIDENCE,
+        MIN_CARRIED_EVIDENCE,
         log_evidence(canary.failures, canary.total - canary.failures, rate),
     )
 
 
 def is_no_worse(canary: FailureCount, baseline: FailureCount, alpha: float, margin: float) -> bool:
-    """Return whether the canary's rate is surely below the baseline's least plus the margin."""
-    _, canary_greatest = canary.bounds(alpha / 2)
-    baseline_least, _ = baseline.bounds(alpha / 2)
-    return canary_greatest < baseline_least + margin
+    """Return whether the canary's upper bound is below the baseline's lower bound plus margin."""
+    _, canary_upper = canary.bounds(alpha / 2)
+    baseline_lower, _ = baseline.bounds(alpha / 2)
+    return canary_upper < baseline_lower + margin
--- a/cherrydoor/releases/state_file.py
+++ b/cherrydoor/releases/state_file.py
@@ -1,4 +1,4 @@
-"""The file that keeps the rollouts' state over a restart: a checksum line, then JSON."""
+"""The file that keeps the state of rollouts across restarts: a checksum line, then JSON."""
 
 import contextlib
 import hashlib
@@ -13,59 +13,59 @@
 
 
 class StateFileError(ValueError):
-    """A file's content cannot be used; the message says what was found."""
+    """The content of a state file is not valid; the message says what is wrong."""
 
 
 def seal(state: StoredState) -> bytes:
-    """Return the file's bytes: a line with the SHA-256 of the rest, and the rest."""
+    """Return the content of the file: a line with the SHA-256 of the JSON, then the JSON."""
     body = msgspec.json.encode(state, order="sorted")
     return hashlib.sha256(body).hexdigest().encode() + b"\n" + body
 
 
 def unseal(data: bytes) -> Any:
-    """Return what `seal` was given; its shape is not checked.
+    """Return the state that was passed to `seal`, without checking its shape.
 
     Raises:
-        StateFileError: The checksum does not match, so the file was cut short or altered.
+        StateFileError: The checksum does not match, so the file was truncated or altered.
     """
     checksum, _, body = data.partition(b"\n")
     if hashlib.sha256(body).hexdigest().encode() != checksum:
-        raise StateFileError("the SHA-256 in its first line is not that of the rest")
+        raise StateFileError("the SHA-256 in the first line does not match the rest of the file")
     return msgspec.json.decode(body)
 
 
 class StateFile:
-    """One gateway's file. It is replaced whole, so a reader sees an old state or a new one."""
+    """One gateway's state file. It is replaced atomically, so readers never see a partial state."""
 
     def __init__(self, path: Path) -> None:
-        """Name the file; nothing is opened."""
+        """Set the path; the file is not opened."""
         self.path = path
 
     def exists(self) -> bool:
-        """Return whether a state was written before."""
+        """Return whether the file exists."""
         return self.path.exists()
 
     def read(self) -> Any:
-        """Return the state that was written last.
+        """Return the state that was last written.
 
         Raises:
             OSError: The file cannot be read.
-            StateFileError: Its checksum does not match.
+            StateFileError: The checksum does not match.
         """
         return unseal(self.path.read_bytes())
 
     def write(self, state: StoredState) -> None:
-        """Replace the file.
+        """Replace the file with one that holds this state.
 
         Raises:
-            OSError: It cannot be written.
+            OSError: The file cannot be written.
         """
-        new = self.path.with_name(self.path.name + ".new")
-        new.write_bytes(seal(state))
-        new.replace(self.path)
+        new_path = self.path.with_name(self.path.name + ".new")
+        new_path.write_bytes(seal(state))
+        new_path.replace(self.path)
 
     def set_aside(self) -> Path:
-        """Rename the file for later inspection; return its new path, also where that failed."""
+        """Rename the file for later inspection; return the new path, even if renaming failed."""
         aside = self.path.with_name(self.path.name + ".broken")
         with contextlib.suppress(OSError):
             self.path.replace(aside)
--- a/cherrydoor/releases/status.py
+++ b/cherrydoor/releases/status.py
@@ -1,4 +1,4 @@
-"""What an operator is shown of the rollouts."""
+"""The status of rollouts as shown to operators."""
 
 from collections.abc import Iterable
 from typing import TypedDict
@@ -9,9 +9,10 @@
 
 
 class ReleaseStatus(TypedDict):
-    """A row of the control socket's answer.
+    """One release in the response of the control socket.
 
-    Counts are canary failures and total, baseline failures and total.
+    `errors`, `slow` and `lost` each hold four counts: canary failures and total, then baseline
+    failures and total. `before` is the previous version.
     """
 
     function: str
@@ -36,7 +37,7 @@
 def status_rows(
     functions: Iterable[FunctionVersions], traffic: TrafficTable
 ) -> list[ReleaseStatus]:
-    """Return a row for each function with a release, the most called first."""
+    """Return a row for each function that has a release, sorted by calls, highest first."""
     rows: list[ReleaseStatus] = []
     for versions in functions:
         release = versions.release
--- a/cherrydoor/releases/stored_state.py
+++ b/cherrydoor/releases/stored_state.py
@@ -1,4 +1,4 @@
-"""What of the rollouts outlives a restart, as plain values; `state_file.py` writes them."""
+"""The state of rollouts that survives a restart, as plain values for `state_file.py`."""
 
 from typing import NotRequired, TypedDict
 
@@ -8,7 +8,7 @@
 
 
 class StoredRelease(TypedDict):
-    """A release; `spent` are the ms that its step has lasted."""
+    """A release. `spent` is the time in ms since its current phase (state or step) began."""
 
     version: int
     step: int
@@ -24,7 +24,7 @@
 
 
 class StoredFunction(TypedDict):
-    """A function's versions; `ended` are those rolled back, with the reason."""
+    """A function's versions. `ended` holds the rolled-back versions with their reasons."""
 
     version: int
     newest: int
@@ -35,7 +35,7 @@
 def to_stored(versions: FunctionVersions, now: float) -> StoredFunction:
     """Return a function's versions as plain values.
 
-    What is loading is announced again after a restart.
+    A release that is loading is stored as announced, so that it is loaded again after a restart.
     """
     stored: StoredFunction = {
         "version": versions.version,
@@ -53,7 +53,7 @@
         "version": release.version,
         "step": release.step,
         "state": state.value,
-        "spent": now - release.since_at_ms,
+        "spent": now - release.phase_started_at_ms,
         "carried": release.carried_evidence,
         "splits": release.splits_traffic,
         "held": release.paused,
@@ -68,18 +68,18 @@
 def from_stored(
     function: str, stored: StoredFunction, now: float, background: VersionEvidence
 ) -> FunctionVersions:
-    """Return the versions that were stored.
+    """Return a function's versions restored from stored values.
 
-    A step is not shortened by the time that the gateway was down.
+    The time that the gateway was down does not count towards the duration of a step.
 
     Args:
-        function: Its name.
-        stored: What `to_stored` gave.
-        now: The time, ms since 1970.
-        background: The baseline of releases that split no traffic.
+        function: The function's name.
+        stored: The values that `to_stored` returned.
+        now: The current time, ms since 1970.
+        background: The baseline of releases that do not split traffic.
 
     Raises:
-        KeyError, TypeError, ValueError: It is not what `to_stored` gives.
+        KeyError, TypeError, ValueError: The values do not have the shape that `to_stored` returns.
     """
     versions = FunctionVersions(
         function,
@@ -88,21 +88,21 @@
         stored["newest"],
         {int(version): reason for version, reason in stored["ended"].items()},
     )
-    found = stored.get("release")
-    if found is None:
+    stored_release = stored.get("release")
+    if stored_release is None:
         return versions
-    release = versions.release = Release(versions, found["version"], now)
-    release.state = ReleaseState(found["state"])
-    release.step = found["step"]
-    release.paused = found["held"]
-    release.reason = found["why"]
-    release.fallback_version = found["fallback"]
-    release.since_at_ms = now - found["spent"]
-    release.carried_evidence = found["carried"]
-    release.splits_traffic = found["splits"]
-    release.canary.restore(found["new"])
+    release = versions.release = Release(versions, stored_release["version"], now)
+    release.state = ReleaseState(stored_release["state"])
+    release.step = stored_release["step"]
+    release.paused = stored_release["held"]
+    release.reason = stored_release["why"]
+    release.fallback_version = stored_release["fallback"]
+    release.phase_started_at_ms = now - stored_release["spent"]
+    release.carried_evidence = stored_release["carried"]
+    release.splits_traffic = stored_release["splits"]
+    release.canary.restore(stored_release["new"])
     if release.splits_traffic:
-        release.baseline.restore(found["old"])
+        release.baseline.restore(stored_release["old"])
     else:
         release.baseline = background
     return versions
--- a/cherrydoor/releases/traffic.py
+++ b/cherrydoor/releases/traffic.py
@@ -1,39 +1,39 @@
-"""How often functions are called at this gateway, and how long their requests usually take."""
+"""Call rates and typical latencies of functions at this gateway."""
 
 from cherrydoor.releases.quantile import QuantileEstimate
 
-HALVING_MS = 60000.0  # call counts halve in this time
-FORGOTTEN_CALLS = 0.5  # a function with a lower count counts as uncalled and is forgotten
-SLOW_FACTOR = 1.3  # a request is slow if it takes so many times what the quantile is
-QUANTILE_REQUESTS = 10  # with fewer observations nothing is called slow
+HALVING_INTERVAL_MS = 60000.0  # interval at which call counts are halved
+MIN_CALLS = 0.5  # functions with a lower count are treated as not called, and dropped
+SLOW_FACTOR = 1.3  # a request is slow if it takes longer than this multiple of the quantile
+MIN_LATENCY_OBSERVATIONS = 10  # with fewer, no request counts as slow
 
 
 class TrafficTable:
-    """Call counts, and latencies of the versions in service, by function.
+    """Call counts by function, and latencies of the versions that are not canaries.
 
-    Invariant: a function that is not called leaves both tables within a few halvings, so they are
-    bounded by the functions that are in use.
+    Invariant: a function that is no longer called is dropped from both tables after a few halvings,
+    so the size of the tables is bounded by the number of functions in use.
     """
 
     def __init__(self) -> None:
-        """Start without a function."""
+        """Create empty tables."""
         self._calls: dict[str, float] = {}
         self._latencies: dict[str, QuantileEstimate] = {}
 
     def add_call(self, function: str) -> None:
-        """Count a call of the function."""
+        """Count one call of the function."""
         self._calls[function] = self._calls.get(function, 0.0) + 1.0
 
     def calls(self, function: str) -> float:
-        """Return the calls counted, roughly those of the last minute or two."""
+        """Return the call count, which covers roughly the last one or two minutes."""
         return self._calls.get(function, 0.0)
 
     def is_called(self, function: str) -> bool:
-        """Return whether the function is called here at all."""
-        return self._calls.get(function, 0.0) >= FORGOTTEN_CALLS
+        """Return whether the function is called at this gateway."""
+        return self._calls.get(function, 0.0) >= MIN_CALLS
 
     def add_latency(self, function: str, took_ms: float) -> None:
-        """Follow the latency of a warm success; without a call counted it is ignored."""
+        """Add the latency of a warm success; ignored if no call of the function is counted."""
         if not self._calls.get(function):
             return
         latency = self._latencies.get(function)
@@ -42,18 +42,16 @@
         latency.add(took_ms)
 
     def slow_above_ms(self, function: str) -> float:
-        """Return the ms beyond which a request is slow; 0 where too little is known."""
+        """Return the latency in ms above which a request is slow; 0 with too few observations."""
         latency = self._latencies.get(function)
-        if latency is None or latency.count < QUANTILE_REQUESTS:
+        if latency is None or latency.count < MIN_LATENCY_OBSERVATIONS:
             return 0.0
         return SLOW_FACTOR * latency.value
 
     def halve(self) -> None:
-        """Halve the counts and forget what is no longer called."""
+        """Halve the counts and drop functions that are no longer called."""
         self._calls = {
-            function: calls / 2
-            for function, calls in self._calls.items()
-            if calls >= FORGOTTEN_CALLS
+            function: calls / 2 for function, calls in self._calls.items() if calls >= MIN_CALLS
         }
         self._latencies = {
             function: latency
--- a/tests/releases/gateway_with_releases.py
+++ b/tests/releases/gateway_with_releases.py
@@ -1,4 +1,4 @@
-"""One gateway's rollout controller, with time moved by hand."""
+"""A rollout controller with a clock that the test advances."""
 
 from cherrydoor.releases.controller import RolloutController
 from cherrydoor.releases.messages import (
@@ -21,7 +21,7 @@
 
 
 class GatewayWithReleases:
-    """Passes messages to the controller and collects its actions."""
+    """Passes messages to a rollout controller and collects its actions."""
 
     def __init__(self):
         self.now = START_MS
@@ -69,7 +69,7 @@
         return self.take(LoadEnded(name, outcome, took_ms))
 
     def start_canary(self, function=FUNCTION, version=1, calls=40):
-        """Release a function that has been called; return the release's state."""
+        """Call the function, announce the version and load it; return the release's state."""
         for i in range(calls):
             self.end(self.call(function, f"w{i}"), took_ms=40.0 + i % 20)
         self.announce(function, version)
--- a/tests/releases/test_evidence.py
+++ b/tests/releases/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence: bounds that hold at every look, reported counts, error rates over seeded releases."""
+"""Evidence: confidence bounds, counts reported by hosts, error rates over seeded releases."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 from cherrydoor.routing.messages import AttemptOutcome
 
 
-def test_restarted_host_counts_from_nothing_and_an_overtaken_report_is_ignored():
+def test_counts_of_a_restarted_host_are_added_and_an_outdated_report_is_ignored():
     evidence = VersionEvidence()
     for tally in ((10, 1, 0), (12, 2, 0), (11, 1, 0), (1, 0, 0), (3, 1, 0)):
         evidence.add(
@@ -35,7 +35,7 @@
     assert completed <= 1
 
 
-def test_all_gateways_reach_the_same_end_and_sooner_by_what_hosts_report():
+def test_all_gateways_reach_the_same_verdict_and_earlier_if_hosts_report_counts():
     shared = Fleet(3, gateways=20, requests_per_second=10.0, canary_failure_rate=0.1).run()
     assert set(shared.states) == {ReleaseState.ROLLED_BACK}
     assert shared.took_s < 300
--- a/tests/releases/test_release_service.py
+++ b/tests/releases/test_release_service.py
@@ -1,4 +1,4 @@
-"""Releases through a real gateway: the feed, hosts that report counts, the operator, restarts."""
+"""Releases in a complete gateway: feed, hosts that report counts, operator commands, restarts."""
 
 import asyncio
 import json
@@ -13,15 +13,15 @@
 from cherrydoor.releases.messages import ReleaseState
 from cherrydoor.releases.state_file import seal, unseal
 
-# The name decides the home host. With "resize" a retry of the failing version is "deferred"
-# (seen in three runs of three); the cause is not found yet.
+# The name decides which host is the home host. With "resize", a retry after an attempt at the
+# failing version ends as "deferred" (in three of three runs). The cause is unknown.
 FUNCTION = "deed"
 VERSION = 3
 CANARY = "deed@3"
 
 
 class VersionedHost(Host):
-    """Answers at once, failing versions with errors; reports counts of each version as hosts do."""
+    """Answers at once, with errors for failing versions, and reports counts of each version."""
 
     def __init__(self, failing=()):
         super().__init__("handled")
@@ -57,7 +57,7 @@
 
 
 async def start_with_feed(stack, folder, *hosts):
-    """Start a gateway that follows a feed; return the feed and a client."""
+    """Start a gateway that is connected to a feed; return the feed and a client."""
     feed = await Feed(Record(None, "feed", "feed"), (0.0, 1.0)).start()
     stack.opened.append(feed)
     feed.ends = ()
@@ -71,7 +71,7 @@
 
 
 async def send_requests(client, count, function=FUNCTION):
-    """Send so many requests, each with an affinity key of its own; return the answers."""
+    """Send `count` requests, each with a different affinity key; return the answers."""
     numbers = []
     for i in range(count):
         client.ids += 1
@@ -93,7 +93,7 @@
 
 
 async def command(folder, **what):
-    """Send an operator's command; return the answer."""
+    """Send an operator's command over the control socket; return the response."""
     reader, writer = await asyncio.open_unix_connection(str(folder / "g.sock"))
     writer.write(json.dumps(what).encode() + b"\n")
     answer = json.loads(await asyncio.wait_for(reader.readline(), 20))
@@ -102,7 +102,7 @@
 
 
 async def start_canary(stack, feed):
-    """Release the version; return the function's versions once it is a canary."""
+    """Announce the version; return the function's versions once the release is a canary."""
     functions = stack.service.releases.versions.functions
     feed.release([FUNCTION], VERSION)
     await stack.settled(
@@ -112,7 +112,7 @@
 
 
 @with_folder
-async def test_good_version_is_loaded_ahead_tried_and_completed(stack, tmp):
+async def test_good_version_is_preloaded_becomes_a_canary_and_completes(stack, tmp):
     hosts = VersionedHost(), VersionedHost()
     feed, client = await start_with_feed(stack, tmp, *hosts)
     await send_requests(client, 40)
@@ -132,7 +132,7 @@
 
 
 @with_folder
-async def test_failing_version_costs_its_requests_a_retry_and_is_rolled_back(stack, tmp):
+async def test_requests_of_a_failing_version_are_retried_and_the_version_is_rolled_back(stack, tmp):
     hosts = VersionedHost({CANARY}), VersionedHost({CANARY})
     feed, client = await start_with_feed(stack, tmp, *hosts)
     await send_requests(client, 40)
@@ -141,7 +141,7 @@
     while versions.release.state == ReleaseState.CANARY and len(outcomes) < 2000:
         outcomes += [answer.outcome for answer in await send_requests(client, 40)]
     assert versions.release.state == ReleaseState.ROLLED_BACK
-    assert set(outcomes) == {"handled"}, "a retry goes to the version before"
+    assert set(outcomes) == {"handled"}, "a retry calls the previous version"
     retries = [attempt for attempt in attempts(*hosts) if attempt.attempt]
     assert retries
     assert {retry.function for retry in retries} == {FUNCTION}
@@ -151,7 +151,7 @@
 
 
 @with_folder
-async def test_operator_pauses_and_rolls_back_and_a_restart_keeps_it(stack, tmp):
+async def test_operator_pauses_and_rolls_back_and_the_rollback_survives_a_restart(stack, tmp):
     feed, client = await start_with_feed(stack, tmp, VersionedHost())
     await send_requests(client, 20)
     assert "error" in await command(tmp, do="hold", function=FUNCTION)
@@ -170,7 +170,7 @@
 
 
 @with_folder
-async def test_corrupt_state_file_is_set_aside_and_the_version_before_is_called(stack, tmp):
+async def test_corrupt_state_file_is_set_aside_and_the_previous_version_is_called(stack, tmp):
     whole = seal({FUNCTION: {"version": VERSION, "newest": VERSION, "ended": {}}})
     (tmp / "g.releases").write_bytes(whole[:-4] + b"9}}}")
     host = VersionedHost()
@@ -181,7 +181,7 @@
 
 
 @with_folder
-async def test_client_that_names_a_version_itself_is_rejected(stack, tmp):
+async def test_request_that_names_a_version_is_rejected(stack, tmp):
     host = VersionedHost()
     _, client = await start_with_feed(stack, tmp, host)
     for version in ("3", "\u00b2", ""):
@@ -192,7 +192,7 @@
 
 
 @story
-async def test_without_a_feed_no_function_is_renamed(stack):
+async def test_without_a_feed_no_version_is_added_to_function_names(stack):
     host = VersionedHost()
     client = await stack.start(host)
     await send_requests(client, 5)
--- a/tests/releases/test_rollout_invariants.py
+++ b/tests/releases/test_rollout_invariants.py
@@ -1,10 +1,10 @@
-"""What holds of the rollout controller after any order of messages."""
+"""Invariants of the rollout controller after any sequence of messages."""
 
 from gateway_with_releases import START_MS, GatewayWithReleases
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cherrydoor.releases.load_pacing import MOST_LOADS
+from cherrydoor.releases.load_pacing import MAX_CONCURRENT_LOADS
 from cherrydoor.releases.messages import (
     OperatorAction,
     OperatorCommand,
@@ -33,7 +33,7 @@
 )
 
 
-def play(gateway, step):
+def apply_step(gateway, step):
     match step:
         case ("update", function, version, state):
             gateway.announce(function, version, state)
@@ -52,7 +52,7 @@
 def test_requests_call_the_version_in_service_or_its_canary_and_never_one_rolled_back(steps):
     gateway = GatewayWithReleases()
     for step in steps:
-        play(gateway, step)
+        apply_step(gateway, step)
         for function, versions in gateway.functions.items():
             called = {gateway.call(function, f"d{i}") for i in range(8)}
             allowed = {version_name(function, versions.version)}
@@ -60,7 +60,7 @@
                 allowed.add(versions.release.name)
             assert called <= allowed
             assert versions.version not in versions.rolled_back
-        assert len(gateway.load_queue.under_way) <= MOST_LOADS
+        assert len(gateway.load_queue.in_flight) <= MAX_CONCURRENT_LOADS
         assert gateway.now >= START_MS
     restarted = GatewayWithReleases()
     restarted.controller.restore(gateway.controller.stored())
--- a/tests/releases/test_rollouts.py
+++ b/tests/releases/test_rollouts.py
@@ -1,11 +1,11 @@
-"""Rollouts decided: one test for each way that a release can go."""
+"""Decisions about rollouts: one test for each course that a release can take."""
 
 import pytest
 from gateway_with_releases import CANARY, FUNCTION, GatewayWithReleases
 
 from cherrydoor.releases.messages import OperatorAction, OperatorCommand, ReleaseState
 from cherrydoor.releases.release import STEP_TIMEOUT_MS, TRAFFIC_SHARES, UNCALLED_TIMEOUT_MS
-from cherrydoor.releases.rollouts import MOST_LOAD_FAILURES
+from cherrydoor.releases.rollouts import MAX_LOAD_FAILURES
 from cherrydoor.routing.messages import AttemptOutcome
 
 ERROR = AttemptOutcome.ERROR
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "fault", [{"outcome": ERROR}, {"outcome": LOST}, {"took_ms": 900.0}], ids=str
 )
-def test_fault_that_strikes_both_versions_is_not_blamed_on_the_canary(gateway, fault):
+def test_fault_that_affects_both_versions_is_not_attributed_to_the_canary(gateway, fault):
     gateway.start_canary()
     for i in range(600):
         gateway.now += 100
@@ -75,7 +75,7 @@
     assert gateway.state() in (ReleaseState.CANARY, ReleaseState.COMPLETE)
 
 
-def test_fault_that_begins_at_a_late_step_is_not_compared_with_the_calm_first_step(gateway):
+def test_fault_that_begins_at_a_late_step_is_not_compared_with_the_fault_free_first_step(gateway):
     gateway.start_canary()
     i = 0
     while gateway.state() == ReleaseState.CANARY and i < 4000:
@@ -103,7 +103,7 @@
     assert gateway.changes[-1].reason == "worse in slow"
 
 
-def test_version_that_fails_for_one_tenant_alone_is_rolled_back(gateway):
+def test_version_that_fails_for_only_one_tenant_is_rolled_back(gateway):
     gateway.start_canary()
     for i in range(4000):
         gateway.now += 20
@@ -130,7 +130,7 @@
 def test_version_that_does_not_load_is_rolled_back(gateway):
     gateway.end(gateway.call())
     gateway.announce()
-    for _ in range(MOST_LOAD_FAILURES):
+    for _ in range(MAX_LOAD_FAILURES):
         gateway.end_load(CANARY, ERROR)
     assert gateway.state() == ReleaseState.ROLLED_BACK
     assert gateway.changes[-1].reason == "it does not load"
@@ -145,7 +145,7 @@
     assert gateway.state() == ReleaseState.CANARY
 
 
-def test_newer_version_supersedes_the_canary_and_falls_back_to_what_is_in_service(gateway):
+def test_newer_version_supersedes_the_canary_and_falls_back_to_the_version_in_service(gateway):
     gateway.start_canary(version=3)
     count = len(gateway.changes)
     gateway.announce(version=4)
@@ -158,7 +158,7 @@
     assert (gateway.release().version, gateway.release().fallback_version) == (4, 0)
 
 
-def test_version_rolled_back_by_the_feed_does_not_return_by_a_late_update(gateway):
+def test_version_rolled_back_by_the_feed_is_not_restored_by_a_late_update(gateway):
     gateway.start_canary(version=3)
     gateway.announce(version=4)
     gateway.announce(version=4, state=ReleaseState.ROLLED_BACK)
@@ -170,7 +170,7 @@
     assert gateway.call() == "resize@5"
 
 
-def test_uncalled_function_completes_by_time(gateway):
+def test_release_of_a_function_that_is_not_called_completes_after_a_timeout(gateway):
     gateway.announce("rare", 1)
     assert gateway.loads == []
     assert gateway.call("seldom") == "seldom"
@@ -178,7 +178,7 @@
     gateway.announce("seldom", 1)
     gateway.wait(1000)
     assert gateway.loads == ["seldom@1"]
-    assert gateway.call("seldom") == "seldom", "the version before serves while it loads"
+    assert gateway.call("seldom") == "seldom", "the previous version serves while the new one loads"
     gateway.wait(2 * UNCALLED_TIMEOUT_MS + 2000)
     assert gateway.state("rare") == ReleaseState.COMPLETE
     assert "seldom called" in gateway.changes[-1].reason
@@ -199,7 +199,7 @@
     assert gateway.call() == FUNCTION
 
 
-def test_restored_controller_goes_on_where_the_stored_one_was(gateway):
+def test_restored_controller_continues_where_the_stored_one_stopped(gateway):
     gateway.start_canary()
     for i in range(150):
         gateway.now += 100
