--- a/cherrydoor/cli/keys.py
+++ b/cherrydoor/cli/keys.py
@@ -43,7 +43,7 @@
 )
 def authority(folder, days, more):
     """Make an authority in FOLDER."""
-    in_folder(lambda: folder_of(folder).authority(days, more))
+    in_folder(lambda: folder_of(folder).create_authority(days, more))
 
 
 @keys.command()
--- a/cherrydoor/rehearsal/conduct.py
+++ b/cherrydoor/rehearsal/conduct.py
@@ -186,7 +186,7 @@
         if not self.day["doors"]["tls"]:
             return
         self.keys = LocalAuthority(self.folder / "keys")
-        self.keys.authority()
+        self.keys.create_authority()
         for number in range(self.day["gateways"]["count"]):
             self.keys.issue("gateway", f"g{number}", addresses=["127.0.0.1"])
         for office in self.day["offices"]:
--- a/cherrydoor/tls/certificate_builder.py
+++ b/cherrydoor/tls/certificate_builder.py
@@ -1,4 +1,4 @@
-"""Builds and signs the certificates and revocation lists of a local authority. No files."""
+"""Builds and signs certificates and revocation lists of a local authority, without file access."""
 
 from collections.abc import Iterable, Mapping
 from datetime import datetime, timedelta
@@ -11,15 +11,16 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-# A certificate is valid from this long ago. Guards against peers whose clocks are behind.
+# Validity starts this long before the time of issue, so that peers whose clocks are behind accept
+# new certificates.
 BACKDATING = timedelta(minutes=5)
-# A list is replaced when a certificate is revoked, not when it expires; RFC 5280, 5.1.2.5 requires
-# a next update all the same.
+# A revocation list is replaced when a certificate is revoked, not when the list expires. RFC 5280,
+# section 5.1.2.5 nevertheless requires a time of the next update.
 REVOCATION_LIST_VALIDITY = timedelta(days=3650)
 
 
 class CertificateKind(StrEnum):
-    """Whom a certificate is for, by the values of the command line."""
+    """Role of a certificate's subject. The values are those of the command line."""
 
     GATEWAY = "gateway"
     HOST = "host"
@@ -43,13 +44,15 @@
 def build_authority(
     name: str, key: ec.EllipticCurvePrivateKey, now: datetime, days: float
 ) -> x509.Certificate:
-    """A self-signed certificate of an authority that signs certificates and revocation lists.
+    """Builds the self-signed certificate of an authority.
+
+    The authority may sign certificates and revocation lists.
 
     Args:
-        name: Its common name.
-        key: Its private key.
-        now: Start of its validity, but for the backdating.
-        days: Length of its validity.
+        name: Common name of the authority.
+        key: Private key of the authority.
+        now: Current time. The validity starts `BACKDATING` earlier.
+        days: Days from `now` until the certificate expires.
     """
     subject = _subject(name)
     key_usage = x509.KeyUsage(
@@ -81,16 +84,16 @@
     days: float,
     addresses: Iterable[str],
 ) -> x509.Certificate:
-    """A certificate of a gateway, host or client.
+    """Builds a certificate of a gateway, host or client.
 
     Args:
-        kind: Decides what the certificate may be used for.
-        name: Its common name.
-        public_key: The key that it certifies.
-        signer: The authority.
-        now: Start of its validity, but for the backdating.
-        days: Length of its validity.
-        addresses: IP addresses and DNS names that it is valid for.
+        kind: Role of the subject; determines the extended key usage.
+        name: Common name of the subject.
+        public_key: Public key of the subject.
+        signer: The authority that signs the certificate.
+        now: Current time. The validity starts `BACKDATING` earlier.
+        days: Days from `now` until the certificate expires.
+        addresses: IP addresses and DNS names that the certificate is valid for.
     """
     builder = (
         _builder(_subject(name), signer.certificate.subject, public_key, now, days)
@@ -115,13 +118,13 @@
     revoked: Mapping[int, datetime],
     now: datetime,
 ) -> x509.CertificateRevocationList:
-    """A revocation list of an authority.
+    """Builds a revocation list of an authority.
 
     Args:
-        signer: The authority.
-        number: Number of the list; must be larger than that of the list before.
-        revoked: Serial numbers and when each was revoked.
-        now: Time of the list, but for the backdating.
+        signer: The authority that signs the list.
+        number: Number of the list; must be larger than that of the previous list.
+        revoked: Serial number of each revoked certificate and the time of its revocation.
+        now: Current time. The list is dated `BACKDATING` earlier.
     """
     builder = (
         x509.CertificateRevocationListBuilder()
--- a/cherrydoor/tls/credential_files.py
+++ b/cherrydoor/tls/credential_files.py
@@ -1,7 +1,8 @@
 """Reads the files of certificates, authorities, revocation lists and token keys.
 
 Formats: certificates, private keys and revocation lists in PEM (RFC 7468, RFC 5280), token keys as
-a JSON Web Key Set (RFC 7517) of type Ed25519 (RFC 8037). No error contains anything of a file.
+a JSON Web Key Set (RFC 7517) of type Ed25519 (RFC 8037). No error message contains any content of
+a file.
 """
 
 import hashlib
@@ -26,19 +27,19 @@
     serial_hex,
 )
 
-# Bytes. Guards against a wrong path that would fill the memory; harms a bundle larger than that.
-FILE_SIZE_LIMIT = 1 << 20
+# Prevents a wrong path from filling the memory. Larger bundles cannot be used.
+MAX_FILE_BYTES = 1 << 20
 CRL_END = b"-----END X509 CRL-----"
 
 FilePath = str | PathLike[str]
 
 
 class PairFile(NamedTuple):
-    """A certificate chain and its private key, as read.
+    """A certificate chain and its private key, as read from their files.
 
     Attributes:
-        content_hash: Changes with the content of either file.
-        content: Facts of the first certificate.
+        content_hash: Hash of the content of both files.
+        content: Fields of the first certificate.
         chain: The certificates in PEM.
         private_key: The private key in PEM. Never logged.
     """
@@ -50,7 +51,7 @@
 
 
 class AuthoritiesFile(NamedTuple):
-    """Trusted authorities, as read, with their certificates in the same order."""
+    """Trusted authorities, as read from their file, and their certificates in the same order."""
 
     content_hash: str
     content: tuple[Authority, ...]
@@ -58,14 +59,17 @@
 
 
 class RevocationsFile(NamedTuple):
-    """Revocation lists, as read. The hash covers the authorities that they were verified by."""
+    """Revocation lists, as read from their file.
+
+    The hash includes the authorities that the lists were verified with.
+    """
 
     content_hash: str
     content: tuple[RevocationList, ...]
 
 
 class TokenKeysFile(NamedTuple):
-    """Token keys, as read, with the public key of each id."""
+    """Token keys, as read from their file, and the public key for each key id."""
 
     content_hash: str
     content: tuple[TokenKey, ...]
@@ -76,7 +80,7 @@
     """Reads a certificate chain and its private key.
 
     Raises:
-        CredentialFileError: One of the files is not readable, not whole, or not what it should be.
+        CredentialFileError: One of the files cannot be read, or its content is not valid.
     """
     chain = _read(certificate_path)
     private_key = _read(key_path)
@@ -87,21 +91,21 @@
         raise CredentialFileError(
             key_path, "holds no whole private key in PEM without a pass phrase"
         ) from None
-    record = Pair(
+    pair = Pair(
         serial_hex(certificate),
         common_name(certificate.subject),
         epoch_ms(certificate.not_valid_before_utc),
         epoch_ms(certificate.not_valid_after_utc),
         _public_bytes(key.public_key()) == _public_bytes(certificate.public_key()),
     )
-    return PairFile(_content_hash(chain, private_key), record, chain, private_key)
+    return PairFile(_content_hash(chain, private_key), pair, chain, private_key)
 
 
 def read_authorities(path: FilePath) -> AuthoritiesFile:
     """Reads a bundle of trusted authorities.
 
     Raises:
-        CredentialFileError: The file is not readable or holds no whole certificates.
+        CredentialFileError: The file cannot be read, or holds no complete certificates.
     """
     data = _read(path)
     certificates = _certificates(data, path)
@@ -118,21 +122,23 @@
 
 
 def read_revocations(path: FilePath, trusted: Iterable[x509.Certificate]) -> RevocationsFile:
-    """Reads a file of one or several revocation lists, and verifies their signatures.
+    """Reads a file of one or more revocation lists, and verifies their signatures.
 
     Args:
         path: The file.
         trusted: Certificates of the authorities in service.
 
     Raises:
-        CredentialFileError: The file is not readable or holds no whole, numbered lists.
+        CredentialFileError: The file cannot be read, or holds no complete, numbered lists.
     """
     data = _read(path)
     authorities = list(trusted)
-    *pieces, rest = data.split(CRL_END)
-    if not pieces or rest.strip():
+    *lists_in_pem, rest = data.split(CRL_END)
+    if not lists_in_pem or rest.strip():
         raise CredentialFileError(path, "holds no whole lists of revocations in PEM")
-    records = tuple(_revocation_list(piece + CRL_END, path, authorities) for piece in pieces)
+    records = tuple(
+        _revocation_list(list_in_pem + CRL_END, path, authorities) for list_in_pem in lists_in_pem
+    )
     fingerprints = [fingerprint(authority).encode() for authority in authorities]
     return RevocationsFile(_content_hash(data, *fingerprints), records)
 
@@ -141,7 +147,7 @@
     """Reads a set of public token keys.
 
     Raises:
-        CredentialFileError: The file is not readable or holds anything but public Ed25519 keys.
+        CredentialFileError: The file cannot be read, or holds anything but public Ed25519 keys.
     """
     data = _read(path)
     records: list[TokenKey] = []
@@ -164,8 +170,8 @@
         data = Path(path).read_bytes()
     except OSError as error:
         raise CredentialFileError(path, f"cannot be read: {error.strerror}") from None
-    if len(data) > FILE_SIZE_LIMIT:
-        raise CredentialFileError(path, f"is longer than {FILE_SIZE_LIMIT} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise CredentialFileError(path, f"is longer than {MAX_FILE_BYTES} bytes")
     return data
 
 
--- a/cherrydoor/tls/credential_manager.py
+++ b/cherrydoor/tls/credential_manager.py
@@ -1,4 +1,4 @@
-"""Reads the credential files as they change, and puts in service what the store accepts."""
+"""Reads credential files whenever they change, and puts in service what the store accepts."""
 
 import asyncio
 import os
@@ -36,20 +36,20 @@
 
 log = structlog.get_logger()
 
-# Seconds between reads during a start whose files are rejected: a replacement of two files takes
-# less, so that a start is hardly delayed by more than one.
+# Interval between reads of the files while a start finds invalid content. Replacing two files takes
+# less time, so a start during a replacement is rarely delayed by more than one interval.
 START_RETRY_S = 0.1
 
 CredentialFile = PairFile | AuthoritiesFile | RevocationsFile | TokenKeysFile
 
 
 class FileStamp(NamedTuple):
-    """What tells that a file has been changed, without reading it.
+    """File metadata that shows whether a file has changed, without reading the file.
 
     Attributes:
-        modified_ns: Time of the last change; the error number where the file cannot be seen.
-        size: In bytes.
-        inode: Changes where the file is replaced whole.
+        modified_ns: Time of the last modification, or the error number if `stat` failed.
+        size: Size in bytes.
+        inode: Inode number, which changes if the file is replaced.
     """
 
     modified_ns: int
@@ -58,7 +58,7 @@
 
 
 def file_stamp(path: str) -> FileStamp:
-    """The stamp of the file as it is now."""
+    """Returns the current stamp of the file."""
     try:
         status = os.stat(path)
     except OSError as error:
@@ -67,20 +67,20 @@
 
 
 def wall_clock_ms() -> float:
-    """Time in ms since 1970."""
+    """Returns the time in ms since 1970."""
     return time.time() * 1000
 
 
 class CredentialManager:
     """The credentials of one gateway.
 
-    Faults at the start are errors; later ones are logged, and the credentials before stay in
-    service. Owns the store, the TLS contexts and the key material.
+    Invalid credentials at the start raise an error. Later they are logged, and the previous
+    credentials stay in service. Owns the store, the TLS contexts and the key material.
 
     Attributes:
-        server: Context of the listeners; None before a pair is in service.
-        peer: Context for connections to other gateways; None before a pair is in service.
-        client: Context for connections to hosts; None where they are made without TLS.
+        server: TLS context of the listeners; None until a pair is in service.
+        peer: TLS context for connections to other gateways; None until a pair is in service.
+        client: TLS context for connections to hosts; None if hosts are connected to without TLS.
     """
 
     def __init__(
@@ -89,12 +89,13 @@
         end_connection: Callable[[Any, str, bool], None],
         wall_clock: Callable[[], float] = wall_clock_ms,
     ) -> None:
-        """Nothing is read before `start`.
+        """Creates a manager. `start` reads the files.
 
         Args:
-            settings: The files and their use.
-            end_connection: Called with a connection, why it must end, and whether at once.
-            wall_clock: The time in ms since 1970.
+            settings: Paths of the files and how the credentials are used.
+            end_connection: Called with a connection that must end, the reason, and whether it must
+                end at once.
+            wall_clock: Returns the time in ms since 1970.
         """
         self.settings = settings
         self.end_connection = end_connection
@@ -116,24 +117,25 @@
         return bool(self.settings.certificate)
 
     async def start(self) -> None:
-        """Puts in service what the files hold, and polls them from then on.
+        """Puts the credentials in the files in service, and starts polling the files.
 
-        Guards against a start at the moment in which a pair is replaced, file after file, by
-        reading again until `start_timeout_ms`. Harms by a later error for files that stay bad.
+        A gateway may start while the two files of a pair are being replaced one after the other.
+        Rejected files are therefore read again until `start_timeout_ms` has passed. In return, the
+        error for files that stay invalid is raised later.
 
         Raises:
             CredentialRejectedError: A part is still rejected after that time.
         """
         loop = asyncio.get_running_loop()
-        give_up_s = loop.time() + self.settings.start_timeout_ms / 1000
+        deadline_s = loop.time() + self.settings.start_timeout_ms / 1000
         poll_interval_s = self.settings.poll_interval_ms / 1000
         self.look(True)
-        # What counts is what is rejected now: a rejection is reported once only.
-        while rejected := self.store.rejected():
-            left_s = give_up_s - loop.time()
-            if left_s <= 0:
-                raise CredentialRejectedError(rejected[0].part, rejected[0].why)
-            await asyncio.sleep(min(left_s, START_RETRY_S, poll_interval_s))
+        # Asks the store what is rejected now, because `look` returns each rejection only once.
+        while rejections := self.store.rejections():
+            remaining_s = deadline_s - loop.time()
+            if remaining_s <= 0:
+                raise CredentialRejectedError(rejections[0].part, rejections[0].reason)
+            await asyncio.sleep(min(remaining_s, START_RETRY_S, poll_interval_s))
             self.look(True)
         if self.settings.paths():
             self.timer = loop.call_later(poll_interval_s, self._poll)
@@ -143,17 +145,17 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def look(self, whole: bool = False) -> list[Rejected]:
-        """Reads the files if any has changed.
+    def look(self, force: bool = False) -> list[Rejected]:
+        """Reads all files if any of them has changed.
 
         Args:
-            whole: Read them even if none has changed.
+            force: Read the files even if none has changed.
 
         Returns:
-            The rejections that were not reported before.
+            The rejections that have not been returned before.
         """
         stamps = [file_stamp(path) for path in self.settings.paths()]
-        if stamps == self.stamps and not whole:
+        if stamps == self.stamps and not force:
             return []
         self.stamps = stamps
         rejected: list[Rejected] = []
@@ -169,29 +171,31 @@
         return rejected
 
     def post(self, message: Message) -> list[Action]:
-        """Gives a message to the store, and carries out the actions."""
+        """Passes a message to the store, and carries out the resulting actions."""
         actions = self.store.handle(self.wall_clock(), message)
         for action in actions:
             match action:
                 case PutInService(part=part):
                     self._put_in_service(part)
-                case Rejected(part=part, why=why):
+                case Rejected(part=part, reason=reason):
                     log.error(
-                        "keys are rejected, the old ones stay in service", part=part.value, why=why
+                        "keys are rejected, the old ones stay in service",
+                        part=part.value,
+                        why=reason,
                     )
                 case ExpiryWarning():
                     self._log_expiry(action)
                 case EndConnection():
-                    self.end_connection(action.connection, action.why, action.at_once)
+                    self.end_connection(action.connection, action.reason, action.at_once)
                 case _:
                     assert_never(action)
         return actions
 
     def identify(self, transport: asyncio.BaseTransport, token: str) -> PeerIdentity:
-        """Who is at the other end of a connection.
+        """Returns the identity of the peer of a connection.
 
         Raises:
-            PeerAuthenticationError: What it presents does not hold.
+            PeerAuthenticationError: The peer's certificate or token is not valid.
         """
         return self.authenticator.identify(transport, token)
 
@@ -203,9 +207,10 @@
         self.post(Tick())
 
     def _readers(self) -> Iterator[tuple[Part, Callable[[], CredentialFile]]]:
-        """How each part that is configured is read.
+        """Yields each configured part with the function that reads it.
 
-        The order matters: revocation lists are verified by the authorities put in service before.
+        The order matters: revocation lists are verified with the authorities that were put in
+        service before them.
         """
         paths = self.settings
         if paths.certificate:
@@ -236,7 +241,7 @@
                 self.chain = loaded.chain
                 self.private_key = loaded.private_key
             case RevocationsFile():
-                pass  # The store's records are all that is used of it.
+                pass  # Only the records in the store are used.
             case _:
                 assert_never(loaded)
         log.info("keys are in service", part=part.value)
@@ -258,8 +263,8 @@
             self.client = make_context(False, self.chain, self.private_key, trusted)
 
     def _log_expiry(self, warning: ExpiryWarning) -> None:
-        days = round(warning.left_ms / DAY_MS, 2)
-        if warning.left_ms > 0:
+        days = round(warning.remaining_ms / DAY_MS, 2)
+        if warning.remaining_ms > 0:
             log.warning("a key expires soon", key=warning.credential, days=days)
         else:
             log.error("a key has expired", key=warning.credential, days=days)
--- a/cherrydoor/tls/credentials.py
+++ b/cherrydoor/tls/credentials.py
@@ -1,11 +1,11 @@
-"""Records of the four parts of the credentials. Times in ms since 1970; no key material."""
+"""Records of the four parts of the credentials, without key material. Times are ms since 1970."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Part(StrEnum):
-    """A part of the credentials that is replaced independently of the others."""
+    """Part of the credentials that is replaced independently of the others."""
 
     PAIR = "pair"
     AUTHORITIES = "authorities"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authority:
-    """A certificate authority that peers are trusted by.
+    """A trusted certificate authority, which signs the certificates of peers.
 
     Attributes:
         id: SHA-256 fingerprint of its certificate.
@@ -54,10 +54,10 @@
     """Certificates that one authority has revoked.
 
     Attributes:
-        authority: Id of the authority; its name where it is not in service.
-        number: Number of the list, increased by each new one (RFC 5280, 5.2.3).
+        authority: Id of the authority, or its name if it is not in service.
+        number: Number of the list, which increases with each new list (RFC 5280, section 5.2.3).
         serials: Serial numbers of the revoked certificates, in hexadecimal.
-        signature_verified: Whether an authority in service signed it.
+        signature_verified: Whether the list is signed by an authority in service.
     """
 
     authority: str
@@ -68,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenKey:
-    """A public key by which client tokens are verified.
+    """A public key that verifies client tokens.
 
     Attributes:
-        id: Its `kid` (RFC 7517, 4.5).
-        known_clients: Clients whose tokens it may sign; empty for all.
+        id: The key id, `kid` (RFC 7517, section 4.5).
+        known_clients: Clients whose tokens it may sign; empty for all clients.
     """
 
     id: str
--- a/cherrydoor/tls/expiry.py
+++ b/cherrydoor/tls/expiry.py
@@ -1,4 +1,4 @@
-"""Warnings before certificates expire. Pure: the time is passed in. Times in ms since 1970."""
+"""Warnings before certificates expire. The time is passed in; times are ms since 1970."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,21 +7,22 @@
 from cherrydoor.tls.messages import ExpiryWarning
 
 DAY_MS = 86400000.0
-# Fractions of `warn_before_ms` left at which a warning is given: with the default of 14 days at
-# 14, 7, 3.5 and 1 days, and at the end.
+# Remaining validity at which warnings are given, as fractions of `warn_before_ms`. With the default
+# of 14 days these are 14, 7, 3.5 and 1 days, and expiry.
 WARNING_STEPS = (1.0, 0.5, 0.25, 1 / 14, 0.0)
 
 
 @dataclass(slots=True)
 class ExpiryPolicy:
-    """How long replaced credentials are tolerated, and when expiry is warned of.
+    """Grace period of replaced credentials, and times of expiry warnings.
 
     Attributes:
-        grace_period_ms: How long connections go on after the credentials that they were accepted
-            on have gone out of service.
-        warn_before_ms: How long before its end a certificate is first warned of.
-        seed: Seed of the jitter by which connections of replaced credentials end.
-        warning_steps: Fractions of `warn_before_ms` left at which a warning is given.
+        grace_period_ms: How long connections may continue after the credentials that they were
+            accepted with have been replaced.
+        warn_before_ms: Time between the first warning and the expiry of a certificate.
+        seed: Seed of the jitter of the grace period.
+        warning_steps: Remaining validity at which warnings are given, as fractions of
+            `warn_before_ms`.
     """
 
     grace_period_ms: float = 900000.0
@@ -31,47 +32,47 @@
 
 
 class ExpiryWarnings:
-    """Steps at which each certificate in service was warned of.
+    """Keeps track of the expiry warnings given for each certificate in service.
 
-    Invariant: `steps_warned` holds certificates in service alone, each with the highest step that
-    was warned of, so that no step is warned of twice.
+    Invariant: `warned_steps` holds only certificates in service, each with the number of warning
+    steps already passed, so that no warning is repeated.
     """
 
     def __init__(self, policy: ExpiryPolicy) -> None:
-        """Nothing has been warned of."""
+        """Starts without warnings given."""
         self.policy = policy
-        self.steps_warned: dict[tuple[str, float], int] = {}
+        self.warned_steps: dict[tuple[str, float], int] = {}
 
     def due(self, now_ms: float, in_service: Iterable[tuple[str, float]]) -> list[ExpiryWarning]:
-        """Warnings that are due and were not given before.
+        """Returns the warnings that are due and have not been given before.
 
         Args:
-            now_ms: The time.
-            in_service: Name and end of validity (ms) of each certificate in service.
+            now_ms: The current time.
+            in_service: Name and end of validity of each certificate in service.
         """
         certificates = list(in_service)
         names = {name for name, _ in certificates}
-        self.steps_warned = {
+        self.warned_steps = {
             certificate: step
-            for certificate, step in self.steps_warned.items()
+            for certificate, step in self.warned_steps.items()
             if certificate[0] in names
         }
         warnings = []
         for name, not_after_ms in certificates:
-            left_ms = not_after_ms - now_ms
-            step = self._steps_passed(left_ms)
-            if step > self.steps_warned.get((name, not_after_ms), 0):
-                self.steps_warned[name, not_after_ms] = step
-                warnings.append(ExpiryWarning(name, left_ms))
+            remaining_ms = not_after_ms - now_ms
+            step = self._steps_passed(remaining_ms)
+            if step > self.warned_steps.get((name, not_after_ms), 0):
+                self.warned_steps[name, not_after_ms] = step
+                warnings.append(ExpiryWarning(name, remaining_ms))
         return warnings
 
-    def _steps_passed(self, left_ms: float) -> int:
+    def _steps_passed(self, remaining_ms: float) -> int:
         before_ms = self.policy.warn_before_ms
-        return sum(left_ms <= before_ms * fraction for fraction in self.policy.warning_steps)
+        return sum(remaining_ms <= before_ms * fraction for fraction in self.policy.warning_steps)
 
 
 def format_time(ms: float) -> str:
-    """A time as text.
+    """Formats a time for messages.
 
     >>> format_time(1.8e12)
     '2027-01-15 08:00 UTC'
--- a/cherrydoor/tls/file_writing.py
+++ b/cherrydoor/tls/file_writing.py
@@ -1,4 +1,4 @@
-"""Writes files of keys and certificates whole, so that no reader meets half of one."""
+"""Replaces files of keys and certificates atomically, so that no reader sees a partial file."""
 
 import os
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def private_pem(key: ec.EllipticCurvePrivateKey | ed25519.Ed25519PrivateKey) -> bytes:
-    """The private key in PEM, without a pass phrase: a gateway must start unattended."""
+    """Returns the private key in PEM, without a pass phrase: a gateway must start unattended."""
     return key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -20,7 +20,7 @@
 
 
 def write_private(path: Path, data: bytes) -> None:
-    """Replaces a file that its owner alone may read."""
+    """Replaces a file that only its owner may read."""
     _replace(path, data, PRIVATE_FILE_MODE)
 
 
@@ -30,8 +30,8 @@
 
 
 def _replace(path: Path, data: bytes, mode: int) -> None:
-    new = path.with_name(path.name + ".new")
-    descriptor = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+    new_path = path.with_name(path.name + ".new")
+    descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     with open(descriptor, "wb") as file:
         file.write(data)
-    new.replace(path)
+    new_path.replace(path)
--- a/cherrydoor/tls/inventory.py
+++ b/cherrydoor/tls/inventory.py
@@ -1,4 +1,4 @@
-"""Lists the credentials in a folder, or those that a configuration names, with their state."""
+"""Lists the credentials in a folder or named by a configuration, with their state."""
 
 import time
 from collections.abc import Callable
@@ -30,14 +30,14 @@
 
 
 class PairPaths(NamedTuple):
-    """Files of one certificate and its private key."""
+    """Paths of a certificate and its private key."""
 
     certificate: FilePath
     key: FilePath
 
 
 class CredentialPaths(NamedTuple):
-    """Files to list; "" for a part that is not there."""
+    """Paths of the files to list; "" for a missing part."""
 
     pairs: list[PairPaths]
     authorities: str
@@ -50,15 +50,15 @@
     config_path: str | PathLike[str] | None = None,
     now_ms: float | None = None,
 ) -> list[InventoryRow]:
-    """A row for each credential.
+    """Returns a row for each credential.
 
     Args:
-        folder: A local authority's folder.
-        config_path: A configuration, whose files are listed in place of a folder.
-        now_ms: The time in ms since 1970; that of the system's clock where it is not given.
+        folder: Folder of a local authority.
+        config_path: Configuration whose files are listed instead of a folder.
+        now_ms: The time in ms since 1970; defaults to that of the system clock.
 
     Raises:
-        cherrydoor.config.Problems: The configuration is wrong.
+        cherrydoor.config.Problems: The configuration is not valid.
         ValueError: Neither a folder nor a configuration is given.
     """
     now_ms = now_ms or time.time() * 1000
@@ -81,7 +81,7 @@
 
 
 def _paths_in_config(config_path: FilePath) -> CredentialPaths:
-    # Imported here: the package is used without a configuration too.
+    # Imported here, because the package is also used without a configuration.
     from cherrydoor.config.figures import read_config
 
     read: Callable[[FilePath], Any] = read_config
@@ -107,7 +107,7 @@
 def _authority_rows(
     path: str, now_ms: float, trusted: list[x509.Certificate]
 ) -> list[InventoryRow]:
-    """Rows of a bundle; its certificates are added to `trusted`."""
+    """Returns the rows of a bundle; adds its certificates to `trusted`."""
     try:
         loaded = read_authorities(path)
     except InvalidCredentialsError as error:
--- a/cherrydoor/tls/local_authority.py
+++ b/cherrydoor/tls/local_authority.py
@@ -1,7 +1,7 @@
 """A local authority in a folder: certificates, revocation lists, token keys and tokens.
 
-For a deployment without an authority of its own, for rehearsals and tests. Each file is replaced
-whole; private keys can be read by their owner alone.
+Used by deployments without their own certificate authority, and by rehearsals and tests. Each file
+is replaced atomically. Private keys are readable only by their owner.
 """
 
 import json
@@ -32,37 +32,37 @@
 
 
 class LocalAuthority:
-    """The files of one folder, which this class alone writes.
+    """The files of one folder, which are written only by this class.
 
-    Several authorities may be trusted at a time, during a replacement; the newest one signs.
-    Invariant: authorities.pem holds the certificates of all that are trusted, and revoked.pem one
-    list of each.
+    While an authority is being replaced, several authorities are trusted; the newest one signs.
+    Invariant: authorities.pem holds the certificates of all trusted authorities, and revoked.pem
+    holds one revocation list of each.
 
     Attributes:
         path: The folder.
-        now: The time that validity is counted from.
+        now: The time at which validity starts.
     """
 
     def __init__(self, path: str | os.PathLike[str], now: datetime | None = None) -> None:
-        """Reads and writes nothing yet.
+        """Sets the folder, without reading or writing any file.
 
         Args:
-            path: The folder; made with the first authority or token key.
-            now: The time, for tests of what has expired.
+            path: The folder. It is created with the first authority or token key.
+            now: The time used instead of the current time, for tests of expired credentials.
         """
         self.path = Path(path)
         self.now = now or datetime.now(UTC)
 
     # ---- authorities
-    def authority(self, days: float = 3650.0, additional: bool = False) -> Path:
-        """Makes an authority.
+    def create_authority(self, days: float = 3650.0, additional: bool = False) -> Path:
+        """Creates an authority.
 
         Args:
-            days: Length of its validity.
-            additional: Make one although there is one, so that both are trusted.
+            days: Length of its validity in days.
+            additional: Create another authority although one exists, so that both are trusted.
 
         Raises:
-            LocalAuthorityError: There is one, and no other was asked for.
+            LocalAuthorityError: An authority exists and `additional` is not set.
         """
         self.path.mkdir(parents=True, exist_ok=True)
         existing = self._authority_files()
@@ -80,10 +80,10 @@
         return path
 
     def retire(self) -> Path:
-        """Stops trusting the oldest authority; its files are kept under another name.
+        """Stops trusting the oldest authority; its files are renamed but kept.
 
         Raises:
-            LocalAuthorityError: It is the only one.
+            LocalAuthorityError: It is the only authority.
         """
         existing = self._authority_files()
         if len(existing) < 2:
@@ -98,16 +98,16 @@
     def issue(
         self, kind: str, name: str, days: float = 90.0, addresses: Iterable[str] = ()
     ) -> Path:
-        """Issues NAME.pem and NAME.key by the newest authority.
+        """Issues a certificate by the newest authority, as NAME.pem and NAME.key.
 
-        The key is written first: until the certificate follows, the two do not match, and a
-        reader rejects them and goes on with the pair before.
+        The key is written first. Until the certificate is written, the two files do not match, so
+        a gateway rejects them and keeps the previous pair in service.
 
         Args:
             kind: A value of `CertificateKind`.
-            name: Common name and file name.
-            days: Length of its validity.
-            addresses: IP addresses and DNS names that it is valid for.
+            name: Common name, and name of the files.
+            days: Length of the validity in days.
+            addresses: IP addresses and DNS names that the certificate is valid for.
 
         Raises:
             LocalAuthorityError: There is no authority.
@@ -129,10 +129,10 @@
         return path
 
     def revoke(self, *names: str) -> Path:
-        """Revokes the certificates of these names, beside those revoked before.
+        """Revokes the certificates of these names, in addition to those already revoked.
 
         Raises:
-            LocalAuthorityError: There is no certificate of a name.
+            LocalAuthorityError: There is no certificate with one of the names.
         """
         certificates = []
         for name in names:
@@ -150,14 +150,14 @@
 
     # ---- tokens
     def token_key(self, kid: str, known_clients: Iterable[str] = ()) -> Path:
-        """Makes a key that signs tokens; its public half goes into tokens.jwks.
+        """Creates a key that signs tokens; adds its public key to tokens.jwks.
 
         Args:
-            kid: Its id.
-            known_clients: Those whose tokens it may sign; none for all.
+            kid: Key id.
+            known_clients: Clients whose tokens it may sign; empty for all clients.
 
         Raises:
-            LocalAuthorityError: There is a key of that id.
+            LocalAuthorityError: A key with that id exists.
         """
         self.path.mkdir(parents=True, exist_ok=True)
         existing = self._public_token_keys()
@@ -173,10 +173,10 @@
         return self._write_public_token_keys([*existing, public])
 
     def drop_token_key(self, kid: str) -> None:
-        """Takes a key out of tokens.jwks, which voids the tokens that it signed.
+        """Removes a key from tokens.jwks, which invalidates the tokens that it signed.
 
         Raises:
-            LocalAuthorityError: There is no key of that id.
+            LocalAuthorityError: There is no key with that id.
         """
         existing = self._public_token_keys()
         left = [entry for entry in existing if entry["kid"] != kid]
@@ -185,15 +185,15 @@
         self._write_public_token_keys(left)
 
     def token(self, kid: str, known_client: str, days: float = 30.0) -> str:
-        """Signs a JSON Web Token (RFC 7519), by which a client identifies itself.
+        """Returns a signed JSON Web Token (RFC 7519), with which a client identifies itself.
 
         Args:
-            kid: Id of the key that signs it.
+            kid: Id of the key that signs the token.
             known_client: The client that the token identifies.
-            days: Length of its validity.
+            days: Length of the validity in days.
 
         Raises:
-            LocalAuthorityError: There is no such key.
+            LocalAuthorityError: There is no key with that id, or it is not an Ed25519 key.
         """
         path = self.path / f"token-{kid}.key"
         if not path.exists():
@@ -211,7 +211,7 @@
 
     # ---- files
     def _authority_files(self) -> list[Path]:
-        """Certificates of the trusted authorities, oldest first."""
+        """Returns the certificate files of the trusted authorities, oldest first."""
         return sorted(self.path.glob("authority-*.pem"))
 
     def _newest_signer(self) -> Signer:
@@ -223,7 +223,7 @@
         return _read_signer(existing[-1])
 
     def _write_bundle(self) -> None:
-        """Writes authorities.pem, and the revocation lists that must go with it."""
+        """Writes authorities.pem, and revoked.pem with one list for each authority."""
         certificates = [path.read_bytes() for path in self._authority_files()]
         write_public(self.path / "authorities.pem", b"".join(certificates))
         self.revoke()
@@ -231,12 +231,12 @@
     def _updated_revocation_list(
         self, authority_path: Path, certificates: Iterable[x509.Certificate]
     ) -> bytes:
-        """The authority's list in PEM, with those of the certificates that it has issued."""
+        """Returns the authority's list in PEM, after adding those certificates that it issued."""
         signer = _read_signer(authority_path)
         path = authority_path.with_suffix(".crl")
         old = x509.load_pem_x509_crl(path.read_bytes()) if path.exists() else None
         revoked: dict[int, datetime] = {}
-        # An empty list is followed by one of the same number: nothing was revoked by it.
+        # The list after an empty list keeps its number, because the empty list revoked nothing.
         number = 1
         if old is not None and len(old) > 0:
             revoked = {entry.serial_number: entry.revocation_date_utc for entry in old}
--- a/cherrydoor/tls/messages.py
+++ b/cherrydoor/tls/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the credential store, and the actions that it answers with. Times in ms."""
+"""Messages to the credential store, and the actions that it returns. Times are ms since 1970."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,31 +9,31 @@
 # ---- messages
 @dataclass(slots=True)
 class Offered:
-    """One part as it was read from its file.
+    """The content of one part as read from its files, offered for service.
 
     Attributes:
         part: The part.
-        content_hash: Distinguishes one content of the files from another.
-        content: Its records, in the type that belongs to the part; None where it was not read.
-        fault: Why the part could not be read; empty where it was.
+        content_hash: Hash of the content of the files.
+        content: The records, of the type that belongs to the part; None if reading failed.
+        read_error: Why the part could not be read; empty if it was read.
     """
 
     part: Part
     content_hash: str
     content: Any = None
-    fault: str = ""
+    read_error: str = ""
 
 
 @dataclass(slots=True)
 class ConnectionOpened:
-    """A connection was accepted on the credentials in service.
+    """A connection was accepted with the credentials in service.
 
     Attributes:
-        connection: Handle that `EndConnection` gives back.
-        serial: Serial number of the peer's certificate; empty for none.
-        authority: Id of the authority that issued it; empty for none.
-        token: Id of the key that signed the peer's token; empty for none.
-        expires_ms: End of validity of the peer's certificate or token; 0 for none.
+        connection: Handle of the connection, returned in `EndConnection`.
+        serial: Serial number of the peer's certificate; empty without certificate.
+        authority: Id of the authority that issued the certificate; empty without certificate.
+        token: Id of the key that signed the peer's token; empty without token.
+        expires_ms: End of validity of the peer's certificate or token; 0 without either.
     """
 
     connection: object
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ConnectionClosed:
-    """A connection is closed."""
+    """A connection has been closed."""
 
     connection: object
 
@@ -61,7 +61,7 @@
 # ---- actions
 @dataclass(slots=True)
 class PutInService:
-    """From now on this content of the part is in service."""
+    """This content of the part is now in service."""
 
     part: Part
     content_hash: str
@@ -69,26 +69,26 @@
 
 @dataclass(slots=True)
 class Rejected:
-    """A part was rejected; the one in service stays."""
+    """New content of a part was rejected; the previous content stays in service."""
 
     part: Part
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
 class ExpiryWarning:
-    """A certificate expires in `left_ms`; expired where that is not positive."""
+    """A certificate expires in `remaining_ms`. It has expired if that is not positive."""
 
     credential: str
-    left_ms: float
+    remaining_ms: float
 
 
 @dataclass(slots=True)
 class EndConnection:
-    """The connection is to be closed: at once, or as soon as no request is open on it."""
+    """The connection must be closed: at once, or as soon as it has no open requests."""
 
     connection: object
-    why: str
+    reason: str
     at_once: bool
 
 
--- a/cherrydoor/tls/peer_authentication.py
+++ b/cherrydoor/tls/peer_authentication.py
@@ -1,4 +1,4 @@
-"""Authenticates a peer by the certificate and the token that it presents."""
+"""Authenticates peers by the certificates and tokens that they present."""
 
 from asyncio import BaseTransport
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 import jwt
 from cryptography import x509
 
-from cherrydoor.tls.credential_store import REVOKED_WHY, CredentialStore
+from cherrydoor.tls.credential_store import REVOKED_REASON, CredentialStore
 from cherrydoor.tls.errors import PeerAuthenticationError
 from cherrydoor.tls.x509_fields import (
     common_name,
@@ -22,7 +22,7 @@
 
 
 class Proof(TypedDict, total=False):
-    """What a connection rests on, as the fields of `messages.ConnectionOpened`."""
+    """The credentials a peer was accepted with, as fields of `messages.ConnectionOpened`."""
 
     serial: str
     authority: str
@@ -31,14 +31,17 @@
 
 
 class PeerIdentity(NamedTuple):
-    """Who a peer is: "" where it presented nothing, and the proof that it gave."""
+    """Identity of a peer, and the credentials that prove it.
+
+    `known_client` is "" if the peer presented neither a certificate nor a token.
+    """
 
     known_client: str
     proof: Proof
 
 
 class VerifiedToken(NamedTuple):
-    """A token that holds: its client, the id of its key and its end in ms since 1970."""
+    """A valid token: its client, the id of its key and its expiry in ms since 1970."""
 
     known_client: str
     key_id: str
@@ -46,18 +49,18 @@
 
 
 class PeerAuthenticator:
-    """Verifies peers by the credentials in service.
+    """Verifies peers with the credentials in service.
 
     Owned by the credential manager, which sets `trusted` and `token_keys` when they are put in
     service.
     """
 
     def __init__(self, store: CredentialStore, wall_clock_ms: Callable[[], float]) -> None:
-        """Nothing is trusted yet.
+        """Creates an authenticator that trusts no authority or token key yet.
 
         Args:
-            store: What is revoked and what each token key permits.
-            wall_clock_ms: The time in ms since 1970.
+            store: Tells what is revoked and which clients each token key may identify.
+            wall_clock_ms: Returns the time in ms since 1970.
         """
         self.store = store
         self.wall_clock_ms = wall_clock_ms
@@ -65,13 +68,13 @@
         self.token_keys: dict[str, Any] = {}
 
     def identify(self, transport: BaseTransport, token: str) -> PeerIdentity:
-        """Who is at the other end of a connection.
+        """Returns the identity of the peer of a connection.
 
-        The handshake has verified the certificate, but perhaps by credentials that have been
-        replaced since; it is therefore verified anew by those in service.
+        The handshake has verified the certificate, but possibly with credentials that have been
+        replaced since. The certificate is therefore verified again with those in service.
 
         Raises:
-            PeerAuthenticationError: The certificate or the token does not hold.
+            PeerAuthenticationError: The certificate or the token is not valid.
         """
         known_client = ""
         proof: Proof = {}
@@ -98,7 +101,7 @@
         authority = fingerprint(issuer)
         serial = serial_hex(certificate)
         if self.store.is_revoked(authority, serial):
-            raise PeerAuthenticationError(REVOKED_WHY)
+            raise PeerAuthenticationError(REVOKED_REASON)
         return {
             "serial": serial,
             "authority": authority,
@@ -110,7 +113,7 @@
         if key_id not in self.token_keys:
             raise PeerAuthenticationError("the key of this token is not in service")
         try:
-            # Its end is compared below, with the clock that the rest is decided by.
+            # The expiry is checked below, against the same clock as everything else.
             claims = jwt.decode(
                 token,
                 self.token_keys[key_id],
--- a/cherrydoor/tls/settings.py
+++ b/cherrydoor/tls/settings.py
@@ -1,4 +1,4 @@
-"""Where the credentials are and how they are used, from the `keys` section of the configuration."""
+"""Paths and use of the credentials, from the `keys` section of the configuration."""
 
 import ssl
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class ClientCertificates(StrEnum):
-    """Whether clients are asked for certificates, by the values of the configuration."""
+    """Whether clients are asked for certificates. The values are those of the configuration."""
 
     ASK = "ask"
     NEED = "need"
@@ -17,7 +17,7 @@
 
     @property
     def verify_mode(self) -> ssl.VerifyMode:
-        """The mode of a server's context."""
+        """Verification mode of the listeners' TLS context."""
         return VERIFY_MODES[self]
 
 
@@ -30,19 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CredentialSettings:
-    """Files of one gateway's credentials ("" for none), and how they are used.
+    """Paths of the credentials of one gateway ("" for none), and how they are used.
 
     Attributes:
         certificate: The gateway's certificate chain.
-        key: Its private key.
-        authorities: Authorities that peers are trusted by.
+        key: The private key of the certificate.
+        authorities: Authorities that sign the certificates of peers.
         revoked: Revocation lists of these authorities.
-        tokens: Public keys of client tokens.
+        tokens: Public keys that verify client tokens.
         client_certificates: Whether clients are asked for certificates.
         upstream_tls: Whether hosts are connected to over TLS.
         poll_interval_ms: Time between checks of the files.
-        start_timeout_ms: How long a start waits for files that are just being replaced.
-        expiry: When connections of replaced credentials end, and when expiry is warned of.
+        start_timeout_ms: How long a start waits for files that are being replaced.
+        expiry: Grace period of replaced credentials, and times of expiry warnings.
     """
 
     certificate: str = ""
@@ -70,7 +70,7 @@
         usage: ExpiryPolicy | None = None,
         settle: float = 0.0,
     ) -> Self:
-        """Settings from values named as in the configuration's `keys` section; times in ms."""
+        """Creates settings from arguments named as the keys of the section; times in ms."""
         return cls(
             certificate,
             key,
@@ -85,6 +85,6 @@
         )
 
     def paths(self) -> list[str]:
-        """All files that are named."""
+        """Returns the paths of all configured files."""
         named = (self.certificate, self.key, self.authorities, self.revoked, self.tokens)
         return [path for path in named if path]
--- a/cherrydoor/tls/tls_context.py
+++ b/cherrydoor/tls/tls_context.py
@@ -1,4 +1,4 @@
-"""Makes TLS contexts from credentials in memory."""
+"""Creates TLS contexts from credentials in memory."""
 
 import os
 import ssl
@@ -16,20 +16,21 @@
     trusted: Iterable[x509.Certificate] = (),
     client_certificates: ssl.VerifyMode = ssl.CERT_NONE,
 ) -> ssl.SSLContext:
-    """A context for TLS 1.3.
+    """Creates a context for TLS 1.3.
 
-    A server's sessions are not resumed. That guards against a session that outlives the
-    credentials it was made on; it harms by a full handshake for each connection.
+    A server does not resume sessions, because a resumed session could outlive the credentials that
+    it was established with. The cost is a full handshake for each connection.
 
     Args:
-        server: Whether it accepts connections, rather than opening them.
-        chain: Certificates in PEM; empty for none.
-        private_key: Their private key in PEM.
-        trusted: Certificates of the authorities that peers are verified by.
-        client_certificates: What a server asks of its clients; CERT_NONE where nothing is trusted.
+        server: Whether the context accepts connections rather than opening them.
+        chain: Certificate chain in PEM; empty for none.
+        private_key: Private key of the chain in PEM.
+        trusted: Certificates of the authorities that verify peers.
+        client_certificates: Whether a server asks its clients for certificates. Without trusted
+            authorities it does not ask.
 
     Raises:
-        ssl.SSLError: The chain and the private key do not belong together.
+        ssl.SSLError: The chain and the private key do not match.
     """
     authorities = list(trusted)
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
@@ -50,7 +51,7 @@
 
 @contextmanager
 def _memory_file(data: bytes) -> Iterator[str]:
-    """A path to these bytes in memory, so that what is loaded is what was checked."""
+    """Provides a path to bytes in memory, so that exactly the checked bytes are loaded."""
     descriptor = os.memfd_create("keys")
     try:
         os.write(descriptor, data)
--- a/cherrydoor/tls/validation.py
+++ b/cherrydoor/tls/validation.py
@@ -1,6 +1,6 @@
 """Checks that a part of the credentials must pass before it is put in service.
 
-Each function returns the reason for a rejection, or "" where there is none. Pure.
+Each function returns the reason for the rejection, or "" if the part is accepted. No I/O.
 """
 
 from collections.abc import Iterable
@@ -9,10 +9,11 @@
 from cherrydoor.tls.expiry import format_time
 
 
-def pair_rejection(pair: Pair, now_ms: float) -> str:
-    """Guards against a pair that no peer would accept.
+def pair_rejection_reason(pair: Pair, now_ms: float) -> str:
+    """Rejects a pair that no peer would accept.
 
-    Harms where the gateway's clock is wrong; the store therefore tries such a pair again.
+    If the gateway's clock is wrong, a valid pair may be rejected; the store therefore checks
+    rejected pairs again later.
     """
     if not pair.key_matches:
         return "the certificate and the key do not belong together"
@@ -23,8 +24,8 @@
     return ""
 
 
-def authorities_rejection(authorities: tuple[Authority, ...], now_ms: float) -> str:
-    """Guards against a set by which no peer could be trusted."""
+def authorities_rejection_reason(authorities: tuple[Authority, ...], now_ms: float) -> str:
+    """Rejects a set of authorities with which no peer could be verified."""
     if not authorities:
         return "there is no authority in it"
     if all(authority.not_after_ms <= now_ms for authority in authorities):
@@ -32,20 +33,20 @@
     return ""
 
 
-def revocations_rejection(
+def revocations_rejection_reason(
     offered: tuple[RevocationList, ...],
     in_service: tuple[RevocationList, ...],
     trusted: Iterable[Authority],
 ) -> str:
-    """Guards against revocations that are forged, rolled back or left out.
+    """Rejects revocation lists that are forged, older than those in service, or missing.
 
-    Harms where an authority's list is numbered anew: it is rejected until the number has grown
-    past the one in service.
+    If an authority restarts the numbering of its lists, they are rejected until their number
+    reaches that of the list in service.
 
     Args:
         offered: The lists to check.
         in_service: The lists that they would replace.
-        trusted: Authorities in service. A list of any other may be left out.
+        trusted: Authorities in service. Lists of other authorities may be missing.
     """
     if not all(revocations.signature_verified for revocations in offered):
         return "a list of revocations is not signed by an authority in service"
@@ -63,7 +64,7 @@
     return ""
 
 
-def token_keys_rejection(token_keys: tuple[TokenKey, ...]) -> str:
-    """Guards against an id that two keys share: which one verifies would be left to chance."""
+def token_keys_rejection_reason(token_keys: tuple[TokenKey, ...]) -> str:
+    """Rejects two keys with the same id, because it would be undefined which of them is used."""
     ids = {token_key.id for token_key in token_keys}
     return "two token keys have one id" if len(ids) < len(token_keys) else ""
--- a/cherrydoor/tls/x509_fields.py
+++ b/cherrydoor/tls/x509_fields.py
@@ -10,23 +10,23 @@
 
 
 def epoch_ms(moment: datetime) -> float:
-    """A time in UTC as ms since 1970."""
+    """Converts a time in UTC to ms since 1970."""
     return moment.replace(tzinfo=UTC).timestamp() * 1000
 
 
 def common_name(subject: x509.Name) -> str:
-    """The first common name; "" where there is none."""
+    """Returns the first common name; "" if there is none."""
     found = subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     return str(found[0].value) if found else ""
 
 
 def serial_hex(certificate: x509.Certificate) -> str:
-    """The serial number in hexadecimal."""
+    """Returns the serial number in hexadecimal."""
     return f"{certificate.serial_number:x}"
 
 
 def fingerprint(certificate: x509.Certificate) -> str:
-    """The SHA-256 fingerprint in hexadecimal: the id of an authority."""
+    """Returns the SHA-256 fingerprint in hexadecimal, which is the id of an authority."""
     return certificate.fingerprint(hashes.SHA256()).hex()
 
 
@@ -34,7 +34,7 @@
     signed: x509.Certificate | x509.CertificateRevocationList,
     authorities: Iterable[x509.Certificate],
 ) -> x509.Certificate | None:
-    """The first of the authorities that signed the certificate or list; None where none did."""
+    """Returns the first authority that signed the certificate or list; None if there is none."""
     for authority in authorities:
         if authority.subject == signed.issuer and is_signed_by(signed, authority):
             return authority
@@ -44,10 +44,10 @@
 def is_signed_by(
     signed: x509.Certificate | x509.CertificateRevocationList, authority: x509.Certificate
 ) -> bool:
-    """Whether the signature is the authority's."""
+    """Returns whether the authority signed the certificate or list."""
     try:
         if isinstance(signed, x509.CertificateRevocationList):
-            # A key of a kind that signs no lists raises TypeError.
+            # Raises TypeError if keys of this type cannot sign revocation lists.
             return signed.is_signature_valid(authority.public_key())  # type: ignore[arg-type]
         signed.verify_directly_issued_by(authority)
     except (ValueError, TypeError, InvalidSignature):
--- a/tests/membership/test_membership_of_processes.py
+++ b/tests/membership/test_membership_of_processes.py
@@ -99,7 +99,7 @@
 def fleet_with_certificates(folder):
     """Three gateways with certificates, of which g2 shows the one of g1."""
     keys = LocalAuthority(folder / "keys")
-    keys.authority()
+    keys.create_authority()
     for name in ("g0", "g1", "g2"):
         keys.issue("gateway", name, addresses=["127.0.0.1"])
     fleet = Fleet(folder, 3)
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -1,4 +1,4 @@
-"""TLS on real sockets, at the listener and to hosts, with credentials that change under load."""
+"""TLS on real sockets, at the listener and to hosts, with credentials replaced under load."""
 
 import asyncio
 import json
@@ -51,7 +51,7 @@
         assert connections_of(stack, known_client) == before + 1
     unknown = await connect_tls(stack, tmp)
     assert (await unknown.answer(unknown.send())).outcome == "handled"
-    for token, why in (
+    for token, reason in (
         (local_authority.token("k1", "meadow"), "may not speak for"),
         ("nonsense", "no token"),
         (local_authority.token("k1", "harbour", -1.0), "ended"),
@@ -59,11 +59,13 @@
     ):
         refused = await connect_tls(stack, tmp, "", token)
         await refused.until(lambda refused=refused: refused.lost_ends)
-        assert why in refused.ends[0].close_reason
+        assert reason in refused.ends[0].close_reason
 
 
 @with_folder
-async def test_a_client_without_tls_or_without_a_required_certificate_is_rejected_alone(stack, tmp):
+async def test_a_client_without_tls_or_a_required_certificate_is_rejected_and_others_are_not(
+    stack, tmp
+):
     make_local_authority(tmp)
     await stack.start(
         Host("handled"), bounds=config_part(tmp, 'clients: "need"'), known=KNOWN, plain=False
@@ -108,7 +110,7 @@
             if client.answers(number):
                 assert client.answers(number)[0].outcome == "handled"
                 answered += 1
-            else:  # ended before its request was accepted: then no host has received it
+            else:  # the connection ended before the request was accepted, so no host received it
                 assert "has changed" in client.end.close_reason
                 ended += 1
             client.end.close()
@@ -120,11 +122,11 @@
     second = store.pair.serial
     key = (tmp / "g0.key").read_bytes()
     (tmp / "g0.key").write_bytes(key[: len(key) // 2])  # half-written
-    await stack.settled(lambda: store.parts[Part.PAIR].reported)
+    await stack.settled(lambda: store.parts[Part.PAIR].reported_reason)
     assert store.pair.serial == second
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
     await stack.settled(lambda: store.pair.serial != second)
-    local_authority.authority(additional=True)
+    local_authority.create_authority(additional=True)
     await stack.settled(lambda: len(store.authorities) == 2)
     before = answered
     await stack.settled(lambda: answered > before + 10)
@@ -132,21 +134,23 @@
     await asyncio.gather(*tasks)
     assert sent == answered + ended and ended <= 6
     attempts = len(host.all(protocol.Attempt)) + len(other.all(protocol.Attempt))
-    assert stack.counters["taken"] == answered == attempts, "no accepted request is cut off"
+    assert stack.counters["taken"] == answered == attempts, "every accepted request is answered"
 
 
 @with_folder
-async def test_an_authority_is_replaced_from_beginning_to_end(stack, tmp):
+async def test_an_authority_is_replaced_completely(stack, tmp):
     local_authority = make_local_authority(tmp)
     await stack.start(
         Host("handled"), bounds=config_part(tmp, "standing: 0ms"), known=KNOWN, plain=False
     )
     store = stack.service.tls.store
     old = await connect_tls(stack, tmp, "harbour")
-    local_authority.authority(additional=True)
+    local_authority.create_authority(additional=True)
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
     local_authority.issue("client", "meadow")
-    await stack.settled(lambda: len(store.authorities) == 2 and not store.parts[Part.PAIR].reported)
+    await stack.settled(
+        lambda: len(store.authorities) == 2 and not store.parts[Part.PAIR].reported_reason
+    )
     new = await connect_tls(stack, tmp, "meadow")
     assert (await new.answer(new.send())).outcome == "handled"
     assert (await connect_tls(stack, tmp, "harbour")).ends
@@ -166,9 +170,9 @@
     local_authority.revoke("harbour")
     await client.until(lambda: client.lost_ends)
     assert "revoked" in client.end.close_reason
-    again = await connect_tls(stack, tmp, "harbour")
-    await again.until(lambda: again.lost_ends)
-    assert "revoked" in again.ends[0].close_reason and not other.lost_ends
+    second = await connect_tls(stack, tmp, "harbour")
+    await second.until(lambda: second.lost_ends)
+    assert "revoked" in second.ends[0].close_reason and not other.lost_ends
 
 
 @with_folder
@@ -215,7 +219,7 @@
     assert not any(piece in output for piece in secret.splitlines()[1:-1] if piece)
 
 
-def test_a_start_with_a_pair_that_does_not_match_is_an_error_that_says_why(tmp_path):
+def test_a_start_with_a_pair_that_does_not_match_raises_an_error_with_the_reason(tmp_path):
     make_local_authority(tmp_path)
     (tmp_path / "g0.key").write_text((tmp_path / "harbour.key").read_text())
     manager = CredentialManager(pair_settings(tmp_path), None)
@@ -232,8 +236,11 @@
     assert "c2VjcmV0" not in str(caught.value)
 
 
-def test_a_start_while_its_pair_is_being_replaced_waits_for_the_other_file(tmp_path):
-    """A rehearsal once ended with "bad lease" as a gateway started while its key was written."""
+def test_a_start_while_the_pair_is_being_replaced_waits_for_the_second_file(tmp_path):
+    """A start must not fail because the key file is being written at that moment.
+
+    In a rehearsal this ended with "bad lease".
+    """
     make_local_authority(tmp_path)
     whole = (tmp_path / "g0.key").read_bytes()
     (tmp_path / "g0.key").write_bytes(whole[:80])
@@ -254,7 +261,7 @@
 
 
 @with_folder
-async def test_handshakes_that_never_end_do_not_keep_clients_out(stack, tmp):
+async def test_handshakes_that_never_complete_do_not_block_other_clients(stack, tmp):
     make_local_authority(tmp)
     await stack.start(
         Host("handled"),
@@ -276,15 +283,15 @@
             client = await connect_tls(stack, tmp, "meadow")
             assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
             client.end.close()
-    guard = stack.service.listeners.controller
-    assert len(guard.pending.slots) <= guard.pending.capacity
-    await stack.settled(lambda: not guard.pending.unidentified)
+    admission_controller = stack.service.listeners.controller
+    assert len(admission_controller.pending.slots) <= admission_controller.pending.capacity
+    await stack.settled(lambda: not admission_controller.pending.unidentified)
     for _, writer in idle:
         writer.close()
 
 
-def test_a_start_with_a_pair_that_stays_bad_is_refused_once_its_time_is_over(tmp_path):
-    """Without this a listener that should speak TLS would have no context to speak it with."""
+def test_a_start_with_a_pair_that_stays_invalid_fails_after_the_start_timeout(tmp_path):
+    """Without this error, a TLS listener would be opened without a TLS context."""
     make_local_authority(tmp_path)
     certificate, key_of_another = tmp_path / "g0.pem", tmp_path / "harbour.key"
     settings = CredentialSettings(str(certificate), str(key_of_another), start_timeout_ms=50.0)
--- a/tests/tls/test_local_authority.py
+++ b/tests/tls/test_local_authority.py
@@ -12,7 +12,7 @@
 @pytest.fixture
 def local_authority(tmp_path):
     local_authority = LocalAuthority(tmp_path / "keys")
-    local_authority.authority()
+    local_authority.create_authority()
     return local_authority
 
 
@@ -21,7 +21,7 @@
     return read_revocations(folder / "revoked.pem", trusted).content
 
 
-def test_each_revocation_adds_to_the_list_and_its_number_never_falls(local_authority):
+def test_each_revocation_is_added_to_the_list_and_the_list_number_never_decreases(local_authority):
     local_authority.issue("client", "harbour")
     local_authority.issue("client", "meadow")
     found = []
@@ -33,7 +33,7 @@
     assert found == [(1, 0), (1, 1), (1, 1), (2, 2)]
 
 
-def test_private_files_can_be_read_by_their_owner_alone(local_authority):
+def test_private_files_are_readable_only_by_their_owner(local_authority):
     local_authority.issue("client", "harbour")
     local_authority.token_key("k1")
     modes = {path.name: path.stat().st_mode & 0o777 for path in local_authority.path.iterdir()}
@@ -41,18 +41,20 @@
 
 
 @pytest.mark.parametrize(
-    ("refused", "why"),
+    ("operation", "reason"),
     [
-        (lambda authority: authority.authority(), "is an authority already"),
+        (lambda authority: authority.create_authority(), "is an authority already"),
         (lambda authority: authority.retire(), "the only authority cannot be retired"),
         (lambda authority: authority.revoke("nobody"), "there is no certificate"),
         (lambda authority: authority.drop_token_key("k9"), "there is no token key k9"),
         (lambda authority: authority.token("k9", "harbour"), "there is no token key k9"),
     ],
 )
-def test_what_cannot_be_done_is_an_error_that_says_why(local_authority, refused, why):
-    with pytest.raises(LocalAuthorityError, match=why):
-        refused(local_authority)
+def test_an_operation_that_is_not_possible_raises_an_error_with_the_reason(
+    local_authority, operation, reason
+):
+    with pytest.raises(LocalAuthorityError, match=reason):
+        operation(local_authority)
 
 
 def test_a_certificate_needs_an_authority(tmp_path):
--- a/tests/tls/tls_support.py
+++ b/tests/tls/tls_support.py
@@ -1,4 +1,4 @@
-"""A credential store that a test drives by hand, and a gateway with TLS whose files it changes."""
+"""A credential store with a clock that the test advances, and helpers for gateways with TLS."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class StoreDriver:
-    """A credential store, and the time that it is given."""
+    """Passes messages to a credential store, with a clock that the test advances."""
 
     def __init__(self, **policy):
         self.store = CredentialStore(ExpiryPolicy(**policy))
@@ -28,10 +28,10 @@
     def handle(self, message):
         return self.store.handle(self.now_ms, message)
 
-    def offer(self, part, content=None, fault=""):
-        """Offers content that differs from all that was offered before."""
+    def offer(self, part, content=None, read_error=""):
+        """Offers content with a hash that differs from those of all earlier offers."""
         self.offers += 1
-        return self.handle(Offered(part, f"hash-{self.offers}", content, fault))
+        return self.handle(Offered(part, f"hash-{self.offers}", content, read_error))
 
     def wait(self, ms):
         self.now_ms += ms
@@ -39,7 +39,7 @@
 
 
 def pair(name="g", not_before_ms=-DAY_MS, not_after_ms=90 * DAY_MS, key_matches=True):
-    """A pair whose validity is given relative to the start."""
+    """Returns a pair with a validity relative to `START_MS`."""
     return Pair("1a", name, START_MS + not_before_ms, START_MS + not_after_ms, key_matches)
 
 
@@ -48,7 +48,7 @@
 
 
 def config_part(folder, more=""):
-    """The part of a configuration that names the files of this folder."""
+    """Returns the part of a configuration that names the files in the folder."""
     return (
         f'bounds: {{}}\nkeys: {{certificate: "{folder}/g0.pem", key: "{folder}/g0.key", '
         f'authorities: "{folder}/authorities.pem", revoked: "{folder}/revoked.pem", '
@@ -57,9 +57,9 @@
 
 
 def make_local_authority(folder):
-    """A local authority, with credentials of gateway g0 and of clients harbour and meadow."""
+    """Creates a local authority with credentials of gateway g0 and clients harbour and meadow."""
     local_authority = LocalAuthority(folder)
-    local_authority.authority()
+    local_authority.create_authority()
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
     local_authority.issue("client", "harbour")
     local_authority.issue("client", "meadow")
@@ -76,7 +76,7 @@
 
 
 async def connect_tls(stack, folder, name="", token="", port=None):
-    """A client over TLS, with the certificate of that name; its connection may be refused."""
+    """Connects a client over TLS with the certificate `name`; the gateway may reject it."""
     client = Client()
     await asyncio.get_running_loop().create_connection(
         lambda: FramedConnection(
@@ -97,5 +97,5 @@
 
 
 def connections_of(stack, known_client):
-    """How many connections the gateway has of this client."""
+    """Returns the number of connections that the gateway has admitted for the client."""
     return len(stack.service.listeners.controller.known_clients.by_name[known_client].admitted)
