--- a/cherrydoor/releases/controller.py
+++ b/cherrydoor/releases/controller.py
@@ -51,7 +51,7 @@
     Attributes:
         now: The latest time passed in, ms since 1970.
         rollouts: The releases and their transitions.
-        functions: The table of `rollouts`. Here it is only read, except in `restore`.
+        functions: The function table of `rollouts`. The feed and `restore` add entries here.
         slow_above_ms: `TrafficTable.slow_above_ms`: the latency in ms above which a request of the
             given function is slow, or 0 if there are too few observations.
     """
--- a/cherrydoor/releases/release.py
+++ b/cherrydoor/releases/release.py
@@ -56,7 +56,7 @@
 _CANARY = ReleaseState.CANARY
 
 # Number of rolled-back versions of a function whose reasons are kept.
-MAX_ROLLED_BACK_KEPT = 8
+MAX_ROLLED_BACK_VERSIONS = 8
 
 
 @dataclass(slots=True)
@@ -67,9 +67,9 @@
         function: The function's name.
         version: The version in service; 0 for the unversioned function.
         release: The newest release, even after it has ended; None before the first.
-        newest_version: The highest version announced. Announcements of lower versions arrive late
-            and are ignored.
-        rolled_back: Reason for the rollback of each version, for the `MAX_ROLLED_BACK_KEPT` newest.
+        newest_version: The highest version known. Announcements of this or a lower version are
+            repeated or late, and are ignored.
+        rolled_back: Reason for the rollback of each version; `add_rolled_back` keeps the newest.
     """
 
     function: str
@@ -81,7 +81,7 @@
     def add_rolled_back(self, version: int, reason: str) -> None:
         """Record why a version was rolled back; drop the oldest version beyond the limit."""
         self.rolled_back[version] = reason
-        while len(self.rolled_back) > MAX_ROLLED_BACK_KEPT:
+        while len(self.rolled_back) > MAX_ROLLED_BACK_VERSIONS:
             self.rolled_back.pop(min(self.rolled_back))
 
 
@@ -234,7 +234,7 @@
         return is_no_worse(errors, baseline, HINT_ALPHA, STEP_MARGINS[self.step])
 
     def completion_reason(self) -> str:
-        """Return the reason why the release may complete, given that the last step is finished."""
+        """Return the reason for completing the release once its last step is finished."""
         requests = self.canary.count("errors").total
         if requests >= REQUIRED_CANARY_REQUESTS[LAST_STEP]:
             return "proved"
--- a/tests/releases/test_evidence.py
+++ b/tests/releases/test_evidence.py
@@ -36,14 +36,14 @@
 
 
 def test_all_gateways_reach_the_same_verdict_and_earlier_if_hosts_report_counts():
-    shared = Fleet(3, gateways=20, requests_per_second=10.0, canary_failure_rate=0.1).run()
-    assert set(shared.states) == {ReleaseState.ROLLED_BACK}
-    assert shared.took_s < 300
-    alone = Fleet(
+    with_tallies = Fleet(3, gateways=20, requests_per_second=10.0, canary_failure_rate=0.1).run()
+    assert set(with_tallies.states) == {ReleaseState.ROLLED_BACK}
+    assert with_tallies.took_s < 300
+    without_tallies = Fleet(
         3, gateways=20, requests_per_second=10.0, canary_failure_rate=0.1, host_tallies=False
     ).run()
-    assert alone.took_s > 1.3 * shared.took_s
-    assert alone.harmed > shared.harmed
+    assert without_tallies.took_s > 1.3 * with_tallies.took_s
+    assert without_tallies.harmed > with_tallies.harmed
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/releases/test_release_service.py
+++ b/tests/releases/test_release_service.py
@@ -171,8 +171,8 @@
 
 @with_folder
 async def test_corrupt_state_file_is_set_aside_and_the_previous_version_is_called(stack, tmp):
-    whole = seal({FUNCTION: {"version": VERSION, "newest": VERSION, "ended": {}}})
-    (tmp / "g.releases").write_bytes(whole[:-4] + b"9}}}")
+    sealed_state = seal({FUNCTION: {"version": VERSION, "newest": VERSION, "ended": {}}})
+    (tmp / "g.releases").write_bytes(sealed_state[:-4] + b"9}}}")
     host = VersionedHost()
     _, client = await start_with_feed(stack, tmp, host)
     assert (await send_requests(client, 1))[0].outcome == "handled"
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -182,14 +182,14 @@
     other_authority = make_local_authority(tmp / "elsewhere")
     other_authority.issue("host", "h1", addresses=["127.0.0.1"])
     host = Host("handled")
-    impostor = Host("handled")
+    untrusted_host = Host("handled")
     host.tls = server_context(tmp, "h0")
-    impostor.tls = server_context(tmp / "elsewhere", "h1")
-    await stack.start(host, impostor, bounds=config_part(tmp, "hosts: true"), plain=False)
+    untrusted_host.tls = server_context(tmp / "elsewhere", "h1")
+    await stack.start(host, untrusted_host, bounds=config_part(tmp, "hosts: true"), plain=False)
     client = await connect_tls(stack, tmp)
     for i in range(8):
         assert (await client.answer(client.send(f"document {i}"))).outcome == "handled"
-    assert host.all(protocol.Attempt) and not impostor.all(protocol.Attempt)
+    assert host.all(protocol.Attempt) and not untrusted_host.all(protocol.Attempt)
 
 
 @with_folder
@@ -242,8 +242,8 @@
     In a rehearsal this ended with "bad lease".
     """
     make_local_authority(tmp_path)
-    whole = (tmp_path / "g0.key").read_bytes()
-    (tmp_path / "g0.key").write_bytes(whole[:80])
+    key_in_pem = (tmp_path / "g0.key").read_bytes()
+    (tmp_path / "g0.key").write_bytes(key_in_pem[:80])
     manager = CredentialManager(
         pair_settings(tmp_path, start_timeout_ms=20000.0, poll_interval_ms=50.0), None
     )
@@ -252,7 +252,7 @@
         starting = asyncio.ensure_future(manager.start())
         while manager.stamps is None:
             await asyncio.sleep(0)
-        (tmp_path / "g0.key").write_bytes(whole)
+        (tmp_path / "g0.key").write_bytes(key_in_pem)
         await starting
         manager.close()
 
