--- a/cherrydoor/codecs/__init__.py
+++ b/cherrydoor/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires, bytes to messages and back: no I/O, no clock, nothing of other packages."""
+"""Codecs of the platform's wires, bytes to messages and back. No I/O, clocks or other packages."""
--- a/cherrydoor/codecs/invoke.py
+++ b/cherrydoor/codecs/invoke.py
@@ -1,10 +1,11 @@
-"""The platform's door: HTTP/1.1 calls in, answers out, one event at a time on a connection. On h11.
+"""HTTP/1.1 codec of the platform's clients, based on h11: requests in, responses out, one at a time on a connection.
 
-A Conversation is fed bytes and gives Call, Ping or Bad; what is pipelined waits, bounded, until the answer is given.
-After a Bad nothing more is read: its answer closes the connection.
+A Conversation takes bytes and returns Call, Ping or BadRequest. Pipelined requests are buffered, up to a limit, until
+the response before them is written. After a BadRequest nothing more is read: its response closes the connection.
 
-A call that comes whole, alone and in plain form, as nearly all do, is read here, as h11 takes a third of an event's
-time; whatever differs in the least is h11's from its first byte, and h11 is idle while a plain call is open.
+Nearly all calls arrive complete, with nothing pipelined behind them and in a simple form. These are parsed here by a
+fast path, because h11 would use a third of the CPU time of a request. Input that differs in any way is parsed by h11
+from its first byte on. h11 sees nothing of a call that the fast path has parsed.
 """
 
 import re
@@ -13,22 +14,21 @@
 
 import h11
 
-LARGEST_HEAD, LARGEST_BODY = 8 * 1024, 16 * 1024
-MOST_AHEAD = 32 * 1024  # bytes pipelined behind an open event; see Conversation.overfull
-PATH = re.compile(rb"/call/([0-9a-f]{16})/sync\Z")
-PLAIN = re.compile(
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 8 * 1024, 16 * 1024
+MAX_PIPELINED_BYTES = 32 * 1024  # behind a call in flight; see Conversation.pipeline_overflowed
+CALL_PATH = re.compile(rb"/call/([0-9a-f]{16})/sync\Z")
+FAST_PATH_HEAD = re.compile(
     rb"(POST) (/call/[0-9a-f]{16}/sync) HTTP/(1\.1)\r\n"
     rb"((?:[A-Za-z0-9-]{1,40}: [!-~]{1,300}\r\n){1,32})\r\n"
 )
-NOT_PLAIN = (b"transfer-encoding", b"expect", b"connection", b"upgrade")
-ID = re.compile(rb"[0-9a-f]{16}\Z")
+FAST_PATH_EXCLUDED_HEADERS = (b"transfer-encoding", b"expect", b"connection", b"upgrade")
+CALL_ID = re.compile(rb"[0-9a-f]{16}\Z")
 NAME = re.compile(rb"[!-~]{1,256}\Z")
-FIGURE = re.compile(rb"\d{1,9}(\.\d{1,9})?\Z")
-IDEMPOTENCY_KEY = re.compile(
-    rb"[!-+.-<>-~-]{1,128}\Z"
-)  # passed on as a host's field: no comma, no equals sign
-LEAST_LANES, MOST = 1.0, 1e7  # what a figure of X-Extras may be
-ONCE = {
+DECIMAL_NUMBER = re.compile(rb"\d{1,9}(\.\d{1,9})?\Z")
+# The key becomes a field value of a host command, where commas and equals signs are separators.
+IDEMPOTENCY_KEY = re.compile(rb"[!-+.-<>-~-]{1,128}\Z")
+MIN_LANES, MAX_EXTRA_VALUE = 1.0, 1e7  # limits of the numbers in X-Extras
+SINGLE_VALUE_HEADERS = {
     b"x-class",
     b"x-call-id",
     b"x-patience-ms",
@@ -56,13 +56,13 @@
 
 @dataclass(slots=True)
 class Call:
-    """An event as a client sent it, in full form. `extras` are its X-Extras, `idempotency_key` its X-Dedupe-Key."""
+    """A request as the client sent it. `extras` comes from X-Extras, `idempotency_key` from X-Dedupe-Key."""
 
     id: str
-    kind: str
-    customer: str
+    request_class: str
+    tenant: str
     function: str
-    patience: float
+    timeout_ms: float
     extras: dict = field(default_factory=dict)
     body: bytes = b""
     idempotency_key: str = ""
@@ -70,99 +70,103 @@
 
 @dataclass(slots=True)
 class Ping:
-    """Asks whether the gateway is ready."""
+    """A readiness probe."""
 
 
 @dataclass(slots=True)
-class Bad:
-    """What is no call: the status it is owed, and why."""
+class BadRequest:
+    """Input that is not a valid request: the HTTP status of the response, and its reason."""
 
     status: int
     reason: str
 
 
-def extras(text):
-    """The further figures of a call; ValueError names the one that cannot be used.
+def read_extras(text):
+    """Returns the numbers in an X-Extras header; ValueError names the entry that is invalid.
 
-    >>> extras(b"memory_mb:512;lanes:2")
+    >>> read_extras(b"memory_mb:512;lanes:2")
     {'memory_mb': 512.0, 'lanes': 2.0}
     """
     found: dict = {}
     for pair in text.split(b";") if text else ():
         name, _, value = pair.partition(b":")
-        word = name.decode("ascii", "replace")
-        if not name or not FIGURE.match(value) or word in found or float(value) > MOST:
-            raise ValueError(f"X-Extras: {word[:40]!r} is no figure that can be used")
-        found[word] = float(value)
-    if found.get("lanes", LEAST_LANES) < LEAST_LANES:
+        key = name.decode("ascii", "replace")
+        if (
+            not name
+            or not DECIMAL_NUMBER.match(value)
+            or key in found
+            or float(value) > MAX_EXTRA_VALUE
+        ):
+            raise ValueError(f"X-Extras: {key[:40]!r} is no figure that can be used")
+        found[key] = float(value)
+    if found.get("lanes", MIN_LANES) < MIN_LANES:
         raise ValueError("X-Extras: lanes is below 1")
     return found
 
 
-def call_of(request):
-    """Call, Ping or Bad of a request's head."""
-    said: dict = {}
+def read_head(request):
+    """Returns the Call, Ping or BadRequest that a request's head describes; a Call has no body yet."""
+    header_values: dict = {}
     for name, value in request.headers:
-        if name in said and name in ONCE:
-            return Bad(400, f"{name.decode()} is said twice")
-        said[name] = value
-    if sum(map(len, said.values())) > LARGEST_HEAD:
-        return Bad(431, f"a head holds {LARGEST_HEAD} bytes at most")
+        if name in header_values and name in SINGLE_VALUE_HEADERS:
+            return BadRequest(400, f"{name.decode()} is said twice")
+        header_values[name] = value
+    if sum(map(len, header_values.values())) > MAX_HEAD_BYTES:
+        return BadRequest(431, f"a head holds {MAX_HEAD_BYTES} bytes at most")
     if request.http_version != b"1.1":
-        return Bad(505, "HTTP/1.1 is spoken here")
-    if (
-        b"transfer-encoding" in said
-    ):  # beside a Content-Length it may hide a second call in the body
-        return Bad(
-            400 if b"content-length" in said else 411,
+        return BadRequest(505, "HTTP/1.1 is spoken here")
+    # With a Content-Length as well, a Transfer-Encoding can hide a second call in the body.
+    if b"transfer-encoding" in header_values:
+        return BadRequest(
+            400 if b"content-length" in header_values else 411,
             "a body's length is said by Content-Length alone",
         )
-    size = int(said.get(b"content-length", b"0"))
+    size = int(header_values.get(b"content-length", b"0"))
     if request.target == b"/ping":
         return (
             Ping()
             if request.method == b"GET" and not size
-            else Bad(405, "GET /ping, without a body")
+            else BadRequest(405, "GET /ping, without a body")
         )
-    path = PATH.match(request.target)
+    path = CALL_PATH.match(request.target)
     if not path:
-        return Bad(404, "the path is /call/FUNCTION/sync, the function 16 hex digits")
+        return BadRequest(404, "the path is /call/FUNCTION/sync, the function 16 hex digits")
     if request.method != b"POST":
-        return Bad(405, "a call is a POST")
-    if size > LARGEST_BODY:
-        return Bad(413, f"a body holds {LARGEST_BODY} bytes at most")
-    if not ID.match(said.get(b"x-call-id", b"")):
-        return Bad(400, "X-Call-Id is 16 hex digits")
-    if not NAME.match(said.get(b"x-class", b"")):
-        return Bad(400, "X-Class names the event type")
-    if b"x-customer" in said and not NAME.match(said[b"x-customer"]):
-        return Bad(400, "X-Customer is no name")
-    idempotency_key = said.get(b"x-dedupe-key", b"")
+        return BadRequest(405, "a call is a POST")
+    if size > MAX_BODY_BYTES:
+        return BadRequest(413, f"a body holds {MAX_BODY_BYTES} bytes at most")
+    if not CALL_ID.match(header_values.get(b"x-call-id", b"")):
+        return BadRequest(400, "X-Call-Id is 16 hex digits")
+    if not NAME.match(header_values.get(b"x-class", b"")):
+        return BadRequest(400, "X-Class names the event type")
+    if b"x-customer" in header_values and not NAME.match(header_values[b"x-customer"]):
+        return BadRequest(400, "X-Customer is no name")
+    idempotency_key = header_values.get(b"x-dedupe-key", b"")
     if idempotency_key and not IDEMPOTENCY_KEY.match(idempotency_key):
-        return Bad(
+        return BadRequest(
             400, "X-Dedupe-Key: up to 128 printable characters, without commas and equals signs"
         )
-    patience = said.get(b"x-patience-ms", b"")
-    if not FIGURE.match(patience) or not float(patience):
-        return Bad(400, "X-Patience-Ms is a number of milliseconds above 0")
+    timeout_ms = header_values.get(b"x-patience-ms", b"")
+    if not DECIMAL_NUMBER.match(timeout_ms) or not float(timeout_ms):
+        return BadRequest(400, "X-Patience-Ms is a number of milliseconds above 0")
     try:
-        figures = extras(said.get(b"x-extras", b""))
+        extra_values = read_extras(header_values.get(b"x-extras", b""))
     except ValueError as error:
-        return Bad(400, str(error))
+        return BadRequest(400, str(error))
     return Call(
-        said[b"x-call-id"].decode(),
-        said[b"x-class"].decode(),
-        said.get(b"x-customer", b"").decode(),
+        header_values[b"x-call-id"].decode(),
+        header_values[b"x-class"].decode(),
+        header_values.get(b"x-customer", b"").decode(),
         path[1].decode(),
-        float(patience),
-        figures,
+        float(timeout_ms),
+        extra_values,
         idempotency_key=idempotency_key.decode(),
     )
 
 
 @dataclass(slots=True)
 class Head:
-    """A request's head, by the names that h11 gives it."""
+    """A request's head, with the attribute names that h11 uses."""
 
     method: bytes
     target: bytes
@@ -170,39 +174,50 @@
     headers: list
 
 
-def plain(data):
-    """The Call or Bad of bytes that are one whole call in plain form; None where they are anything else."""
-    found = PLAIN.match(data)
-    if found is None:
+def read_fast_path(data):
+    """Returns the Call if the bytes are exactly one valid call in simple form, otherwise None."""
+    matched = FAST_PATH_HEAD.match(data)
+    if matched is None:
         return None
-    headers, host = [], False
-    for line in found[4][:-2].split(b"\r\n"):
+    headers, has_host = [], False
+    for line in matched[4][:-2].split(b"\r\n"):
         name, _, value = line.partition(b": ")
         name = name.lower()
         if (
-            name in NOT_PLAIN
+            name in FAST_PATH_EXCLUDED_HEADERS
             or name == b"content-length"
             and not (value.isdigit() and len(value) < 6)
         ):
             return None
-        host |= name == b"host"
+        has_host |= name == b"host"
         headers.append((name, value))
-    note, size = call_of(Head(found[1], found[2], found[3], headers)), 0
+    message, size = read_head(Head(matched[1], matched[2], matched[3], headers)), 0
     for name, value in headers:
         if name == b"content-length":
             size = int(value)
-    if not host or type(note) is Bad or len(data) != found.end() + size:
+    if not has_host or type(message) is BadRequest or len(data) != matched.end() + size:
         return None
-    note.body = data[found.end() :]
-    return note
+    message.body = data[matched.end() :]
+    return message
 
 
 class Conversation:
-    """One client connection. `open`: a note was given and its answer is owed; `held`: bytes of what is unfinished."""
+    """The protocol state of one client connection.
+
+    Attributes:
+        open: Whether a message was returned whose response has not been written yet.
+        buffered_bytes: Bytes that are buffered: an incomplete request, or input behind the open one.
+        reply: Bytes to send at once, before any response.
+        failed: Whether a BadRequest was returned, so that nothing more is read.
+        used_fast_path: Whether the open call was parsed by the fast path, so that h11 has seen nothing of it.
+        pipeline_overflowed: Whether more was pipelined than the limit. The excess is dropped, and the connection
+            closes with the open call's response. Reading goes on, because the end of the input shows that the client
+            has disconnected.
+    """
 
     def __init__(self):
-        self.http: Any = None  # made for the first that is not plain
-        self.note, self.body, self.open, self.bad, self.held, self.reply = (
+        self.http: Any = None  # created when the fast path first does not apply
+        self.message, self.body, self.open, self.failed, self.buffered_bytes, self.reply = (
             None,
             [],
             False,
@@ -210,39 +225,42 @@
             0,
             b"",
         )
-        self.plain = False  # the open event was read here: h11 has seen nothing of it
-        self.overfull = (
-            False  # more was pipelined than is held: the rest is dropped, and the connection closes
-        )
-        # with the open event's answer. It is read on, as its end tells that the client left
+        self.used_fast_path = False
+        self.pipeline_overflowed = False
 
     def feed(self, data):
-        """Call, Ping or Bad, or None while nothing is whole. Bytes to be sent at once are left in `reply`."""
-        if self.bad or self.overfull:
+        """Returns the next Call, Ping or BadRequest; None while none is complete.
+
+        Bytes that have to be sent at once are put into `reply`.
+        """
+        if self.failed or self.pipeline_overflowed:
             return None
-        if not self.open and not self.held and (note := plain(data)):
-            self.open = self.plain = True
-            return note
-        self.held += len(data)
-        if self.open and self.held > MOST_AHEAD:
-            self.overfull = True
+        if not self.open and not self.buffered_bytes and (message := read_fast_path(data)):
+            self.open = self.used_fast_path = True
+            return message
+        self.buffered_bytes += len(data)
+        if self.open and self.buffered_bytes > MAX_PIPELINED_BYTES:
+            self.pipeline_overflowed = True
             return None
-        self.http = self.http or h11.Connection(h11.SERVER, max_incomplete_event_size=LARGEST_HEAD)
+        self.http = self.http or h11.Connection(
+            h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES
+        )
         try:
             if data:
                 self.http.receive_data(data)
-            return None if self.open else self.next()
+            return None if self.open else self.read_next()
         except h11.RemoteProtocolError as error:
-            return self.spoilt(error.error_status_hint, str(error))
+            return self.fail(error.error_status_hint, str(error))
 
-    def next(self):
+    def read_next(self):
+        """Returns the next message that h11 has complete, otherwise None."""
         while True:
             event = self.http.next_event()
             kind = type(event)
             if kind is h11.Request:
-                self.note, self.body = call_of(event), []
-                if type(self.note) is Bad:
-                    return self.spoilt(self.note.status, self.note.reason)
+                self.message, self.body = read_head(event), []
+                if type(self.message) is BadRequest:
+                    return self.fail(self.message.status, self.message.reason)
                 if self.http.they_are_waiting_for_100_continue:
                     self.reply += self.http.send(
                         h11.InformationalResponse(status_code=100, headers=[])
@@ -250,38 +268,41 @@
             elif kind is h11.Data:
                 self.body.append(bytes(event.data))
             elif kind is h11.EndOfMessage:
-                note, self.open = self.note, True
-                self.held = len(self.http.trailing_data[0])
-                if type(note) is Call:
-                    note.body, self.body = b"".join(self.body), []
-                return note
+                message, self.open = self.message, True
+                self.buffered_bytes = len(self.http.trailing_data[0])
+                if type(message) is Call:
+                    message.body, self.body = b"".join(self.body), []
+                return message
             else:  # NEED_DATA, PAUSED, or ConnectionClosed
                 return None
 
-    def spoilt(self, status, reason):
-        self.bad = self.open = True
-        return Bad(status if status in PHRASES else 400, reason[:200])
+    def fail(self, status, reason):
+        """Stops reading; returns the BadRequest that the client gets as its response."""
+        self.failed = self.open = True
+        return BadRequest(status if status in PHRASES else 400, reason[:200])
 
-    def answer(self, status, body=b"", come_back=None, close=False):
-        """(bytes, whether the connection closes after them): the one answer that is owed."""
-        close = close or self.bad or self.overfull
+    def answer(self, status, body=b"", retry_after_ms=None, close=False):
+        """Returns the response to the open request as (its bytes, whether the connection closes after them)."""
+        close = close or self.failed or self.pipeline_overflowed
         self.open = False
-        if self.plain and not close:
-            self.plain = False
-            wait = b"" if come_back is None else b"X-Come-Back-Ms: %d\r\n" % come_back
+        if self.used_fast_path and not close:
+            self.used_fast_path = False
+            retry_after_header = (
+                b"" if retry_after_ms is None else b"X-Come-Back-Ms: %d\r\n" % retry_after_ms
+            )
             return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b\r\n%b" % (
                 status,
                 PHRASES[status],
                 len(body),
-                wait,
+                retry_after_header,
                 body,
             ), False
         self.http = self.http or h11.Connection(h11.SERVER)
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return b"", True
         headers = [(b"Content-Length", b"%d" % len(body))]
-        if come_back is not None:
-            headers.append((b"X-Come-Back-Ms", b"%d" % come_back))
+        if retry_after_ms is not None:
+            headers.append((b"X-Come-Back-Ms", b"%d" % retry_after_ms))
         if close:
             headers.append((b"Connection", b"close"))
         data = self.http.send(
@@ -296,11 +317,11 @@
         return data, False
 
 
-def refusal(reason, come_back):
-    """The bytes for a connection that is turned away before it has said anything."""
+def refusal(reason, retry_after_ms):
+    """Returns the response for a connection that is refused before it has sent anything."""
     body = reason.encode()
     return (
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: %d\r\nX-Come-Back-Ms: %d\r\nConnection: close\r\n\r\n"
-        % (len(body), come_back)
+        % (len(body), retry_after_ms)
         + body
     )
--- a/cherrydoor/codecs/resp.py
+++ b/cherrydoor/codecs/resp.py
@@ -1,15 +1,22 @@
-"""The platform's hosts: commands out and answers in, as RESP arrays of bulk strings. Bounded; no I/O.
+"""RESP codec of the platform's hosts: commands out, replies in, as arrays of bulk strings. Sizes are limited; no I/O.
 
-A Reader is fed bytes and gives Answers; once it is spoilt the connection is of no more use.
+A Reader takes bytes and returns replies. After a malformed reply the connection cannot be used any more.
 """
 
 import re
 from dataclasses import dataclass, field
 
-LARGEST_BODY = 1 << 20
-BOUNDS = (64, 16, 4096, LARGEST_BODY)  # bytes of id, word, fields and body
-LINE = re.compile(rb"[*$](0|[1-9]\d{0,9})\r\n")
-LONGEST_LINE = 13
+MAX_BODY_BYTES = 1 << 20
+MAX_ELEMENT_BYTES = (64, 16, 4096, MAX_BODY_BYTES)  # of id, status, fields and body
+LENGTH_LINE = re.compile(rb"[*$](0|[1-9]\d{0,9})\r\n")
+MAX_LENGTH_LINE_BYTES = 13
+# Statuses of replies to requests and load orders:
+#   DONE     it succeeded
+#   MISSING  the host has no copy of the function
+#   FULL     the host's queue is full
+#   BROKE    it failed
+#   PAST     its time limit had passed, so it was not run
+# Statuses of replies to health checks: FIT for a healthy host, UNFIT for an unhealthy one.
 DONE, MISSING, FULL, BROKE, PAST, FIT, UNFIT = (
     "done",
     "missing",
@@ -19,7 +26,7 @@
     "fit",
     "unfit",
 )
-WORDS = {
+STATUSES = {
     b"DONE": DONE,
     b"LACK": MISSING,
     b"WAIT": FULL,
@@ -28,182 +35,211 @@
     b"FIT": FIT,
     b"UNFIT": UNFIT,
 }
-NOTES = {"hit": 1, "spawn": 2, "pending": 3, "spawn_failed": 4}
+COPY_STATES = {"hit": 1, "spawn": 2, "pending": 3, "spawn_failed": 4}
 
 
-class Spoilt(Exception):
-    """What came cannot be read as an answer."""
+class MalformedReplyError(Exception):
+    """The input cannot be read as a reply."""
 
 
 @dataclass(slots=True)
-class Answer:
-    """note: 1 a copy stood, 2 a load was begun, 3 one was awaited, 4 it failed, 0 not said; crowd, copies: None where
-    not said; meter: the load report."""
+class Reply:
+    """One reply of a host.
+
+    Attributes:
+        id: The id of the command that it replies to.
+        status: One of the values of STATUSES.
+        copy_state: The function's copy when the request came: 1 ready, 2 the request began its load, 3 the request
+            waited for a load in progress, 4 the load failed, 0 not reported.
+        concurrency: Requests of the function in progress on the host; None if not reported.
+        copies: Copies of the function on the host; None if not reported.
+        load_report: The host's load report; empty if not reported.
+        body: The response body.
+    """
 
     id: str
-    word: str
-    note: int = 0
-    crowd: int | None = None
+    status: str
+    copy_state: int = 0
+    concurrency: int | None = None
     copies: int | None = None
-    meter: dict = field(default_factory=dict)
+    load_report: dict = field(default_factory=dict)
     body: bytes = b""
 
 
-def command(*words):
-    """Words as one RESP array.
+def command(*elements):
+    """Returns the elements as one RESP array.
 
     >>> command(b"drop", b"a1")
     b'*2\\r\\n$4\\r\\ndrop\\r\\n$2\\r\\na1\\r\\n'
     """
-    return b"*%d\r\n" % len(words) + b"".join(
-        [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
+    return b"*%d\r\n" % len(elements) + b"".join(
+        [b"$%d\r\n%b\r\n" % (len(element), element) for element in elements]
     )
 
 
-def execute(number, kind, function, limit, body, idempotency_key=""):
-    """limit: ms that the gateway waits. The client's idempotency key, where it gave one, passes on unchanged."""
-    fields = f"cls={kind},item={function},limit={max(1, int(limit))}"
+def execute(request_id, request_class, function, timeout_ms, body, idempotency_key=""):
+    """Returns the command that runs a function.
+
+    `timeout_ms` is how long the gateway waits for the reply. A client's idempotency key is passed on unchanged.
+    """
+    fields = f"cls={request_class},item={function},limit={max(1, int(timeout_ms))}"
     if idempotency_key:
         fields += f",nonce={idempotency_key}"
-    return command(b"exec", number.encode(), fields.encode(), body)
+    return command(b"exec", request_id.encode(), fields.encode(), body)
 
 
-def drop(number):
-    return command(b"drop", number.encode())
+def drop(request_id):
+    """Returns the command that cancels a request."""
+    return command(b"drop", request_id.encode())
 
 
-def health(tag):
-    return command(b"health", tag.encode())
+def health(check_id):
+    """Returns the command that checks a host's health."""
+    return command(b"health", check_id.encode())
 
 
-def ensure(tag, function, copies):
-    return command(b"ensure", tag.encode(), f"item={function},copies={copies}".encode())
+def ensure(order_id, function, copies):
+    """Returns the command that orders a host to hold a number of copies of a function."""
+    return command(b"ensure", order_id.encode(), f"item={function},copies={copies}".encode())
 
 
 def release(function):
+    """Returns the command that allows a host to unload a function."""
     return command(b"release", function.encode())
 
 
-def count(text):
+def read_count(text):
     if not text.isascii() or not text.isdigit() or len(text) > 9:
-        raise Spoilt(f"no count: {text[:20]!r}")
+        raise MalformedReplyError(f"expected a count of up to 9 digits, found {text[:20]!r}")
     return int(text)
 
 
-def report(text):
-    """A load report; what is no figure spoils the answer.
+def read_load_report(text):
+    """Returns a load report; an invalid entry makes the whole reply malformed.
 
-    >>> report("inflight:7;util:0.61")
+    >>> read_load_report("inflight:7;util:0.61")
     {'inflight': 7.0, 'util': 0.61}
     """
     found = {}
     for pair in text.split(";") if text else ():
         name, colon, value = pair.partition(":")
         try:
-            figure = float(value)
+            number = float(value)
         except ValueError:
-            raise Spoilt(f"no load report: {pair[:40]!r}") from None
-        if not colon or not name or not 0 <= figure < 1e12:
-            raise Spoilt(f"no load report: {pair[:40]!r}")
-        found[name] = figure
+            raise MalformedReplyError(
+                f"expected name:number in the load report, found {pair[:40]!r}"
+            ) from None
+        if not colon or not name or not 0 <= number < 1e12:
+            raise MalformedReplyError(
+                f"expected name:number in the load report, found {pair[:40]!r}"
+            )
+        found[name] = number
     return found
 
 
-def answer_of(words):
-    """An Answer of the four words of an array; unknown fields are passed over."""
-    number, word, fields, body = words
-    if word not in WORDS:
-        raise Spoilt(f"no answer's word: {word[:20]!r}")
+def read_reply(elements):
+    """Returns the reply that the four elements of an array hold; unknown fields are ignored."""
+    request_id, status, fields, body = elements
+    if status not in STATUSES:
+        raise MalformedReplyError(f"unknown reply status: {status[:20]!r}")
     try:
-        answer, said = (
-            Answer(number.decode("ascii"), WORDS[word], body=body),
+        reply, field_text = (
+            Reply(request_id.decode("ascii"), STATUSES[status], body=body),
             fields.decode("ascii"),
         )
     except UnicodeDecodeError:
-        raise Spoilt("an id or fields that are not text") from None
-    for pair in said.split(",") if said != "-" and said else ():
+        raise MalformedReplyError("the id or the fields of a reply are not ASCII") from None
+    for pair in field_text.split(",") if field_text != "-" and field_text else ():
         name, equals, value = pair.partition("=")
         if not equals or not name:
-            raise Spoilt(f"no field: {pair[:40]!r}")
+            raise MalformedReplyError(f"expected name=value in the fields, found {pair[:40]!r}")
         if name == "tell":
-            if value not in NOTES:
-                raise Spoilt(f"no note: {value[:20]!r}")
-            answer.note = NOTES[value]
+            if value not in COPY_STATES:
+                raise MalformedReplyError(f"unknown copy state: {value[:20]!r}")
+            reply.copy_state = COPY_STATES[value]
         elif name == "queue_fn":
-            answer.crowd = count(value)
+            reply.concurrency = read_count(value)
         elif name == "copies":
-            answer.copies = count(value)
+            reply.copies = read_count(value)
         elif name == "meter":
-            answer.meter = report(value)
-    return answer
+            reply.load_report = read_load_report(value)
+    return reply
 
 
 class Reader:
-    """`held` is what of an unfinished answer has come: never more than the bounds of one. `spoilt` says why nothing
-    more is read."""
+    """Reads the replies on one connection.
+
+    Attributes:
+        buffer: The bytes of an incomplete reply; never more than the limits of one reply.
+        failure_reason: Why nothing more is read; empty while the input is valid.
+    """
 
     def __init__(self):
-        self.held, self.spoilt = bytearray(), ""
+        self.buffer, self.failure_reason = bytearray(), ""
 
     def feed(self, data):
-        """Answers that are whole; what came before something spoilt counts."""
-        if self.spoilt:
+        """Returns the replies that are now complete, also those before a malformed one."""
+        if self.failure_reason:
             return []
-        self.held += data
-        found, at = [], 0
+        self.buffer += data
+        replies, position = [], 0
         try:
             while True:
-                words, end = self.array(at)
-                if words is None:
+                elements, end = self.read_array(position)
+                if elements is None:
                     break
-                found.append(answer_of(words))
-                at = end
-        except Spoilt as error:
-            self.spoilt, at = str(error), len(self.held)
-        del self.held[:at]
-        return found
-
-    def line(self, at, mark):
-        """The number of a line that begins here and where it ends; (None, at) while it is not whole."""
-        held = self.held
-        if at >= len(held):
-            return None, at
-        if held[at] != mark:
-            raise Spoilt("neither an array nor a bulk string where one is due")
-        found = LINE.match(held, at)
-        if found:
-            return int(found[1]), found.end()
-        rest = bytes(held[at + 1 : at + LONGEST_LINE])
+                replies.append(read_reply(elements))
+                position = end
+        except MalformedReplyError as error:
+            self.failure_reason, position = str(error), len(self.buffer)
+        del self.buffer[:position]
+        return replies
+
+    def read_length(self, position, marker):
+        """Returns (length, end) of the length line at a position; (None, position) if it is incomplete.
+
+        `marker` is the line's first byte: "*" for an array, "$" for a bulk string.
+        """
+        buffer = self.buffer
+        if position >= len(buffer):
+            return None, position
+        if buffer[position] != marker:
+            raise MalformedReplyError("expected an array or a bulk string of RESP")
+        matched = LENGTH_LINE.match(buffer, position)
+        if matched:
+            return int(matched[1]), matched.end()
+        rest = bytes(buffer[position + 1 : position + MAX_LENGTH_LINE_BYTES])
         digits = rest.rstrip(b"\r")
         if (
-            len(rest) >= LONGEST_LINE - 1
+            len(rest) >= MAX_LENGTH_LINE_BYTES - 1
             or b"\n" in rest
             or digits
             and not digits.isdigit()
             or rest[:1] == b"\r"
         ):
-            raise Spoilt("a length that cannot be read")
-        return None, at
+            raise MalformedReplyError("invalid length line")
+        return None, position
 
-    def array(self, at):
-        size, at = self.line(at, 42)
+    def read_array(self, position):
+        """Returns (elements, end) of the array at a position; (None, position) if it is incomplete."""
+        size, position = self.read_length(position, 42)
         if size is None:
-            return None, at
-        if size != len(BOUNDS):
-            raise Spoilt(f"an answer of {size} words")
-        words = []
-        for bound in BOUNDS:
-            size, at = self.line(at, 36)
+            return None, position
+        if size != len(MAX_ELEMENT_BYTES):
+            raise MalformedReplyError(f"unexpected number of reply elements: {size}")
+        elements = []
+        for max_bytes in MAX_ELEMENT_BYTES:
+            size, position = self.read_length(position, 36)
             if size is None:
-                return None, at
-            if size > bound:
-                raise Spoilt(f"a word of {size} bytes")
-            if len(self.held) < at + size + 2:
-                if self.held[at + size : at + size + 1] not in (b"", b"\r"):
-                    raise Spoilt("a length that does not fit")
-                return None, at
-            if self.held[at + size : at + size + 2] != b"\r\n":
-                raise Spoilt("a length that does not fit")
-            words.append(bytes(self.held[at : at + size]))
-            at += size + 2
-        return words, at
+                return None, position
+            if size > max_bytes:
+                raise MalformedReplyError(f"reply element too large: {size} bytes")
+            if len(self.buffer) < position + size + 2:
+                if self.buffer[position + size : position + size + 1] not in (b"", b"\r"):
+                    raise MalformedReplyError("reply element does not end at its stated length")
+                return None, position
+            if self.buffer[position + size : position + size + 2] != b"\r\n":
+                raise MalformedReplyError("reply element does not end at its stated length")
+            elements.append(bytes(self.buffer[position : position + size]))
+            position += size + 2
+        return elements, position
--- a/cherrydoor/codecs/sse.py
+++ b/cherrydoor/codecs/sse.py
@@ -1,6 +1,6 @@
-"""The platform's endpoint stream: server-sent events over HTTP/1.1 (on h11), no I/O.
+"""Codec of the platform's endpoint stream: server-sent events over HTTP/1.1, based on h11; no I/O.
 
-Each event carries the changes of the endpoint list under a revision, or the whole list.
+Each event has a revision and carries either the changes of the endpoint list or the complete list.
 """
 
 import json
@@ -11,7 +11,7 @@
 
 MAX_EVENT_BYTES = 4 << 20
 MAX_PORT = 65535
-QUOTED_CHARACTERS = 40  # of a value that is wrong, in an error's text
+MAX_QUOTED_CHARACTERS = 40  # of an invalid value, in an error text
 
 State = Literal["ready", "draining", "gone"]
 READY: State = "ready"
@@ -21,20 +21,20 @@
 
 
 class UnreadableError(Exception):
-    """What came is no endpoint stream; the text names the field that is wrong."""
+    """The input is not a valid endpoint stream; the text names the invalid field."""
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """A host as the endpoint list has it.
+    """One host in the endpoint list.
 
     Attributes:
         id: The host's id.
         address: Its address:port.
-        state: Its state.
-        zone: Its zone, "" where none is stated.
-        cell: Number of the group of hosts that drop each other's repeats.
-        started_at_ms: When it started, in Unix ms; 0 for long ago.
+        state: Its lifecycle state.
+        zone: Its zone; "" if none is stated.
+        cell: Number of the group of hosts that deduplicate requests among themselves.
+        started_at_ms: When it started, in Unix ms; 0 if unknown or long ago.
     """
 
     id: str
@@ -50,9 +50,9 @@
     """One event of the stream.
 
     Attributes:
-        revision: Its number.
-        is_snapshot: Whether it holds the whole list, not the changes alone.
-        endpoints: The endpoints in it; None where the event carries none.
+        revision: Its revision number.
+        is_snapshot: Whether it holds the complete list rather than only the changes.
+        endpoints: The endpoints in it; None if the event carries none.
     """
 
     revision: int
@@ -61,15 +61,15 @@
 
 
 def read_update(event: Any) -> EndpointUpdate:
-    """Returns the update that an event's JSON value holds.
+    """Returns the update in an event's decoded JSON.
 
     Raises:
-        UnreadableError: A field is missing or cannot be used.
+        UnreadableError: A field is missing or invalid.
     """
     try:
         revision = event["no"]
         if type(revision) is not int or revision < 0:
-            raise UnreadableError(f"no: a number expected, not {quoted(revision)}")
+            raise UnreadableError(f"no: expected a number of 0 or more, found {quoted(revision)}")
         roster = event.get("roster")
         if roster is None:
             return EndpointUpdate(revision, False, None)
@@ -80,15 +80,17 @@
 
 
 def read_endpoint(instance: Any) -> ListedEndpoint:
-    """Returns one endpoint of an event; errors as ``read_update``."""
+    """Returns one endpoint of an event; raises the same errors as ``read_update``."""
     state = STATES.get(instance["lifecycle"])
     if state is None:
         found = quoted(instance["lifecycle"])
-        raise UnreadableError(f"roster.instances.lifecycle: not known: {found}")
+        raise UnreadableError(f"roster.instances.lifecycle: unknown state: {found}")
     address = instance["hostPort"]
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise UnreadableError(f"roster.instances.hostPort: no address: {quoted(address)}")
+        raise UnreadableError(
+            f"roster.instances.hostPort: expected host:port, found {quoted(address)}"
+        )
     return ListedEndpoint(
         str(instance["instanceId"]),
         address,
@@ -100,12 +102,12 @@
 
 
 def quoted(value: object) -> str:
-    """Returns the beginning of a value for an error's text."""
-    return repr(str(value)[:QUOTED_CHARACTERS])
+    """Returns the beginning of a value, for an error text."""
+    return repr(str(value)[:MAX_QUOTED_CHARACTERS])
 
 
 def watch_request(server: str, last_revision: int) -> bytes:
-    """Returns the request for all updates after a revision."""
+    """Returns the HTTP request for all updates after a revision."""
     return (
         f"GET /bulletins HTTP/1.1\r\nHost: {server}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_revision}\r\n\r\n"
@@ -113,11 +115,11 @@
 
 
 class UpdateReader:
-    """Reads the answer to a watch request, from bytes to complete updates.
+    """Reads the response to a watch request: bytes in, complete updates out.
 
     Attributes:
-        lines: Complete lines so far, each a sign of life.
-        comments: Those of them that are comments.
+        lines: Number of complete lines so far; each shows that the stream is alive.
+        comments: How many of these lines are comments.
     """
 
     def __init__(self) -> None:
@@ -132,10 +134,10 @@
         self._http.send(h11.EndOfMessage())
 
     def feed(self, data: bytes) -> list[EndpointUpdate]:
-        """Returns the updates that are complete with these bytes.
+        """Returns the updates that these bytes complete.
 
         Raises:
-            UnreadableError: It is no answer of an endpoint stream.
+            UnreadableError: The response is not that of an endpoint stream.
         """
         updates: list[EndpointUpdate] = []
         try:
@@ -144,19 +146,21 @@
                 event = self._http.next_event()
                 if type(event) is h11.Response:
                     if event.status_code != 200:
-                        raise UnreadableError(f"the bulletin answers {event.status_code}")
+                        raise UnreadableError(
+                            f"the discovery server responded with status {event.status_code}"
+                        )
                 elif type(event) is h11.Data:
                     updates += self._read_lines(bytes(event.data))
                 elif type(event) is not h11.InformationalResponse:
-                    return updates  # the end, or more bytes are needed
+                    return updates  # the stream has ended, or more bytes are needed
         except h11.RemoteProtocolError as error:
             raise UnreadableError(str(error)) from None
 
     def _read_lines(self, data: bytes) -> list[EndpointUpdate]:
         *lines, self._incomplete_line = (self._incomplete_line + data).split(b"\n")
-        held = len(self._incomplete_line) + sum(map(len, self._data_lines))
-        if held > MAX_EVENT_BYTES:
-            raise UnreadableError("an event that does not end")
+        buffered_bytes = len(self._incomplete_line) + sum(map(len, self._data_lines))
+        if buffered_bytes > MAX_EVENT_BYTES:
+            raise UnreadableError("an event exceeds the size limit")
         updates = []
         for line in lines:
             update = self._read_line(line.rstrip(b"\r"))
@@ -165,7 +169,7 @@
         return updates
 
     def _read_line(self, line: bytes) -> EndpointUpdate | None:
-        """Returns the update that ends with this line, if one does."""
+        """Returns the update that this line completes, if any."""
         self.lines += 1
         if line.startswith(b":"):
             self.comments += 1
@@ -177,5 +181,5 @@
             try:
                 return read_update(json.loads(text))
             except ValueError as error:
-                raise UnreadableError(f"an event's data: {error}") from None
+                raise UnreadableError(f"event data is not valid JSON: {error}") from None
         return None
--- a/cherrydoor/platform/client_connection.py
+++ b/cherrydoor/platform/client_connection.py
@@ -55,14 +55,14 @@
         """Reads on; admission is told how much of an incomplete request is held."""
         if not self.closing:
             self.parsed(self.conversation.feed(data))
-            self.holds(self.conversation.held, False)
+            self.holds(self.conversation.buffered_bytes, False)
 
-    def parsed(self, message: invoke.Call | invoke.Ping | invoke.Bad | None) -> None:
+    def parsed(self, message: invoke.Call | invoke.Ping | invoke.BadRequest | None) -> None:
         """Handles what the codec made of the input; None where nothing is complete."""
         if self.conversation.reply:
             self.transport.write(self.conversation.reply)
             self.conversation.reply = b""
-        if isinstance(message, invoke.Bad):
+        if isinstance(message, invoke.BadRequest):
             counters = self.listener.service.dispatcher.counters
             counters[f"bad requests: {message.status}"] += 1
             self.respond(message.status, message.reason, close=True)
@@ -121,7 +121,7 @@
             self.close_when_written()
         elif self.transport.get_write_buffer_size() > WRITE_BUFFER_MAX_BYTES:
             self.abort()
-        elif self.conversation.held:
+        elif self.conversation.buffered_bytes:
             self.listener.service.loop.call_soon(self.read_pipelined)
 
     def read_pipelined(self) -> None:
@@ -141,7 +141,7 @@
         """Whether no request is in flight, incomplete or unread, and no close has begun."""
         return (
             not self.conversation.open
-            and not self.conversation.held
+            and not self.conversation.buffered_bytes
             and not self.closing
             and not self.has_unread()
         )
@@ -153,7 +153,7 @@
         then our side alone closes, and the client's is read to its end for a moment.
         """
         self.closing = True
-        if self.conversation.bad or not self.has_unread():
+        if self.conversation.failed or not self.has_unread():
             self.transport.close()
         elif self.transport.can_write_eof():
             self.transport.write_eof()
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -52,15 +52,15 @@
         now_ms: When it came, in Unix ms.
         arrival: Admission's record of the connection.
     """
-    timeout_ms = max(MIN_TIMEOUT_MS, call.patience - arrival.waited_ms)
+    remaining_ms = max(MIN_TIMEOUT_MS, call.timeout_ms - arrival.waited_ms)
     arrival.waited_ms = 0.0
     return protocol.Request(
         int(call.id, 16),
-        call.kind,
+        call.request_class,
         call.function,
-        timeout_ms,
+        remaining_ms,
         now_ms,
-        call.customer,
+        call.tenant,
         call.idempotency_key,
         call.extras.get("lanes", 0.0),
         call.extras.get("load_ms", 0.0),
@@ -130,11 +130,11 @@
     def refusal_of(self, call: invoke.Call) -> Refusal | None:
         """Returns why the configuration allows no such request; None where it does."""
         configuration = self.service.configuration
-        if call.kind not in self.service.dispatcher.router.settings.request_classes:
+        if call.request_class not in self.service.dispatcher.router.settings.request_classes:
             return UNKNOWN_CLASS
-        if configuration.tenants and call.customer not in configuration.tenants:
+        if configuration.tenants and call.tenant not in configuration.tenants:
             return UNKNOWN_TENANT
-        if call.patience > configuration.max_timeout_ms:
+        if call.timeout_ms > configuration.max_timeout_ms:
             return TIMEOUT_TOO_LONG
         return None
 
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -115,18 +115,18 @@
         """Hands complete replies on; the rest of an incomplete one has its own time."""
         for reply in self.reader.feed(data):
             self.reply_received(reply)
-        if self.reader.spoilt:
-            self.upstream.fail_connection(self, self.reader.spoilt)
-        elif self.reader.held and self.rest_timer is None:
+        if self.reader.failure_reason:
+            self.upstream.fail_connection(self, self.reader.failure_reason)
+        elif self.reader.buffer and self.rest_timer is None:
             self.wait_for_rest()
-        elif not self.reader.held and self.rest_timer is not None:
+        elif not self.reader.buffer and self.rest_timer is not None:
             self.rest_timer.cancel()
             self.rest_timer = None
 
     def wait_for_rest(self) -> None:
         """Starts the time within which more of an incomplete reply has to come."""
         loop = self.upstream.service.loop
-        size = len(self.reader.held)
+        size = len(self.reader.buffer)
         self.rest_timer = loop.call_later(
             REPLY_REST_TIMEOUT_S, after_input, loop, self.rest_timed_out, size
         )
@@ -138,43 +138,43 @@
             size_before: Bytes of the reply that had come when the time began.
         """
         self.rest_timer = None
-        if self.reader.held and len(self.reader.held) == size_before:
+        if self.reader.buffer and len(self.reader.buffer) == size_before:
             self.upstream.fail_connection(self, "a reply is incomplete")
-        elif self.reader.held:
+        elif self.reader.buffer:
             self.wait_for_rest()
 
-    def reply_received(self, reply: resp.Answer) -> None:
+    def reply_received(self, reply: resp.Reply) -> None:
         """Posts a reply to the dispatcher; one under an id that is not open here is ignored."""
         wire_id = reply.id
-        self.upstream.count_traffic(self.link.host.id, reply.word)
+        self.upstream.count_traffic(self.link.host.id, reply.status)
         if wire_id in self.attempts:
             self.attempt_replied(reply)
         elif wire_id[:1] in "po" and wire_id[1:].isdigit() and len(wire_id) < 16:
             number = int(wire_id[1:])
-            if wire_id[0] == HEALTH_TAG and reply.word in HEALTH_OUTCOMES:
-                outcome = HEALTH_OUTCOMES[reply.word]
-                inflight = reply.meter.get("inflight")
+            if wire_id[0] == HEALTH_TAG and reply.status in HEALTH_OUTCOMES:
+                outcome = HEALTH_OUTCOMES[reply.status]
+                inflight = reply.load_report.get("inflight")
                 self.post_reply(protocol.HealthCheckResult(number, outcome, inflight))
-            elif wire_id[0] == LOAD_ORDER_TAG and reply.word in OUTCOMES:
-                outcome = OUTCOMES[reply.word]
+            elif wire_id[0] == LOAD_ORDER_TAG and reply.status in OUTCOMES:
+                outcome = OUTCOMES[reply.status]
                 self.post_reply(protocol.LoadOrderResult(number, outcome, reply.copies or 0))
 
-    def attempt_replied(self, reply: resp.Answer) -> None:
+    def attempt_replied(self, reply: resp.Reply) -> None:
         """Posts an attempt's result."""
-        if reply.word not in OUTCOMES:
+        if reply.status not in OUTCOMES:
             self.upstream.fail_connection(self, "a health check's reply to an attempt")
             return
         self.post_reply(
             protocol.AttemptResult(
                 self.attempts.pop(reply.id),
-                OUTCOMES[reply.word],
-                reply.note,
-                reply.crowd or 0,
-                reply.meter.get("inflight"),
+                OUTCOMES[reply.status],
+                reply.copy_state,
+                reply.concurrency or 0,
+                reply.load_report.get("inflight"),
                 reply.body,
                 None,
-                reply.meter.get("queue"),
-                reply.meter.get("x0"),
+                reply.load_report.get("queue"),
+                reply.load_report.get("x0"),
             )
         )
 
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -73,12 +73,12 @@
 def test_a_malformed_call_gets_a_status_complete_or_split(data, status):
     for cuts in ((), (10,), (60, 61, 200)):
         note = note_of(data, cuts)
-        assert type(note) is invoke.Bad and note.status == status, (note, cuts)
+        assert type(note) is invoke.BadRequest and note.status == status, (note, cuts)
 
 
 def test_nothing_behind_a_bad_call_is_read():
     talk = invoke.Conversation()
-    assert type(talk.feed(call("zz"))) is invoke.Bad
+    assert type(talk.feed(call("zz"))) is invoke.BadRequest
     assert talk.feed(call(ID)) is None
     data, over = talk.answer(400, b"no")
     assert over and b"Connection: close" in data and talk.feed(call(ID)) is None
@@ -107,7 +107,7 @@
     talk.feed(call(ID))
     for _ in range(200):
         assert talk.feed(b"x" * 200) is None
-    assert talk.overfull and talk.held <= invoke.MOST_AHEAD + 200
+    assert talk.pipeline_overflowed and talk.buffered_bytes <= invoke.MAX_PIPELINED_BYTES + 200
     data, over = talk.answer(200, b"good")
     assert over and data.startswith(b"HTTP/1.1 200") and talk.feed(call(ID)) is None
 
@@ -116,7 +116,7 @@
 @given(st.binary(max_size=300), st.lists(st.integers(0, 300), max_size=5))
 def test_hostile_bytes_of_a_client_are_bad_requests_and_raise_nothing(junk, cuts):
     note = note_of(junk, [cut for cut in cuts if cut <= len(junk)])
-    assert note is None or type(note) is invoke.Bad
+    assert note is None or type(note) is invoke.BadRequest
 
 
 @settings(max_examples=200, deadline=None)
@@ -125,7 +125,9 @@
     data = bytearray(call(ID, body=b"body"))
     data[at % len(data)] = byte
     one, other = note_of(bytes(data)), note_of(bytes(data), [1])
-    assert one == other or type(one) is type(other) is invoke.Bad and one.status == other.status
+    assert (
+        one == other or type(one) is type(other) is invoke.BadRequest and one.status == other.status
+    )
 
 
 # ---- hosts
@@ -134,8 +136,8 @@
         ID.encode(), b"DONE", b"tell=spawn,queue_fn=3,meter=inflight:7;util:0.61", b"\r\n*4\r\n"
     ) + reply(b"o5", b"WAIT", b"copies=2")
     want = [
-        resp.Answer(ID, resp.DONE, 2, 3, None, {"inflight": 7.0, "util": 0.61}, b"\r\n*4\r\n"),
-        resp.Answer("o5", resp.FULL, 0, None, 2),
+        resp.Reply(ID, resp.DONE, 2, 3, None, {"inflight": 7.0, "util": 0.61}, b"\r\n*4\r\n"),
+        resp.Reply("o5", resp.FULL, 0, None, 2),
     ]
     for step in (1, 2, 7, len(data)):
         reader = resp.Reader()
@@ -144,7 +146,7 @@
             for at in range(0, len(data), step)
             for answer in reader.feed(data[at : at + step])
         ]
-        assert found == want and not reader.held and not reader.spoilt
+        assert found == want and not reader.buffer and not reader.failure_reason
 
 
 @pytest.mark.parametrize(
@@ -168,8 +170,8 @@
 )
 def test_a_malformed_reply_fails_the_connection_at_once_and_keeps_no_input(data):
     reader = resp.Reader()
-    assert reader.feed(reply(b"b", b"DONE") + data) == [resp.Answer("b", resp.DONE)]
-    assert reader.spoilt and not reader.held and reader.feed(reply(b"c", b"DONE")) == []
+    assert reader.feed(reply(b"b", b"DONE") + data) == [resp.Reply("b", resp.DONE)]
+    assert reader.failure_reason and not reader.buffer and reader.feed(reply(b"c", b"DONE")) == []
 
 
 @settings(max_examples=200, deadline=None)
@@ -177,7 +179,7 @@
 def test_hostile_bytes_of_a_host_raise_nothing(junk):
     reader = resp.Reader()
     reader.feed(junk)
-    assert reader.spoilt or len(reader.held) <= len(junk)
+    assert reader.failure_reason or len(reader.buffer) <= len(junk)
 
 
 def test_a_command_passes_id_class_function_and_body_on_unchanged():
--- a/tests/platform/test_in_service.py
+++ b/tests/platform/test_in_service.py
@@ -160,7 +160,7 @@
 
         host.answers = spoils
     assert (await harness.handled()).status == 200
-    await harness.until_logged("a word of 3000000000 bytes")
+    await harness.until_logged("reply element too large: 3000000000 bytes")
     assert all(host.commands(b"exec") for host in harness.hosts)
 
 
