--- a/cherrydoor/adapter/__init__.py
+++ b/cherrydoor/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: text in, text out. No decision is taken here."""
+"""Adapter to the simulator's line protocol on standard input and output; it makes no decisions."""
--- a/cherrydoor/adapter/__main__.py
+++ b/cherrydoor/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts many gateways on the wire: one batch in, one reply out. Instances share nothing."""
+"""Runs many gateway instances for the simulator: reads a batch of messages, writes one reply. Instances share no state."""
 
 import gc
 import sys
@@ -8,103 +8,127 @@
 from cherrydoor.routing import messages as routing
 
 
-class Stand:
-    """The instances by name, and the place in the input for messages about bad lines."""
+class Adapter:
+    """The instances by name, and the number of the current input line for error messages."""
 
     def __init__(self, source):
         self.lines = iter(source)
-        self.at = 0
-        self.gateways, self.leases = {}, {}
+        self.line_number = 0
+        self.routers, self.settings_by_instance = {}, {}
 
     def next_line(self):
         text = next(self.lines, None)
         if text is None:
             return None
-        self.at += 1
+        self.line_number += 1
         if not text.endswith("\n"):
-            raise wire.BadLine("the line is cut short")
+            raise wire.InvalidLineError("the last line is incomplete")
         return text[:-1]
 
-    def batch(self, first):
-        """Reads one batch and returns the reply's lines."""
-        head = first.split(" ")
+    def run_batch(self, first_line):
+        """Runs one batch that begins with this line; returns the reply's text."""
+        head = first_line.split(" ")
         if head[0] != "batch" or len(head) < 2:
-            raise wire.BadLine(f"'batch' and the clock expected, not {first[:40]!r}")
-        now, out = wire.ms(head[1]), []
+            raise wire.InvalidLineError(
+                f"expected 'batch' and the clock, found {first_line[:40]!r}"
+            )
+        now_ms, reply = wire.read_time_ms(head[1]), []
         while (text := self.next_line()) != "your_turn":
             if text is None:
-                raise wire.BadLine("the input ends within a batch")
-            self.event(now, text, out)
-        out.append("ready\n")
-        return "".join(out)
+                raise wire.InvalidLineError("the input ends within a batch")
+            self.handle_message(now_ms, text, reply)
+        reply.append("ready\n")
+        return "".join(reply)
 
-    def event(self, now, text, out):
+    def handle_message(self, now_ms, text, reply):
+        """Handles one message and appends the lines of its actions to the reply."""
         name, _, rest = text.partition(" ")
-        who, _, rest = rest.partition(" ")
-        if not who:
-            raise wire.BadLine(f"{name!r} names no instance")
+        instance, _, rest = rest.partition(" ")
+        if not instance:
+            raise wire.InvalidLineError(f"{name!r} without the name of an instance")
         if name == "new_instance":
-            seed, _, settings = rest.partition(" ")
-            lease = wire.lease(int(seed), settings)
-            self.gateways[who], self.leases[who] = None, lease
-            self.decide(who, out, lambda: self.start(who, now, lease))
+            seed, _, settings_text = rest.partition(" ")
+            settings = wire.read_settings(int(seed), settings_text)
+            self.routers[instance], self.settings_by_instance[instance] = None, settings
+            self.run_decision(instance, reply, lambda: self.start(instance, now_ms, settings))
             return
-        if who not in self.gateways:
-            raise wire.BadLine(f"{name!r} for {who!r}, which has not started")
+        if instance not in self.routers:
+            raise wire.InvalidLineError(f"{name!r} for {instance!r}, which has not been started")
         if name == "detach":
-            del self.gateways[who], self.leases[who]
+            del self.routers[instance], self.settings_by_instance[instance]
             return
         values = rest.split(" ")
         if name == "peers_known":
-            note = self.listing(values)
+            message = self.read_endpoint_update(values)
         elif name == "neighbour_says":
             if len(values) < 2:
-                raise wire.BadLine("'neighbour_says' is too short")
+                raise wire.InvalidLineError("'neighbour_says' has too few values")
             int(values[0])
             return
         elif name in wire.READERS:
-            least, reader = wire.READERS[name]
-            if len(values) < least or "" in values:
-                raise wire.BadLine(f"{name!r} is too short")
-            note = reader(values, self.leases[who]) if reader is wire.done else reader(values)
+            min_values, reader = wire.READERS[name]
+            if len(values) < min_values or "" in values:
+                raise wire.InvalidLineError(f"{name!r} has too few values")
+            message = (
+                reader(values, self.settings_by_instance[instance])
+                if reader is wire.done
+                else reader(values)
+            )
         else:
-            raise wire.BadLine(f"unknown message {name!r}")
-        self.decide(who, out, lambda: self.gateways[who].take(now, note))
+            raise wire.InvalidLineError(f"unknown message {name!r}")
+        self.run_decision(instance, reply, lambda: self.routers[instance].take(now_ms, message))
 
-    def start(self, who, now, lease):
-        self.gateways[who] = Router(lease)
-        return self.gateways[who].start(now)
+    def start(self, instance, now_ms, settings):
+        """Creates the router of an instance; returns its first actions."""
+        self.routers[instance] = Router(settings)
+        return self.routers[instance].start(now_ms)
 
-    def listing(self, values):
+    def read_endpoint_update(self, values):
+        """Reads the entries of an endpoint list from the lines that follow its first line."""
         if len(values) < 3:
-            raise wire.BadLine("'peers_known' is too short")
+            raise wire.InvalidLineError("'peers_known' has too few values")
         int(values[0])
-        how, rows = wire.word(wire.LISTS, values[1]), []
+        kind, endpoints = wire.look_up(wire.UPDATE_KINDS, values[1]), []
         for _ in range(0 if values[2] == "-" else int(values[2])):
             text = self.next_line()
             if text is None:
-                raise wire.BadLine("the input ends within a list")
-            rows.append(wire.row(text))
-        return routing.EndpointsUpdated(how, tuple(rows))
+                raise wire.InvalidLineError("the input ends within an endpoint list")
+            endpoints.append(wire.read_endpoint(text))
+        return routing.EndpointsUpdated(kind, tuple(endpoints))
 
-    def decide(self, who, out, decision):
-        """A failed decision is told on the wire; it is no fault of the line."""
+    def run_decision(self, instance, reply, decision):
+        """Appends the lines of a decision's actions to the reply.
+
+        An exception in the decision is reported on the wire as a crash of the instance: the input line was valid.
+        """
         try:
-            out.extend([wire.line(who, action) for action in decision()])
+            reply.extend([wire.line(instance, action) for action in decision()])
         except Exception as error:
             text = f"{type(error).__name__}: {error}".replace("\n", " ")
-            out.append(f"crash {who} {text}\n")
+            reply.append(f"crash {instance} {text}\n")
 
 
 def main(source, sink, errors):
-    stand = Stand(source)
+    """Runs until the input ends; returns 0, or 2 after an invalid line, which is reported on `errors`."""
+    adapter = Adapter(source)
     try:
-        while (text := stand.next_line()) is not None:
-            sink.write(stand.batch(text))
+        while (text := adapter.next_line()) is not None:
+            sink.write(adapter.run_batch(text))
             sink.flush()
-    except (wire.BadLine, ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
-        what = str(error) if isinstance(error, wire.BadLine) else f"{type(error).__name__}: {error}"
-        print(f"cherrydoor adapter: line {stand.at}: {what}", file=errors)
+    except (
+        wire.InvalidLineError,
+        ValueError,
+        KeyError,
+        IndexError,
+        TypeError,
+        AttributeError,
+    ) as error:
+        problem = (
+            str(error)
+            if isinstance(error, wire.InvalidLineError)
+            else f"{type(error).__name__}: {error}"
+        )
+        print(f"cherrydoor adapter: line {adapter.line_number}: {problem}", file=errors)
         return 2
     return 0
 
--- a/cherrydoor/adapter/wire.py
+++ b/cherrydoor/adapter/wire.py
@@ -1,11 +1,14 @@
-"""Turns wire lines into the interface's types and back, microseconds to milliseconds."""
+"""Parses the simulator's lines into the router's messages and formats its actions as lines.
+
+Times are in microseconds on the wire and in milliseconds in messages.
+"""
 
 import json
 from math import floor
 
 from cherrydoor.routing import messages as routing
 
-FATES = {
+OUTCOMES = {
     "served": routing.AttemptOutcome.SUCCEEDED,
     "server_error": routing.AttemptOutcome.ERROR,
     "turned_away": routing.AttemptOutcome.FULL,
@@ -16,17 +19,17 @@
     "not_sent": routing.AttemptOutcome.NOT_SENT,
     "not_stored": routing.AttemptOutcome.FUNCTION_MISSING,
 }
-KINDS = {
+RETRY_SAFETY = {
     "repeatable": routing.RetrySafety.IDEMPOTENT,
     "by_key": routing.RetrySafety.IDEMPOTENCY_KEY,
     "once": routing.RetrySafety.AT_MOST_ONCE,
 }
-STATES = {
+HOST_STATES = {
     "Ready": routing.HostState.READY,
     "Terminating": routing.HostState.DRAINING,
     "Gone": routing.HostState.GONE,
 }
-LISTS = {
+UPDATE_KINDS = {
     "INCREMENTAL": routing.UpdateKind.INCREMENTAL,
     "FULL": routing.UpdateKind.SNAPSHOT,
     "SAVED": routing.UpdateKind.CACHED,
@@ -34,84 +37,87 @@
 }
 
 
-class BadLine(Exception):
-    """A line that this page of the wire does not allow."""
+class InvalidLineError(Exception):
+    """A line that the simulator's protocol does not allow."""
 
 
-def ms(text):
-    """Microseconds on the wire to milliseconds.
+def read_time_ms(text):
+    """Returns a time on the wire, which is in microseconds, in milliseconds; "-" is 0.
 
-    >>> ms("8412250"), ms("-")
+    >>> read_time_ms("8412250"), read_time_ms("-")
     (8412.25, 0.0)
     """
     return 0.0 if text == "-" else int(text) / 1000
 
 
-def us(value):
-    """Milliseconds back to microseconds, never later than they are.
+def to_microseconds(time_ms):
+    """Returns a time in whole microseconds, rounded down so that it does not become later.
+
+    The 0.01 makes up for milliseconds that a float represents slightly too low.
 
-    >>> us(1.001), us(8412.2509)
+    >>> to_microseconds(1.001), to_microseconds(8412.2509)
     (1001, 8412250)
     """
-    return floor(value * 1000 + 0.01)
+    return floor(time_ms * 1000 + 0.01)
 
 
-def word(table, text):
+def look_up(table, text):
     if text not in table:
-        raise BadLine(f"unknown word {text!r}")
+        raise InvalidLineError(f"unknown value {text!r}")
     return table[text]
 
 
-def flag(text):
+def read_flag(text):
     if text not in ("0", "1"):
-        raise BadLine(f"neither 0 nor 1: {text!r}")
+        raise InvalidLineError(f"expected 0 or 1, found {text!r}")
     return text == "1"
 
 
-def number(text):
+def read_number(text):
+    """Returns a number on the wire; "-" is 0."""
     return 0.0 if text == "-" else float(text)
 
 
-def lease(seed, text):
-    """The settings of one instance as they stand on its line."""
-    return lease_of(seed, json.loads(text))
+def read_settings(seed, text):
+    """Returns the settings of one instance from the JSON on its line."""
+    return settings_of(seed, json.loads(text))
 
 
-def lease_of(seed, said):
-    """The settings, with what is absent taken as not allowed or not stated."""
-    may, rules = said.get("permissions", {}), said.get("rules", {})
-    copies = said.get("familyInfo", {})
-    clauses = tuple(
+def settings_of(seed, stated):
+    """Returns the router's settings; an absent permission is not granted, other absent values count as not stated."""
+    permissions, rules = stated.get("permissions", {}), stated.get("rules", {})
+    copies = stated.get("familyInfo", {})
+    request_classes = tuple(
         routing.RequestClass(
-            c["name"],
-            c["aim"] / 1000,
-            c["deadline"] / 1000,
-            word(KINDS, c["repeat"]),
-            c.get("dedupScope", "cell"),
-            c.get("dedupWindow", 0) / 1000,
-            bool(c.get("stream", False)),
+            request_class["name"],
+            request_class["aim"] / 1000,
+            request_class["deadline"] / 1000,
+            look_up(RETRY_SAFETY, request_class["repeat"]),
+            request_class.get("dedupScope", "cell"),
+            request_class.get("dedupWindow", 0) / 1000,
+            bool(request_class.get("stream", False)),
         )
-        for c in said["requestClasses"]
+        for request_class in stated["requestClasses"]
     )
-    parties = tuple(
-        routing.Tenant(p["name"], p["quotaPerS"])
-        for p in said.get("tenants") or ()
-        if "quotaPerS" in p
+    tenants = tuple(
+        routing.Tenant(tenant["name"], tenant["quotaPerS"])
+        for tenant in stated.get("tenants") or ()
+        if "quotaPerS" in tenant
     )
     return routing.Settings(
-        said["me"],
-        said["instances"],
+        stated["me"],
+        stated["instances"],
         seed,
-        said.get("zone", ""),
-        said.get("resolution", 1000) / 1000,
-        clauses,
-        parties,
-        said.get("discovery", "push") == "ask",
-        may.get("maxAttempts", 1),
-        bool(may.get("mayDuplicate")),
-        bool(may.get("cancel")),
-        bool(may.get("mayProbe")),
-        may.get("maxRetryAfter", 0) / 1000 if may.get("retryAfter") else 0.0,
+        stated.get("zone", ""),
+        stated.get("resolution", 1000) / 1000,
+        request_classes,
+        tenants,
+        stated.get("discovery", "push") == "ask",
+        permissions.get("maxAttempts", 1),
+        bool(permissions.get("mayDuplicate")),
+        bool(permissions.get("cancel")),
+        bool(permissions.get("mayProbe")),
+        permissions.get("maxRetryAfter", 0) / 1000 if permissions.get("retryAfter") else 0.0,
         rules.get("coldFrom", 1.0),
         rules.get("cold", 0) / 1000,
         rules.get("overloadFactor", 0.0),
@@ -128,82 +134,121 @@
     )
 
 
-def row(line):
-    """One entry of a list of hosts."""
-    part = line.split(" ")
-    if part[0] != "m" or len(part) < 8:
-        raise BadLine("a list entry needs 'm' and seven values")
-    number(part[3])
+def read_endpoint(line):
+    """Returns one entry of an endpoint list."""
+    values = line.split(" ")
+    if values[0] != "m" or len(values) < 8:
+        raise InvalidLineError("a list entry needs 'm' and seven values")
+    read_number(values[3])
     return routing.Endpoint(
-        part[5], word(STATES, part[6]), ms(part[2]), part[1], int(number(part[7]))
+        values[5],
+        look_up(HOST_STATES, values[6]),
+        read_time_ms(values[2]),
+        values[1],
+        int(read_number(values[7])),
     )
 
 
-def knock(v):
-    return routing.RequestArrived(int(v[0]), v[1], v[2], v[3], ms(v[4]), number(v[7]), number(v[8]))
+def knock(values):
+    """Returns the request of a 'knock' line."""
+    return routing.RequestArrived(
+        int(values[0]),
+        values[1],
+        values[2],
+        values[3],
+        read_time_ms(values[4]),
+        read_number(values[7]),
+        read_number(values[8]),
+    )
 
 
-def done(v, lease):
-    """What this deployment's answers do not tell is None. A failed load is told everywhere."""
-    info = 0 if v[6] == "-" else int(v[6])
-    copy = info % 8 if lease.reports_copy or info % 8 == 4 else None
+def done(values, settings):
+    """Returns the end of an attempt from a 'done' line.
+
+    What hosts do not report in this deployment is None, except a failed load, which they always report.
+    """
+    copy_info = 0 if values[6] == "-" else int(values[6])
+    copy = copy_info % 8 if settings.reports_copy or copy_info % 8 == 4 else None
     return routing.AttemptEnded(
-        int(v[0]),
-        int(v[2]),
-        word(FATES, v[3]),
-        flag(v[4]),
-        v[5],
-        ms(v[1]),
+        int(values[0]),
+        int(values[2]),
+        look_up(OUTCOMES, values[3]),
+        read_flag(values[4]),
+        values[5],
+        read_time_ms(values[1]),
         copy,
-        info // 8 if lease.reports_concurrency else None,
-        *report(v[7]),
+        copy_info // 8 if settings.reports_concurrency else None,
+        *read_load_report(values[7]),
     )
 
 
-def report(text):
-    """Events in hand, those that wait, and the share of memory that cannot be freed, out of a load report.
+def read_load_report(text):
+    """Returns the requests in flight, the requests queued and the unevictable share of memory in a load report.
 
-    >>> report("util:0.5,inflight:3.5,x0:0.25"), report("-")
+    >>> read_load_report("util:0.5,inflight:3.5,x0:0.25"), read_load_report("-")
     ((3.5, None, 0.25), (None, None, None))
     """
-    told = dict(pair.split(":", 1) for pair in text.split(",") if ":" in pair)
+    reported = dict(pair.split(":", 1) for pair in text.split(",") if ":" in pair)
     return tuple(
-        float(told[name]) if name in told else None for name in ("inflight", "queue", "x0")
+        float(reported[name]) if name in reported else None for name in ("inflight", "queue", "x0")
     )
 
 
-# What comes in for an instance: how many values its line has at least, and how they are read.
+# Messages to an instance, by their first word: the minimum number of values, and the function that reads them.
 READERS: dict = {
     "knock": (10, knock),
     "done": (8, done),
-    "under_way": (4, lambda v: routing.StreamStarted(int(v[0]), int(v[1]), v[2])),
-    "cancelled_by_client": (1, lambda v: routing.RequestCancelled(int(v[0]))),
-    "bell": (1, lambda v: routing.TimerFired(v[0])),
-    "probe_done": (4, lambda v: routing.HealthCheckEnded(v[0], word(FATES, v[1]), ms(v[2]))),
+    "under_way": (
+        4,
+        lambda values: routing.StreamStarted(int(values[0]), int(values[1]), values[2]),
+    ),
+    "cancelled_by_client": (1, lambda values: routing.RequestCancelled(int(values[0]))),
+    "bell": (1, lambda values: routing.TimerFired(values[0])),
+    "probe_done": (
+        4,
+        lambda values: routing.HealthCheckEnded(
+            values[0], look_up(OUTCOMES, values[1]), read_time_ms(values[2])
+        ),
+    ),
     "resident": (
         5,
-        lambda v: routing.LoadOrderEnded(v[2], v[3], word(FATES, v[0]), int(v[4]), ms(v[1])),
+        lambda values: routing.LoadOrderEnded(
+            values[2],
+            values[3],
+            look_up(OUTCOMES, values[0]),
+            int(values[4]),
+            read_time_ms(values[1]),
+        ),
     ),
 }
 
-# What goes out: the line after the instance's name.
+# Actions of an instance: the line's first word, and the function that formats what follows the instance's name.
 WRITERS = {
     routing.StartAttempt: (
         "pass_on",
-        lambda a: f"{a.request_id} {a.host} {us(a.timeout_ms) if a.timeout_ms else '-'}",
+        lambda action: (
+            f"{action.request_id} {action.host} {to_microseconds(action.timeout_ms) if action.timeout_ms else '-'}"
+        ),
+    ),
+    routing.CancelAttempt: ("revoke", lambda action: f"{action.request_id} {action.attempt}"),
+    routing.RejectRequest: (
+        "shed",
+        lambda action: f"{action.request_id} {to_microseconds(action.retry_after_ms) or '-'}",
+    ),
+    routing.FailRequest: ("fail", lambda action: f"{action.request_id}"),
+    routing.SetTimer: ("defer", lambda action: f"{to_microseconds(action.at_ms)} {action.token}"),
+    routing.CheckHealth: ("test", lambda action: action.host),
+    routing.CheckLease: ("test", lambda action: action.host),
+    routing.OrderLoad: (
+        "start_copy",
+        lambda action: f"{action.function} {action.host} {action.copies}",
     ),
-    routing.CancelAttempt: ("revoke", lambda a: f"{a.request_id} {a.attempt}"),
-    routing.RejectRequest: ("shed", lambda a: f"{a.request_id} {us(a.retry_after_ms) or '-'}"),
-    routing.FailRequest: ("fail", lambda a: f"{a.request_id}"),
-    routing.SetTimer: ("defer", lambda a: f"{us(a.at_ms)} {a.token}"),
-    routing.CheckHealth: ("test", lambda a: a.host),
-    routing.CheckLease: ("test", lambda a: a.host),
-    routing.OrderLoad: ("start_copy", lambda a: f"{a.function} {a.host} {a.copies}"),
-    routing.PollEndpoints: ("watch", lambda a: "1"),
-    routing.LogMessage: ("say_log", lambda a: a.text),
+    routing.PollEndpoints: ("watch", lambda action: "1"),
+    routing.LogMessage: ("say_log", lambda action: action.text),
 }
 
 
-def line(who, action):
+def line(instance, action):
+    """Returns the line that sends an action of an instance to the simulator."""
     name, text = WRITERS[type(action)]
-    return f"{name} {who} {text(action)}\n"
+    return f"{name} {instance} {text(action)}\n"
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -165,11 +165,11 @@
         """Sets what follows from the settings."""
         settings = checked_settings(stated)
         try:
-            self.router_settings: Any = wire.lease_of(seed, settings)
+            self.router_settings: Any = wire.settings_of(seed, settings)
             self.tenants = frozenset(tenant["name"] for tenant in settings["tenants"])
         except KeyError as error:
             raise ConfigurationError("settings", f"{error} is missing") from None
-        except (TypeError, ValueError, AttributeError, wire.BadLine) as error:
+        except (TypeError, ValueError, AttributeError, wire.InvalidLineError) as error:
             raise ConfigurationError("settings", str(error)) from None
         self.longest_deadline_ms: float = max(
             request_class.deadline_ms for request_class in self.router_settings.request_classes
