--- a/cherrydoor/platform/__init__.py
+++ b/cherrydoor/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The gateway on the platform: the dispatcher and router behind the platform's own wires.
+"""The gateway on the platform: dispatcher and router, connected by the platform's protocols.
 
-Begin with ``process.main``; its ``PlatformService`` joins client listener, upstream and watch.
+The entry point is ``process.main``. Its ``PlatformService`` connects the client listener, the
+upstream and the discovery watch.
 """
--- a/cherrydoor/platform/client_connection.py
+++ b/cherrydoor/platform/client_connection.py
@@ -13,25 +13,26 @@
     from cherrydoor.platform.client_listener import ClientListener
 
 OK, BAD_GATEWAY, SERVICE_UNAVAILABLE = 200, 502, 503
-WRITE_BUFFER_MAX_BYTES = 256 * 1024  # that may wait for a client that does not read
-# For how long a connection that is closed over unread input is still read. Guards the last
-# response, which a reset would destroy; harms by keeping a descriptor for that long.
+WRITE_BUFFER_MAX_BYTES = 256 * 1024  # buffered for a client that does not read
+# How long a connection that is closed with unread input stays open for reading. If it were closed
+# at once, the kernel would send a reset, and the client would lose the last response. The cost is a
+# descriptor that stays in use for this time.
 CLOSE_READ_TIMEOUT_S = 0.25
 
 
 class ClientProtocol(ChunkedReading, asyncio.BaseProtocol):
-    """A client connection, and what the dispatcher writes responses to.
+    """A client connection; the dispatcher writes responses to it.
 
     Args:
         listener: Owner of all client connections.
         arrival: Admission's record of this connection.
 
     Attributes:
-        conversation: The HTTP codec, with what is pipelined.
+        conversation: The HTTP codec, with the pipelined input that it buffers.
         client: The dispatcher's record of this connection.
-        awaiting_id: Id of the request that a response is owed for.
-        is_admitted: Whether admission gave it a connection slot.
-        closing: Whether nothing more is read or written.
+        awaiting_id: Id of the request that has no response yet; None if there is none.
+        is_admitted: Whether admission gave the connection a slot.
+        closing: Whether the connection is no longer read or written.
     """
 
     def __init__(self, listener: "ClientListener", arrival: Any) -> None:
@@ -47,18 +48,18 @@
         arrival.connection.open = self.client.open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Joins the transport with admission's record."""
+        """Attaches the transport to this connection and to admission's record."""
         self.arrival.end = self
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Reads on; admission is told how much of an incomplete request is held."""
+        """Parses input, and reports to admission how much incomplete input is buffered."""
         if not self.closing:
             self.parsed(self.conversation.feed(data))
             self.holds(self.conversation.buffered_bytes, False)
 
     def parsed(self, message: invoke.Call | invoke.Ping | invoke.BadRequest | None) -> None:
-        """Handles what the codec made of the input; None where nothing is complete."""
+        """Handles a message of the codec; None means that no message is complete."""
         if self.conversation.reply:
             self.transport.write(self.conversation.reply)
             self.conversation.reply = b""
@@ -70,11 +71,11 @@
             self.listener.message_received(self, message)
 
     def admitted(self, largest: int) -> None:
-        """Notes that admission gave this connection a slot."""
+        """Records that admission gave this connection a slot."""
         self.is_admitted = True
 
     def write(self, message: Any) -> None:
-        """Writes a response of the dispatcher; its other messages have no form on this wire."""
+        """Writes a response of the dispatcher; the protocol has no form for its other messages."""
         if type(message) is not protocol.Response:
             return
         self.awaiting_id = None
@@ -88,7 +89,7 @@
             self.respond(BAD_GATEWAY, message.reason)
 
     def log_refusal(self, response: protocol.Response) -> None:
-        """Logs the id of a request without a result, and how its attempts ended."""
+        """Logs the id of a request that was refused or failed, and how its attempts ended."""
         self.listener.service.log.write_limited(
             "request refused" if response.outcome == "deferred" else "request failed",
             request=f"{response.id:016x}",
@@ -99,17 +100,17 @@
     def respond(
         self, status: int, body: bytes | str, retry_after_ms: float = 0.0, close: bool = False
     ) -> None:
-        """Writes a response, the one place that does; then what was pipelined is read.
+        """Writes a response, then reads the pipelined input. No other method writes responses.
 
         Args:
             status: HTTP status.
             body: The body; text is encoded.
-            retry_after_ms: When the client may come back, rounded up to whole ms; 0 for unstated.
-            close: Whether the connection closes, as it does with each response while draining.
+            retry_after_ms: Delay before a retry, rounded up to whole ms; 0 if none is stated.
+            close: Whether the connection closes after it; while draining it always does.
         """
         if self.closing or self.transport.is_closing():
             return
-        data, last = self.conversation.answer(
+        data, closes = self.conversation.answer(
             status,
             body.encode() if isinstance(body, str) else body,
             -int(-retry_after_ms // 1) if retry_after_ms else None,
@@ -117,7 +118,7 @@
         )
         self.transport.write(data)
         self.arrival.connection.used = self.listener.service.clock.now()
-        if last:
+        if closes:
             self.close_when_written()
         elif self.transport.get_write_buffer_size() > WRITE_BUFFER_MAX_BYTES:
             self.abort()
@@ -125,20 +126,20 @@
             self.listener.service.loop.call_soon(self.read_pipelined)
 
     def read_pipelined(self) -> None:
-        """Reads what was pipelined behind the request that has its response."""
+        """Reads the input that was pipelined behind the request that now has its response."""
         if not self.closing and not self.conversation.open:
             self.data_received(b"")
 
     def has_closed(self) -> bool:
-        """Whether the client has closed, though that has not been read yet."""
+        """Whether the client has closed, even if the event loop has not read that yet."""
         return self.closing or bool(peer_closed(self.transport))
 
     def has_unread(self) -> bool:
-        """Whether the kernel holds input that has not been read."""
+        """Whether the kernel has input of this connection that has not been read."""
         return bool(has_unread_input(self.transport))
 
     def is_idle(self) -> bool:
-        """Whether no request is in flight, incomplete or unread, and no close has begun."""
+        """Whether the connection stays open with no request in flight, incomplete or unread."""
         return (
             not self.conversation.open
             and not self.conversation.buffered_bytes
@@ -147,10 +148,11 @@
         )
 
     def close_when_written(self) -> None:
-        """Closes once all is written.
+        """Closes once everything is written.
 
-        Over unread input the kernel would answer with a reset that destroys what was written:
-        then our side alone closes, and the client's is read to its end for a moment.
+        If there is unread input, closing the socket would make the kernel send a reset, which
+        discards the response on its way. In that case only the sending side is closed, and the
+        client's side is read for CLOSE_READ_TIMEOUT_S.
         """
         self.closing = True
         if self.conversation.failed or not self.has_unread():
@@ -161,7 +163,7 @@
             loop.call_later(CLOSE_READ_TIMEOUT_S, self.transport.close)
 
     def close(self, reason: str = "", retry_after_ms: float = 0.0) -> None:
-        """Closes at admission's request, with a response where one can be given."""
+        """Closes at admission's request; with a reason, a 503 response is sent if possible."""
         if reason:
             self.respond(SERVICE_UNAVAILABLE, reason, retry_after_ms, close=True)
         if not self.closing:
@@ -173,17 +175,17 @@
         self.transport.abort()
 
     def eof_received(self) -> bool:
-        """Notifies the dispatcher at once: the connection's end itself comes a tick later."""
+        """Notifies the dispatcher at once, because connection_lost comes one tick later."""
         self.listener.client_closed(self)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Notifies the owner that the connection has ended."""
+        """Notifies the listener that the connection has ended."""
         self.closing = True
         self.listener.connection_lost(self)
 
     def release(self) -> None:
-        """Cuts all references back to this connection, so that it is freed without collection."""
+        """Clears reference cycles, so that the connection is freed without the collector."""
         self.arrival.end = None
         self.arrival.task = None
         self.arrival.connection.wire = None
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -1,4 +1,4 @@
-"""All client connections of a gateway, and the requests that come over them."""
+"""All client connections of a gateway, and the requests that arrive on them."""
 
 from typing import Any, NamedTuple
 
@@ -15,12 +15,14 @@
 from cherrydoor.protocol import messages as protocol
 
 BAD_REQUEST, CONFLICT = 400, 409
-ID_SPANS_PER_DEADLINE = 2  # an id is known for at least so many of the longest deadlines
-MIN_TIMEOUT_MS = 1.0  # that a request has left, however long its connection waited to be accepted
+# Request ids are remembered for at least this multiple of the longest deadline.
+ID_SPANS_PER_DEADLINE = 2
+# A request has at least this time left, however long its connection waited to be accepted.
+MIN_TIMEOUT_MS = 1.0
 
 
 class Refusal(NamedTuple):
-    """Why a request that can be read is refused."""
+    """The response to a well-formed request that is refused, and the counter for it."""
 
     status: int
     counter: str
@@ -44,12 +46,12 @@
 def request_of(call: invoke.Call, now_ms: float, arrival: IncomingConnection) -> protocol.Request:
     """Returns the dispatcher's message for a call.
 
-    A client sends as soon as the kernel has accepted its connection: what that waited for the
-    listener until then is of the first request's time.
+    A client can send as soon as the kernel has accepted its connection. The time for which the
+    connection then waited for the listener is subtracted from the first request's timeout.
 
     Args:
-        call: What the client sent.
-        now_ms: When it came, in Unix ms.
+        call: The request as the client sent it.
+        now_ms: When it arrived, in ms of the service's clock.
         arrival: Admission's record of the connection.
     """
     remaining_ms = max(MIN_TIMEOUT_MS, call.timeout_ms - arrival.waited_ms)
@@ -72,10 +74,10 @@
     """All client connections of a gateway.
 
     Attributes:
-        connections: Those that are open, in the order in which they came.
-        draining: Whether each connection closes with its next response.
-        chunk: Read buffer of all connections: input is copied out of it before the next is read.
-        recent_ids: Ids that are not accepted again.
+        connections: The open connections, in the order in which they were accepted.
+        draining: Whether each connection closes after its next response.
+        chunk: Read buffer that all connections share; input is copied out before the next read.
+        recent_ids: Request ids that are not accepted again.
     """
 
     def __init__(self, service: Any) -> None:
@@ -87,13 +89,13 @@
         self.recent_ids = RecentRequestIds(ID_SPANS_PER_DEADLINE * longest_ms)
 
     def new_connection(self, arrival: IncomingConnection) -> ClientProtocol:
-        """Returns the protocol for a connection that was accepted."""
+        """Returns the protocol object of an accepted connection."""
         connection = ClientProtocol(self, arrival)
         self.connections[connection] = True
         return connection
 
     def admit(self, connection: ClientProtocol) -> bool:
-        """Has admission decide at the first complete request; returns whether it may go on."""
+        """Asks admission for a slot at the first complete message; returns whether to handle it."""
         if not connection.is_admitted:
             service = self.service
             service.listeners.post(ClientIdentified(connection.arrival.connection, ""))
@@ -108,7 +110,7 @@
     def message_received(
         self, connection: ClientProtocol, message: invoke.Call | invoke.Ping
     ) -> None:
-        """Answers a readiness probe; refuses a request or posts it to the dispatcher."""
+        """Responds to a readiness probe; posts a request to the dispatcher or refuses it."""
         if isinstance(message, invoke.Ping):
             if self.service.ready and not self.draining:
                 connection.respond(OK, "")
@@ -128,7 +130,7 @@
         self.service.post(self.dispatch, connection, request)
 
     def refusal_of(self, call: invoke.Call) -> Refusal | None:
-        """Returns why the configuration allows no such request; None where it does."""
+        """Returns the refusal of a request that the configuration does not allow, else None."""
         configuration = self.service.configuration
         if call.request_class not in self.service.dispatcher.router.settings.request_classes:
             return UNKNOWN_CLASS
@@ -139,28 +141,29 @@
         return None
 
     def dispatch(self, connection: ClientProtocol, request: protocol.Request) -> None:
-        """Hands a request to the dispatcher, within its tick.
+        """Passes a request to the dispatcher, within its tick.
 
-        The dispatcher ignores a request whose time is over; here each is owed a response.
+        The dispatcher ignores a request whose deadline has passed. HTTP requires a response to
+        each request, so it is written here.
         """
         self.service.dispatcher.request_received(connection.client, request)
         if connection.awaiting_id == request.id and request.id not in connection.client.open:
             connection.write(protocol.Response(request.id, "deferred", 0.0, "the time is up"))
 
     def client_closed(self, connection: ClientProtocol) -> None:
-        """Notifies the dispatcher that a client waits no longer."""
+        """Notifies the dispatcher that a client has closed its connection."""
         if connection.is_admitted:
             self.service.post(self.service.dispatcher.client_disconnected, connection.client)
 
     def connection_lost(self, connection: ClientProtocol) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has ended."""
         self.connections.pop(connection, None)
         self.service.listeners.post(ConnectionClosed(connection.arrival.connection))
         self.client_closed(connection)
         self.service.post(connection.release)
 
     def drain(self) -> None:
-        """Closes idle connections; those with a request in flight close with its response."""
+        """Closes idle connections; the others close after the response to their request."""
         self.draining = True
         for connection in list(self.connections):
             if connection.is_idle():
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform hands a gateway at its start, read and checked, and the limits that follow."""
+"""The configuration that the platform gives a gateway: read, validated and turned into limits."""
 
 import json
 from dataclasses import dataclass
@@ -13,35 +13,40 @@
 from cherrydoor.platform.settings import ConfigurationError as ConfigurationError
 from cherrydoor.platform.settings import checked_number, checked_settings, require
 
-# Descriptors of the process itself: listener, watch, loop, what it reads of its own usage.
+# Descriptors that the process needs for itself: listener, discovery watch, event loop, and reading
+# its own resource usage.
 RESERVED_DESCRIPTORS = 12
-# ms taken off each request's time for the response's way back; some clients wait for 100.
+# Subtracted from each request's timeout, for the way of the response back to the client. Some
+# clients have a timeout of only 100 ms.
 RETURN_MARGIN_MS = 5.0
-# ms for which a connection may send nothing complete; bad clients are owed an end within 3 s.
+# Time in ms within which a connection has to send a complete request. The platform requires that
+# connections of misbehaving clients are closed within 3 s.
 SILENT = 2000.0
-# ms after a fifth of which an idle connection makes room where slots are short. Harms a client
-# whose request crosses the close: it sends it again.
+# Idle time in ms. When slots are short, a connection that has been idle for a fifth of this may be
+# closed to make room. A client whose request is on its way at that moment has to send it again.
 IDLE = 500.0
-# By how much a client's own timeout may exceed the longest deadline.
+# Longest timeout that a client may state, as a multiple of the longest deadline.
 MAX_TIMEOUT_FACTOR = 4
-MAX_PENDING_BYTES = 8 << 20  # of incomplete requests on connections without a slot
-UNLIMITED_RATE = 1e6  # connections a second: all come by one front, which paces them itself
+MAX_PENDING_BYTES = 8 << 20  # total of incomplete requests on connections without a slot
+# Connections per second; in effect no limit, because all clients connect through one front end,
+# which limits their rate itself.
+UNLIMITED_RATE = 1e6
 MAX_RETRY_AFTER_MS = 200.0
-# Part of the hosts' own idle time after which a connection is unused; it is looked at each tenth,
-# so that it closes before the host closes it.
-IDLE_PART = 0.8
-SEED_DIGITS = 32
+# Share of the hosts' idle timeout after which an unused connection is closed. Connections are
+# checked every tenth of that time, so that the gateway closes them before the host does.
+HOST_IDLE_SHARE = 0.8
+MAX_SEED_DIGITS = 32
 
 
 class KnownEndpoints(NamedTuple):
-    """The endpoints that a configuration carries."""
+    """The endpoint list in the configuration, as updates up to a revision."""
 
     revision: int
     updates: list[sse.EndpointUpdate]
 
 
 def checked_address(text: Any, place: str) -> str:
-    """Returns an address:port; ConfigurationError names the place of anything else."""
+    """Returns a valid address:port; otherwise raises ConfigurationError with the place."""
     expected = "an address:port"
     require(isinstance(text, str) and text.rpartition(":")[0], place, expected, text)
     try:
@@ -52,29 +57,30 @@
     return str(text)
 
 
-def setting_ms(section: dict[str, Any], name: str, otherwise_ms: float) -> float:
-    """Returns a setting, given in microseconds, in ms."""
-    return float(section.get(name, otherwise_ms * 1000) / 1000)
+def setting_ms(section: dict[str, Any], name: str, default_ms: float) -> float:
+    """Returns in ms a setting that is stated in microseconds."""
+    return float(section.get(name, default_ms * 1000) / 1000)
 
 
 @dataclass(slots=True)
 class DispatcherLimits:
-    """What bounds the dispatcher, by the names it reads; times in ms.
+    """The dispatcher's limits, under the attribute names that it reads; times in ms.
 
-    A connection carries one attempt while there are connections left, and, where a handshake has
-    a price, while what the host has carried bears it: what breaks one then ends no other attempt.
+    Each attempt gets a connection of its own, so that a broken connection ends no other attempt.
+    Attempts share connections once the host has no more connections left, or, if handshakes have a
+    price, while the host's attempts so far do not yet pay for another one.
 
     Attributes:
-        spare: Taken off each request's time.
-        per_link: Attempts that share a connection.
+        spare: Time subtracted from each request's timeout.
+        per_link: Attempts on one connection at a time.
         links: Connections to one host; changes with the number of hosts.
-        tells: Whether hosts report copies and concurrency.
+        tells: Whether hosts report copies, and whether they report concurrency.
         most_open: Requests in flight.
-        connect: Time to open a connection.
-        silence: Time without a sign of a host.
-        idle: Time after which an unused connection closes.
-        probe: Time of a health check.
-        order: Time of a load order.
+        connect: Timeout for opening a connection.
+        silence: Time without input after which a host counts as silent.
+        idle: Time after which an unused connection is closed.
+        probe: Timeout of a health check.
+        order: Timeout of a load order.
         stay: Longest retry-after; 0 for none.
         handshake: Price of a handshake.
     """
@@ -96,7 +102,7 @@
     def from_settings(
         cls, settings: dict[str, Any], tells: tuple[bool, bool]
     ) -> "DispatcherLimits":
-        """Returns the limits that checked settings give, with one connection to a host."""
+        """Returns the limits that follow from validated settings, with one connection to a host."""
         permissions = settings["permissions"]
         connect_ms = setting_ms(permissions, "connectTimeout", 250.0)
         retry_after_ms = 0.0
@@ -110,7 +116,7 @@
             most_open=permissions.get("mostHeld", 20000),
             connect=connect_ms,
             silence=connect_ms,
-            idle=IDLE_PART * setting_ms(permissions, "connIdle", 15000.0),
+            idle=HOST_IDLE_SHARE * setting_ms(permissions, "connIdle", 15000.0),
             probe=connect_ms,
             order=setting_ms(settings["familyInfo"], "loadWait", 10000.0),
             stay=retry_after_ms,
@@ -122,27 +128,27 @@
     """One gateway's configuration.
 
     Args:
-        document: The configuration file's object.
-        listen: Address that the environment gives in place of the file's, if it does.
-        descriptors: Those that the process may hold by its own limit.
+        document: The decoded JSON of the configuration file.
+        listen: Listen address from the environment, which overrides the file's; None if not set.
+        descriptors: Descriptor limit of the process.
 
     Attributes:
         name: The gateway's name.
-        listen: Its own address:port.
+        listen: The address:port that it listens on.
         discovery_server: Address:port of the endpoint stream.
-        memory: Limit in bytes.
-        cores: Limit of the process's cores.
-        descriptors: Limit of descriptors.
+        memory: Memory limit in bytes.
+        cores: CPU limit in cores.
+        descriptors: Descriptor limit.
         known_endpoints: The endpoints at the start.
-        router_settings: The router's.
-        tenants: Names of tenants; empty where all may come.
-        longest_deadline_ms: Of all request classes.
-        max_timeout_ms: That a client may state.
-        limits: The dispatcher's.
-        client_limits: Admission's.
+        router_settings: The router's settings.
+        tenants: Names of the tenants; empty if every tenant is accepted.
+        longest_deadline_ms: Longest deadline of all request classes.
+        max_timeout_ms: Longest timeout that a client may state.
+        limits: The dispatcher's limits.
+        client_limits: Admission's limits.
 
     Raises:
-        ConfigurationError: Something cannot be used; it has the key's place.
+        ConfigurationError: A value is missing or invalid; the error has its place.
     """
 
     def __init__(self, document: Any, listen: str | None, descriptors: int) -> None:
@@ -162,7 +168,7 @@
         self.apply_settings(document.get("settings"), seed)
 
     def apply_settings(self, stated: Any, seed: int) -> None:
-        """Sets what follows from the settings."""
+        """Sets the attributes that follow from the settings."""
         settings = checked_settings(stated)
         try:
             self.router_settings: Any = wire.settings_of(seed, settings)
@@ -182,7 +188,7 @@
         self.client_limits = self.limits_of_clients(seed)
 
     def limits_of_clients(self, seed: int) -> ClientLimits:
-        """Returns admission's limits: no rate binds, as all clients come by one front."""
+        """Returns admission's limits, without rates: all clients use one front end."""
         slots = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, 1)
         return ClientLimits(
             connection_slots=slots.client_slots,
@@ -200,12 +206,12 @@
         )
 
     def share_descriptors(self, hosts: int) -> None:
-        """Shares the descriptors for upstream connections among so many hosts from now on."""
+        """Divides the descriptors for upstream connections among this number of hosts."""
         slots = platform_slots(self.descriptors, RESERVED_DESCRIPTORS, hosts)
         self.limits.links = slots.per_host
 
     def known_host_count(self) -> int:
-        """Returns how many of the known endpoints are not gone."""
+        """Returns the number of known endpoints that are not gone."""
         states = {}
         for update in self.known_endpoints.updates:
             for entry in update.endpoints or ():
@@ -214,10 +220,10 @@
 
 
 def checked_seed(text: Any) -> int:
-    """Returns the seed of random draws, given in hex digits."""
+    """Returns the seed of the random generator, which is stated in hex digits."""
     require(
         isinstance(text, str)
-        and 0 < len(text) <= SEED_DIGITS
+        and 0 < len(text) <= MAX_SEED_DIGITS
         and not set(text.lower()) - set("0123456789abcdef"),
         "seed",
         "hex digits",
@@ -227,7 +233,7 @@
 
 
 def checked_endpoints(known: Any) -> KnownEndpoints:
-    """Returns the known endpoints of a configuration."""
+    """Returns the known endpoints in a configuration."""
     require(isinstance(known, dict), "known", "an object", known)
     revision = known.get("no")
     items = known.get("items")
@@ -244,11 +250,11 @@
 
     Args:
         path: The file.
-        listen: Address that stands in place of the file's, if there is one.
-        descriptors: Those that the process may hold.
+        listen: Listen address that overrides the file's; None if there is none.
+        descriptors: Descriptor limit of the process.
 
     Raises:
-        ConfigurationError: The file or something in it cannot be used.
+        ConfigurationError: The file cannot be read, or a value in it is invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -256,5 +262,5 @@
     except OSError as error:
         raise ConfigurationError("PROXY_CONFIG", f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigurationError(str(path), f"no JSON: {error}") from None
+        raise ConfigurationError(str(path), f"invalid JSON: {error}") from None
     return Configuration(document, listen, descriptors)
--- a/cherrydoor/platform/configuration_reload.py
+++ b/cherrydoor/platform/configuration_reload.py
@@ -1,4 +1,4 @@
-"""The reload at SIGHUP: the endpoint stream's server and the known endpoints are read anew."""
+"""Reload at SIGHUP of the discovery server's address and the known endpoints."""
 
 import asyncio
 from pathlib import Path
@@ -7,13 +7,13 @@
 from cherrydoor.platform import configuration
 from cherrydoor.platform.settings import ConfigurationError
 
-# Before a file that could not be used is read once more, by how often it was: it may have been
-# half written. Harms by nothing but the reads.
+# Delays before an invalid file is read again, by the number of retries so far: it may have been
+# read while it was being written. The only cost of a retry is the read.
 RETRY_DELAYS_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
 
 
 class ConfigurationReload:
-    """Reads the configuration file anew; one that cannot be used changes nothing.
+    """Reads the configuration file again; an invalid file changes nothing.
 
     Args:
         service: The gateway's service.
@@ -26,16 +26,17 @@
         self.retry: asyncio.TimerHandle | None = None
 
     def start(self, retries: int = 0) -> None:
-        """Reads the file and applies it; a file that cannot be used is retried for a while.
+        """Reads and applies the file; after an invalid file it retries with a backoff.
 
         Args:
-            retries: How often the file was read since the signal.
+            retries: Number of retries since the signal.
         """
         if self.retry is not None:
             self.retry.cancel()
             self.retry = None
         service = self.service
-        # From the signal on the old server may tell nothing further, though it still speaks.
+        # The server may have changed: from the signal on, the old one must not confirm the endpoint
+        # list, even though it still sends.
         service.discovery_watch.suspend()
         try:
             new = self.read()
@@ -60,7 +61,7 @@
         )
 
     def read(self) -> configuration.Configuration:
-        """Reads the file, also where clients have all descriptors."""
+        """Reads the file, even if clients use all descriptors, by means of the spare descriptor."""
         service = self.service
         service.usage.release_spare_descriptor()
         try:
--- a/cherrydoor/platform/discovery_watch.py
+++ b/cherrydoor/platform/discovery_watch.py
@@ -1,7 +1,7 @@
-"""Watches the platform's endpoint stream: updates in order of their revisions.
+"""Watches the platform's endpoint stream and applies its updates in the order of their revisions.
 
-The platform calls the stream its bulletin; so does the configuration's key. It is asked anew, from
-the last revision that was applied, when the connection breaks or falls silent.
+The platform and the configuration key call this stream "bulletin". When the connection breaks or
+falls silent, the watch reconnects and requests the updates after the last revision it applied.
 """
 
 import asyncio
@@ -14,19 +14,20 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
-READ_TIMEOUT_S = 1.8  # without a line, where the platform sends a comment each second
-CONNECT_TIMEOUT_S = 0.5  # that a connection may take
-# Both times are doubled with each failure in a row, so often at most: a slow or crowded server is
-# asked in vain for ever by those who never wait for its answer.
+READ_TIMEOUT_S = 1.8  # without input; the platform sends a comment each second
+CONNECT_TIMEOUT_S = 0.5
+# Both timeouts double with each consecutive failure, up to this number of times. With fixed
+# timeouts, a slow or overloaded server would never be given enough time to respond.
 MAX_TIMEOUT_DOUBLINGS = 2
-BACKOFF_S = (0.0, 0.05, 0.1, 0.2, 0.4)  # before the next try, by failures in a row
-LOGGED_HOSTS = 20  # of one update, at most
-SILENT = "silent"  # why a connection ended that is not counted as a failure: it had been open
+BACKOFF_S = (0.0, 0.05, 0.1, 0.2, 0.4)  # delay before a reconnect, by consecutive failures
+MAX_LOGGED_HOSTS = 20  # of one update
+# Reason of a connection's end; no failure if the connection had received something before.
+SILENT = "silent"
 
 
 def state_names(update: sse.EndpointUpdate) -> dict[str, str]:
     """Returns the states of the first hosts of an update, for the log."""
-    return {entry.id: entry.state for entry in (update.endpoints or ())[:LOGGED_HOSTS]}
+    return {entry.id: entry.state for entry in (update.endpoints or ())[:MAX_LOGGED_HOSTS]}
 
 
 class DiscoveryWatch:
@@ -35,16 +36,18 @@
     Args:
         service: The gateway's service.
         server: The stream's address:port.
-        last_revision: Revision that the configuration's own endpoints include.
-        listed_at_ms: When these were up to date, in ms of the service's clock.
+        last_revision: Revision of the endpoint list in the configuration.
+        listed_at_ms: When that list was up to date, in ms of the service's clock.
 
     Attributes:
-        last_revision: Of the last update that was applied.
-        missing_before: Revision before which one is missing and was asked for, if there is such.
+        last_revision: Revision of the last update that was applied.
+        missing_before: Revision whose predecessor is missing and was requested again; None if
+            there is none.
         connection: The latest connection.
-        confirmed_at_ms: When the endpoint list was last up to date, in ms of the service's clock.
-        requested_at_ms: When updates were first asked for since; None where they were not.
-        suspended: Whether the stream may have moved, so that what comes confirms nothing.
+        confirmed_at_ms: When the endpoint list was last known to be up to date, in ms of the
+            service's clock.
+        requested_at_ms: When updates were first requested after that; None if they were not.
+        suspended: Whether the stream may have moved, so that its input confirms nothing.
         last_input_s: When the stream last sent anything, in s of the loop's clock.
     """
 
@@ -56,26 +59,26 @@
         self.task: asyncio.Task[None] | None = None
         self.connection: WatchConnection | None = None
         self.last_input_s = asyncio.get_running_loop().time()
-        # The first list is as old as this process. The stream may have been out of reach for long
-        # when it started, so what is missing from that list counts as told from then on.
+        # The first list is as old as this process. If the stream was already unreachable when the
+        # process started, changes that the list lacks count as announced from that time on.
         self.confirmed_at_ms = listed_at_ms
         self.requested_at_ms: float | None = listed_at_ms
         self.suspended = False
         self.host_starts = HostStarts()
 
     def start(self) -> None:
-        """Begins to watch."""
+        """Starts the watch."""
         self.task = asyncio.get_running_loop().create_task(self.watch())
 
     def stop(self) -> None:
-        """Closes the connection and opens no other."""
+        """Ends the watch and closes its connection."""
         if self.task:
             self.task.cancel()
         if self.connection:
             self.connection.end("")
 
     async def watch(self) -> None:
-        """Reads one connection after the other, with a backoff while they bring nothing."""
+        """Reads one connection after another, with a backoff while they bring nothing."""
         failures = 0
         while True:
             server = self.server
@@ -98,20 +101,20 @@
             await asyncio.sleep(BACKOFF_S[min(failures, len(BACKOFF_S) - 1)])
 
     def silent_ms(self) -> float:
-        """Returns for how many ms the stream has sent nothing."""
+        """Returns the time since the stream last sent anything, in ms."""
         return (asyncio.get_running_loop().time() - self.last_input_s) * 1000
 
-    async def read_connection(self, server: str, patience: int) -> str:
+    async def read_connection(self, server: str, timeout_factor: int) -> str:
         """Reads one connection to its end; returns why it ended.
 
         Args:
             server: The stream's address:port.
-            patience: By how much the timeouts are multiplied until something has come.
+            timeout_factor: Multiplies the timeouts until the first input.
         """
         connection = WatchConnection(self, server)
         self.connection = connection
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_S * patience):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S * timeout_factor):
                 await open_connection(self.service.listeners, lambda: connection, *address(server))
         except (TimeoutError, OSError) as error:
             connection.end("")
@@ -120,20 +123,23 @@
         while not connection.ended.done():
             timeout_s = READ_TIMEOUT_S
             if connection.first_input_s is None:
-                timeout_s *= patience
+                timeout_s *= timeout_factor
             remaining_s = connection.last_input_s + timeout_s - loop.time()
             if remaining_s <= 0:
                 connection.end(SILENT)
                 break
             await asyncio.wait([connection.ended], timeout=remaining_s)
-            for _ in range(2):  # after a stall: what is ready is read before it is called silent
+            for _ in range(
+                2
+            ):  # after a stall, input that is ready is read before the timeout is checked
                 await asyncio.sleep(0)
         return connection.ended.result()
 
     def confirm(self) -> None:
         """Notifies the dispatcher that the endpoint list is up to date.
 
-        It was so at the last tick: what is read after a stall of this process may be as old.
+        The list counts as up to date at the time of the last tick, not of the present moment:
+        after a stall of this process, the input that it reads may be as old as that tick.
         """
         if not self.suspended:
             self.confirmed_at_ms = max(self.confirmed_at_ms, self.service.dispatcher.now)
@@ -142,28 +148,28 @@
             self.post_list_age()
 
     def updates_requested(self) -> None:
-        """Notifies the dispatcher that the stream was asked for updates."""
+        """Notifies the dispatcher that updates were requested from the stream."""
         if self.requested_at_ms is None:
             self.requested_at_ms = self.service.clock.now()
         self.post_list_age()
 
     def post_list_age(self) -> None:
-        """Posts when the list was last up to date and asked for, also to a new dispatcher."""
+        """Posts when the list was last up to date and when updates were requested."""
         dispatcher = self.service.dispatcher
         self.service.post(dispatcher.endpoints_confirmed, self.confirmed_at_ms)
         if self.requested_at_ms is not None:
             self.service.post(dispatcher.endpoints_requested, self.requested_at_ms)
 
     def suspend(self) -> None:
-        """Lets the stream confirm nothing until ``resume``: a new configuration may move it."""
+        """Ignores confirmations until ``resume``: a new configuration may move the stream."""
         self.suspended = True
 
     def resume(self) -> None:
-        """Ends ``suspend``: the server is known."""
+        """Accepts confirmations again: it is known which server has the stream."""
         self.suspended = False
 
     def move(self, server: str) -> None:
-        """Goes on with another server, from the last revision that was applied."""
+        """Continues with another server, from the last revision that was applied."""
         if server != self.server:
             self.server = server
             if self.connection:
@@ -172,15 +178,16 @@
     def update_received(
         self, update: sse.EndpointUpdate, connection: WatchConnection | None = None
     ) -> None:
-        """Applies an update once, whichever connection brings it.
+        """Applies an update unless its revision was applied before.
 
-        Where a revision is missing the stream is asked anew from the last one applied, once: a
-        drain may be in it. A complete list under a lower revision, first on a connection, is of a
-        server that numbers anew; it undoes no drain.
+        If a revision is missing, the updates after the last applied one are requested once more,
+        because the missing one may announce a drain. If it is still missing then, it is skipped.
+        A snapshot with a lower revision that is the first update on a connection comes from a
+        server that has restarted its numbering; it is applied, but undoes no drain.
 
         Args:
             update: The update, as the codec read it.
-            connection: What brought it; None for one of the configuration file.
+            connection: The connection that it came on; None for an update of the configuration.
         """
         counters = self.service.dispatcher.counters
         renumbered = (
@@ -216,8 +223,8 @@
 
         Args:
             update: The update; one that carries no endpoints changes nothing.
-            renumbered: Whether it may be older than what is known, so that drains stay.
-            not_before_ms: When the list did not state what is new in it; 0 for unknown.
+            renumbered: Whether it may be older than the known list, so that drains are kept.
+            not_before_ms: A time when the list did not contain this update's news; 0 if unknown.
         """
         if update.endpoints is None:
             return
@@ -234,7 +241,7 @@
         )
 
     def endpoint_of(self, entry: sse.ListedEndpoint, not_before_ms: float) -> protocol.Endpoint:
-        """Returns an endpoint as the dispatcher gets it."""
+        """Returns the dispatcher's message for one endpoint."""
         if entry.state == sse.GONE:
             self.host_starts.forget(entry.id)
         now_ms = self.service.clock.now()
@@ -244,6 +251,6 @@
         return protocol.Endpoint(entry.id, entry.state, started_at_ms, entry.zone, entry.cell)
 
     def is_draining(self, host_id: str) -> bool:
-        """Whether a known host drains or is gone."""
+        """Whether a host is known and is draining or gone."""
         host = self.service.dispatcher.hosts.get(host_id)
         return host is not None and host.row.state != sse.READY
--- a/cherrydoor/platform/event_log.py
+++ b/cherrydoor/platform/event_log.py
@@ -1,34 +1,35 @@
-"""The gateway's log on standard error: one JSON object a line."""
+"""The gateway's log on standard error: one JSON object per line."""
 
 import json
 import sys
 from typing import Any, NamedTuple
 
-MIN_INTERVAL_MS = 1000.0  # between lines of one limited event: a fault that repeats fills no disk
+# Between lines of one limited event, so that a repeated fault does not fill the disk.
+MIN_INTERVAL_MS = 1000.0
 
 
 class LastWritten(NamedTuple):
-    """When a limited event was last written, and how often it was left out since."""
+    """When a limited event was last written, and how many of its lines were omitted since."""
 
     at_ms: float
     omitted: int
 
 
 class EventLog:
-    """Writes events; ``last_written`` has one entry for each limited event that code names.
+    """Writes events. ``last_written`` has one entry for each limited event, so it stays small.
 
-    A line that cannot be written is counted and left out: what is logged goes on all the same.
+    A line that cannot be written is counted and dropped: a failing log does not stop the gateway.
 
     Args:
-        clock: Gives the time in ms by which events are limited; it never goes back.
-        wall_clock: Gives the Unix ms that lines carry.
+        clock: Monotonic clock in ms, by which events are limited.
+        wall_clock: Clock in Unix ms, for the timestamps of lines.
     """
 
     def __init__(self, clock: Any, wall_clock: Any) -> None:
         self.clock = clock
         self.wall_clock = wall_clock
         self.last_written: dict[str, LastWritten] = {}
-        self.unwritten_lines = 0  # since the last line that could be written
+        self.unwritten_lines = 0  # since the last line that was written
 
     def write(self, event: str, **fields: Any) -> None:
         """Writes one line."""
@@ -39,26 +40,29 @@
             self.unwritten_lines = 0
 
     def write_text(self, text: str) -> bool:
-        """Writes lines as they are; returns whether they could be written."""
+        """Writes text without changes; returns whether that succeeded."""
         try:
             print(text, file=sys.stderr, flush=True)
-        except (OSError, ValueError):  # a full disk, a reader that has gone, a closed stream
+        except (
+            OSError,
+            ValueError,
+        ):  # the disk is full, the reader has exited, or the stream is closed
             self.unwritten_lines += 1
             return False
         return True
 
     def write_limited(self, event: str, **fields: Any) -> None:
-        """Writes one line, at most once a second for each event, with how often it was left out.
+        """Writes at most one line per second for each event, with the number of omitted lines.
 
-        Guards against a log that grows with each client or host that fails. Harms where the
-        fields of two lines within the second differ: those of the second are lost.
+        Without the limit, the log would grow with each failing client or host. The cost is that the
+        fields of omitted lines are lost.
         """
-        now = self.clock.now()
+        now_ms = self.clock.now()
         last = self.last_written.get(event)
-        if last is not None and now - last.at_ms < MIN_INTERVAL_MS:
+        if last is not None and now_ms - last.at_ms < MIN_INTERVAL_MS:
             self.last_written[event] = LastWritten(last.at_ms, last.omitted + 1)
             return
-        self.last_written[event] = LastWritten(now, 0)
+        self.last_written[event] = LastWritten(now_ms, 0)
         if last is not None and last.omitted:
             fields["left_out"] = last.omitted
         self.write(event, **fields)
--- a/cherrydoor/platform/graceful_shutdown.py
+++ b/cherrydoor/platform/graceful_shutdown.py
@@ -1,25 +1,26 @@
-"""The graceful shutdown at SIGTERM: clients still come, the listener closes, requests end."""
+"""Graceful shutdown at SIGTERM: keeps accepting for a while, closes the listener, then drains."""
 
 from typing import Any
 
-ACCEPTING_S = 0.7  # after SIGTERM for which clients still come: the front learns of it meanwhile
-# From then on requests in flight have the longest deadline, but this time at most: then the process
-# may be killed.
+# After SIGTERM clients are still accepted for this time, in which the front end learns of it.
+ACCEPTING_S = 0.7
+# After the listener has closed, requests in flight get as long as the longest deadline, but no more
+# than this: the platform may kill the process then.
 MAX_DRAIN_S = 3.0
-FORCED_END_MARGIN_S = 0.2  # before the drain's time is over, and at most half of that time
-FIRST_CHECK_S = 0.1  # from the listener's close to the first check whether clients are left
-CHECK_INTERVAL_S = 0.05  # between such checks
+FORCED_END_MARGIN_S = 0.2  # before the drain time is over; at most half of the drain time
+FIRST_CHECK_S = 0.1  # from the close of the listener to the first check for remaining clients
+CHECK_INTERVAL_S = 0.05  # between these checks
 ENDED, ENDED_WITH_REQUESTS = 0, 3  # exit codes
 
 
 class GracefulShutdown:
-    """Ends a service once nobody waits for a response, or when its time is over.
+    """Ends a service when no client connection is left or the drain time is over.
 
     Args:
         service: The gateway's service.
 
     Attributes:
-        started: Whether a signal has begun it; a second signal changes nothing.
+        started: Whether a signal has started it; further signals are ignored.
     """
 
     def __init__(self, service: Any) -> None:
@@ -27,7 +28,7 @@
         self.started = False
 
     def start(self) -> None:
-        """Begins at SIGTERM or SIGINT; clients still come for a while."""
+        """Starts at SIGTERM or SIGINT; clients are accepted for ACCEPTING_S more."""
         if self.started:
             return
         self.started = True
@@ -40,7 +41,7 @@
         service.loop.call_later(ACCEPTING_S + drain_s - margin_s, self.force_end)
 
     def close_listener(self) -> None:
-        """Accepts nobody any more; requests in flight are answered."""
+        """Stops accepting clients; requests in flight still get their responses."""
         service = self.service
         service.listeners.close()
         service.post(service.dispatcher.drain, "the gateway is leaving")
@@ -48,7 +49,7 @@
         service.loop.call_later(FIRST_CHECK_S, self.end_when_drained)
 
     def end_when_drained(self) -> None:
-        """Ends when no client connection is left; looks again until then."""
+        """Ends the service when no client connection is left; until then checks again."""
         service = self.service
         if not service.client_listener.connections:
             service.end(ENDED)
@@ -57,6 +58,6 @@
         service.loop.call_later(CHECK_INTERVAL_S, self.end_when_drained)
 
     def force_end(self) -> None:
-        """Answers whoever still waits, and ends: the process is killed soon."""
+        """Responds to all requests in flight and ends, before the process is killed."""
         self.service.dispatcher.respond_to_all("the gateway ends")
         self.service.end(ENDED_WITH_REQUESTS)
--- a/cherrydoor/platform/host_starts.py
+++ b/cherrydoor/platform/host_starts.py
@@ -1,27 +1,28 @@
-"""When hosts started, by this process's clock: stated Unix times are bounded where they come in.
+"""Converts stated start times of hosts to this process's clock, within plausible bounds.
 
-Guards against a wall clock that is wrong when the gateway starts: a host that has just started
-would be taken for warm, or be held in slow start for as long as the clock is wrong. Harms a host
-that was listed late: it is in slow start for longer than it needs.
+The bounds matter when the wall clock is wrong at the start of the gateway. Without them, a host
+that has just started could count as warm, or stay in slow start for as long as the clock is off.
+The cost is that a host which was listed late stays in slow start for longer than necessary.
 """
 
 from typing import NamedTuple
 
-# A host is listed within this time of its start.
+# Longest time from a host's start to its appearance in the endpoint list.
 START_NOTICE_MS = 10000.0
 
 
 class KnownStart(NamedTuple):
-    """A start as the list states it, and as it was bounded when it was first read."""
+    """A start time as the list states it, and its bounded value from when it was first read."""
 
     stated_at_ms: float
     bounded_at_ms: float
 
 
 class HostStarts:
-    """Starts of the hosts that are listed; a host that is gone is dropped.
+    """Start times of the listed hosts; a host that is gone is removed.
 
-    Invariant: one stated start of a host keeps one bounded start, so that it is no restart.
+    Invariant: as long as a host's stated start stays the same, so does its bounded start. Otherwise
+    the change would count as a restart of the host.
     """
 
     def __init__(self) -> None:
@@ -30,13 +31,13 @@
     def bounded(
         self, host_id: str, stated_at_ms: float, now_ms: float, not_before_ms: float
     ) -> float:
-        """Returns when a host started, in ms of this process's clock; 0 for long ago.
+        """Returns when a host started, in ms of this process's clock; 0 if unknown or long ago.
 
         Args:
             host_id: The host.
-            stated_at_ms: What the list states, in Unix ms; 0 for long ago.
-            now_ms: The present time.
-            not_before_ms: When the list was last known not to state this start; 0 for unknown.
+            stated_at_ms: Start time in the endpoint list, in Unix ms; 0 if unknown or long ago.
+            now_ms: Current time, in ms of this process's clock.
+            not_before_ms: Last time at which the list did not state this start; 0 if unknown.
         """
         if not stated_at_ms:
             self.forget(host_id)
@@ -49,5 +50,5 @@
         return known.bounded_at_ms
 
     def forget(self, host_id: str) -> None:
-        """Drops a host that is gone or states no start."""
+        """Removes a host that is gone or has no stated start."""
         self._known.pop(host_id, None)
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -1,4 +1,4 @@
-"""`cherrydoor platform`: the one gateway of this process, from configuration to exit code."""
+"""`cherrydoor platform`: runs one gateway, from reading its configuration to its exit code."""
 
 import asyncio
 import gc
@@ -30,14 +30,15 @@
 from cherrydoor.routing import Router
 
 BAD_CONFIGURATION, PORT_TAKEN = 64, 69  # exit codes
-USAGE_INTERVAL_S = 10.0  # between log lines of what the process uses
-CLOSE_TIME_S = 0.02  # for which connections that were closed at the end may still write
-# Little is kept by a request: a full collection is cheap, and often enough memory stays flat.
+USAGE_INTERVAL_S = 10.0  # between log lines of resource usage
+CLOSE_TIME_S = 0.02  # at the end, for closed connections to write what is buffered
+# A request leaves few objects behind, so full collections are cheap, and frequent ones keep memory
+# from growing.
 GC_THRESHOLDS = (1000, 5, 2)
 
 
 def no_reload_wanted() -> bool:
-    """Stands for a process that got no signal before its service began."""
+    """Default for a process that received no SIGHUP before its service started."""
     return False
 
 
@@ -46,14 +47,14 @@
 
     Args:
         configuration: The gateway's configuration.
-        path: Its file, for reloads.
-        trace: ms between lines of the trace; 0 for none.
-        reload_wanted: Whether SIGHUP came before this service could act on it.
-        start_duration_ms: How long the process ran before it made this service.
+        path: The configuration file, for reloads.
+        trace: Interval between lines of the trace, in ms; 0 for no trace.
+        reload_wanted: Returns whether SIGHUP arrived before this service handled signals.
+        start_duration_ms: How long the process ran before it created this service.
 
     Attributes:
-        dispatcher: The present one; a fault in it begins another.
-        ready: Whether the readiness probe succeeds.
+        dispatcher: The current dispatcher; after a fault in its tick it is replaced.
+        ready: Whether readiness probes succeed.
         done: Future of the exit code.
     """
 
@@ -65,7 +66,8 @@
         reload_wanted: Callable[[], bool] = no_reload_wanted,
         start_duration_ms: float = 0.0,
     ) -> None:
-        # Deadlines, leases and graces are spans of real time: a step of the wall clock moves none.
+        # Deadlines, leases and grace periods use a monotonic clock, so that a step of the wall clock
+        # does not move them.
         super().__init__(Clock())
         self.configuration = configuration
         self.trace = trace
@@ -95,7 +97,7 @@
         self.discovery_watch.post_list_age()
 
     def new_dispatcher(self) -> Dispatcher:
-        """Returns a dispatcher without hosts and requests."""
+        """Returns a new dispatcher, without hosts or requests."""
         dispatcher = Dispatcher(
             Router(self.configuration.router_settings),
             self.configuration.limits,
@@ -110,7 +112,7 @@
         self.log.write("routing", text=text)
 
     async def run(self) -> int:
-        """Serves until a signal or the shutdown's end; returns the exit code."""
+        """Runs the gateway until the service ends; returns the exit code."""
         try:
             self.open_listener()
         except OSError as error:
@@ -136,7 +138,7 @@
         return exit_code
 
     def open_listener(self) -> None:
-        """Opens the listening socket; OSError where the address cannot be used."""
+        """Opens the listening socket; raises OSError if that fails."""
         Listener(
             self.listeners,
             address(self.configuration.listen),
@@ -145,25 +147,25 @@
         )
 
     def add_signal_handlers(self) -> None:
-        """SIGHUP reloads the configuration; SIGTERM and SIGINT begin the graceful shutdown."""
+        """Handles SIGHUP by a reload of the configuration, SIGTERM and SIGINT by a graceful shutdown."""
         self.loop.add_signal_handler(signal.SIGHUP, self.reload.start)
         self.loop.add_signal_handler(signal.SIGTERM, self.shutdown.start)
         self.loop.add_signal_handler(signal.SIGINT, self.shutdown.start)
 
     def settle_memory(self) -> None:
-        """Takes what the start made out of collections, and as the base of memory usage."""
+        """Excludes the objects of the start from garbage collection and from memory usage."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
         self.usage.base = self.usage.measure_held()
 
     def end(self, exit_code: int) -> None:
-        """Ends the service; the first exit code counts."""
+        """Ends the service; later calls do not change the exit code."""
         if not self.done.done():
             self.done.set_result(exit_code)
 
     async def close(self) -> None:
-        """Closes all sockets, with a moment for what was written last."""
+        """Closes all sockets, after a short time for buffered output."""
         self.discovery_watch.stop()
         self.listeners.close()
         for client in list(self.client_listener.connections):
@@ -176,9 +178,9 @@
     def restart(self) -> None:
         """Replaces the dispatcher after a fault in its tick.
 
-        Requests in flight fail, connections to hosts are cut, and another dispatcher begins with
-        the same hosts. Guards against a process that ends with all its clients; harms by failing
-        requests that the fault did not concern.
+        Requests in flight fail, connections to hosts are aborted, and the new dispatcher starts with
+        the same hosts. The process and its client connections survive the fault; the cost is that
+        requests fail which had nothing to do with it.
         """
         self.log.write_text(traceback.format_exc())
         failed = self.dispatcher
@@ -193,7 +195,7 @@
         self.discovery_watch.post_list_age()
 
     def log_ready(self) -> None:
-        """Logs what the gateway starts with."""
+        """Logs the gateway's state and limits at the start."""
         self.log.write_limited(
             "ready",
             gateway=self.configuration.name,
@@ -208,7 +210,7 @@
         )
 
     def log_usage(self) -> None:
-        """Logs what the process uses and its counters, again and again."""
+        """Logs resource usage and counters, and schedules the next such line."""
         process = resource.getrusage(resource.RUSAGE_SELF)
         self.loop.call_later(USAGE_INTERVAL_S, self.log_usage)
         self.log.write(
@@ -228,10 +230,10 @@
 
 
 def configured_by_environment() -> tuple[Configuration, str]:
-    """Reads what the environment names; returns it with the file's path.
+    """Reads the configuration that the environment names; returns it and its file's path.
 
     Raises:
-        ConfigurationError: The environment or the file cannot be used.
+        ConfigurationError: The environment or the file is invalid.
     """
     path = os.environ.get("PROXY_CONFIG")
     if not path:
@@ -250,9 +252,10 @@
     """Runs the gateway that the environment configures; returns its exit code.
 
     Args:
-        trace: ms between lines of the trace; 0 for none.
+        trace: Interval between lines of the trace, in ms; 0 for no trace.
     """
-    early_reloads: list[bool] = []  # SIGHUP before the loop runs: by default it ends the process
+    # SIGHUP may arrive before the event loop handles it; without a handler it would end the process.
+    early_reloads: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: early_reloads.append(True))
     try:
         found, path = configured_by_environment()
@@ -260,7 +263,7 @@
         print(f"cherrydoor platform: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
 
-    # Until here the process has only computed, on the cores that it may use.
+    # So far the process has only used CPU time, limited to its cores, which gives the elapsed time.
     start_duration_ms = time.process_time() * 1000 / (min(1.0, found.cores) or 1.0)
 
     def reload_wanted() -> bool:
--- a/cherrydoor/platform/recent_request_ids.py
+++ b/cherrydoor/platform/recent_request_ids.py
@@ -1,17 +1,18 @@
-"""Request ids that were accepted a short while ago."""
+"""Request ids that were accepted recently."""
 
 
 class RecentRequestIds:
     """Ids of requests accepted within the last two spans, so that no id is accepted twice.
 
-    A response, an attempt or a host may still know an id. Guards against one client's response
-    going to another; harms a client that uses an id again within that time: it is refused.
+    A response, an attempt or a host may still refer to an id. If the id were accepted again, one
+    client's response could go to another client. The cost is that a client which reuses an id
+    within that time is refused.
 
-    Invariant: two sets take turns, and each is dropped when its span is over, so that no more ids
-    are kept than were accepted within two spans.
+    Invariant: ids are added to the current set. When its span is over, it becomes the previous set,
+    and the old previous set is dropped. So no more ids are kept than were accepted in two spans.
 
     Args:
-        span_ms: For how long an id is remembered at least.
+        span_ms: Minimum time for which an id is remembered.
     """
 
     __slots__ = ("current", "current_since_ms", "previous", "span_ms")
--- a/cherrydoor/platform/resource_usage.py
+++ b/cherrydoor/platform/resource_usage.py
@@ -1,4 +1,4 @@
-"""The process's clock and what it has in use, by the platform's limits."""
+"""The wall clock, and the process's resource usage relative to the platform's limits."""
 
 import time
 
@@ -7,7 +7,7 @@
 
 
 class WallClock:
-    """The system's Unix time as it is now, for log lines alone: it may be stepped at any time."""
+    """The system's Unix time, for log lines only: it may be stepped at any time."""
 
     def now(self) -> float:
         """Returns the time in Unix ms."""
@@ -15,17 +15,18 @@
 
 
 class PlatformUsage(ProcessUsage):
-    """What is in use, by the platform's limits.
+    """Resource usage relative to the platform's limits.
 
-    Memory counts beyond what the start took. No part of a core counts: all clients come by one
-    front, and none is to be read less than another.
+    Memory usage counts from what was in use after the start. CPU usage is always reported as 0,
+    because admission would slow down reading from clients under load: here all clients connect
+    through one front end, and none should be read more slowly than another.
 
     Args:
-        memory: Limit of memory in bytes.
-        descriptors: Limit of descriptors.
+        memory: Memory limit in bytes.
+        descriptors: Descriptor limit.
 
     Attributes:
-        base: Bytes of memory in use when the gateway became ready.
+        base: Memory in use when the gateway became ready, in bytes.
     """
 
     def __init__(self, memory: int, descriptors: int) -> None:
@@ -34,7 +35,7 @@
         self.base = 0
 
     def measure(self) -> UsageMeasured:
-        """Returns the usage as admission takes it."""
+        """Returns the usage in the form that admission reads."""
         measured = super().measure()
         used_bytes = measured.memory * self.memory - self.base
         memory = used_bytes / max(1.0, self.memory - self.base)
--- a/cherrydoor/platform/router_trace.py
+++ b/cherrydoor/platform/router_trace.py
@@ -1,14 +1,14 @@
-"""The trace of a gateway: what its router believes of each host, beside the traffic there."""
+"""A trace for debugging: the router's state of each host together with the actual traffic."""
 
 from typing import Any
 
 
 class RouterTrace:
-    """Logs all hosts again and again, for whoever looks into a report.
+    """Logs the state of all hosts at a fixed interval.
 
     Args:
         service: The gateway's service.
-        interval_ms: Time between two lines.
+        interval_ms: Time between two lines, in ms.
     """
 
     def __init__(self, service: Any, interval_ms: float) -> None:
@@ -16,16 +16,16 @@
         self.interval_ms = interval_ms
 
     def start(self) -> None:
-        """Begins to count traffic and to log."""
+        """Starts counting traffic and writing lines."""
         self.service.upstream.traffic = {}
         self.schedule()
 
     def schedule(self) -> None:
-        """Sets the time of the next line."""
+        """Schedules the next line."""
         self.service.loop.call_later(self.interval_ms / 1000, self.write)
 
     def write(self) -> None:
-        """Writes one line, and begins to count traffic anew."""
+        """Writes one line and resets the traffic counts."""
         self.schedule()
         service = self.service
         router = service.dispatcher.router
@@ -43,11 +43,11 @@
         )
 
     def row(self, host: Any, traffic: dict[str, Any]) -> dict[str, Any]:
-        """Returns what is known of one host.
+        """Returns the log entry of one host.
 
         Args:
             host: The router's host.
-            traffic: Commands and replies since the last line, by host ids.
+            traffic: Counts of commands and replies since the last line, by host id.
         """
         dispatcher = self.service.dispatcher
         now_ms = self.service.clock.now()
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the platform's hosts: messages as commands, replies as messages."""
+"""Connections to the platform's hosts: messages go out as commands, replies come in."""
 
 import asyncio
 from collections import Counter
@@ -10,13 +10,14 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
-WRITE_BUFFER_MAX_BYTES = 4 << 20  # that may wait for a host that does not read
-# How long the rest of a reply may take. Guards against hosts that stop short; harms where a host
-# stands still in the midst of a reply: its attempts are held to be lost.
+WRITE_BUFFER_MAX_BYTES = 4 << 20  # buffered for a host that does not read
+# How long an incomplete reply may go without further bytes. Without it, attempts would wait in vain
+# for a host that stops in the middle of a reply. The cost is that a host which only stalls for this
+# time loses the connection and its attempts.
 REPLY_REST_TIMEOUT_S = 0.25
-ADDRESSES_KEPT_BEYOND = (
-    16  # addresses beyond twice the hosts before those of gone hosts are dropped
-)
+# Addresses of gone hosts are removed once there are more than twice as many addresses as hosts,
+# plus this number.
+SPARE_ADDRESSES = 16
 OUTCOMES: dict[str, Any] = {
     resp.DONE: routing.AttemptOutcome.SUCCEEDED,
     resp.MISSING: routing.AttemptOutcome.FUNCTION_MISSING,
@@ -28,7 +29,8 @@
     resp.FIT: routing.AttemptOutcome.SUCCEEDED,
     resp.UNFIT: routing.AttemptOutcome.ERROR,
 }
-HEALTH_TAG, LOAD_ORDER_TAG = "p", "o"  # first letters of the wire ids of what is no attempt
+# First letters of the wire ids of health checks and load orders; ids of attempts are hex digits.
+HEALTH_TAG, LOAD_ORDER_TAG = "p", "o"
 
 
 class HostProtocol(asyncio.Protocol):
@@ -39,8 +41,8 @@
         link: The dispatcher's record of this connection.
 
     Attributes:
-        attempts: Numbers of the attempts that a reply is owed for, by their ids on the wire. Each
-            entry goes with its reply or its cancellation, so there are as many as are open.
+        attempts: Numbers of the attempts in flight, by their ids on the wire. An entry is removed
+            with the attempt's reply or cancellation.
     """
 
     def __init__(self, upstream: "Upstream", link: Any) -> None:
@@ -52,7 +54,7 @@
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notifies the dispatcher that calls may be written."""
+        """Notifies the dispatcher that the connection can be used."""
         self.transport = transport
         self.upstream.connections[self] = True
         service = self.upstream.service
@@ -61,8 +63,8 @@
     def write(self, message: Any) -> None:
         """Sends a message of the dispatcher.
 
-        An idle connection that the host has just closed is found out before anything is written
-        to it: what is written may have run.
+        An idle connection is first checked for a close by the host. Nothing has been written
+        then, so the message is reported as not sent. After a write it may have run.
         """
         if self.transport.is_closing() or not self.attempts and peer_closed(self.transport):
             if type(message) is not protocol.CancelAttempt:
@@ -78,7 +80,7 @@
             self.upstream.fail_connection(self, "the host reads too slowly")
 
     def encode(self, message: Any) -> bytes | None:
-        """Returns the command for a message; None for a cancellation whose attempt has ended."""
+        """Returns the command for a message; None for cancelling an attempt that has ended."""
         kind = type(message)
         command: bytes
         if kind is protocol.Attempt:
@@ -112,7 +114,7 @@
         raise TypeError(f"no command for {message!r}")
 
     def data_received(self, data: bytes) -> None:
-        """Hands complete replies on; the rest of an incomplete one has its own time."""
+        """Handles complete replies, and starts a timeout for the rest of an incomplete one."""
         for reply in self.reader.feed(data):
             self.reply_received(reply)
         if self.reader.failure_reason:
@@ -124,7 +126,7 @@
             self.rest_timer = None
 
     def wait_for_rest(self) -> None:
-        """Starts the time within which more of an incomplete reply has to come."""
+        """Starts the timeout within which more of an incomplete reply has to arrive."""
         loop = self.upstream.service.loop
         size = len(self.reader.buffer)
         self.rest_timer = loop.call_later(
@@ -132,10 +134,10 @@
         )
 
     def rest_timed_out(self, size_before: int) -> None:
-        """Fails the connection where nothing more has come; else the time begins again.
+        """Fails the connection if nothing more has arrived; otherwise restarts the timeout.
 
         Args:
-            size_before: Bytes of the reply that had come when the time began.
+            size_before: Bytes of the reply that were buffered when the timeout started.
         """
         self.rest_timer = None
         if self.reader.buffer and len(self.reader.buffer) == size_before:
@@ -144,7 +146,7 @@
             self.wait_for_rest()
 
     def reply_received(self, reply: resp.Reply) -> None:
-        """Posts a reply to the dispatcher; one under an id that is not open here is ignored."""
+        """Posts a reply to the dispatcher; replies with an unknown id are ignored."""
         wire_id = reply.id
         self.upstream.count_traffic(self.link.host.id, reply.status)
         if wire_id in self.attempts:
@@ -162,7 +164,7 @@
     def attempt_replied(self, reply: resp.Reply) -> None:
         """Posts an attempt's result."""
         if reply.status not in OUTCOMES:
-            self.upstream.fail_connection(self, "a health check's reply to an attempt")
+            self.upstream.fail_connection(self, "the reply to an attempt has the status of a health check")
             return
         self.post_reply(
             protocol.AttemptResult(
@@ -184,7 +186,7 @@
         service.post(service.dispatcher.host_replied, self.link, message)
 
     def close(self, reason: str = "") -> None:
-        """Closes once all is written."""
+        """Closes once everything is written."""
         if self.transport is not None:
             self.transport.close()
 
@@ -203,13 +205,14 @@
 
 
 class Upstream:
-    """All connections to hosts, and where hosts are.
+    """All connections to hosts, and the addresses of hosts.
 
     Attributes:
-        addresses: Of each host that the dispatcher knows; cut back with the dispatcher's hosts.
-        connections: Those that are open, in the order in which they opened.
-        traffic: For each host how often each command and reply crossed its connections since the
-            last trace; None without a trace.
+        addresses: Address:port of each host that the dispatcher knows, by host id; entries of gone
+            hosts are removed from time to time.
+        connections: The open connections, in the order in which they were opened.
+        traffic: Counts of each command and reply since the last trace line, by host id; None
+            without a trace.
     """
 
     def __init__(self, service: Any) -> None:
@@ -219,16 +222,16 @@
         self.traffic: dict[str, Counter[str]] | None = None
 
     def dial(self, link: Any) -> None:
-        """Begins to open a connection, at the dispatcher's request."""
+        """Starts to open a connection, at the dispatcher's request."""
         asyncio.get_running_loop().create_task(self.connect(link))
 
     async def connect(self, link: Any) -> None:
-        """Opens a connection; a failure is posted to the dispatcher."""
+        """Opens a connection; notifies the dispatcher if that fails."""
         host_address = self.addresses.get(link.host.id, "")
         await dial(self.service, link, host_address, lambda: HostProtocol(self, link))
 
     def fail_connection(self, connection: HostProtocol, reason: str) -> None:
-        """Cuts a connection that is of no more use: what is open on it may have run."""
+        """Aborts an unusable connection; the attempts in flight on it may have run."""
         service = self.service
         host_id = connection.link.host.id
         service.dispatcher.counters["host connections failed"] += 1
@@ -246,9 +249,9 @@
         """Updates the dispatcher's endpoint list, the addresses and each host's connection limit.
 
         Args:
-            kind: What the endpoints are: all there are, or those that have changed.
-            endpoints: For the dispatcher.
-            addresses: By host ids, of endpoints that are not gone.
+            kind: Whether the endpoints are the complete list or only the changed ones.
+            endpoints: The endpoints, as the dispatcher's messages.
+            addresses: Addresses of the endpoints that are not gone, by host id.
         """
         self.addresses.update(addresses)
         dispatcher = self.service.dispatcher
@@ -256,14 +259,14 @@
         self.service.configuration.share_descriptors(
             sum(host.row.state != "gone" for host in dispatcher.hosts.values())
         )
-        if len(self.addresses) > 2 * len(dispatcher.hosts) + ADDRESSES_KEPT_BEYOND:
+        if len(self.addresses) > 2 * len(dispatcher.hosts) + SPARE_ADDRESSES:
             self.addresses = {
                 host_id: host_address
                 for host_id, host_address in self.addresses.items()
                 if host_id in dispatcher.hosts
             }
 
-    def count_traffic(self, host_id: str, what: str) -> None:
-        """Counts what crosses the sockets, while a trace is on."""
+    def count_traffic(self, host_id: str, event: str) -> None:
+        """Counts a command or reply, while a trace is on."""
         if self.traffic is not None:
-            self.traffic.setdefault(host_id, Counter())[what] += 1
+            self.traffic.setdefault(host_id, Counter())[event] += 1
--- a/cherrydoor/platform/watch_connection.py
+++ b/cherrydoor/platform/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the platform's endpoint stream, which hands its updates to the watch."""
+"""One connection to the platform's endpoint stream; it passes the updates to the watch."""
 
 import asyncio
 from typing import TYPE_CHECKING, Any
@@ -8,9 +8,9 @@
 if TYPE_CHECKING:
     from cherrydoor.platform.discovery_watch import DiscoveryWatch
 
-# From a connection's first byte until it confirms the endpoint list: the updates that were missed
-# come first. A server that answered as promptly has sent them by then; another one is known to have
-# sent them when a comment follows.
+# Time from a connection's first input until it confirms the endpoint list. The server first sends
+# the updates that were missed. If its first input came within this time of the request, the missed
+# updates have arrived by then. A slower server has sent them when a comment comes after this time.
 CONFIRMING_AFTER_S = 0.25
 
 
@@ -18,16 +18,16 @@
     """One connection to the endpoint stream.
 
     Args:
-        watch: Gets the updates.
+        watch: Receives the updates.
         server: The stream's address:port.
 
     Attributes:
         ended: Future of the reason why the connection ended.
-        asked_s: When it was opened, and asked for updates, in s of the loop's clock.
-        last_input_s: When something last came, in s of the loop's clock.
-        first_input_s: When something first came; None before that.
-        settled: Whether it has been open for long enough to have brought what was missed.
-        updates_received: How many complete updates came.
+        requested_s: When it was opened and requested updates, in s of the loop's clock.
+        last_input_s: Time of the latest input, in s of the loop's clock.
+        first_input_s: Time of the first input, in s of the loop's clock; None before it.
+        settled: Whether it has been open for long enough to have brought the missed updates.
+        updates_received: Number of complete updates received.
     """
 
     def __init__(self, watch: "DiscoveryWatch", server: str) -> None:
@@ -36,28 +36,28 @@
         self.reader = sse.UpdateReader()
         self.transport: Any = None
         self.ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self.asked_s = 0.0
+        self.requested_s = 0.0
         self.last_input_s = 0.0
         self.first_input_s: float | None = None
         self.settled = False
         self.updates_received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Asks for all updates after the last one that was applied."""
+        """Requests all updates after the last one that was applied."""
         self.transport = transport
-        self.asked_s = self.last_input_s = asyncio.get_running_loop().time()
-        if self.ended.done():  # it was ended, or the stream moved, while the connection was dialled
+        self.requested_s = self.last_input_s = asyncio.get_running_loop().time()
+        if self.ended.done():  # the watch ended it while it was being opened
             self.transport.abort()
             return
         self.transport.write(sse.watch_request(self.server, self.watch.last_revision))
         self.watch.updates_requested()
 
     def data_received(self, data: bytes) -> None:
-        """Hands complete updates to the watch; what cannot be read ends the connection."""
+        """Passes complete updates to the watch; malformed input ends the connection."""
         self.last_input_s = self.watch.last_input_s = asyncio.get_running_loop().time()
         if self.first_input_s is None:
             self.first_input_s = self.last_input_s
-            if self.first_input_s - self.asked_s <= CONFIRMING_AFTER_S:
+            if self.first_input_s - self.requested_s <= CONFIRMING_AFTER_S:
                 asyncio.get_running_loop().call_later(CONFIRMING_AFTER_S, self.settle)
         lines_before = self.reader.lines
         comments_before = self.reader.comments
@@ -76,18 +76,18 @@
             self.watch.confirm()
 
     def settle(self) -> None:
-        """Takes it that what was missed has come, and confirms the endpoint list."""
+        """Records that the missed updates have arrived, and confirms the endpoint list."""
         if not self.ended.done():
             self.settled = True
             self.watch.confirm()
 
     def end(self, reason: str) -> None:
-        """Closes the connection; the first reason counts."""
+        """Closes the connection; later calls do not change the reason."""
         if not self.ended.done():
             self.ended.set_result(reason)
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Notes that the connection has ended."""
+        """Records that the connection has ended."""
         self.end(str(error) if error else "connection closed")
