--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -136,7 +136,7 @@
         name: The gateway's name.
         listen: The address:port that it listens on.
         discovery_server: Address:port of the endpoint stream.
-        memory: Memory limit in bytes.
+        memory_bytes: Memory limit in bytes.
         cores: CPU limit in cores.
         descriptors: Descriptor limit.
         known_endpoints: The endpoints at the start.
@@ -160,7 +160,7 @@
         seed = checked_seed(document.get("seed"))
         limits = document.get("limits")
         require(isinstance(limits, dict), "limits", "an object", limits)
-        self.memory = int(checked_number(limits, "memory_mb", "limits", 1) * 2**20)
+        self.memory_bytes = int(checked_number(limits, "memory_mb", "limits", 1) * 2**20)
         self.cores = checked_number(limits, "cores", "limits", 0.0)
         sockets = int(checked_number(limits, "sockets", "limits", 64))
         self.descriptors = min(sockets, descriptors)
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -48,7 +48,7 @@
     Args:
         configuration: The gateway's configuration.
         path: The configuration file, for reloads.
-        trace: Interval between lines of the trace, in ms; 0 for no trace.
+        trace_interval_ms: Interval between lines of the trace, in ms; 0 for no trace.
         reload_wanted: Returns whether SIGHUP arrived before this service handled signals.
         start_duration_ms: How long the process ran before it created this service.
 
@@ -62,7 +62,7 @@
         self,
         configuration: Configuration,
         path: str | Path,
-        trace: float = 0.0,
+        trace_interval_ms: float = 0.0,
         reload_wanted: Callable[[], bool] = no_reload_wanted,
         start_duration_ms: float = 0.0,
     ) -> None:
@@ -70,12 +70,12 @@
         # does not move them.
         super().__init__(Clock())
         self.configuration = configuration
-        self.trace = trace
+        self.trace_interval_ms = trace_interval_ms
         self.reload_wanted = reload_wanted
         self.ready = False
         self.started_at_ms = self.clock.now()
         self.log = EventLog(self.clock, WallClock())
-        self.usage = PlatformUsage(configuration.memory, configuration.descriptors)
+        self.usage = PlatformUsage(configuration.memory_bytes, configuration.descriptors)
         self.listeners = ListenerSet(
             configuration.client_limits, self.clock, self.usage, self.log.write_limited
         )
@@ -130,8 +130,8 @@
         self.ready = True
         self.log_ready()
         self.loop.call_later(USAGE_INTERVAL_S, self.log_usage)
-        if self.trace:
-            RouterTrace(self, self.trace).start()
+        if self.trace_interval_ms:
+            RouterTrace(self, self.trace_interval_ms).start()
         exit_code = await self.done
         self.log_usage()
         await self.close()
@@ -157,7 +157,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        self.usage.base = self.usage.measure_held()
+        self.usage.base_memory_bytes = self.usage.measure_held()
 
     def end(self, exit_code: int) -> None:
         """Ends the service; later calls do not change the exit code."""
@@ -201,11 +201,11 @@
             gateway=self.configuration.name,
             listen=self.configuration.listen,
             hosts=len(self.dispatcher.hosts),
-            memory_used_mb=round(self.usage.base / 2**20, 1),
+            memory_used_mb=round(self.usage.base_memory_bytes / 2**20, 1),
             connections_per_host=self.configuration.limits.links,
             client_slots=self.configuration.client_limits.connection_slots,
             cores=self.configuration.cores,
-            memory_limit_mb=self.configuration.memory >> 20,
+            memory_limit_mb=self.configuration.memory_bytes >> 20,
             descriptor_limit=self.configuration.descriptors,
         )
 
@@ -248,11 +248,11 @@
     return found, path
 
 
-def main(trace: float = 0.0) -> int:
+def main(trace_interval_ms: float = 0.0) -> int:
     """Runs the gateway that the environment configures; returns its exit code.
 
     Args:
-        trace: Interval between lines of the trace, in ms; 0 for no trace.
+        trace_interval_ms: Interval between lines of the trace, in ms; 0 for no trace.
     """
     # SIGHUP may arrive before the event loop handles it; without a handler it would end the process.
     early_reloads: list[bool] = []
@@ -270,6 +270,8 @@
         return bool(early_reloads)
 
     async def serve() -> int:
-        return await PlatformService(found, path, trace, reload_wanted, start_duration_ms).run()
+        return await PlatformService(
+            found, path, trace_interval_ms, reload_wanted, start_duration_ms
+        ).run()
 
     return uvloop.run(serve())
--- a/cherrydoor/platform/resource_usage.py
+++ b/cherrydoor/platform/resource_usage.py
@@ -22,21 +22,21 @@
     through one front end, and none should be read more slowly than another.
 
     Args:
-        memory: Memory limit in bytes.
+        memory_bytes: Memory limit.
         descriptors: Descriptor limit.
 
     Attributes:
-        base: Memory in use when the gateway became ready, in bytes.
+        base_memory_bytes: Memory in use when the gateway became ready, in bytes.
     """
 
-    def __init__(self, memory: int, descriptors: int) -> None:
-        super().__init__(memory)
+    def __init__(self, memory_bytes: int, descriptors: int) -> None:
+        super().__init__(memory_bytes)
         self.limit = min(self.limit, descriptors)
-        self.base = 0
+        self.base_memory_bytes = 0
 
     def measure(self) -> UsageMeasured:
         """Returns the usage in the form that admission reads."""
         measured = super().measure()
-        used_bytes = measured.memory * self.memory - self.base
-        memory = used_bytes / max(1.0, self.memory - self.base)
+        used_bytes = measured.memory * self.memory - self.base_memory_bytes
+        memory = used_bytes / max(1.0, self.memory - self.base_memory_bytes)
         return UsageMeasured(measured.descriptors, max(0.0, memory), 0.0)
--- a/cherrydoor/platform/upstream.py
+++ b/cherrydoor/platform/upstream.py
@@ -164,7 +164,7 @@
     def attempt_replied(self, reply: resp.Reply) -> None:
         """Posts an attempt's result."""
         if reply.status not in OUTCOMES:
-            self.upstream.fail_connection(self, "the reply to an attempt has the status of a health check")
+            self.upstream.fail_connection(self, "an attempt got the status of a health check")
             return
         self.post_reply(
             protocol.AttemptResult(
