--- a/tests/platform/platform_filter.py
+++ b/tests/platform/platform_filter.py
@@ -1,9 +1,9 @@
-"""The platform's system-call filter, as a program that starts the gateway under it."""
+"""A program that starts the gateway under the platform's system-call filter."""
 
-# Starts the gateway in a process that the kernel refuses what the platform refuses: other programs,
-# fork, io_uring, splice, sendfile and sockets that are not of IPv4. First it tries one itself, so
-# that a filter without effect is seen.
-HELD = """
+# The filter makes the kernel refuse what the platform refuses: executing programs, fork, io_uring,
+# splice, sendfile and sockets other than IPv4. The program first tries a fork, so that a filter
+# without effect is noticed.
+FILTERED_GATEWAY = """
 import ctypes, errno, os, platform, runpy, struct, sys
 refused, clone, socket = {
     "x86_64": ((57, 58, 59, 322, 275, 40, 425, 426, 427, 435), 56, 41),
--- a/tests/platform/platform_harness.py
+++ b/tests/platform/platform_harness.py
@@ -1,7 +1,7 @@
-"""The platform as a test runs it on loopback.
+"""Harness that runs a test platform on loopback.
 
-Hosts that speak RESP, a discovery server, clients, and the gateway started as in service, in a
-process of its own, or on the test's own loop.
+It has hosts that speak RESP, a discovery server and clients. The gateway runs in a process of its
+own, as in production, or on the test's event loop.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 import sys
 from functools import wraps
 
-from platform_filter import HELD
-from platform_outside import LONG as LONG
+from platform_filter import FILTERED_GATEWAY
+from platform_outside import TEST_TIMEOUT_S as TEST_TIMEOUT_S
 from platform_outside import DiscoveryServer, Host
 from platform_outside import reply as reply
 
@@ -22,30 +22,32 @@
 from cherrydoor.platform.process import PlatformService
 from cherrydoor.rehearsal.soak.settings import SETTINGS
 
-MORE = "memory_mb:512;lanes:4;load_ms:200"
+EXTRAS = "memory_mb:512;lanes:4;load_ms:200"
 FUNCTION = "7f3a9c21e0b4d655"
 
 
 def with_harness(test):
-    """Runs an async test with a harness of its own, and closes it."""
+    """Runs an async test with its own harness, and closes the harness afterwards."""
 
     @wraps(test)
     def run(tmp_path):
-        async def whole():
+        async def run_with_harness():
             harness = PlatformHarness(tmp_path)
             try:
-                async with asyncio.timeout(3 * LONG):
+                async with asyncio.timeout(3 * TEST_TIMEOUT_S):
                     await test(harness)
             finally:
                 await harness.close()
 
-        asyncio.run(whole())
+        asyncio.run(run_with_harness())
 
-    del run.__wrapped__  # pytest hands it a folder, not a harness
+    del run.__wrapped__  # pytest passes tmp_path, not a harness
     return run
 
 
-class Answer:
+class Response:
+    """A response of the gateway."""
+
     def __init__(self, status, headers, body):
         self.status, self.headers, self.body = status, headers, body
 
@@ -63,26 +65,29 @@
     def send(self, data):
         self.writer.write(data)
 
-    def call(self, number=None, **said):
+    def call(self, number=None, **fields):
         number = number or self.harness.number()
-        self.send(call(number, **said))
+        self.send(call(number, **fields))
         return number
 
     async def answer(self):
-        """The next answer; None where the connection closes before it."""
-        async with asyncio.timeout(LONG):
+        """Returns the next response; None if the connection closes before it."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             try:
                 head = await self.reader.readuntil(b"\r\n\r\n")
             except (asyncio.IncompleteReadError, ConnectionError):
                 return None
             first, *rest = head.decode().split("\r\n")
-            headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in rest if line)}
+            headers = {
+                name.lower(): value
+                for name, value in (line.split(": ", 1) for line in rest if line)
+            }
             body = await self.reader.readexactly(int(headers.get("content-length", 0)))
-            return Answer(int(first.split()[1]), headers, body)
+            return Response(int(first.split()[1]), headers, body)
 
     async def closed(self):
-        """Waits until the gateway has closed; what came before."""
-        async with asyncio.timeout(LONG):
+        """Waits until the gateway has closed; returns what was received before."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             try:
                 return await self.reader.read()
             except ConnectionError:
@@ -92,28 +97,30 @@
 def call(
     number,
     function=FUNCTION,
-    kind="draft",
-    customer="acme",
-    patience="2000",
-    more=MORE,
+    request_class="draft",
+    tenant="acme",
+    timeout_ms="2000",
+    extras=EXTRAS,
     body=b"",
-    extra=(),
+    extra_headers=(),
 ):
     lines = [
         f"POST /call/{function}/sync HTTP/1.1",
         "Host: backend.local",
-        f"X-Class: {kind}",
+        f"X-Class: {request_class}",
         f"X-Call-Id: {number}",
-        f"X-Patience-Ms: {patience}",
-        f"X-Customer: {customer}",
-        f"X-Extras: {more}",
+        f"X-Patience-Ms: {timeout_ms}",
+        f"X-Customer: {tenant}",
+        f"X-Extras: {extras}",
         f"Content-Length: {len(body)}",
-        *extra,
+        *extra_headers,
     ]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 class PlatformHarness:
+    """The hosts, discovery servers and gateway of one test."""
+
     def __init__(self, path):
         self.path, self.hosts, self.calls, self.process, self.discovery_servers = (
             path,
@@ -122,7 +129,7 @@
             None,
             [],
         )
-        self.within = None
+        self.service = None
 
     def number(self):
         self.calls += 1
@@ -137,14 +144,14 @@
         self.discovery_servers.append(await DiscoveryServer().open())
         return self.discovery_servers[-1]
 
-    def update(self, no, whole=False, **states):
-        """Returns a discovery update with the states of hosts by their names."""
+    def update(self, revision, snapshot=False, **states):
+        """Returns a discovery update; `states` are the hosts' states by name."""
         ports = {host.name: host.port for host in self.hosts}
         return {
-            "no": no,
+            "no": revision,
             "roster": {
-                "generation": no,
-                "reset": whole,
+                "generation": revision,
+                "reset": snapshot,
                 "instances": [
                     {
                         "instanceId": name,
@@ -162,8 +169,8 @@
         }
 
     def configuration(self, **changed):
-        """Writes the configuration's file; its path."""
-        said = {
+        """Writes the configuration file; returns its path."""
+        document = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
             "seed": "8c1f30d27a5be964",
@@ -171,17 +178,17 @@
             "bulletin": f"127.0.0.1:{self.discovery_servers[-1].port}",
             "known": {
                 "no": 1,
-                "items": [self.update(1, True, **{h.name: "in_service" for h in self.hosts})],
+                "items": [self.update(1, True, **{host.name: "in_service" for host in self.hosts})],
             },
             "settings": SETTINGS,
         } | changed
         file = self.path / "config.json"
-        file.write_text(json.dumps(said))
+        file.write_text(json.dumps(document))
         return file
 
-    def run(self, file, held=False, **more):
-        """Starts the gateway as in service, or held by the platform's filter."""
-        how = ["-c", HELD] if held else ["-m", "cherrydoor", "platform"]
+    def run(self, file, filtered=False, **environment):
+        """Starts the gateway as in production; if `filtered`, under the system-call filter."""
+        arguments = ["-c", FILTERED_GATEWAY] if filtered else ["-m", "cherrydoor", "platform"]
         env = {
             **os.environ,
             "PROXY_CONFIG": str(file),
@@ -190,14 +197,15 @@
         }
         self.log = open(self.path / "log", "a+")  # noqa: SIM115
         self.process = subprocess.Popen(
-            [sys.executable, *how],
+            [sys.executable, *arguments],
             stdin=subprocess.DEVNULL,
             stdout=self.log,
             stderr=self.log,
-            env=env | more,
+            env=env | environment,
         )
 
-    async def built(self, hosts):
+    async def prepare(self, hosts):
+        """Starts hosts and a discovery server, and chooses the gateway's port."""
         for name in hosts:
             await self.host(name)
         await self.start_discovery_server()
@@ -207,23 +215,24 @@
 
     async def start(self, hosts=("a",), **changed):
         """Starts hosts, a discovery server and a gateway, and waits until it is ready."""
-        await self.built(hosts)
+        await self.prepare(hosts)
         self.run(self.configuration(**changed))
         await self.ready()
 
-    async def start_within(self, hosts=("a",), **changed):
-        """The same with the gateway on the test's own loop; it is what comes back."""
-        await self.built(hosts)
+    async def start_in_process(self, hosts=("a",), **changed):
+        """Does the same with the gateway on the test's event loop; returns its service."""
+        await self.prepare(hosts)
         file = self.configuration(**changed)
-        self.within = PlatformService(configuration.read(file, None, 1024), file)
-        self.task = asyncio.create_task(self.within.run())
+        self.service = PlatformService(configuration.read(file, None, 1024), file)
+        self.task = asyncio.create_task(self.service.run())
         await self.ready()
-        return self.within
+        return self.service
 
     async def ready(self):
-        async with asyncio.timeout(LONG):
+        """Waits until the gateway's readiness probe succeeds."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
-                assert self.process is None or self.process.poll() is None, self.logged()
+                assert self.process is None or self.process.poll() is None, self.log_text()
                 try:
                     client = await Client(self).open()
                     client.send(b"GET /ping HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -237,32 +246,33 @@
     async def client(self):
         return await Client(self).open()
 
-    async def handled(self, **said):
-        """Sends one request on a connection of its own; returns its answer."""
+    async def send_request(self, **fields):
+        """Sends one request on a new connection; returns the response."""
         client = await self.client()
-        client.call(**said)
+        client.call(**fields)
         answer = await client.answer()
         client.writer.close()
         return answer
 
-    def logged(self):
+    def log_text(self):
         return (self.path / "log").read_text()
 
     async def until_logged(self, text):
         """Waits until the gateway's log has this text."""
-        async with asyncio.timeout(LONG):
-            while text not in self.logged():
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while text not in self.log_text():
                 await asyncio.sleep(0.02)
 
-    async def until_applied(self, no):
+    async def until_applied(self, revision):
         """Waits until the gateway has logged that it applied this revision."""
-        await self.until_logged(f'"revision": {no}')
+        await self.until_logged(f'"revision": {revision}')
 
     def signal(self, name):
         self.process.send_signal(getattr(signal, name))
 
     async def ended(self):
-        async with asyncio.timeout(LONG):
+        """Waits until the gateway's process has ended; returns its exit code."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while self.process.poll() is None:
                 await asyncio.sleep(0.02)
         return self.process.returncode
@@ -271,11 +281,11 @@
         if self.process and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
-        if self.within:
-            self.within.end(0)
+        if self.service:
+            self.service.end(0)
             await self.task
         for discovery_server in self.discovery_servers:
-            discovery_server.beat.cancel()
+            discovery_server.heartbeat.cancel()
             discovery_server.server.close()
         for host in self.hosts:
             host.server.close()
--- a/tests/platform/platform_outside.py
+++ b/tests/platform/platform_outside.py
@@ -3,17 +3,17 @@
 import asyncio
 import json
 
-LONG = 20.0  # s after which a test that waits for something has failed
+TEST_TIMEOUT_S = 20.0  # a test that waits longer for something has failed
 
 
 class Host:
-    """Replies what `answers` returns for a command's words: bytes to write, or None.
+    """A host that replies with what `answers` returns for a command's words: bytes, or None.
 
-    All commands are kept, as (connection's number, words).
+    `received` has all commands, as (number of the connection, words).
     """
 
     def __init__(self, name):
-        self.name, self.got, self.answers, self.writers, self.news = (
+        self.name, self.received, self.answers, self.writers, self.changed = (
             name,
             [],
             self.handles,
@@ -45,40 +45,40 @@
                     for _ in range(size)
                 ]
                 words = [word[:-2] for word in words]
-                self.got.append((number, words))
-                self.news.set()
+                self.received.append((number, words))
+                self.changed.set()
                 if data := self.answers(words):
                     writer.write(data)
         except (ValueError, asyncio.IncompleteReadError, OSError):
             writer.close()
 
     def commands(self, word):
-        return [words for _, words in self.got if words[0] == word]
+        return [words for _, words in self.received if words[0] == word]
 
     async def until(self, word, count=1):
-        """Waits until so many of these commands have come; returns the last."""
-        async with asyncio.timeout(LONG):
+        """Waits until this many such commands have arrived; returns the last one."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(self.commands(word)) < count:
-                self.news.clear()
-                await self.news.wait()
+                self.changed.clear()
+                await self.changed.wait()
         return self.commands(word)[-1]
 
 
-def reply(number, word, fields=b"-", body=b""):
-    """An answer of a host, as bytes."""
+def reply(command_id, status, fields=b"-", body=b""):
+    """Returns a reply of a host as bytes."""
     return b"*4\r\n" + b"".join(
-        b"$%d\r\n%b\r\n" % (len(w), w) for w in (number, word, fields, body)
+        b"$%d\r\n%b\r\n" % (len(element), element) for element in (command_id, status, fields, body)
     )
 
 
 class DiscoveryServer:
-    """Serves `updates` from the revision asked for; `asked` has those revisions.
+    """Serves the `updates` after the requested revision; records these in `requested_revisions`.
 
-    While `muted` it sends nothing, with its connections open.
+    While `muted`, it sends nothing but keeps its connections open.
     """
 
     def __init__(self):
-        self.updates, self.asked, self.writers, self.muted, self.news = (
+        self.updates, self.requested_revisions, self.writers, self.muted, self.changed = (
             [],
             [],
             [],
@@ -89,10 +89,10 @@
     async def open(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.beat = asyncio.create_task(self.beats())
+        self.heartbeat = asyncio.create_task(self.send_heartbeats())
         return self
 
-    async def beats(self):
+    async def send_heartbeats(self):
         while True:
             await asyncio.sleep(0.5)
             for writer in () if self.muted else self.writers:
@@ -110,8 +110,8 @@
         for update in self.updates:
             if update["no"] > last:
                 writer.write(self.text(update))
-        self.asked.append(last)
-        self.news.set()
+        self.requested_revisions.append(last)
+        self.changed.set()
 
     @staticmethod
     def text(update):
@@ -122,14 +122,14 @@
         for writer in () if self.muted else self.writers:
             writer.write(self.text(update))
 
-    def cut(self):
-        """Ends all connections, as they are."""
+    def abort_connections(self):
+        """Aborts all connections."""
         writers, self.writers = self.writers, []
         for writer in writers:
             writer.transport.abort()
 
-    async def until_asked(self, count):
-        async with asyncio.timeout(LONG):
-            while len(self.asked) < count:
-                self.news.clear()
-                await self.news.wait()
+    async def until_requested(self, count):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while len(self.requested_revisions) < count:
+                self.changed.clear()
+                await self.changed.wait()
--- a/tests/platform/test_change_in_service.py
+++ b/tests/platform/test_change_in_service.py
@@ -1,15 +1,15 @@
-"""What changes in service: draining hosts, the discovery server, signals, a fault, settings."""
+"""Changes while the gateway runs: draining hosts, discovery, signals, a fault, settings."""
 
 import asyncio
 
 import pytest
-from platform_harness import LONG, SETTINGS, reply, with_harness
+from platform_harness import SETTINGS, TEST_TIMEOUT_S, reply, with_harness
 
 from cherrydoor.platform import configuration
 
 
 @with_harness
-async def test_a_draining_host_gets_nothing_more_and_a_new_host_at_an_old_address_is_another(
+async def test_a_draining_host_gets_no_more_requests_and_a_new_host_may_reuse_its_address(
     harness,
 ):
     await harness.start(("a", "b"))
@@ -17,46 +17,47 @@
     harness.discovery_servers[0].publish(harness.update(2, a="terminating"))
     await harness.until_applied(2)
     before = len(a.commands(b"exec"))
-    for n in range(6):
-        assert (await harness.handled(function=f"{n:016x}")).status == 200
+    for number in range(6):
+        assert (await harness.send_request(function=f"{number:016x}")).status == 200
     assert len(a.commands(b"exec")) == before and len(b.commands(b"exec")) >= 6
     gone = harness.update(3, a="terminated", b="terminating")
     new = harness.update(3, a="in_service")["roster"]["instances"][0] | {"instanceId": "c"}
     gone["roster"]["instances"].append(new)
     harness.discovery_servers[0].publish(gone)
     await harness.until_applied(3)
-    assert (await harness.handled()).status == 200 and len(a.commands(b"exec")) > before
+    assert (await harness.send_request()).status == 200 and len(a.commands(b"exec")) > before
 
 
 @with_harness
-async def test_a_discovery_server_that_disconnects_falls_silent_or_repeats_is_asked_anew(
+async def test_updates_are_requested_after_a_disconnect_or_silence_and_duplicates_are_ignored(
     harness,
 ):
     await harness.start(("a", "b"))
     discovery = harness.discovery_servers[0]
-    await discovery.until_asked(1)
+    await discovery.until_requested(1)
     discovery.publish(harness.update(2, a="terminating"))
     await harness.until_applied(2)
     for writer in discovery.writers:
-        writer.write(discovery.text(harness.update(2, a="in_service")))  # its revision was applied
+        # A duplicate: this revision was applied already.
+        writer.write(discovery.text(harness.update(2, a="in_service")))
         writer.write(b'id: 3\ndata: {"no": 3, "ros')  # incomplete
     discovery.updates.append(harness.update(3, b="in_service"))
-    discovery.cut()
-    await discovery.until_asked(2)
+    discovery.abort_connections()
+    await discovery.until_requested(2)
     await harness.until_applied(3)
     discovery.muted = True
     discovery.updates.append(harness.update(4, b="in_service"))
-    await discovery.until_asked(3)
+    await discovery.until_requested(3)
     await harness.until_applied(4)
-    assert discovery.asked == [1, 2, 3]
-    assert (await harness.handled()).status == 200 and not harness.hosts[0].commands(b"exec")
+    assert discovery.requested_revisions == [1, 2, 3]
+    assert (await harness.send_request()).status == 200 and not harness.hosts[0].commands(b"exec")
 
 
 @with_harness
 async def test_sighup_moves_to_another_discovery_server_and_ignores_a_bad_file(harness):
     await harness.start(("a", "b"))
     old = harness.discovery_servers[0]
-    await old.until_asked(1)
+    await old.until_requested(1)
     old.publish(harness.update(2, a="terminating"))
     await harness.until_applied(2)
     (harness.path / "config.json").write_text("{")
@@ -66,10 +67,10 @@
     new.updates.append(harness.update(3, a="in_service", b="terminating"))
     harness.configuration()
     harness.signal("SIGHUP")
-    await new.until_asked(1)
+    await new.until_requested(1)
     await harness.until_applied(3)
-    assert new.asked == [2]
-    assert (await harness.handled()).status == 200 and harness.hosts[0].commands(b"exec")
+    assert new.requested_revisions == [2]
+    assert (await harness.send_request()).status == 200 and harness.hosts[0].commands(b"exec")
 
 
 @with_harness
@@ -77,8 +78,8 @@
     await harness.start()
     host = harness.hosts[0]
     host.answers = lambda words: None
-    held, idle = await harness.client(), await harness.client()
-    number = held.call()
+    in_flight, idle = await harness.client(), await harness.client()
+    number = in_flight.call()
     await host.until(b"exec")
     harness.signal("SIGTERM")
     await harness.until_logged('"is": "draining"')
@@ -88,7 +89,7 @@
     await idle.closed()  # the listener is closed now
     for writer in host.writers:
         writer.write(reply(number.encode(), b"DONE") + reply(other.encode(), b"DONE"))
-    assert (await held.answer()).status == (await late.answer()).status == 200
+    assert (await in_flight.answer()).status == (await late.answer()).status == 200
     assert await harness.ended() == 0
 
 
@@ -96,28 +97,28 @@
 async def test_a_fault_in_the_router_answers_requests_in_flight_and_restarts_the_dispatcher(
     harness,
 ):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     host = harness.hosts[0]
     host.answers = lambda words: None
     client = await harness.client()
     client.call()
     await host.until(b"exec")
 
-    def fails(now, note):
+    def fail(now, message):
         raise ZeroDivisionError("a fault of the test")
 
-    service.dispatcher.router.take = fails
+    service.dispatcher.router.take = fail
     (await harness.client()).call(function=f"{5:016x}")
     assert (await client.answer()).status == 502
     host.answers = host.handles
-    assert (await harness.handled()).status == 200 and service.dispatcher.counters[
+    assert (await harness.send_request()).status == 200 and service.dispatcher.counters[
         "dispatcher restarts"
     ] == 1
 
 
 @with_harness
 async def test_an_attempt_that_waits_for_a_connection_is_not_sent_once_its_host_drains(harness):
-    service, dialled, written = await harness.start_within(), [], []
+    service, dialled, written = await harness.start_in_process(), [], []
     service.dispatcher.dial, service.configuration.limits.connect = dialled.append, 60000.0
 
     class Wire:
@@ -129,7 +130,7 @@
 
     client = await harness.client()
     client.call()
-    async with asyncio.timeout(LONG):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not dialled:
             await asyncio.sleep(0.01)
         harness.discovery_servers[0].publish(harness.update(2, a="terminating"))
@@ -141,7 +142,7 @@
 
 @with_harness
 async def test_more_hosts_share_the_same_descriptors(harness):
-    service = await harness.start_within(
+    service = await harness.start_in_process(
         ("a",), limits={"cores": 1.0, "memory_mb": 64, "sockets": 128}
     )
     before = service.configuration.limits.links
@@ -150,7 +151,7 @@
     harness.discovery_servers[0].publish(
         harness.update(2, **{host.name: "in_service" for host in harness.hosts})
     )
-    async with asyncio.timeout(LONG):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while len(service.dispatcher.hosts) < 12:
             await asyncio.sleep(0.02)
     assert before == 12 and 1 <= service.configuration.limits.links < 4
@@ -173,7 +174,7 @@
     ],
 )
 def test_a_wrong_configuration_is_an_error_with_the_keys_place(changed, place):
-    said = {
+    document = {
         "name": "n1",
         "listen": "127.0.0.1:1",
         "seed": "8c",
@@ -183,4 +184,4 @@
         "settings": {"me": 0, "instances": 1, "requestClasses": []},
     }
     with pytest.raises(configuration.ConfigurationError, match=place):
-        configuration.Configuration(said | changed, None, 1024)
+        configuration.Configuration(document | changed, None, 1024)
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the machine's wall clock while requests are in flight; its monotonic clock runs on."""
+"""Steps of the wall clock while requests are in flight; the monotonic clock is not affected."""
 
 import asyncio
 import json
@@ -8,11 +8,11 @@
 from platform_harness import with_harness
 
 HOUR_S = 3600.0
-PATIENCE_MS = 400
+TIMEOUT_MS = 400
 
 
 class SteppedClock:
-    """Stands for `time.time`; the test steps it."""
+    """Replaces `time.time` by a clock that the test can step."""
 
     def __init__(self):
         self.ahead_s = 0.0
@@ -29,21 +29,21 @@
 
     @with_harness
     async def steps(harness):
-        service = await harness.start_within(("a",))
+        service = await harness.start_in_process(("a",))
         host = harness.hosts[0]
         loop = asyncio.get_running_loop()
         answers = host.answers
         host.answers = lambda words: None if words[0] == b"exec" else answers(words)
         client = await harness.client()
-        began_s = loop.time()
-        client.call(patience=str(PATIENCE_MS))
+        started_at_s = loop.time()
+        client.call(timeout_ms=str(TIMEOUT_MS))
         await host.until(b"exec")
         clock.ahead_s = step_s
         answer = await client.answer()
-        took_s = loop.time() - began_s
-        assert answer.status == 503 and 0.3 < took_s < 2.0
+        elapsed_s = loop.time() - started_at_s
+        assert answer.status == 503 and 0.3 < elapsed_s < 2.0
         host.answers = answers
-        assert (await harness.handled()).status == 200
+        assert (await harness.send_request()).status == 200
         assert service.dispatcher.router.list_lease.is_current(service.clock.now())
 
     steps(tmp_path)
@@ -55,7 +55,7 @@
 
     @with_harness
     async def steps(harness):
-        service = await harness.start_within(("a",))
+        service = await harness.start_in_process(("a",))
         clock.ahead_s = HOUR_S
         service.log.write("stepped")
 
--- a/tests/platform/test_codecs.py
+++ b/tests/platform/test_codecs.py
@@ -1,4 +1,4 @@
-"""The platform's wires byte by byte: whole, split anywhere, spoilt, hostile."""
+"""Codecs of the platform's wires: input that is complete, split anywhere, malformed or hostile."""
 
 import json
 
@@ -12,18 +12,18 @@
 ID = "9b1f03aa5c7e2d41"
 
 
-def note_of(data, cuts=()):
-    """The last note of a conversation that is fed these bytes."""
-    talk, note, edges = invoke.Conversation(), None, [0, *sorted(cuts), len(data)]
-    for a, b in zip(edges, edges[1:], strict=False):
-        note = talk.feed(data[a:b]) or note
-    return note
+def last_message(data, cuts=()):
+    """Returns the last message of a conversation that is fed these bytes, split at the cuts."""
+    conversation, message, edges = invoke.Conversation(), None, [0, *sorted(cuts), len(data)]
+    for start, end in zip(edges, edges[1:], strict=False):
+        message = conversation.feed(data[start:end]) or message
+    return message
 
 
 # ---- client connections
 def test_a_call_reads_the_same_complete_and_split_at_every_byte():
     data = call(ID, body=b"\x00\xffbody\r\n\r\n")
-    whole = note_of(data)
+    whole = last_message(data)
     assert whole == invoke.Call(
         ID,
         "draft",
@@ -33,8 +33,8 @@
         {"memory_mb": 512.0, "lanes": 4.0, "load_ms": 200.0},
         b"\x00\xffbody\r\n\r\n",
     )
-    assert all(note_of(data, [cut]) == whole for cut in range(1, len(data)))
-    assert note_of(data, range(1, len(data))) == whole
+    assert all(last_message(data, [cut]) == whole for cut in range(1, len(data)))
+    assert last_message(data, range(1, len(data))) == whole
 
 
 @pytest.mark.parametrize(
@@ -44,79 +44,82 @@
         (call(ID, function="7F3A9C21E0B4D655"), 404),
         (call(ID, function="7f3a"), 404),
         (call("12"), 400),
-        (call(ID, kind=""), 400),
-        (call(ID, patience="-5"), 400),
-        (call(ID, patience="nan"), 400),
-        (call(ID, patience="0"), 400),
-        (call(ID, patience="1e9"), 400),
-        (call(ID, more="lanes:-1"), 400),
-        (call(ID, more="lanes:0"), 400),
-        (call(ID, more="memory_mb:99999999999"), 400),
-        (call(ID, more="lanes"), 400),
-        (call(ID, extra=("Transfer-Encoding: chunked",)) + b"5\r\nhello\r\n0\r\n\r\n", 400),
+        (call(ID, request_class=""), 400),
+        (call(ID, timeout_ms="-5"), 400),
+        (call(ID, timeout_ms="nan"), 400),
+        (call(ID, timeout_ms="0"), 400),
+        (call(ID, timeout_ms="1e9"), 400),
+        (call(ID, extras="lanes:-1"), 400),
+        (call(ID, extras="lanes:0"), 400),
+        (call(ID, extras="memory_mb:99999999999"), 400),
+        (call(ID, extras="lanes"), 400),
+        (call(ID, extra_headers=("Transfer-Encoding: chunked",)) + b"5\r\nhello\r\n0\r\n\r\n", 400),
         (call(ID).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"0\r\n\r\n", 411),
-        (call(ID, extra=("X-Call-Id: 00000000000000ff",)), 400),
-        (call(ID, extra=("X-Patience-Ms: 5",)), 400),
-        (call(ID, extra=("X-Dedupe-Key: a,limit=1",)), 400),
-        (call(ID, extra=("X-Dedupe-Key: " + "k" * 129,)), 400),
-        (call(ID, extra=("X-Dedupe-Key: a", "X-Dedupe-Key: b")), 400),
+        (call(ID, extra_headers=("X-Call-Id: 00000000000000ff",)), 400),
+        (call(ID, extra_headers=("X-Patience-Ms: 5",)), 400),
+        (call(ID, extra_headers=("X-Dedupe-Key: a,limit=1",)), 400),
+        (call(ID, extra_headers=("X-Dedupe-Key: " + "k" * 129,)), 400),
+        (call(ID, extra_headers=("X-Dedupe-Key: a", "X-Dedupe-Key: b")), 400),
         (call(ID).replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
         (call(ID).replace(b"Content-Length: 0", b"Content-Length: 16385"), 413),
         (call(ID).replace(b"Content-Length: 0", b"Content-Length: 60000000"), 413),
         (call(ID).replace(b"Content-Length: 0", b"Content-Length: 99999999999999999999999"), 400),
-        (call(ID, extra=("Content-Length: 7",)), 400),
-        (call(ID, extra=("X-Long: " + "x" * 9000,)), 431),
+        (call(ID, extra_headers=("Content-Length: 7",)), 400),
+        (call(ID, extra_headers=("X-Long: " + "x" * 9000,)), 431),
         (call(ID).replace(b"HTTP/1.1", b"HTTP/1.0"), 505),
         (call(ID).replace(b"POST", b"PUT"), 405),
     ],
 )
 def test_a_malformed_call_gets_a_status_complete_or_split(data, status):
     for cuts in ((), (10,), (60, 61, 200)):
-        note = note_of(data, cuts)
-        assert type(note) is invoke.BadRequest and note.status == status, (note, cuts)
+        message = last_message(data, cuts)
+        assert type(message) is invoke.BadRequest and message.status == status, (message, cuts)
 
 
 def test_nothing_behind_a_bad_call_is_read():
-    talk = invoke.Conversation()
-    assert type(talk.feed(call("zz"))) is invoke.BadRequest
-    assert talk.feed(call(ID)) is None
-    data, over = talk.answer(400, b"no")
-    assert over and b"Connection: close" in data and talk.feed(call(ID)) is None
+    conversation = invoke.Conversation()
+    assert type(conversation.feed(call("zz"))) is invoke.BadRequest
+    assert conversation.feed(call(ID)) is None
+    data, closes = conversation.answer(400, b"no")
+    assert closes and b"Connection: close" in data and conversation.feed(call(ID)) is None
 
 
 def test_a_pipelined_call_waits_for_the_response_before_it():
-    talk, second = invoke.Conversation(), "00000000000000aa"
-    assert talk.feed(call(ID, body=b"one") + call(second, body=b"two")).id == ID
-    assert talk.feed(b"") is None
-    data, over = talk.answer(503, b"", 250)
-    assert not over and b"X-Come-Back-Ms: 250" in data
-    note = talk.feed(b"")
-    assert (note.id, note.body) == (second, b"two")
+    conversation, second = invoke.Conversation(), "00000000000000aa"
+    assert conversation.feed(call(ID, body=b"one") + call(second, body=b"two")).id == ID
+    assert conversation.feed(b"") is None
+    data, closes = conversation.answer(503, b"", 250)
+    assert not closes and b"X-Come-Back-Ms: 250" in data
+    message = conversation.feed(b"")
+    assert (message.id, message.body) == (second, b"two")
 
 
 def test_a_plain_call_and_one_pipelined_in_a_later_read_both_get_responses():
-    talk, second = invoke.Conversation(), "00000000000000aa"
-    assert talk.feed(call(ID)).id == ID and talk.http is None
-    assert talk.feed(call(second)) is None
-    assert not talk.answer(200, b"first")[1]
-    assert talk.feed(b"").id == second
+    conversation, second = invoke.Conversation(), "00000000000000aa"
+    assert conversation.feed(call(ID)).id == ID and conversation.http is None
+    assert conversation.feed(call(second)) is None
+    assert not conversation.answer(200, b"first")[1]
+    assert conversation.feed(b"").id == second
 
 
 def test_pipelined_input_beyond_the_limit_is_dropped_and_the_response_closes():
-    talk = invoke.Conversation()
-    talk.feed(call(ID))
+    conversation = invoke.Conversation()
+    conversation.feed(call(ID))
     for _ in range(200):
-        assert talk.feed(b"x" * 200) is None
-    assert talk.pipeline_overflowed and talk.buffered_bytes <= invoke.MAX_PIPELINED_BYTES + 200
-    data, over = talk.answer(200, b"good")
-    assert over and data.startswith(b"HTTP/1.1 200") and talk.feed(call(ID)) is None
+        assert conversation.feed(b"x" * 200) is None
+    assert (
+        conversation.pipeline_overflowed
+        and conversation.buffered_bytes <= invoke.MAX_PIPELINED_BYTES + 200
+    )
+    data, closes = conversation.answer(200, b"good")
+    assert closes and data.startswith(b"HTTP/1.1 200") and conversation.feed(call(ID)) is None
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300), st.lists(st.integers(0, 300), max_size=5))
-def test_hostile_bytes_of_a_client_are_bad_requests_and_raise_nothing(junk, cuts):
-    note = note_of(junk, [cut for cut in cuts if cut <= len(junk)])
-    assert note is None or type(note) is invoke.BadRequest
+def test_hostile_bytes_of_a_client_are_bad_requests_and_raise_nothing(data, cuts):
+    message = last_message(data, [cut for cut in cuts if cut <= len(data)])
+    assert message is None or type(message) is invoke.BadRequest
 
 
 @settings(max_examples=200, deadline=None)
@@ -124,9 +127,11 @@
 def test_one_changed_byte_never_makes_a_call_that_h11_would_not_read(at, byte):
     data = bytearray(call(ID, body=b"body"))
     data[at % len(data)] = byte
-    one, other = note_of(bytes(data)), note_of(bytes(data), [1])
+    complete, split = last_message(bytes(data)), last_message(bytes(data), [1])
     assert (
-        one == other or type(one) is type(other) is invoke.BadRequest and one.status == other.status
+        complete == split
+        or type(complete) is type(split) is invoke.BadRequest
+        and complete.status == split.status
     )
 
 
@@ -135,7 +140,7 @@
     data = reply(
         ID.encode(), b"DONE", b"tell=spawn,queue_fn=3,meter=inflight:7;util:0.61", b"\r\n*4\r\n"
     ) + reply(b"o5", b"WAIT", b"copies=2")
-    want = [
+    expected = [
         resp.Reply(ID, resp.DONE, 2, 3, None, {"inflight": 7.0, "util": 0.61}, b"\r\n*4\r\n"),
         resp.Reply("o5", resp.FULL, 0, None, 2),
     ]
@@ -146,7 +151,7 @@
             for at in range(0, len(data), step)
             for answer in reader.feed(data[at : at + step])
         ]
-        assert found == want and not reader.buffer and not reader.failure_reason
+        assert found == expected and not reader.buffer and not reader.failure_reason
 
 
 @pytest.mark.parametrize(
@@ -176,10 +181,10 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
-def test_hostile_bytes_of_a_host_raise_nothing(junk):
+def test_hostile_bytes_of_a_host_raise_nothing(data):
     reader = resp.Reader()
-    reader.feed(junk)
-    assert reader.failure_reason or len(reader.buffer) <= len(junk)
+    reader.feed(data)
+    assert reader.failure_reason or len(reader.buffer) <= len(data)
 
 
 def test_a_command_passes_id_class_function_and_body_on_unchanged():
@@ -213,10 +218,10 @@
 
 
 def test_an_idempotency_key_passes_on_unchanged_and_its_absence_adds_no_field():
-    note = note_of(call(ID, extra=("X-Dedupe-Key: 41-7f:a/b",)))
-    assert note.idempotency_key == "41-7f:a/b" and note_of(call(ID)).idempotency_key == ""
+    message = last_message(call(ID, extra_headers=("X-Dedupe-Key: 41-7f:a/b",)))
+    assert message.idempotency_key == "41-7f:a/b" and last_message(call(ID)).idempotency_key == ""
     assert b"limit=900,nonce=41-7f:a/b\r\n" in resp.execute(
-        ID, "draft", FUNCTION, 900.0, b"", note.idempotency_key
+        ID, "draft", FUNCTION, 900.0, b"", message.idempotency_key
     )
     assert b"nonce" not in resp.execute(ID, "draft", FUNCTION, 900.0, b"")
 
--- a/tests/platform/test_discovery_outage.py
+++ b/tests/platform/test_discovery_outage.py
@@ -1,23 +1,22 @@
-"""Hosts that began to drain while discovery was out of reach were still sent new work.
+"""Hosts that begin to drain while discovery is unreachable get no new work after a grace period.
 
-Symptom: in a fleet of 3 and one of 51 gateways, 1,001 attempts and 111 load orders reached
-draining hosts after the times at which discovery counts as having notified of the drain, with the
-grace added. The hosts answered all of them as full; none ran.
+Fault: in a fleet of 3 gateways and one of 51, 1,001 attempts and 111 load orders reached draining
+hosts after the time at which discovery counts as having announced the drain, plus the grace. The
+hosts answered all of them as full; none ran.
 
-Sequence: each gateway's discovery server refused connections; less than a second later two busy
-hosts began to drain, and stayed up. From 7.6 s after the drain, which is the 4 s of an outage and
-the grace, each further attempt there broke the rule. The gateways went on as before for the whole
-outage.
+Sequence: each gateway's discovery server refused connections. Less than a second later two busy
+hosts began to drain, and stayed up. The outage counts as announcing the drain after 4 s, and then
+the grace follows: from 7.6 s after the drain on, each further attempt broke the rule. The gateways
+continued to send for the complete_text outage.
 
 Cause: the endpoint list never expired. `HostCalls.held_back_reason` and `AttemptRules.allows`
-went by the last state received, however old it was, and a host's own signs of a drain counted as
-a full queue.
-
-What settled it: the gateways logged `discovery watch connection ended`, reason `not connected:
-[Errno 111] Connection refused`, with `"last_revision": 1` three times in 1.2 s for as long as the
-logs reach, so the outage was noticed and not acted on; in each attempt that was followed, the
-draining host came first, answered within 2 ms that it was full, and another host then served the
-request.
+used the last state received, however old it was, and a host's own signs of a drain counted as a
+full queue.
+
+Evidence: as far as the logs reach, the gateways logged `discovery watch connection ended`, reason
+`not connected: [Errno 111] Connection refused`, with `"last_revision": 1`, three times in 1.2 s.
+So they noticed the outage, but did not act on it. In each attempt that was traced, the draining
+host was tried first and answered within 2 ms that it was full; another host served the request.
 """
 
 import asyncio
@@ -28,9 +27,11 @@
 from platform_harness import SETTINGS, reply, with_harness
 
 GRACE_S = 0.5
-NOTIFIED_AFTER_S = 4.0  # from the beginning of an outage, by the protocol page
-SLACK_S = 0.05  # that the protocol page adds to each time limit
-PROOF_S = 1.5  # for which clients go on after the first moment at which an attempt breaks the rule
+# From the start of an outage until a drain counts as announced, by the protocol page.
+NOTIFIED_AFTER_S = 4.0
+SLACK_S = 0.05  # tolerance that the protocol page adds to each time limit
+# Clients send for this time after the moment from which an attempt breaks the rule.
+PROOF_S = 1.5
 CLIENTS = 4
 FUNCTIONS = [f"{number:016x}" for number in range(1, 9)]
 OUTAGE_SETTINGS = SETTINGS | {
@@ -39,21 +40,21 @@
 
 
 def draining(words):
-    """What a host that drains replies: it stays up and runs nothing new."""
+    """Returns the reply of a draining host, which stays up but runs nothing new."""
     if words[0] == b"health":
         return reply(words[1], b"UNFIT")
     return reply(words[1], b"WAIT") if words[0] in (b"exec", b"ensure") else None
 
 
 class Arrivals:
-    """When new work arrived at a host, in s of the loop's clock."""
+    """Records when new work arrives at a host, in s of the event loop's clock."""
 
     def __init__(self, host):
         self.times = []
         self.answers = host.answers
-        host.answers = self.answered
+        host.answers = self.record
 
-    def answered(self, words):
+    def record(self, words):
         if words[0] == b"exec" or words[0] == b"ensure" and b"copies=0" not in words[2]:
             self.times.append(asyncio.get_running_loop().time())
         return self.answers(words)
@@ -63,7 +64,7 @@
 
 
 async def send_until(harness, end_s, answers):
-    """Sends one request after the other on a connection of its own."""
+    """Sends one request after another on its own connection; records times and statuses."""
     client = await harness.client()
     loop = asyncio.get_running_loop()
     number = 0
@@ -77,19 +78,19 @@
 
 @contextlib.asynccontextmanager
 async def outage(harness):
-    """Takes the discovery server away: its connections end and new ones are refused."""
+    """Stops the discovery server: aborts its connections, and new ones are refused."""
     discovery = harness.discovery_servers[0]
     discovery.server.close()
-    discovery.cut()
+    discovery.abort_connections()
     yield asyncio.get_running_loop().time()
 
 
 @with_harness
 async def test_a_host_that_drains_during_a_discovery_outage_gets_nothing_new(harness):
     await harness.start(("a", "b", "c"), settings=OUTAGE_SETTINGS)
-    await harness.discovery_servers[0].until_asked(1)
+    await harness.discovery_servers[0].until_requested(1)
     for function in FUNCTIONS:
-        assert (await harness.handled(function=function)).status == 200
+        assert (await harness.send_request(function=function)).status == 200
     arrivals = Arrivals(harness.hosts[0])
     async with outage(harness) as began_s:
         arrivals.answers = draining
@@ -106,13 +107,13 @@
 
 @with_harness
 async def test_a_gateway_that_starts_during_an_outage_sends_nothing_new_after_a_drain(harness):
-    await harness.built(("a", "b", "c"))
+    await harness.prepare(("a", "b", "c"))
     harness.discovery_servers[0].server.close()
     harness.run(harness.configuration(settings=OUTAGE_SETTINGS))
     await harness.ready()
     arrivals = Arrivals(harness.hosts[0])
     arrivals.answers = draining
-    # The outage had begun long before: a drain counts as told as it begins.
+    # The outage began long before, so a drain counts as announced when it begins.
     forbidden_from_s = asyncio.get_running_loop().time() + GRACE_S + SLACK_S
     answers = []
     clients = (send_until(harness, forbidden_from_s + PROOF_S, answers) for _ in range(CLIENTS))
@@ -121,12 +122,12 @@
     assert [status for _, status in answers].count(200) > 0.95 * len(answers)
 
 
-# ---- related paths: what may pass for news, and is none
+# ---- related paths: input that must not confirm the endpoint list
 
 
 async def until_settled(harness):
-    """Waits until the stream confirms the endpoint list; returns the watch."""
-    service = await harness.start_within(settings=OUTAGE_SETTINGS)
+    """Starts a gateway and waits until the stream confirms the list; returns the watch."""
+    service = await harness.start_in_process(settings=OUTAGE_SETTINGS)
     watch = service.discovery_watch
     await until(lambda: watch.connection is not None and watch.connection.settled)
     return watch
@@ -136,31 +137,31 @@
 async def test_after_sighup_the_old_stream_confirms_nothing_until_the_file_is_read(harness):
     watch = await until_settled(harness)
     file = harness.path / "config.json"
-    whole = file.read_text()
-    file.write_text(whole[:20])
+    complete_text = file.read_text()
+    file.write_text(complete_text[:20])
     watch.service.reload.start()
     confirmed_at_ms = watch.confirmed_at_ms
     lines = watch.connection.reader.lines
     await until(lambda: watch.connection.reader.lines > lines)
     assert watch.confirmed_at_ms == confirmed_at_ms
-    file.write_text(whole)
+    file.write_text(complete_text)
     watch.service.reload.start()
     await until(lambda: watch.confirmed_at_ms > confirmed_at_ms)
 
 
 @with_harness
-async def test_what_is_read_after_a_stall_confirms_the_list_as_of_before_it(harness):
+async def test_input_read_after_a_stall_confirms_the_list_at_the_last_tick_before_it(harness):
     watch = await until_settled(harness)
     last_tick_ms = watch.service.dispatcher.now
-    time.sleep(0.3)  # the process stands still: nothing runs, input waits
+    time.sleep(0.3)  # the process stalls: nothing runs, and input waits
     watch.connection.data_received(b": still here\n\n")
     assert watch.confirmed_at_ms == last_tick_ms <= watch.service.clock.now() - 300
 
 
 @with_harness
-async def test_a_new_connection_confirms_the_list_only_after_what_was_missed(harness):
+async def test_a_new_connection_confirms_the_list_only_after_the_missed_updates(harness):
     watch = await until_settled(harness)
-    harness.discovery_servers[0].cut()
+    harness.discovery_servers[0].abort_connections()
     first = watch.connection
     await until(lambda: watch.connection is not first)
     await until(lambda: watch.connection.first_input_s is not None)
@@ -171,18 +172,18 @@
 
 
 @with_harness
-async def test_a_server_that_answers_late_is_waited_for_longer_at_the_next_try(harness):
+async def test_the_timeout_is_longer_at_the_next_try_for_a_server_that_answers_late(harness):
     await harness.start(("a", "b"))
     discovery = harness.discovery_servers[0]
-    await discovery.until_asked(1)
+    await discovery.until_requested(1)
     serve = discovery.serve
 
     async def serve_late(reader, writer):
-        await asyncio.sleep(2.2)  # more than the watch waits at first, less than at the second try
+        await asyncio.sleep(2.2)  # longer than the first timeout, shorter than the second
         await serve(reader, writer)
 
     discovery.server.close()
-    discovery.cut()
+    discovery.abort_connections()
     discovery.server = await asyncio.start_server(serve_late, "127.0.0.1", discovery.port)
     discovery.updates.append(harness.update(2, a="terminating"))
     await harness.until_applied(2)
@@ -193,7 +194,7 @@
     watch = await until_settled(harness)
     service = watch.service
     harness.discovery_servers[0].server.close()
-    harness.discovery_servers[0].cut()
+    harness.discovery_servers[0].abort_connections()
     await until(lambda: watch.connection.ended.done())
     service.restart()
     lease = service.dispatcher.router.list_lease
@@ -202,21 +203,21 @@
 
 
 @with_harness
-async def test_what_waited_for_a_connection_is_held_back_once_the_lease_has_ended(harness):
-    service = await harness.start_within(settings=OUTAGE_SETTINGS)
+async def test_an_attempt_waiting_for_a_connection_is_held_back_once_the_lease_has_ended(harness):
+    service = await harness.start_in_process(settings=OUTAGE_SETTINGS)
     host = harness.hosts[0]
     service.dispatcher.router.may_get_new_work = lambda host_id, now_ms: False
-    assert (await harness.handled()).status == 503
+    assert (await harness.send_request()).status == 503
     assert service.dispatcher.counters["held back: the host has no lease"] >= 1
     assert not host.commands(b"exec") and not host.commands(b"ensure")
     del service.dispatcher.router.may_get_new_work
-    assert (await harness.handled()).status == 200
+    assert (await harness.send_request()).status == 200
 
 
 @with_harness
 async def test_a_server_that_answers_promptly_confirms_the_list_without_a_comment(harness):
-    service = await harness.start_within(settings=OUTAGE_SETTINGS)
-    harness.discovery_servers[0].beat.cancel()
+    service = await harness.start_in_process(settings=OUTAGE_SETTINGS)
+    harness.discovery_servers[0].heartbeat.cancel()
     watch = service.discovery_watch
     await until(lambda: watch.connection is not None and watch.connection.settled)
     assert watch.connection.reader.comments == 0 and watch.requested_at_ms is None
--- a/tests/platform/test_event_log.py
+++ b/tests/platform/test_event_log.py
@@ -9,8 +9,8 @@
 from cherrydoor.platform.event_log import EventLog
 
 
-class SetClock:
-    """A clock that a test sets."""
+class ManualClock:
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.now_ms = 5000.0
@@ -20,12 +20,12 @@
 
 
 @pytest.fixture
-def clock() -> SetClock:
-    return SetClock()
+def clock() -> ManualClock:
+    return ManualClock()
 
 
 @pytest.fixture
-def log(clock: SetClock) -> EventLog:
+def log(clock: ManualClock) -> EventLog:
     return EventLog(clock, clock)
 
 
@@ -33,7 +33,9 @@
     return [json.loads(line) for line in capsys.readouterr().err.splitlines()]
 
 
-def test_a_limited_event_is_omitted_for_a_second_and_then_says_how_often(clock, log, capsys):
+def test_a_limited_event_is_omitted_for_a_second_and_then_counts_the_omitted_lines(
+    clock, log, capsys
+):
     log.write_limited("clients are refused", more=0)
     log.write_limited("clients are refused", more=1)
     log.write_limited("another event")
@@ -58,7 +60,7 @@
 
 
 class FailingStream:
-    """A standard error whose disk is full."""
+    """A standard error stream on a full disk."""
 
     def write(self, text: str) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
--- a/tests/platform/test_host_starts.py
+++ b/tests/platform/test_host_starts.py
@@ -1,4 +1,4 @@
-"""Starts of hosts as a gateway whose wall clock is wrong reads them."""
+"""Start times of hosts, as read by a gateway whose wall clock may be wrong."""
 
 from cherrydoor.platform.host_starts import START_NOTICE_MS, HostStarts
 
@@ -6,7 +6,7 @@
 NOW_MS = 1e12
 
 
-def test_a_start_that_the_clocks_agree_on_is_kept():
+def test_a_plausible_start_is_kept():
     assert HostStarts().bounded("a", NOW_MS - 700, NOW_MS, NOW_MS - 1000) == NOW_MS - 700
 
 
@@ -14,12 +14,12 @@
     assert HostStarts().bounded("a", 0.0, NOW_MS, NOW_MS - 1000) == 0.0
 
 
-def test_a_new_host_is_not_taken_for_warm_where_the_clock_is_ahead():
+def test_a_new_host_does_not_count_as_warm_if_the_clock_is_ahead():
     found = HostStarts().bounded("a", NOW_MS - HOUR_MS, NOW_MS, NOW_MS - 1000)
     assert found == NOW_MS - 1000 - START_NOTICE_MS
 
 
-def test_a_new_host_is_not_cold_for_an_hour_where_the_clock_is_behind():
+def test_a_new_host_is_not_in_slow_start_for_an_hour_if_the_clock_is_behind():
     assert HostStarts().bounded("a", NOW_MS + HOUR_MS, NOW_MS, NOW_MS - 1000) == NOW_MS
 
 
--- a/tests/platform/test_in_service.py
+++ b/tests/platform/test_in_service.py
@@ -1,13 +1,13 @@
-"""The gateway as in service, between hosts, a discovery server and clients of the test's own."""
+"""The gateway in its own process, with hosts, a discovery server and clients of the test."""
 
 import asyncio
 
 import pytest
-from platform_harness import FUNCTION, LONG, SETTINGS, call, reply, with_harness
+from platform_harness import FUNCTION, SETTINGS, TEST_TIMEOUT_S, call, reply, with_harness
 
 
 async def refused_or_closed(client):
-    """What a bad client is owed: an answer that is not 200, or a close; never silence."""
+    """Checks that a bad client gets a response other than 200, or a close; never silence."""
     answer = await client.answer()
     assert answer is None or answer.status != 200
     await client.closed()
@@ -27,7 +27,7 @@
         assert words[1] == number.encode() and words[3] == body
         assert fields[b"cls"] == b"draft" and fields[b"item"] == FUNCTION.encode()
         assert 0 < int(fields[b"limit"]) <= 2000 and b"nonce" not in fields
-    client.call(extra=("X-Dedupe-Key: pay-41",))
+    client.call(extra_headers=("X-Dedupe-Key: pay-41",))
     assert (await client.answer()).status == 200
     assert b"nonce=pay-41" in host.commands(b"exec")[-1][2].split(b",")
 
@@ -36,16 +36,16 @@
 async def test_a_gateway_under_the_platforms_system_call_filter_starts_serves_reloads_and_drains(
     harness,
 ):
-    await harness.built(["a"])
+    await harness.prepare(["a"])
     file = harness.configuration()
-    harness.run(file, held=True)
+    harness.run(file, filtered=True)
     await harness.ready()
-    assert (await harness.handled()).status == 200
+    assert (await harness.send_request()).status == 200
     new = await harness.start_discovery_server()
     harness.configuration()
     harness.signal("SIGHUP")
-    await new.until_asked(1)
-    assert (await harness.handled()).status == 200
+    await new.until_requested(1)
+    assert (await harness.send_request()).status == 200
     harness.signal("SIGTERM")
     assert await harness.ended() == 0
 
@@ -54,13 +54,13 @@
 async def test_bad_requests_reach_no_host_while_valid_ones_succeed(harness):
     await harness.start()
     bad = [
-        call(harness.number(), kind="no-such"),
-        call(harness.number(), customer="nobody"),
+        call(harness.number(), request_class="no-such"),
+        call(harness.number(), tenant="nobody"),
         call("12"),
-        call(harness.number(), patience="900000"),
+        call(harness.number(), timeout_ms="900000"),
         b"\x00" * 100 + b"\r\n\r\n",
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-        call(harness.number(), extra=("Transfer-Encoding: chunked",))
+        call(harness.number(), extra_headers=("Transfer-Encoding: chunked",))
         + b"0\r\n\r\n"
         + call(harness.number()),
         b"POST " + b"x" * 20000,
@@ -70,8 +70,8 @@
         client = await harness.client()
         client.send(data)
         await refused_or_closed(client)
-    good = [await harness.handled() for _ in range(3)]
-    assert [one.status for one in good] == [200] * 3
+    good = [await harness.send_request() for _ in range(3)]
+    assert [response.status for response in good] == [200] * 3
     assert len(harness.hosts[0].commands(b"exec")) == 3
 
 
@@ -80,12 +80,12 @@
     await harness.start()
     silent, half = await harness.client(), await harness.client()
     half.send(call(harness.number())[:60])
-    began = asyncio.get_running_loop().time()
+    started_at_s = asyncio.get_running_loop().time()
     await silent.closed()
     await half.closed()
-    assert asyncio.get_running_loop().time() - began < LONG and not harness.hosts[0].commands(
-        b"exec"
-    )
+    assert asyncio.get_running_loop().time() - started_at_s < TEST_TIMEOUT_S and not harness.hosts[
+        0
+    ].commands(b"exec")
 
 
 @with_harness
@@ -93,24 +93,24 @@
     await harness.start()
     silent = [await harness.client() for _ in range(300)]
     for _ in range(5):
-        assert (await harness.handled()).status == 200
+        assert (await harness.send_request()).status == 200
     assert len(silent) == 300
 
 
 @with_harness
 async def test_idle_connections_make_room_for_new_ones(harness):
     await harness.start()
-    stay = []
-    for n in range(160):  # nearly twice as many as there are places
-        if n == 80:
-            await asyncio.sleep(0.3)  # from then on they are idle for long enough
-        stay.append(await harness.client())
-        stay[-1].call()
-        assert (await stay[-1].answer()).status == 200
+    clients = []
+    for number in range(160):  # nearly twice as many as there are slots
+        if number == 80:
+            await asyncio.sleep(0.3)  # after this the first 80 are idle for long enough
+        clients.append(await harness.client())
+        clients[-1].call()
+        assert (await clients[-1].answer()).status == 200
     await harness.until_logged("idle, and others need the place")
     harness.signal("SIGTERM")
     await harness.until_logged('"is": "usage"')
-    assert "refused: " not in harness.logged()
+    assert "refused: " not in harness.log_text()
 
 
 @with_harness
@@ -147,8 +147,8 @@
     await harness.start(("a", "b"))
     for host in harness.hosts:
 
-        def spoils(words, host=host):
-            others = [one for one in harness.hosts if one is not host]
+        def reply_malformed(words, host=host):
+            others = [other for other in harness.hosts if other is not host]
             if words[0] == b"exec" and not others[0].commands(b"exec"):
                 return (
                     b"*4\r\n$16\r\n"
@@ -158,24 +158,26 @@
                 )
             return host.handles(words)
 
-        host.answers = spoils
-    assert (await harness.handled()).status == 200
+        host.answers = reply_malformed
+    assert (await harness.send_request()).status == 200
     await harness.until_logged("reply element too large: 3000000000 bytes")
     assert all(host.commands(b"exec") for host in harness.hosts)
 
 
 @with_harness
-async def test_an_incomplete_reply_is_not_waited_for(harness):
+async def test_an_incomplete_reply_fails_its_connection_after_a_timeout(harness):
     await harness.start(("a", "b"))
     for host in harness.hosts:
 
-        def stops(words, host=host):
-            whole = host.handles(words)
-            other = next(one for one in harness.hosts if one is not host)
-            return whole[:-5] if words[0] == b"exec" and not other.commands(b"exec") else whole
+        def reply_incomplete(words, host=host):
+            complete = host.handles(words)
+            other = next(other for other in harness.hosts if other is not host)
+            return (
+                complete[:-5] if words[0] == b"exec" and not other.commands(b"exec") else complete
+            )
 
-        host.answers = stops
-    assert (await harness.handled()).status == 200
+        host.answers = reply_incomplete
+    assert (await harness.send_request()).status == 200
     await harness.until_logged("a reply is incomplete")
 
 
@@ -184,15 +186,15 @@
     await harness.start()
     host = harness.hosts[0]
 
-    def more(words):
-        good = host.handles(words)
+    def reply_twice(words):
+        valid = host.handles(words)
         return (
-            reply(b"00000000000000ee", b"DONE", b"-", b"not yours") + good + good
+            reply(b"00000000000000ee", b"DONE", b"-", b"not yours") + valid + valid
             if words[0] == b"exec"
-            else good
+            else valid
         )
 
-    host.answers = more
+    host.answers = reply_twice
     client = await harness.client()
     for _ in range(3):
         number = client.call()
@@ -206,27 +208,31 @@
     harness.hosts[0].server.close()
     for writer in harness.hosts[0].writers:
         writer.close()
-    answers = [await harness.handled(function=f"{n:016x}") for n in range(8)]
-    assert [one.status for one in answers] == [200] * 8
+    responses = [await harness.send_request(function=f"{number:016x}") for number in range(8)]
+    assert [response.status for response in responses] == [200] * 8
 
 
 @with_harness
 async def test_a_connection_that_left_an_attempt_without_a_reply_is_not_used_again(harness):
     await harness.start()
     host = harness.hosts[0]
-    assert (await harness.handled()).status == 200
-    dead = {0}  # what was open is silent for good, as after a cut; what comes up anew is well
-    host.answers = lambda words: None if host.got[-1][0] in dead else host.handles(words)
-    assert (await harness.handled(patience="900")).status != 200
-    async with asyncio.timeout(LONG):
-        while (await harness.handled(patience="900")).status != 200:
+    assert (await harness.send_request()).status == 200
+    # The first connection never replies again, as after a network failure; new connections work.
+    dead = {0}
+    host.answers = lambda words: None if host.received[-1][0] in dead else host.handles(words)
+    assert (await harness.send_request(timeout_ms="900")).status != 200
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while (await harness.send_request(timeout_ms="900")).status != 200:
             await asyncio.sleep(0.05)
-    assert len([n for n, words in host.got if n in dead and words[0] == b"exec"]) == 2
+    assert (
+        len([number for number, words in host.received if number in dead and words[0] == b"exec"])
+        == 2
+    )
 
 
-@pytest.mark.parametrize("price, most", [(0.0, 6), (0.08, 1), (0.02, 4)])
-def test_attempts_share_connections_until_these_have_paid_for_a_handshakes_price(
-    tmp_path, price, most
+@pytest.mark.parametrize("price, max_connections", [(0.0, 6), (0.08, 1), (0.02, 4)])
+def test_attempts_share_connections_until_enough_calls_pay_for_another_handshake(
+    tmp_path, price, max_connections
 ):
     @with_harness
     async def shared(harness):
@@ -236,7 +242,10 @@
         for client in clients:
             client.call()
         await host.until(b"exec", 6)
-        assert len({number for number, words in host.got if words[0] == b"exec"}) == most
+        assert (
+            len({number for number, words in host.received if words[0] == b"exec"})
+            == max_connections
+        )
 
     shared(tmp_path)
 
@@ -246,7 +255,7 @@
     await harness.start()
     host = harness.hosts[0]
     host.answers = lambda words: reply(words[1], b"WAIT") if words[0] == b"exec" else None
-    answer = await harness.handled()
+    answer = await harness.send_request()
     assert answer.status == 503 and 0 < int(answer.headers["x-come-back-ms"]) <= 1000
 
 
@@ -254,9 +263,12 @@
 async def test_a_request_without_a_reply_fails_before_its_deadline(harness):
     await harness.start()
     harness.hosts[0].answers = lambda words: None
-    began = asyncio.get_running_loop().time()
-    answer = await harness.handled(patience="700")
-    assert answer.status in (502, 503) and asyncio.get_running_loop().time() - began < LONG
+    started_at_s = asyncio.get_running_loop().time()
+    answer = await harness.send_request(timeout_ms="700")
+    assert (
+        answer.status in (502, 503)
+        and asyncio.get_running_loop().time() - started_at_s < TEST_TIMEOUT_S
+    )
 
 
 @with_harness
@@ -270,4 +282,4 @@
     await harness.until_logged(f'"is": "request refused", "request": "{number}", "reason": "full"')
     harness.signal("SIGTERM")
     assert await harness.ended() == 0
-    assert '"outcomes": {"attempts ended: full": 1}' in harness.logged()
+    assert '"outcomes": {"attempts ended: full": 1}' in harness.log_text()
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -1,12 +1,12 @@
-"""Races on the platform's sockets: closes, replies and drains in the same moment.
+"""Races on the platform's sockets: closes, replies and drains at the same moment.
 
-The gateway runs on the test's own loop, and what is to race is made ready between two of its ticks;
-docs/races.md lists the cases.
+The gateway runs on the test's event loop, and the racing events are prepared between two of its
+ticks. docs/races.md lists the cases.
 """
 
 import socket
 
-from blocking_client import ONCE, BlockingClient, executed, until
+from blocking_client import AT_MOST_ONCE_SETTINGS, BlockingClient, executed, until
 from platform_harness import FUNCTION, SETTINGS, reply, with_harness
 
 from cherrydoor.gateway.tables import ATTEMPTS_AFTER_CLOSE
@@ -14,80 +14,81 @@
 
 
 @with_harness
-async def test_a_request_whose_client_closes_behind_it_is_never_sent_on(harness):
-    service = await harness.start_within()
+async def test_a_request_whose_client_closes_right_after_it_is_never_sent_to_a_host(harness):
+    service = await harness.start_in_process()
     for close in (socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)):
         client = BlockingClient(harness)
         number = client.call()
         close(client.sock)
         left = service.dispatcher.counters["clients left"]
         await until(lambda left=left: service.dispatcher.counters["clients left"] > left)
-        assert (await harness.handled()).status == 200 and number not in executed(harness)
+        assert (await harness.send_request()).status == 200 and number not in executed(harness)
     assert not service.dispatcher.requests and not service.dispatcher.router.requests
 
 
 @with_harness
 async def test_a_client_close_that_races_a_hosts_refusal_ends_the_attempts(harness):
-    service = await harness.start_within(("a", "b"))
+    service = await harness.start_in_process(("a", "b"))
     for host in harness.hosts:
         host.answers = lambda words: None
     client = BlockingClient(harness)
     number = client.call()
     await until(lambda: executed(harness))
     [link] = [link for host in service.dispatcher.hosts.values() for link in host.links]
-    [end] = service.client_listener.connections
+    [connection] = service.client_listener.connections
     service.post(service.dispatcher.host_replied, link, protocol.AttemptResult(*link.out, "full"))
-    service.post(service.dispatcher.client_disconnected, end.client)
+    service.post(service.dispatcher.client_disconnected, connection.client)
     await until(lambda: not service.dispatcher.requests)
     for host in harness.hosts:
         host.answers = host.handles
-    assert (await harness.handled()).status == 200 and executed(harness).count(number) == 1
+    assert (await harness.send_request()).status == 200 and executed(harness).count(number) == 1
     assert not service.dispatcher.router.requests and not any(
-        h.in_flight for h in service.dispatcher.router.hosts.values()
+        host.in_flight for host in service.dispatcher.router.hosts.values()
     )
 
 
 @with_harness
 async def test_a_client_close_that_is_not_read_yet_prevents_the_attempt(harness):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     client = BlockingClient(harness)
     client.call()
     await client.answer()
-    [end] = service.client_listener.connections
-    end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
+    [connection] = service.client_listener.connections
+    connection.transport.pause_reading()  # as if a stall kept the loop from reading its sockets
     client.sock.close()
     request = protocol.Request(7, "draft", FUNCTION, 2000.0, service.clock.now(), "acme")
-    service.post(service.dispatcher.request_received, end.client, request)
+    service.post(service.dispatcher.request_received, connection.client, request)
     await until(lambda: service.dispatcher.counters["closes found at a launch"])
     assert len(executed(harness)) == 1 and not service.dispatcher.requests
-    end.transport.resume_reading()
+    connection.transport.resume_reading()
 
 
 @with_harness
 async def test_an_attempt_after_its_clients_close_shows_in_a_counter_that_is_0_otherwise(harness):
-    service = await harness.start_within(("a", "b"))
+    service = await harness.start_in_process(("a", "b"))
     for host in harness.hosts:
         host.answers = lambda words: None
     client = BlockingClient(harness)
     client.call()
     await until(lambda: executed(harness))
-    [end] = service.client_listener.connections
-    end.transport.pause_reading()
+    [connection] = service.client_listener.connections
+    connection.transport.pause_reading()
     client.sock.close()
-    end.client.connected = lambda now: True  # the guard, taken out
+    # Disables the check that prevents such attempts.
+    connection.client.connected = lambda now: True
     [link] = [link for host in service.dispatcher.hosts.values() for link in host.links if link.out]
     later = service.clock.now() + 200
     service.clock.now = lambda: later
     assert service.dispatcher.counters[ATTEMPTS_AFTER_CLOSE] == 0
     service.post(service.dispatcher.host_replied, link, protocol.AttemptResult(*link.out, "full"))
-    service.post(end.transport.resume_reading)
+    service.post(connection.transport.resume_reading)
     await until(lambda: not service.dispatcher.requests and not service.client_listener.connections)
     assert service.dispatcher.counters[ATTEMPTS_AFTER_CLOSE] == 1
 
 
 @with_harness
 async def test_deadlines_are_shortened_by_the_lag_of_recent_timers(harness):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     harness.hosts[0].answers = lambda words: None
     first, second = BlockingClient(harness), BlockingClient(harness)
     first.call()
@@ -107,13 +108,13 @@
 
 @with_harness
 async def test_a_timer_due_after_a_stall_fires_after_the_input_that_came_meanwhile(harness):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     harness.hosts[0].answers = lambda words: None
     client = BlockingClient(harness)
     client.call()
     await until(lambda: executed(harness))
     late = service.clock.now() + 60000
-    service.clock.now = lambda: late  # all timers are due, the request's deadline, too
+    service.clock.now = lambda: late  # all timers are due, including the request's deadline
     client.sock.close()
     service.timer_fired()
     await until(lambda: not service.dispatcher.requests)
@@ -123,7 +124,7 @@
 
 @with_harness
 async def test_a_client_that_closes_behind_more_input_than_is_buffered_is_disconnected(harness):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     harness.hosts[0].answers = lambda words: None
     client = BlockingClient(harness)
     client.call()
@@ -139,7 +140,11 @@
 async def test_an_at_most_once_attempt_without_a_connection_is_not_sent_after_its_clients_close(
     harness,
 ):
-    service, dialled, written = await harness.start_within(settings=ONCE), [], []
+    service, dialled, written = (
+        await harness.start_in_process(settings=AT_MOST_ONCE_SETTINGS),
+        [],
+        [],
+    )
     service.dispatcher.dial, service.configuration.limits.connect = dialled.append, 60000.0
 
     class Wire:
@@ -157,17 +162,17 @@
 
 @with_harness
 async def test_nothing_is_sent_to_a_host_whose_drain_arrives_in_the_same_tick(harness):
-    service = await harness.start_within(
+    service = await harness.start_in_process(
         settings=SETTINGS | {"prices": {"handshake": 0.08}}
     )  # one connection
     client = BlockingClient(harness)
     client.call()
     await client.answer()
-    [end] = service.client_listener.connections
-    before = len(harness.hosts[0].got)
+    [connection] = service.client_listener.connections
+    before = len(harness.hosts[0].received)
     service.post(
         service.dispatcher.request_received,
-        end.client,
+        connection.client,
         protocol.Request(7, "draft", FUNCTION, 2000.0, service.clock.now(), "acme"),
     )
     service.dispatcher.post(
@@ -186,24 +191,24 @@
     assert b"HTTP/1.1 503" in await client.answer()
     service.post(service.dispatcher.unload, FUNCTION, ["a"])
     await harness.hosts[0].until(b"release")
-    words = [words[0] for _, words in harness.hosts[0].got[before:]]
+    words = [words[0] for _, words in harness.hosts[0].received[before:]]
     assert words == [b"ensure", b"release"], (
         "the load order before the drain was sent, and none after it"
     )
 
 
 @with_harness
-async def test_the_listener_takes_what_the_kernel_has_accepted_before_it_closes(harness):
-    service = await harness.start_within()
-    waiting, kept = [BlockingClient(harness) for _ in range(40)], BlockingClient(harness)
-    kept.call()
-    await kept.answer()
+async def test_the_listener_accepts_the_kernels_pending_connections_before_it_closes(harness):
+    service = await harness.start_in_process()
+    waiting, connected = [BlockingClient(harness) for _ in range(40)], BlockingClient(harness)
+    connected.call()
+    await connected.answer()
     fresh = [BlockingClient(harness) for _ in range(40)]
-    for client in [*waiting, *fresh, kept]:
+    for client in [*waiting, *fresh, connected]:
         client.call()
     service.shutdown.started = True
     service.shutdown.close_listener()
-    for client in [*waiting, *fresh, kept]:
+    for client in [*waiting, *fresh, connected]:
         assert (await client.read()).startswith(b"HTTP/1.1 ")
 
 
@@ -211,13 +216,13 @@
 async def test_an_idle_connection_closed_over_an_unread_request_gets_a_response_and_no_reset(
     harness,
 ):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     client = BlockingClient(harness)
     client.call()
     await client.answer()
-    [end] = service.client_listener.connections
+    [connection] = service.client_listener.connections
     client.call()
-    end.close("idle, and others need the place", 1000.0)
+    connection.close("idle, and others need the place", 1000.0)
     assert (await client.read()).startswith(b"HTTP/1.1 503")
 
 
@@ -233,7 +238,7 @@
         if words[0] == b"exec":
             host.writers[0].write(
                 reply(words[1], b"LACK")
-            )  # once more, late, where the first had been
+            )  # a late duplicate, on the connection of the first reply
             return None
         return host.handles(words)
 
@@ -241,7 +246,7 @@
     client = await harness.client()
     number = client.call()
     await host.until(b"exec", 2)
-    (first, _), (second, _) = [got for got in host.got if got[1][0] == b"exec"]
+    (first, _), (second, _) = [got for got in host.received if got[1][0] == b"exec"]
     assert first != second
     host.writers[second].write(reply(number.encode(), b"DONE", b"tell=hit", b"ran once"))
     assert (await client.answer()).body == b"ran once" and len(host.commands(b"exec")) == 2
@@ -249,31 +254,33 @@
 
 @with_harness
 async def test_an_idle_connection_that_its_host_has_closed_is_not_written_to(harness):
-    service = await harness.start_within(("a", "b"), settings=ONCE)
-    assert (await harness.handled()).status == 200
-    [end] = service.upstream.connections
-    end.transport.pause_reading()  # as where a stall keeps the loop from its sockets
+    service = await harness.start_in_process(("a", "b"), settings=AT_MOST_ONCE_SETTINGS)
+    assert (await harness.send_request()).status == 200
+    [connection] = service.upstream.connections
+    connection.transport.pause_reading()  # as if a stall kept the loop from reading its sockets
     [host] = [host for host in harness.hosts if host.writers]
     host.writers[0].write_eof()
-    assert (await harness.handled(patience="900")).status == 200 and len(
+    assert (await harness.send_request(timeout_ms="900")).status == 200 and len(
         host.commands(b"exec")
     ) == 1
-    end.transport.resume_reading()
+    connection.transport.resume_reading()
 
 
 @with_harness
 async def test_the_time_a_connection_waited_to_be_accepted_counts_for_its_first_request(harness):
-    service = await harness.start_within()
+    service = await harness.start_in_process()
     harness.hosts[0].answers = lambda words: None
     clients = [BlockingClient(harness) for _ in range(4)]
     for client in clients:
         client.call()
     [listener] = service.listeners.listeners
-    listener.ready(2)  # as many as a pass takes in; two more wait
+    listener.ready(2)  # accepts two connections; two more wait
     later = service.clock.now() + 400
     service.clock.now = lambda: later
     listener.ready(2)
-    assert listener.since is None, "nobody waits any more, though a whole pass was taken in"
+    assert listener.since is None, (
+        "no connection waits any more, although the last pass accepted its maximum"
+    )
     await until(lambda: len(service.dispatcher.requests) == 4)
     assert [
         round((taken.deadline_ms - taken.accepted_at_ms) / 100)
--- a/tests/platform/test_refused_requests.py
+++ b/tests/platform/test_refused_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are refused: the response, and the counter that an operator reads."""
+"""Refused requests: the response, and the counter for operators."""
 
 import pytest
 from platform_harness import call, with_harness
@@ -10,19 +10,19 @@
     "request_bytes, status, reason, counter",
     [
         (
-            call(REQUEST_ID, kind="no-such"),
+            call(REQUEST_ID, request_class="no-such"),
             400,
             b"X-Class: no such event type",
             "bad requests: unknown request class",
         ),
         (
-            call(REQUEST_ID, customer="nobody"),
+            call(REQUEST_ID, tenant="nobody"),
             400,
             b"X-Customer: no such customer",
             "bad requests: unknown tenant",
         ),
         (
-            call(REQUEST_ID, patience="900000"),
+            call(REQUEST_ID, timeout_ms="900000"),
             400,
             b"X-Patience-Ms: longer than any event may take",
             "bad requests: timeout too long",
@@ -36,27 +36,29 @@
         ),
     ],
 )
-def test_a_request_that_is_refused_gets_the_reason_and_counts(
+def test_a_refused_request_gets_the_reason_and_is_counted(
     tmp_path, request_bytes, status, reason, counter
 ):
     @with_harness
     async def refused(harness):
-        service = await harness.start_within()
+        service = await harness.start_in_process()
         client = await harness.client()
         client.send(request_bytes)
         answer = await client.answer()
         assert (answer.status, answer.body) == (status, reason)
         assert await client.closed() == b""
         counters = service.dispatcher.counters
-        counted = {name: n for name, n in counters.items() if name.startswith("bad requests")}
+        counted = {
+            name: count for name, count in counters.items() if name.startswith("bad requests")
+        }
         assert counted == {counter: 1} and not harness.hosts[0].commands(b"exec")
 
     refused(tmp_path)
 
 
 @with_harness
-async def test_an_id_that_was_accepted_before_is_a_conflict_and_counts(harness):
-    service = await harness.start_within()
+async def test_an_id_that_was_accepted_before_is_a_conflict_and_is_counted(harness):
+    service = await harness.start_in_process()
     client = await harness.client()
     client.call(REQUEST_ID)
     assert (await client.answer()).status == 200
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,7 +1,7 @@
 """Settings that are absent, renamed, null, zero or of another type.
 
-Each ends in an error that names its place or in a gateway that serves; none in a fault, and none
-in a gateway that serves nobody.
+Each must lead either to an error that names its place or to a gateway that serves requests. None
+may cause an exception or a gateway that rejects every request.
 """
 
 import copy
@@ -19,20 +19,21 @@
 STATED["requestClasses"][0] |= {"dedupScope": "all", "dedupWindow": 4000000}
 STATED["familyInfo"] |= {"loadsAnyway": 4, "loadPart": 0.2, "loadsWithin": 5000000}
 ABSENT, RENAMED = object(), object()
-MADE = (ABSENT, RENAMED, None, 0, -1, "text", [], {}, float("inf"))
+BAD_VALUES = (ABSENT, RENAMED, None, 0, -1, "text", [], {}, float("inf"))
 
 
-def places(said, before=()):
-    """The place of each setting, as keys and positions."""
-    for key, value in said.items() if isinstance(said, dict) else enumerate(said):
+def places(settings, before=()):
+    """Yields the place of each setting, as keys and positions."""
+    for key, value in settings.items() if isinstance(settings, dict) else enumerate(settings):
         yield (*before, key)
         if isinstance(value, dict | list):
             yield from places(value, (*before, key))
 
 
 def changed(place, value):
-    said = copy.deepcopy(STATED)
-    holder = said
+    """Returns the settings with one of them changed."""
+    settings = copy.deepcopy(STATED)
+    holder = settings
     for key in place[:-1]:
         holder = holder[key]
     if value is ABSENT or value is RENAMED:
@@ -41,10 +42,11 @@
             holder[f"other{place[-1]}"] = old
     else:
         holder[place[-1]] = value
-    return said
+    return settings
 
 
-def station(settings):
+def configuration_with(settings):
+    """Returns a configuration with these settings."""
     return configuration.Configuration(
         {
             "name": "n1",
@@ -61,7 +63,7 @@
 
 
 class HostWire:
-    """Answers each attempt at once."""
+    """A connection to a host that answers each attempt at once."""
 
     def __init__(self, dispatcher, link):
         self.dispatcher, self.link = dispatcher, link
@@ -79,15 +81,17 @@
 
 
 class ClientWire:
+    """A client connection that records the outcomes of its requests."""
+
     def __init__(self):
-        self.answers = []
+        self.outcomes = []
 
     def write(self, message):
-        self.answers.append(message.outcome)
+        self.outcomes.append(message.outcome)
 
 
-def answers_of(found, kind):
-    """Returns outcomes of 40 requests under these settings, with two warm hosts and a cold one."""
+def outcomes_of(found, request_class):
+    """Returns the outcomes of 40 requests, with two warm hosts and one in slow start."""
     dialled, wire = [], ClientWire()
     dispatcher = Dispatcher(Router(found.router_settings), found.limits, dialled.append, 1000.0)
     dispatcher.post(
@@ -100,27 +104,29 @@
     )
     client = ClientConnection(wire)
     for number in range(40):
-        now = 1000.0 + 50 * number
+        now_ms = 1000.0 + 50 * number
         dispatcher.post(
             dispatcher.request_received,
             client,
-            protocol.Request(number, kind, FUNCTION, 2000.0, now, "acme", "", 4.0, 200.0, b""),
+            protocol.Request(
+                number, request_class, FUNCTION, 2000.0, now_ms, "acme", "", 4.0, 200.0, b""
+            ),
         )
-        dispatcher.tick(now)
+        dispatcher.tick(now_ms)
         for link in dialled:
             dispatcher.post(dispatcher.connection_opened, link, HostWire(dispatcher, link))
         dialled.clear()
-        dispatcher.tick(now + 5)
-        dispatcher.tick(now + 10)
-    return wire.answers
+        dispatcher.tick(now_ms + 5)
+        dispatcher.tick(now_ms + 10)
+    return wire.outcomes
 
 
 @pytest.mark.parametrize("place", list(places(STATED)), ids=lambda place: ".".join(map(str, place)))
 def test_an_unusable_setting_is_an_error_with_its_place_or_the_gateway_serves(place):
-    for value in MADE:
+    for value in BAD_VALUES:
         settings = changed(place, value)
         try:
-            found = station(settings)
+            found = configuration_with(settings)
         except configuration.ConfigurationError as error:
             names = [key for key in place if isinstance(key, str)]
             assert str(error).startswith("settings") and any(
@@ -128,7 +134,7 @@
             ), error
             continue
         assert (
-            answers_of(found, found.router_settings.request_classes[0].name).count("handled") >= 30
+            outcomes_of(found, found.router_settings.request_classes[0].name).count("handled") >= 30
         ), (
             place,
             value,
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""Starts that fail: the exit code and the text on standard error."""
+"""Failing starts: the exit code and the text on standard error."""
 
 import json
 import os
@@ -25,16 +25,16 @@
 
 def start(**environment):
     """Runs the platform's gateway to its end; returns its exit code and standard error."""
-    kept = {name: text for name, text in os.environ.items() if not name.startswith("PROXY_")}
-    done = subprocess.run(
+    inherited = {name: text for name, text in os.environ.items() if not name.startswith("PROXY_")}
+    completed = subprocess.run(
         [sys.executable, "-m", "cherrydoor", "platform"],
-        env=kept | environment,
+        env=inherited | environment,
         stdin=subprocess.DEVNULL,
         capture_output=True,
         text=True,
         timeout=20,
     )
-    return done.returncode, done.stderr
+    return completed.returncode, completed.stderr
 
 
 def test_a_start_without_a_configuration_file_names_the_variable():
@@ -52,7 +52,7 @@
     )
 
 
-def test_a_start_with_a_file_that_is_no_json_names_it(tmp_path):
+def test_a_start_with_a_file_that_is_not_json_names_it(tmp_path):
     path = tmp_path / "config.json"
     path.write_text("{")
     code, text = start(PROXY_CONFIG=str(path))
@@ -69,7 +69,7 @@
     )
 
 
-def test_a_start_under_another_name_than_the_files_is_refused(tmp_path, document):
+def test_a_start_under_a_name_other_than_the_files_is_refused(tmp_path, document):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
     assert start(PROXY_CONFIG=str(path), PROXY_NAME="n2") == (
