--- a/cherrydoor/codecs/invoke.py
+++ b/cherrydoor/codecs/invoke.py
@@ -4,7 +4,7 @@
 the response before them is written. After a BadRequest nothing more is read: its response closes the connection.
 
 Nearly all calls arrive complete, with nothing pipelined behind them and in a simple form. These are parsed here by a
-fast path, because h11 would use a third of the CPU time of a request. Input that differs in any way is parsed by h11
+fast path, because h11 takes a third of the time that a request takes. Input that differs in any way is parsed by h11
 from its first byte on. h11 sees nothing of a call that the fast path has parsed.
 """
 
--- a/cherrydoor/platform/configuration.py
+++ b/cherrydoor/platform/configuration.py
@@ -67,8 +67,8 @@
     """The dispatcher's limits, under the attribute names that it reads; times in ms.
 
     Each attempt gets a connection of its own, so that a broken connection ends no other attempt.
-    Attempts share connections once the host has no more connections left, or, if handshakes have a
-    price, while the host's attempts so far do not yet pay for another one.
+    Attempts share connections once no more connections to the host may be opened, or, if handshakes
+    have a price, as long as the calls to the host so far do not justify another one.
 
     Attributes:
         spare: Time subtracted from each request's timeout.
--- a/cherrydoor/platform/settings.py
+++ b/cherrydoor/platform/settings.py
@@ -138,9 +138,8 @@
     for section, numbers in SECTION_NUMBERS.items():
         found[section] = checked_section(found.get(section, {}), numbers, f"settings.{section}")
     if not found["rules"].get("overloadFactor"):
-        found["rules"]["fall"] = (
-            0.0  # without a factor there is no overload limit for hosts in slow start
-        )
+        # Without a factor there is no overload limit for hosts in slow start.
+        found["rules"]["fall"] = 0.0
     found["requestClasses"] = [
         checked_request_class(row, place) for row, place in checked_list(found, "requestClasses")
     ]
--- a/tests/platform/test_in_service.py
+++ b/tests/platform/test_in_service.py
@@ -171,7 +171,7 @@
 
         def reply_incomplete(words, host=host):
             complete = host.handles(words)
-            other = next(other for other in harness.hosts if other is not host)
+            other = next(candidate for candidate in harness.hosts if candidate is not host)
             return (
                 complete[:-5] if words[0] == b"exec" and not other.commands(b"exec") else complete
             )
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -43,7 +43,7 @@
         host.answers = host.handles
     assert (await harness.send_request()).status == 200 and executed(harness).count(number) == 1
     assert not service.dispatcher.router.requests and not any(
-        host.in_flight for host in service.dispatcher.router.hosts.values()
+        router_host.in_flight for router_host in service.dispatcher.router.hosts.values()
     )
 
 
