--- a/cherrydoor/platform/discovery_watch.py
+++ b/cherrydoor/platform/discovery_watch.py
@@ -129,9 +129,8 @@
                 connection.end(SILENT)
                 break
             await asyncio.wait([connection.ended], timeout=remaining_s)
-            for _ in range(
-                2
-            ):  # after a stall, input that is ready is read before the timeout is checked
+            # After a stall, input that is ready is read before the timeout is checked.
+            for _ in range(2):
                 await asyncio.sleep(0)
         return connection.ended.result()
 
--- a/cherrydoor/platform/event_log.py
+++ b/cherrydoor/platform/event_log.py
@@ -43,10 +43,7 @@
         """Writes text without changes; returns whether that succeeded."""
         try:
             print(text, file=sys.stderr, flush=True)
-        except (
-            OSError,
-            ValueError,
-        ):  # the disk is full, the reader has exited, or the stream is closed
+        except (OSError, ValueError):  # a full disk, an exited reader or a closed stream
             self.unwritten_lines += 1
             return False
         return True
