--- a/cherrydoor/routing/endpoint_leases.py
+++ b/cherrydoor/routing/endpoint_leases.py
@@ -69,9 +69,8 @@
         )
         self.confirmed_at_ms: float | None = None
         self.outdated_at_ms = inf
-        self._updates_requested_at_ms = (
-            inf  # first request for updates since the last confirmation; infinite if none
-        )
+        # Time of the first request for updates since the last confirmation; infinite if none.
+        self._updates_requested_at_ms = inf
         self._logged_current = True
 
     def record_confirmation(self, at_ms: float) -> None:
--- a/cherrydoor/routing/host.py
+++ b/cherrydoor/routing/host.py
@@ -21,7 +21,7 @@
     from cherrydoor.routing.function import Function
     from cherrydoor.routing.request import Attempt
 
-T2_OBJECTIVE_SHARE = 0.5  # share of the latency objective that requests at T2 take
+T2_OBJECTIVE_SHARE = 0.5  # at T2, the requests in flight take this share of the latency objective
 T2_MIN_REQUESTS = 3.0
 T1_SHARE_OF_T2 = 0.6
 # Requests of other gateways that are assumed at the host when the own requests in flight are
@@ -116,15 +116,15 @@
         self.others_in_flight = DecayingValue()  # in flight from other gateways
         self.fullness = DecayingValue()
         self.memory_refused_at_ms = -1e18
-        probe_interval_ms = context.settings.gateway_count * self._statistics.mean_response_ms()
-        self.last_attempt_ms = context.now - context.next_random() * probe_interval_ms
+        trial_interval_ms = context.settings.gateway_count * self._statistics.mean_response_ms()
+        self.last_attempt_ms = context.now - context.next_random() * trial_interval_ms
         self.slow_start = SlowStart(context, self._statistics, started_at_ms)
 
     def update(self, state: str, started_at_ms: float) -> None:
         """Apply the host's entry in the endpoint list.
 
         If a restart was presumed but the list has the old start time, the host has not restarted:
-        its slow start ends.
+        its warm-up level follows the listed start time again.
         """
         if state == HostState.READY:
             if started_at_ms != self._listed_start_ms:
@@ -192,10 +192,11 @@
     def predicted_response_ms(self, function: Function) -> float:
         """The predicted response time, in ms, of a request that is sent now.
 
-        The prediction takes the longest of the mean response time, the time that the oldest request
-        has waited without a response, and a share of the latency objective if the host was full.
-        It scales this by the own requests in flight relative to their usual number. A recent load
-        report raises it to the time that all requests at the host take.
+        The prediction starts from the longest of three times: the mean response time, the longest
+        wait of a request in flight, and a part of the latency objective if the host was full. For
+        requests of other functions, the wait counts from the last response of the host. The result
+        is scaled by the own requests in flight relative to their usual number. A recent load report
+        raises it to at least the time that all requests at the host take.
         """
         now = self._context.now
         fullness = self.fullness.read(now)
--- a/cherrydoor/routing/host_health.py
+++ b/cherrydoor/routing/host_health.py
@@ -22,10 +22,10 @@
 CLASS_LOSS_FACTOR = 20  # weight of the class's share of lost requests in the ejection time
 CLASS_LOSS_PRIOR = 20  # requests without a loss that are assumed in that share
 MIN_SILENCE_MS = 250.0  # shorter silence is no sign of a failure
-SILENCE_FACTOR = 4  # nor is silence for less than this many mean response times
+SILENCE_FACTOR = 4  # in mean response times; shorter silence is no sign of a failure
 # A request that waits for a load may take this many mean load times longer.
 LOAD_SILENCE_FACTOR = 3
-CLASS_LOAD_SILENCE_FACTOR = 1.5  # the same where losses of one class are counted
+CLASS_LOAD_SILENCE_FACTOR = 1.5  # in mean load times, where losses of one class are counted
 
 
 class ClassHealth:
@@ -164,10 +164,11 @@
             self.ejected_until_ms = now + EJECTION_BASE_MS * 2**doublings * jitter
 
     def check_silence(self, now: float) -> None:
-        """Request a health check of a host that is silent for too long, as if stalled or cut off.
+        """Detect by its silence that the host stalls or is unreachable, and request a check.
 
-        Where health checks are not allowed, its attempts are cancelled instead. Each request class
-        is examined separately, as a response to another class shows only that the host is running.
+        Where health checks are not allowed, its attempts are cancelled instead. Attempts that are
+        presumed lost are always cancelled. Each request class is examined separately for them, as a
+        response to another class shows only that the host is running.
         """
         in_flight = self._host.in_flight
         for attempt in in_flight:
@@ -215,8 +216,8 @@
     def _is_overtaken(self, attempt: Attempt, health: ClassHealth, now: float) -> bool:
         """Whether the attempt is presumed lost because the host answered requests sent after it.
 
-        The attempt must also have waited longer than the limit, without a response of the host to
-        its request class meanwhile.
+        The attempt must also have waited longer than a limit, without a response of the host to its
+        request class meanwhile. The limit is twice as long before the first loss.
         """
         limit_ms = max(MIN_SILENCE_MS, SILENCE_FACTOR * self._host.mean_response_ms())
         if not health.consecutive_losses:
--- a/cherrydoor/routing/request_lifecycle.py
+++ b/cherrydoor/routing/request_lifecycle.py
@@ -78,7 +78,7 @@
         self.give_up(request)
 
     def _is_in_time(self, request: Request, host: Host) -> bool:
-        """Whether the response is predicted in time, or a late host is due for a probe."""
+        """Whether the response is predicted in time, or a late host is due for a trial."""
         now = self._context.now
         tenant = request.tenant
         predicted_ms = host.predicted_response_ms(request.function)
@@ -90,8 +90,8 @@
         # About one request at a time from the whole fleet goes to a host that is predicted late,
         # to find out whether it still is.
         untried_ms = now - max(host.response_time.at_ms, host.last_attempt_ms)
-        probe_interval_ms = self._settings.gateway_count * self._statistics.mean_response_ms()
-        return not host.in_flight and untried_ms > probe_interval_ms
+        trial_interval_ms = self._settings.gateway_count * self._statistics.mean_response_ms()
+        return not host.in_flight and untried_ms > trial_interval_ms
 
     def start_attempt(self, request: Request, host: Host) -> None:
         """Send the request to the host if the attempt rules allow it; otherwise give up.
--- a/tests/routing/test_rules_of_attempts.py
+++ b/tests/routing/test_rules_of_attempts.py
@@ -20,10 +20,10 @@
         routing.RejectRequest
     ]
     fleet.now += 2000
-    gone, _ = fleet.request()
-    fleet.take(routing.RequestCancelled(gone))
+    cancelled, _ = fleet.request()
+    fleet.take(routing.RequestCancelled(cancelled))
     assert (
-        kinds(fleet.end_attempt(gone, routing.AttemptOutcome.CONNECTION_LOST)) == []
+        kinds(fleet.end_attempt(cancelled, routing.AttemptOutcome.CONNECTION_LOST)) == []
         and not fleet.router.requests
     )
 
--- a/tests/routing/test_slow_start_of_fleet.py
+++ b/tests/routing/test_slow_start_of_fleet.py
@@ -29,8 +29,6 @@
     Attributes:
         arrivals: For each request that reached the warming host: the time in ms, and whether its
             gateway had been notified of the start.
-        work_ms: Mean time of a request on one core.
-        floor: Share of its capacity that the warming host has at its start.
         free_ms: Host -> when it has finished all requests that it was sent.
         notified_ms: For each gateway: when it is notified of the start.
 
@@ -86,9 +84,9 @@
                 number,
                 routing.EndpointsUpdated(routing.UpdateKind.CACHED, tuple(endpoints)),
             )
-            late = self.notified_ms[number] = STARTED_MS + self.random.uniform(200.0, 2500.0)
+            notified_ms = self.notified_ms[number] = STARTED_MS + self.random.uniform(200.0, 2500.0)
             self.at(
-                late,
+                notified_ms,
                 self.message,
                 number,
                 routing.EndpointsUpdated(
