--- a/tests/routing/test_host_health.py
+++ b/tests/routing/test_host_health.py
@@ -10,8 +10,8 @@
     fleet = Fleet()
     home = fleet.serve("thumbnail")
     stuck, _ = fleet.request("thumbnail")
-    found = fleet.pass_time(1500)
-    assert routing.CheckHealth(home) in found
+    actions = fleet.pass_time(1500)
+    assert routing.CheckHealth(home) in actions
     assert routing.CancelAttempt(stuck, 0) in fleet.take(
         routing.HealthCheckEnded(home, routing.AttemptOutcome.NO_RESPONSE, 250.0)
     )
--- a/tests/routing/test_rules_of_attempts.py
+++ b/tests/routing/test_rules_of_attempts.py
@@ -33,8 +33,8 @@
     request_id, _ = fleet.request()
     request, host = fleet.router.requests[request_id], fleet.router.hosts["a"]
     for _ in range(3):
-        found = fleet.end_attempt(request_id, routing.AttemptOutcome.FULL)
-    assert len(fleet.sent[request_id]) == 3 and kinds(found) == [routing.RejectRequest]
+        actions = fleet.end_attempt(request_id, routing.AttemptOutcome.FULL)
+    assert len(fleet.sent[request_id]) == 3 and kinds(actions) == [routing.RejectRequest]
     fleet.router.context.actions, request.attempts = [], []
     fleet.router.lifecycle.give_up(request)
     assert not fleet.router.context.actions and not fleet.router.rules.allows(request, host)
@@ -209,16 +209,16 @@
 def test_host_without_the_function_gets_a_load_order_and_then_the_request():
     fleet = Fleet(may_order_loads=True, reports_missing=True)
     request_id, _ = fleet.request()
-    found = fleet.end_attempt(request_id, routing.AttemptOutcome.FUNCTION_MISSING)
-    assert kinds(found) == [routing.OrderLoad] and str(request_id) in [
-        a.token for a in found if isinstance(a, routing.SetTimer)
+    actions = fleet.end_attempt(request_id, routing.AttemptOutcome.FUNCTION_MISSING)
+    assert kinds(actions) == [routing.OrderLoad] and str(request_id) in [
+        a.token for a in actions if isinstance(a, routing.SetTimer)
     ]
     fleet.pass_time(100)
     fleet.take(routing.TimerFired(str(request_id)))
-    assert fleet.sent[request_id] == [found[0].host] * 2
+    assert fleet.sent[request_id] == [actions[0].host] * 2
     brief, _ = fleet.request("other", timeout_ms=200.0)
-    found = fleet.end_attempt(brief, routing.AttemptOutcome.FUNCTION_MISSING, delay_ms=180.0)
-    assert [a.at_ms for a in found if isinstance(a, routing.SetTimer)][0] < fleet.router.requests[
+    actions = fleet.end_attempt(brief, routing.AttemptOutcome.FUNCTION_MISSING, delay_ms=180.0)
+    assert [a.at_ms for a in actions if isinstance(a, routing.SetTimer)][0] < fleet.router.requests[
         brief
     ].deadline_ms
     assert kinds(fleet.take(routing.TimerFired(str(brief)), delay_ms=25.0)) == [
@@ -230,7 +230,7 @@
     fleet = Fleet("a")
     request_ids = []
     for _ in range(20):
-        request_id, found = fleet.request(delay_ms=5.0)
+        request_id, actions = fleet.request(delay_ms=5.0)
         request_ids.append(request_id)
     for request_id in request_ids:
         if request_id in fleet.sent:
@@ -317,12 +317,12 @@
 
 def test_success_ends_an_ejection():
     fleet = Fleet("ab")
-    out = [fleet.request()[0] for _ in range(4)]
-    host = fleet.sent[out[0]][0]
-    at = [request_id for request_id in out if fleet.sent[request_id][0] == host]
-    fleet.end_attempt(at[0], outcome=routing.AttemptOutcome.CONNECT_FAILED, delay_ms=10.0)
+    request_ids = [fleet.request()[0] for _ in range(4)]
+    host = fleet.sent[request_ids[0]][0]
+    at_host = [request_id for request_id in request_ids if fleet.sent[request_id][0] == host]
+    fleet.end_attempt(at_host[0], outcome=routing.AttemptOutcome.CONNECT_FAILED, delay_ms=10.0)
     assert fleet.router.hosts[host].health.ejected_until_ms > fleet.now
-    fleet.end_attempt(at[1], delay_ms=10.0)
+    fleet.end_attempt(at_host[1], delay_ms=10.0)
     assert (
         fleet.router.hosts[host].health.ejected_until_ms <= fleet.now
         and not fleet.router.hosts[host].health.consecutive_failures
