--- a/cherrydoor/routing/router.py
+++ b/cherrydoor/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: takes messages in, hands them to the parts, and sweeps all hosts at intervals."""
+"""The router: handles each message with its components and sweeps all hosts periodically."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,11 +19,13 @@
 from cherrydoor.routing.statistics import Statistics
 from cherrydoor.routing.zone_table import ZoneTable
 
-SWEEP_MS = 100  # how often hosts are looked at for silence
-LATE_SWEEP_MS = 2 * SWEEP_MS  # a sweep later than this shows that the gateway itself stood still
+SWEEP_MS = 100  # interval of the sweep that checks hosts for silence
+# A sweep with a longer delay shows that this gateway was paused: it then does not take the silence
+# for a failure of the hosts.
+MAX_SWEEP_DELAY_MS = 2 * SWEEP_MS
 POLL_RETRY_MS = 500  # a failed poll is repeated after one to two times this
-QUEUE_FULLNESS = 0.25  # a host as full as this was found full a moment ago
-MEMORY_SHORT_SHARE = 0.9  # unevictable share of memory from which a host has none for a copy
+QUEUE_FULL_FULLNESS = 0.25  # a host with more fullness was reported full a moment ago
+MAX_UNEVICTABLE_SHARE = 0.9  # of a host's memory; above it there is no memory for a copy
 
 SWEEP_TIMER = "sweep"
 POLL_TIMER = "ask"
@@ -32,20 +34,20 @@
 class Router:
     """The decisions of one gateway.
 
-    It owns the hosts; the lifecycle owns the requests, and the History Table, the Zone Table, the
-    load orders and the statistics own what they hold. Call ``start`` once, then ``take`` for each
-    message; both return the actions to be carried out, in order.
+    The router owns the hosts and the lifecycle owns the requests. The History Table, the Zone
+    Table, the load orders and the statistics each own their data. Call ``start`` once,
+    then ``take`` for each message; both return the actions to be carried out, in order.
 
-    Invariant: a host is kept until it is gone, has nothing in flight and has no range.
+    Invariant: a host is kept until it is gone, has no attempt in flight and owns no range.
 
     Attributes:
-        context: Time, actions, queued steps and chance.
-        statistics: What responses of all hosts have shown.
-        lifecycle: The way of requests to their final answer.
-        requests: The lifecycle's requests, by their number.
+        context: Time, actions, queued steps and random numbers.
+        statistics: Measurements over the responses of all hosts.
+        lifecycle: Takes requests to their final answer.
+        requests: The lifecycle's requests, by request id.
         hosts: By id.
         list_lease: Whether the endpoint list is up to date.
-        tenants: Usage of the tenants with a quota, by name.
+        tenants: Usage of each tenant with a quota, by name.
     """
 
     def __init__(
@@ -54,7 +56,13 @@
         chooser: type[HostChooser] = HostChooser,
         lifecycle: type[RequestLifecycle] = RequestLifecycle,
     ) -> None:
-        """Make the parts; other classes for two of them serve comparisons and traces."""
+        """Create the components.
+
+        Args:
+            settings: Settings of the gateway.
+            chooser: Class that chooses hosts; another one is given for comparisons.
+            lifecycle: Class that handles requests; another one is given for traces.
+        """
         self.context = Context(settings)
         self.settings: RoutingSettings = self.context.settings
         self.statistics = Statistics(self.context)
@@ -63,12 +71,17 @@
         self.history = HistoryTable(self.context, self.statistics)
         self.rules = AttemptRules(self.context)
         self.load_orders = LoadOrders(self.context)
-        self.zone = ZoneTable(self.context, self.statistics, self.hosts, self.history)
+        self.zone_table = ZoneTable(self.context, self.statistics, self.hosts, self.history)
         self.chooser = chooser(
-            self.context, self.statistics, self.hosts, self.history, self.rules, self.zone
+            self.context, self.statistics, self.hosts, self.history, self.rules, self.zone_table
         )
         self.lifecycle = lifecycle(
-            self.context, self.statistics, self.rules, self.load_orders, self.zone, self.chooser
+            self.context,
+            self.statistics,
+            self.rules,
+            self.load_orders,
+            self.zone_table,
+            self.chooser,
         )
         self.requests = self.lifecycle.requests
         self.tenants = {
@@ -93,25 +106,40 @@
         }
 
     def mean(self) -> float:
-        """Mean response time of all hosts, in ms."""
+        """The mean response time of all hosts, in ms."""
         return self.statistics.mean_response_ms()
 
     def start(self, now: float) -> list[Action]:
-        """Begin at this time, in ms of the caller's clock; to be called once."""
+        """Start the router; called once, before ``take``.
+
+        Args:
+            now: Time in ms of the caller's clock.
+
+        Returns:
+            The actions to be carried out, in order.
+        """
         context = self.context
-        context.begin(now)
+        context.begin_message(now)
         self.history.halved_at_ms = now
         self._next_window_ms = now + WINDOW_MS
-        self._next_sweep_ms = now + SWEEP_MS * (1 + context.chance())
+        self._next_sweep_ms = now + SWEEP_MS * (1 + context.next_random())
         context.set_timer(self._next_sweep_ms - now, SWEEP_TIMER)
         if self.settings.polls_endpoints:
             context.actions.append(messages.PollEndpoints())
         return context.actions
 
     def take(self, now: float, message: Any) -> list[Action]:
-        """Handle one message, any of the kinds that come in, at this time in ms."""
+        """Handle one message.
+
+        Args:
+            now: Time in ms of the caller's clock.
+            message: One of the incoming types of ``messages``.
+
+        Returns:
+            The actions to be carried out, in order.
+        """
         context = self.context
-        context.begin(now)
+        context.begin_message(now)
         self._handlers[type(message)](message)
         context.run_steps()
         return context.actions
@@ -120,7 +148,7 @@
     def _update_endpoints(self, message: messages.EndpointsUpdated) -> None:
         context = self.context
         if message.kind == messages.UpdateKind.FAILED:
-            context.set_timer(POLL_RETRY_MS * (1 + context.chance()), POLL_TIMER)
+            context.set_timer(POLL_RETRY_MS * (1 + context.next_random()), POLL_TIMER)
             return
         listed = {endpoint.host for endpoint in message.endpoints}
         for endpoint in message.endpoints:
@@ -134,22 +162,25 @@
             for host in self.hosts.values():
                 if host.id not in listed:
                     context.queue(host.update, HostState.GONE, host.started_at_ms)
-        context.queue(self.zone.update, context.now)
+        context.queue(self.zone_table.update, context.now)
 
     def _confirm_endpoints(self, message: messages.EndpointsConfirmed) -> None:
         now = self.context.now
-        was_in_doubt = self.list_lease.is_in_doubt(now)
-        self.list_lease.confirm(message.at_ms)
-        if was_in_doubt and not self.list_lease.is_in_doubt(now):
+        needed_host_leases = self.list_lease.needs_host_leases(now)
+        self.list_lease.record_confirmation(message.at_ms)
+        if needed_host_leases and not self.list_lease.needs_host_leases(now):
             for host in self.hosts.values():
-                host.lease.list_confirmed()
+                host.lease.clear_suspicion()
             self.list_lease.log_change(now)
 
     def _request_endpoints(self, message: messages.EndpointsRequested) -> None:
-        self.list_lease.request(message.at_ms)
+        self.list_lease.record_update_request(message.at_ms)
 
     def may_get_new_work(self, host_id: str, now: float) -> bool:
-        """Whether a host's lease lets attempts and load orders go out to it at this time."""
+        """Whether the host's lease allows new attempts and load orders at this time.
+
+        True for a host that is not known.
+        """
         host = self.hosts.get(host_id)
         return host is None or host.lease.holds(now)
 
@@ -166,16 +197,16 @@
         self.context.queue(self.lifecycle.route, request)
 
     def _expect_function(self, message: messages.FunctionExpected) -> None:
-        """Order a copy at the home worker before the first request, within the same quota."""
+        """Order a copy at the home worker ahead of the first request, within the load quota."""
         now = self.context.now
         function = self.history.find_or_add(message.function)
-        function.call_count = max(1.0, function.call_count)  # it is kept until the load is over
+        function.call_count = max(1.0, function.call_count)  # keeps the row until the load ends
 
         def accepts(host: Host) -> bool:
             drained = message.drained_zone and host.zone == message.drained_zone
             return not function.lacks_memory_at(host, now) and not drained
 
-        home = self.zone.owner(function.home_position, accepts)
+        home = self.zone_table.owner(function.home_position, accepts)
         if home is not None and not home.holds_copy(function, now):
             self.load_orders.order(function, home)
 
@@ -209,13 +240,13 @@
         context.queue(self.lifecycle.continue_request, request, attempt, message)
 
     def _is_queue_full(self, host: Host, message: messages.AttemptEnded) -> bool:
-        """Whether a response that the host is full means its queue, not its memory."""
-        if host.fullness.read(self.context.now) > QUEUE_FULLNESS or message.queued:
+        """Whether a response that the host is full means a full queue, not a lack of memory."""
+        if host.fullness.read(self.context.now) > QUEUE_FULL_FULLNESS or message.queued:
             return True
         if message.concurrency is not None:
             return message.concurrency > 0
         unevictable = message.unevictable_memory
-        return unevictable is None or unevictable <= MEMORY_SHORT_SHARE
+        return unevictable is None or unevictable <= MAX_UNEVICTABLE_SHARE
 
     def _cancel_request(self, message: messages.RequestCancelled) -> None:
         request = self.requests.get(message.request_id)
@@ -240,7 +271,7 @@
         host = self.hosts.get(message.host)
         if host is not None:
             self.context.queue(host.record_health_check, message.outcome, self.context.now)
-            self.context.queue(self.lifecycle.check_ended, host)
+            self.context.queue(self.lifecycle.release_held, host)
 
     def _end_load_order(self, message: messages.LoadOrderEnded) -> None:
         function = self.history.functions.get(message.function)
@@ -252,19 +283,19 @@
 
     # ---- the sweep
     def _sweep(self) -> None:
-        """Look at all hosts for silence; at the end of each window bring the tables up to date."""
+        """Check all hosts for silence and renew leases; update the tables after each window."""
         context = self.context
         now = context.now
-        late_ms = now - self._next_sweep_ms
+        delay_ms = now - self._next_sweep_ms
         self._next_sweep_ms = now + SWEEP_MS
         context.set_timer(SWEEP_MS, SWEEP_TIMER)
         self.load_orders.drop_old_requests()
         ready = [host for host in self.hosts.values() if host.state == HostState.READY]
-        if late_ms < LATE_SWEEP_MS:
+        if delay_ms < MAX_SWEEP_DELAY_MS:
             for host in ready:
                 if host.in_flight or host.health.consecutive_failures:
                     context.queue(host.check_silence, now)
-        if self.list_lease.is_in_doubt(now):
+        if self.list_lease.needs_host_leases(now):
             self.list_lease.log_change(now)
             for host in ready:
                 context.queue(host.lease.renew_if_in_use, now)
@@ -280,6 +311,10 @@
     def _end_window(self, now: float) -> None:
         self.context.queue(self.history.end_window, now)
         for host in list(self.hosts.values()):
-            if host.state == HostState.GONE and not host.in_flight and host not in self.zone.owners:
+            if (
+                host.state == HostState.GONE
+                and not host.in_flight
+                and host not in self.zone_table.owners
+            ):
                 del self.hosts[host.id]
-        self.context.queue(self.zone.update, now)
+        self.context.queue(self.zone_table.update, now)
