--- a/cherrydoor/zone_drain/attempt_rates.py
+++ b/cherrydoor/zone_drain/attempt_rates.py
@@ -7,7 +7,7 @@
 
 HALF_LIFE_MS = 4000.0  # of a count: a drain is planned by the last seconds
 MAX_FUNCTIONS = 4000  # bounds the table
-FADED_COUNT = 0.05  # attempts below which a count is dropped
+MIN_COUNT = 0.05  # attempts below which a count is dropped
 LN_2 = 0.693
 
 
@@ -26,7 +26,7 @@
 
     def __init__(self, now_ms: float):
         self.counts: dict[str, dict[str, float]] = {}
-        self._faded_at_ms = now_ms
+        self._decayed_at_ms = now_ms
         self._began_at_ms = now_ms
 
     def attempt_started(self, function: str, zone: str) -> None:
@@ -38,15 +38,15 @@
             by_zone = self.counts[function] = {}
         by_zone[zone] = by_zone.get(zone, 0.0) + 1.0
 
-    def fade(self, now_ms: float) -> None:
+    def decay(self, now_ms: float) -> None:
         """Lets counts decay; to be called now and then."""
-        factor = 0.5 ** ((now_ms - self._faded_at_ms) / HALF_LIFE_MS)
-        self._faded_at_ms = now_ms
+        factor = 0.5 ** ((now_ms - self._decayed_at_ms) / HALF_LIFE_MS)
+        self._decayed_at_ms = now_ms
         for function in list(self.counts):
             kept = {
                 zone: count * factor
                 for zone, count in self.counts[function].items()
-                if count * factor >= FADED_COUNT
+                if count * factor >= MIN_COUNT
             }
             if kept:
                 self.counts[function] = kept
@@ -57,11 +57,11 @@
         """Rates of the functions attempted in the zone, the busiest first.
 
         >>> rates = AttemptRates(0.0)
-        >>> for t in range(0, 60000, 100): rates.fade(float(t)); rates.attempt_started("a", "z")
+        >>> for t in range(0, 60000, 100): rates.decay(float(t)); rates.attempt_started("a", "z")
         >>> [(name, round(rate)) for name, rate in rates.rates(60000.0, "z")]
         [('a', 10)]
         """
-        self.fade(now_ms)
+        self.decay(now_ms)
         counted_share = 1 - 0.5 ** ((now_ms - self._began_at_ms) / HALF_LIFE_MS)
         window_s = HALF_LIFE_MS / 1000 / LN_2 * counted_share
         found = [
--- a/cherrydoor/zone_drain/coordination.py
+++ b/cherrydoor/zone_drain/coordination.py
@@ -24,7 +24,7 @@
 from cherrydoor.zone_drain.wave_plan import WavePlan
 
 log = structlog.get_logger()
-LISTEN_MS = 1500.0  # for which a new coordinator receives reports before it plans
+REPORT_COLLECTION_MS = 1500.0  # for which a new coordinator receives reports before it plans
 HOST_QUERY_TIMEOUT_MS = 1000.0  # for which a host's own count is waited for
 LEASE_RETENTION_S = 2.0  # after the last wave, so that all receive it under its fencing token
 
@@ -69,7 +69,7 @@
         self._last_wave = last_wave
         self._publish = publish
         self._unversioned = unversioned
-        self._wanted: dict[str, float | None] = {}  # zone -> when the lease was granted, ms
+        self._lease_requests: dict[str, float | None] = {}  # zone -> when the lease was granted, ms
         self._requested: dict[str, RequestedDrain] = {}  # until it is coordinated
         self._coordinators: dict[str, DrainCoordinator] = {}
 
@@ -78,9 +78,9 @@
         return self._service.dispatcher
 
     # ---- leases
-    def is_wanted(self, zone: str) -> bool:
+    def wants_lease(self, zone: str) -> bool:
         """Whether this gateway coordinates the zone's drain or waits for its lease."""
-        return zone in self._wanted
+        return zone in self._lease_requests
 
     def coordinator(self, zone: str) -> DrainCoordinator | None:
         """The coordinator of the zone's drain, if it is here."""
@@ -95,7 +95,7 @@
 
     def request_lease(self, zone: str) -> None:
         """Requests the lease, to coordinate as soon as it is granted."""
-        self._wanted[zone] = None
+        self._lease_requests[zone] = None
         self._leases.hold(
             lease_name(zone),
             lambda fencing_token: self._lease_granted(zone, fencing_token),
@@ -115,19 +115,19 @@
                 self.stop(zone)
                 return
             last = None
-        self._wanted[zone] = self._now()
+        self._lease_requests[zone] = self._now()
         requested = requested or RequestedDrain()
         self._publish(takeover_wave(zone, fencing_token, self._gateway, last, requested))
 
     def _lease_lost(self, zone: str) -> None:
         self._coordinators.pop(zone, None)
         self._loads.forget(zone)
-        if zone in self._wanted:
-            self._wanted[zone] = None
+        if zone in self._lease_requests:
+            self._lease_requests[zone] = None
 
     def stop(self, zone: str) -> None:
         """Hands the lease over; this gateway goes on as a participant."""
-        self._wanted.pop(zone, None)
+        self._lease_requests.pop(zone, None)
         self._requested.pop(zone, None)
         self._coordinators.pop(zone, None)
         self._loads.forget(zone)
@@ -135,7 +135,7 @@
 
     def release_leases(self) -> None:
         """Hands all leases over, as the gateway closes."""
-        for zone in list(self._wanted):
+        for zone in list(self._lease_requests):
             self._leases.release(lease_name(zone))
 
     def higher_token_seen(self, zone: str, fencing_token: int) -> None:
@@ -147,15 +147,15 @@
     def tick(self) -> None:
         """Begins to coordinate where listening is over, and looks what is due."""
         now_ms = self._now()
-        for zone, granted_at_ms in list(self._wanted.items()):
+        for zone, granted_at_ms in list(self._lease_requests.items()):
             coordinator = self._coordinators.get(zone)
             fencing_token = self._leases.fencing_token(lease_name(zone))
             if coordinator is not None:
                 if coordinator.record.fencing_token == fencing_token:
-                    self._look(zone, coordinator)
+                    self._update_coordinator(zone, coordinator)
             elif fencing_token is None or granted_at_ms is None:
                 continue
-            elif now_ms - granted_at_ms > LISTEN_MS:
+            elif now_ms - granted_at_ms > REPORT_COLLECTION_MS:
                 self._begin(zone, fencing_token)
 
     def _begin(self, zone: str, fencing_token: int) -> None:
@@ -191,7 +191,7 @@
             demand_per_s=round(plan.demand_per_s, 1),
             capacity_per_s=round(plan.capacity_per_s, 1),
         )
-        self._carry_out(zone, coordinator.start(self._now()))
+        self._execute(zone, coordinator.start(self._now()))
 
     def _refuse(self, zone: str, fencing_token: int, plan: WavePlan) -> None:
         """Ends a drain before anything has moved, for lack of known capacity."""
@@ -202,12 +202,17 @@
             shortfall_per_s=round(plan.shortfall_per_s, 1),
         )
         refusal = DrainWave(
-            zone, fencing_token, 1, self._gateway, DrainState.COMPLETED, reason=plan.refusal()
+            zone,
+            fencing_token,
+            1,
+            self._gateway,
+            DrainState.COMPLETED,
+            reason=plan.refusal_reason(),
         )
         self._publish(refusal)
         self.stop(zone)
 
-    def _look(self, zone: str, coordinator: DrainCoordinator) -> None:
+    def _update_coordinator(self, zone: str, coordinator: DrainCoordinator) -> None:
         """Reports may show a copy that nobody ordered: a request that moved had it loaded."""
         coordinator.neighbours.update(self._loads.zones(zone))
         pending = coordinator.preloads.pending
@@ -217,23 +222,23 @@
                     actions = coordinator.copy_loaded(
                         self._now(), copy.function, copy.host, copy.version
                     )
-                    self._carry_out(zone, actions)
-        self._carry_out(zone, coordinator.tick(self._now()))
+                    self._execute(zone, actions)
+        self._execute(zone, coordinator.tick(self._now()))
 
     def report_received(self, report: ParticipantReport) -> None:
         """Takes a participant's report; one that is for another coordinator by now is dropped."""
-        if report.zone not in self._wanted:
+        if report.zone not in self._lease_requests:
             return
         self._loads.add(report)
         coordinator = self._coordinators.get(report.zone)
         if coordinator is not None:
-            self._carry_out(report.zone, coordinator.report_received(self._now(), report))
+            self._execute(report.zone, coordinator.report_received(self._now(), report))
 
     def command_received(self, zone: str, command: CoordinatorCommand) -> None:
         """Takes an operator's command, if the zone's drain is coordinated here."""
         coordinator = self._coordinators.get(zone)
         if coordinator is not None:
-            self._carry_out(zone, coordinator.command(self._now(), command))
+            self._execute(zone, coordinator.command(self._now(), command))
 
     def load_order_ended(self, version: str, host: str, is_success: bool) -> None:
         """A load order of this gateway has ended."""
@@ -241,10 +246,10 @@
         for zone, coordinator in list(self._coordinators.items()):
             if is_success and function in coordinator.preloads.pending:
                 actions = coordinator.copy_loaded(self._now(), function, host, version)
-                self._carry_out(zone, actions)
+                self._execute(zone, actions)
 
     # ---- actions
-    def _carry_out(self, zone: str, actions: list[DrainAction]) -> None:
+    def _execute(self, zone: str, actions: list[DrainAction]) -> None:
         coordinator = self._coordinators.get(zone)
         for action in actions:
             if coordinator is None:
@@ -283,14 +288,14 @@
         count = None
         if isinstance(answer, InFlightCount):
             count = HostCount(answer.in_hand, answer.came, answer.by)
-        self._carry_out(zone, coordinator.host_answered(self._now(), host, count))
+        self._execute(zone, coordinator.host_answered(self._now(), host, count))
 
     def _announce(self, zone: str, coordinator: DrainCoordinator, action: AnnounceWave) -> None:
         self._publish(action.wave)
         if action.wave.state == DrainState.COMPLETED:
-            self._peers.loop.call_later(LEASE_RETENTION_S, self._hand_over, zone, coordinator)
+            self._peers.loop.call_later(LEASE_RETENTION_S, self._release_lease, zone, coordinator)
 
-    def _hand_over(self, zone: str, coordinator: DrainCoordinator) -> None:
+    def _release_lease(self, zone: str, coordinator: DrainCoordinator) -> None:
         """A while after the last wave; meanwhile another drain may have been requested here."""
         if self._coordinators.get(zone) is coordinator:
             self.stop(zone)
--- a/cherrydoor/zone_drain/coordinator.py
+++ b/cherrydoor/zone_drain/coordinator.py
@@ -23,7 +23,7 @@
 from cherrydoor.zone_drain.wave_plan import WavePlan
 from cherrydoor.zone_drain.wave_progress import WaveProgress
 
-MAX_STEPS_BACK = 3  # after which the drain is paused until an operator resumes it
+MAX_ROLLBACKS = 3  # after which the drain is paused until an operator resumes it
 MAX_NAMED = 3  # gateways that a reason names
 
 
@@ -75,10 +75,10 @@
         if last is not None and last.state == DrainState.PAUSED:
             self._starts_paused = True
             self.record.reason = last.reason
-        self._steps_back = 0
+        self._rollback_count = 0
 
     @property
-    def has_moved_all(self) -> bool:
+    def has_moved_all_sessions(self) -> bool:
         """Whether nothing is steered to the zone any more."""
         return self.state in (CoordinatorState.EMPTYING, CoordinatorState.EMPTY)
 
@@ -95,7 +95,7 @@
         if self._starts_paused:
             self._starts_paused = False
             return self._pause(self.record.reason)
-        return self._go_on(now_ms)
+        return self._prepare_next_wave(now_ms)
 
     def report_received(self, now_ms: float, report: ParticipantReport) -> list[DrainAction]:
         """Takes a participant's report."""
@@ -120,14 +120,14 @@
             can_pause = self.state in (CoordinatorState.PRELOADING, CoordinatorState.MOVING)
             return self._pause("by an operator") if can_pause else []
         if command == CoordinatorCommand.RESUME:
-            has_shed = bool(self.record.shed_functions) and self.has_moved_all
+            has_shed = bool(self.record.shed_functions) and self.has_moved_all_sessions
             can_resume = self.state == CoordinatorState.PAUSED or has_shed
             return self._resume(now_ms) if can_resume else []
         return [] if self._is_undoing else self._undo(now_ms)
 
     def _resume(self, now_ms: float) -> list[DrainAction]:
         self.observation.regression.reset()
-        self._steps_back = 0
+        self._rollback_count = 0
         self.record.reason = ""
         self.record.shed_functions = []
         self.preloads.resume()
@@ -136,21 +136,21 @@
     def tick(self, now_ms: float) -> list[DrainAction]:
         """Looks whether the next thing is due."""
         if self._is_undoing or self.state == CoordinatorState.COMPLETED:
-            return self._after_wave(now_ms) if self.state == CoordinatorState.MOVING else []
-        if loss := self.neighbours.loss():
-            return self._neighbours_lost(now_ms, loss)
+            return self._check_wave_effect(now_ms) if self.state == CoordinatorState.MOVING else []
+        if loss := self.neighbours.loss_reason():
+            return self._handle_lost_neighbours(now_ms, loss)
         if self.record.reason.startswith("neighbours"):
             self.record.reason = ""
         if self.state == CoordinatorState.PRELOADING:
             return self._check_preloads(now_ms)
         if self.state == CoordinatorState.MOVING:
-            return self._after_wave(now_ms)
-        if self.has_moved_all and self._has_regressed_after_all_moved(now_ms):
-            return self._step_back(now_ms)
+            return self._check_wave_effect(now_ms)
+        if self.has_moved_all_sessions and self._has_regressed_after_last_wave(now_ms):
+            return self._roll_back_last_wave(now_ms)
         return self._check_empty(now_ms) if self.state == CoordinatorState.EMPTYING else []
 
     # ---- the next wave
-    def _go_on(self, now_ms: float) -> list[DrainAction]:
+    def _prepare_next_wave(self, now_ms: float) -> list[DrainAction]:
         if self.progress.is_finished:
             return self._begin_emptying(now_ms)
         self.state = CoordinatorState.PRELOADING
@@ -167,17 +167,17 @@
             remaining = self.preloads.postpone(name, self.progress.remaining_waves)
             self.progress.replace_remaining(remaining)
             self.record.reason = f"put off, as no copy stands: {' '.join(self.preloads.postponed)}"
-        if is_last and (reason := self.preloads.give_up(now_ms)):
+        if is_last and (reason := self.preloads.give_up_if_overdue(now_ms)):
             return self._pause(reason)
         if self.preloads.pending:
             return [PreloadCopy(name) for name in overdue.order_again]
         if self.progress.next_wave:
             return self._send_next_wave(now_ms)
         self.progress.skip()
-        return self._go_on(now_ms)
+        return self._prepare_next_wave(now_ms)
 
     def _send_next_wave(self, now_ms: float) -> list[DrainAction]:
-        if self.neighbours.loss():
+        if self.neighbours.loss_reason():
             return []
         self.progress.advance()
         self.observation.set_baseline(now_ms)
@@ -205,10 +205,10 @@
         return self._announce(DrainState.PAUSED)
 
     # ---- after a wave
-    def _after_wave(self, now_ms: float) -> list[DrainAction]:
-        is_careful = self.is_beyond_capacity and not self._is_undoing
-        settle_factor = SETTLE_FACTOR_BEYOND_CAPACITY if is_careful else 1
-        if self.observation.is_wave_underway(now_ms, self.record.version, settle_factor):
+    def _check_wave_effect(self, now_ms: float) -> list[DrainAction]:
+        settles_longer = self.is_beyond_capacity and not self._is_undoing
+        settle_factor = SETTLE_FACTOR_BEYOND_CAPACITY if settles_longer else 1
+        if self.observation.is_wave_in_progress(now_ms, self.record.version, settle_factor):
             return []
         if self._is_undoing:
             return self._undo(now_ms)
@@ -217,45 +217,49 @@
         if self.observation.has_regressed(now_ms, self.is_beyond_capacity):
             regression = self.observation.regression
             self.record.reason = regression.reason
-            return self._step_back(now_ms) if regression.persists(now_ms) else []
-        return self._go_on(now_ms)
+            return self._roll_back_last_wave(now_ms) if regression.persists(now_ms) else []
+        return self._prepare_next_wave(now_ms)
 
-    def _has_regressed_after_all_moved(self, now_ms: float) -> bool:
+    def _has_regressed_after_last_wave(self, now_ms: float) -> bool:
         """Whether a regression persists that the last wave may have caused and can be mended."""
-        can_mend = self.record.allow_shortfall or self.neighbours.can_take_back()
+        can_mend = self.record.allow_shortfall or self.neighbours.is_drained_zone_available()
         if not self.progress.reached or not can_mend:
             return False
-        return self.observation.has_regressed_lately(now_ms, self.is_beyond_capacity)
+        return self.observation.has_regressed_since_last_wave(now_ms, self.is_beyond_capacity)
 
-    def _step_back(self, now_ms: float) -> list[DrainAction]:
+    def _roll_back_last_wave(self, now_ms: float) -> list[DrainAction]:
         """Takes the last wave back; pauses after MAX_STEPS_BACK or once all had moved.
 
         Where a shortfall is allowed, it and all below are shed instead, which ends the waves.
         """
-        had_moved_all = self.has_moved_all
+        had_moved_all_sessions = self.has_moved_all_sessions
         self.record.reason = self.observation.regression.reason
         self.observation.expect_recovery()
-        self._steps_back += 1
-        self.progress.take_back_last()
+        self._rollback_count += 1
+        self.progress.roll_back_last()
         if self.record.allow_shortfall:
             self.record.shed_functions = self.progress.remaining_functions()
             return self._begin_emptying(now_ms)
-        if had_moved_all or self._steps_back >= MAX_STEPS_BACK:
+        if had_moved_all_sessions or self._rollback_count >= MAX_ROLLBACKS:
             return self._pause(self.record.reason)
         return self._announce_move(now_ms, DrainState.MOVING)
 
-    def _neighbours_lost(self, now_ms: float, loss: str) -> list[DrainAction]:
+    def _handle_lost_neighbours(self, now_ms: float, loss: str) -> list[DrainAction]:
         """Sends no wave; the zone takes back what the neighbours left cannot serve."""
         if self.state == CoordinatorState.PAUSED:
             return []
         self.record.reason = loss
         excess_per_s = self.neighbours.excess_per_s()
-        if not excess_per_s or not self.progress.reached or not self.neighbours.can_take_back():
+        if (
+            not excess_per_s
+            or not self.progress.reached
+            or not self.neighbours.is_drained_zone_available()
+        ):
             return []
         is_moving = self.state == CoordinatorState.MOVING
-        if is_moving and self.observation.is_wave_underway(now_ms, self.record.version):
+        if is_moving and self.observation.is_wave_in_progress(now_ms, self.record.version):
             return []
-        self.progress.take_back_rate(excess_per_s)
+        self.progress.roll_back_rate(excess_per_s)
         return self._announce_move(now_ms, DrainState.MOVING)
 
     # ---- the end
@@ -285,5 +289,5 @@
         if not self.progress.moved_shares:
             self.state = CoordinatorState.COMPLETED
             return self._announce(DrainState.COMPLETED)
-        self.progress.take_back_last()
+        self.progress.roll_back_last()
         return self._announce_move(now_ms, DrainState.UNDOING)
--- a/cherrydoor/zone_drain/drain_record.py
+++ b/cherrydoor/zone_drain/drain_record.py
@@ -6,7 +6,7 @@
 
 from cherrydoor.protocol.zone_drain import DrainState, DrainWave, MovedShare, ReadyCopy
 from cherrydoor.zone_drain.drain_actions import AnnounceWave, DrainAction
-from cherrydoor.zone_drain.participant import ALL_MOVED
+from cherrydoor.zone_drain.participant import ALL_MOVED_STATES
 from cherrydoor.zone_drain.session_groups import LoadedCopy
 from cherrydoor.zone_drain.wave_plan import DEFAULT_WAVE_SHARE
 
@@ -83,7 +83,7 @@
             coordinator=self.gateway,
             state=state,
             moved_shares=moved_shares,
-            shed_functions=self.shed_functions if state in ALL_MOVED else [],
+            shed_functions=self.shed_functions if state in ALL_MOVED_STATES else [],
             ready_copies=self._ready_copies,
             reason=self.reason,
             wave_share=self.wave_share,
--- a/cherrydoor/zone_drain/drain_status.py
+++ b/cherrydoor/zone_drain/drain_status.py
@@ -12,14 +12,14 @@
 from cherrydoor.zone_drain.session_groups import OTHER_FUNCTIONS
 from cherrydoor.zone_drain.wave_plan import WaveStep
 
-OTHER_FUNCTIONS_SHOWN = "(rest)"
+OTHER_FUNCTIONS_LABEL = "(rest)"
 
 Table = dict[str, Any]
 
 
-def shown_function(function: str) -> str:
+def function_label(function: str) -> str:
     """The name of a function, or the label of the rest."""
-    return OTHER_FUNCTIONS_SHOWN if function == OTHER_FUNCTIONS else function
+    return OTHER_FUNCTIONS_LABEL if function == OTHER_FUNCTIONS else function
 
 
 def coordinator_table(coordinator: DrainCoordinator) -> Table:
@@ -54,7 +54,7 @@
         "wave": wave.wave,
         "conductor": wave.coordinator,
         "state": wave.state,
-        "away": [[shown_function(one.function), round(one.share, 3)] for one in wave.moved_shares],
+        "away": [[function_label(one.function), round(one.share, 3)] for one in wave.moved_shares],
         "shed": wave.shed_functions,
         "copies": len(wave.ready_copies),
         "why": wave.reason,
@@ -80,7 +80,7 @@
 def step_table(step: WaveStep, priority_weight: float) -> Table:
     """One step of a planned wave."""
     return {
-        "function": shown_function(step.function),
+        "function": function_label(step.function),
         "share": round(step.share, 3),
         "opens": step.needs_copy,
         "benefit": priority_weight,
@@ -99,7 +99,7 @@
         "asked": round(plan.demand_per_s, 1),
         "room": round(plan.capacity_per_s, 1),
         "missing": round(plan.shortfall_per_s, 1),
-        "refusal": plan.refusal(),
+        "refusal": plan.refusal_reason(),
         "beyond": list(dict.fromkeys(step.function for wave in beyond_capacity for step in wave)),
         "told by": gateways,
         "sites": {name: zone_table(one) for name, one in zones.items()},
--- a/cherrydoor/zone_drain/local_load.py
+++ b/cherrydoor/zone_drain/local_load.py
@@ -9,7 +9,11 @@
 from cherrydoor.protocol.zone_drain import FunctionLoad, ZoneLoad
 from cherrydoor.zone_drain.attempt_rates import AttemptRates
 from cherrydoor.zone_drain.participant import DrainDecision, Participant, session_key
-from cherrydoor.zone_drain.session_groups import MAX_NAMED_FUNCTIONS, OTHER_FUNCTIONS, strictest
+from cherrydoor.zone_drain.session_groups import (
+    MAX_NAMED_FUNCTIONS,
+    OTHER_FUNCTIONS,
+    strictest_retry_safety,
+)
 
 MAX_FUNCTIONS = 4000  # of which request classes are remembered; bounds the table
 MAX_REPORTED_HOSTS = (
@@ -53,14 +57,14 @@
     def decide(self, participant: Participant, now_ms: float, request: Any) -> DrainDecision:
         """What the drains that the participant knows mean for a request."""
         request_class = self._request_classes[request.request_class]
-        is_kept_in_part = (
+        is_scope_partial = (
             request_class.retry_safety == "keyed" and request_class.dedup_scope != "all"
         )
         return participant.decide(
             now_ms,
             request.function,
             request_class.retry_safety,
-            request_class.dedup_window_ms if is_kept_in_part else 0.0,
+            request_class.dedup_window_ms if is_scope_partial else 0.0,
             session_key(request.affinity_key, request.tenant, request.function),
         )
 
@@ -114,7 +118,7 @@
             function,
             requests_per_s,
             max(self._priority_weights[one.name] for one in classes),
-            strictest(*(one.retry_safety for one in classes)),
+            strictest_retry_safety(*(one.retry_safety for one in classes)),
             max(one.dedup_window_ms for one in classes),
             hosts_with_copy[:MAX_REPORTED_HOSTS],
         )
--- a/cherrydoor/zone_drain/neighbour_capacity.py
+++ b/cherrydoor/zone_drain/neighbour_capacity.py
@@ -140,7 +140,7 @@
         now = sum(min(hosts, self._available(name)) for name, hosts in self._most_hosts.items())
         return now / most if most else 1.0
 
-    def loss(self) -> str:
+    def loss_reason(self) -> str:
         """Why no wave goes out, for people; "" where nothing is lost."""
         if self.available_share() > 1 - LOST_HOSTS_SHARE:
             return ""
@@ -153,7 +153,7 @@
 
     def excess_per_s(self) -> float:
         """Requests a second beyond what the neighbours left can serve; 0 where it is not known."""
-        if not self._capacity_per_s or not self.loss():
+        if not self._capacity_per_s or not self.loss_reason():
             return 0.0
         capacity = sum(
             full * self._zones[name].hosts / self._most_hosts[name]
@@ -165,6 +165,6 @@
         )
         return max(0.0, load - MAX_UTILIZATION * capacity)
 
-    def can_take_back(self) -> bool:
+    def is_drained_zone_available(self) -> bool:
         """Whether the drained zone's own hosts are available."""
         return self._available(self._drained_zone) > 0
--- a/cherrydoor/zone_drain/operator_commands.py
+++ b/cherrydoor/zone_drain/operator_commands.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from cherrydoor.protocol.zone_drain import CoordinatorCommand, DrainWave
-from cherrydoor.zone_drain.coordination import LISTEN_MS, DrainCoordinators
+from cherrydoor.zone_drain.coordination import REPORT_COLLECTION_MS, DrainCoordinators
 from cherrydoor.zone_drain.drain_record import RequestedDrain
 from cherrydoor.zone_drain.drain_status import Table, drain_table, plan_table
 from cherrydoor.zone_drain.listed_hosts import listed_zones
@@ -13,9 +13,9 @@
 from cherrydoor.zone_drain.reported_loads import PlannedDrain, ReportedLoads
 from cherrydoor.zone_drain.wave_plan import wave_share_within
 
-WAVE_MS = 2000.0  # that a wave takes where nothing holds it up: announced, confirmed, watched
+MIN_WAVE_MS = 2000.0  # that a wave takes where nothing holds it up: announced, confirmed, watched
 DEFAULT_DURATION_S = 3600.0  # in which a drain is to be over unless an operator says otherwise
-WHOLE_ZONE = 1.0  # the wave share of a dry run for which no wave fits into the time
+WHOLE_ZONE_SHARE = 1.0  # the wave share of a dry run for which no wave fits into the time
 
 
 class DrainCommand(StrEnum):
@@ -72,11 +72,11 @@
         zone = str(request["site"])
         try:
             self._require_known_zone(zone)
-            return self._follow(str(request["what"]), zone, request)
+            return self._execute(str(request["what"]), zone, request)
         except CommandRefusedError as refusal:
             return {"error": str(refusal)}
 
-    def _follow(self, name: str, zone: str, request: Mapping[str, Any]) -> Table:
+    def _execute(self, name: str, zone: str, request: Mapping[str, Any]) -> Table:
         if name == DrainCommand.SHOW:
             return self._show(zone)
         if name == DrainCommand.PLAN:
@@ -103,7 +103,7 @@
         return self._loads.plan(zone, wave_share)
 
     def _dry_run(self, zone: str, request: Mapping[str, Any]) -> Table:
-        wave_share = _wave_share(request) or WHOLE_ZONE
+        wave_share = _wave_share(request) or WHOLE_ZONE_SHARE
         planned = self._plan(zone, wave_share)
         return plan_table(zone, planned, self._loads.gateways(zone), self._loads.zones(zone))
 
@@ -113,14 +113,14 @@
             raise CommandRefusedError(f"{zone} has no neighbour")
         wave_share = _wave_share(request)
         if wave_share is None:
-            shortest_s = (LISTEN_MS + WAVE_MS) / 1000
+            shortest_s = (REPORT_COLLECTION_MS + MIN_WAVE_MS) / 1000
             raise CommandRefusedError(
                 f"a drain takes {shortest_s:g} s at the least: to listen, and a wave"
             )
         allow_shortfall = bool(request.get("even"))
         plan = self._plan(zone, wave_share).plan
         if plan.is_refused(allow_shortfall):
-            raise CommandRefusedError(plan.refusal())
+            raise CommandRefusedError(plan.refusal_reason())
         self._coordinators.request_drain(zone, RequestedDrain(wave_share, allow_shortfall))
         return self._show(zone)
 
@@ -148,4 +148,4 @@
 def _wave_share(request: Mapping[str, Any]) -> float | None:
     """The share of a wave for a drain of the length asked for; None where that is too short."""
     duration_s = float(request.get("within") or DEFAULT_DURATION_S)
-    return wave_share_within(1000.0 * duration_s - LISTEN_MS, WAVE_MS)
+    return wave_share_within(1000.0 * duration_s - REPORT_COLLECTION_MS, MIN_WAVE_MS)
--- a/cherrydoor/zone_drain/participant.py
+++ b/cherrydoor/zone_drain/participant.py
@@ -14,9 +14,12 @@
 from cherrydoor.protocol.zone_drain import DrainState, DrainWave
 from cherrydoor.zone_drain.session_groups import OTHER_FUNCTIONS
 
-ALL_MOVED = (DrainState.EMPTYING, DrainState.EMPTY)  # nothing is steered to the zone any more
-KEYS_REMEMBERED = "its marks are still remembered at a site that is drained"
-NO_CAPACITY = "a site is drained and its neighbours have no room"
+ALL_MOVED_STATES = (
+    DrainState.EMPTYING,
+    DrainState.EMPTY,
+)  # nothing is steered to the zone any more
+KEYS_REMEMBERED_REASON = "its marks are still remembered at a site that is drained"
+NO_CAPACITY_REASON = "a site is drained and its neighbours have no room"
 
 
 def session_key(affinity_key: str, tenant: str, function: str) -> str:
@@ -97,7 +100,8 @@
         return [
             zone
             for zone, wave in self.drains.items()
-            if wave.state != DrainState.COMPLETED and (wave.moved_shares or wave.state in ALL_MOVED)
+            if wave.state != DrainState.COMPLETED
+            and (wave.moved_shares or wave.state in ALL_MOVED_STATES)
         ]
 
     def decide(
@@ -127,9 +131,9 @@
                 grew_at_ms = self._share_grew_at_ms[zone].get(name, 0.0)
                 is_remembered = now_ms - grew_at_ms < dedup_window_ms
                 if retry_safety == "keyed" and dedup_window_ms and is_remembered:
-                    return DrainDecision(zone, KEYS_REMEMBERED)
+                    return DrainDecision(zone, KEYS_REMEMBERED_REASON)
                 return DrainDecision(zone)
-            if wave.state in ALL_MOVED:
+            if wave.state in ALL_MOVED_STATES:
                 is_shed = name in wave.shed_functions
-                return DrainDecision(zone, NO_CAPACITY if is_shed else "")
+                return DrainDecision(zone, NO_CAPACITY_REASON if is_shed else "")
         return UNAFFECTED
--- a/cherrydoor/zone_drain/preload_tracker.py
+++ b/cherrydoor/zone_drain/preload_tracker.py
@@ -86,7 +86,7 @@
         remaining[-1].append(self.postponed[name])
         return remaining
 
-    def give_up(self, now_ms: float) -> str:
+    def give_up_if_overdue(self, now_ms: float) -> str:
         """Why the drain pauses before its last wave, for people; "" where it need not."""
         if not self.pending or now_ms - self._began_at_ms < LAST_WAVE_TIMEOUT_MS:
             return ""
--- a/cherrydoor/zone_drain/regression_detector.py
+++ b/cherrydoor/zone_drain/regression_detector.py
@@ -7,8 +7,8 @@
 
 TOLERATED_DROP = 0.05  # of the share in time, against before the drain ...
 TOLERATED_DROP_BEYOND_CAPACITY = 0.02  # ... and beyond known capacity: overload feeds itself
-MAX_PATIENCE_MS = 4000.0  # for a regression of TOLERATED_DROP; the less, the deeper it is ...
-MIN_PATIENCE_MS = 1000.0  # ... but this long at the least
+MAX_TOLERATED_MS = 4000.0  # for a regression of TOLERATED_DROP; the less, the deeper it is ...
+MIN_TOLERATED_MS = 1000.0  # ... but this long at the least
 RECOVERY_MS = 4000.0  # after a step back, until queues at hosts have been served or dropped
 SHARE_WINDOW_MS = 4000.0  # of responses that a share is made of once all sessions have moved
 ATTRIBUTION_MS = 20000.0  # after the last wave, for which a regression is held to be its effect
@@ -30,7 +30,7 @@
         self.baseline: float | None = None
         self.since_ms: float | None = None
         self.reason = ""
-        self._depth = 0.0
+        self._drop = 0.0
 
     def reset(self) -> None:
         """Forgets a regression that was seen; the baseline stays."""
@@ -53,17 +53,17 @@
         """
         baseline = self.baseline
         if share is None or baseline is None:
-            return self._none_seen()
+            return self._clear_regression()
         chance = 2 * (baseline * (1 - baseline) / responses) ** 0.5 if baseline else 0.0
         if share >= baseline - tolerated_drop - chance:
-            return self._none_seen()
+            return self._clear_regression()
         if self.since_ms is None:
             self.since_ms = now_ms
-        self._depth = baseline - share
+        self._drop = baseline - share
         self.reason = f"{share:.2f} within target, {baseline:.2f} before"
         return True
 
-    def _none_seen(self) -> bool:
+    def _clear_regression(self) -> bool:
         self.since_ms = None
         self.reason = ""
         return False
@@ -72,5 +72,5 @@
         """Whether the regression has lasted for longer than it is tolerated."""
         if self.since_ms is None:
             return False
-        patience_ms = MAX_PATIENCE_MS * TOLERATED_DROP / max(TOLERATED_DROP, self._depth)
-        return now_ms - self.since_ms > max(MIN_PATIENCE_MS, patience_ms)
+        tolerated_ms = MAX_TOLERATED_MS * TOLERATED_DROP / max(TOLERATED_DROP, self._drop)
+        return now_ms - self.since_ms > max(MIN_TOLERATED_MS, tolerated_ms)
--- a/cherrydoor/zone_drain/reported_loads.py
+++ b/cherrydoor/zone_drain/reported_loads.py
@@ -15,7 +15,7 @@
     SessionGroup,
     ZoneSessions,
     combined_sessions,
-    scaled_to,
+    scaled_to_rate,
 )
 from cherrydoor.zone_drain.wave_plan import WavePlan, plan_waves
 
@@ -93,6 +93,6 @@
         if capacity is None:
             capacity = UNLIMITED_CAPACITY_PER_S
         zone_rate = zones[zone].requests_per_s if zone in zones else 0.0
-        groups = scaled_to(sessions.groups, zone_rate)
+        groups = scaled_to_rate(sessions.groups, zone_rate)
         plan = plan_waves(groups, capacity, wave_share)
         return PlannedDrain(plan, groups, sessions.copies)
--- a/cherrydoor/zone_drain/service.py
+++ b/cherrydoor/zone_drain/service.py
@@ -144,7 +144,7 @@
             wave: The wave.
         """
         if not self.participant.accept_wave(self._now(), wave):
-            self._correct_sender(sender, wave)
+            self._send_newer_wave(sender, wave)
             return
         self._report_copies_to_routing(wave)
         for name in list(self._peers.connections):
@@ -163,7 +163,7 @@
         if wave.coordinator != self._gateway:
             self.coordinators.higher_token_seen(wave.zone, wave.fencing_token)
 
-    def _correct_sender(self, sender: str, wave: DrainWave) -> None:
+    def _send_newer_wave(self, sender: str, wave: DrainWave) -> None:
         """A sender that is behind receives the current wave."""
         known = self.participant.drains.get(wave.zone)
         if known is not None and sender and known.version > wave.version:
@@ -252,11 +252,11 @@
             return
         self._timer = self._loop.call_later(TICK_S, self._tick)
         now_ms = self._now()
-        self.load.attempt_rates.fade(now_ms)
+        self.load.attempt_rates.decay(now_ms)
         is_voter = self._gateway in self._leases.voters
         for zone, wave in list(self.participant.drains.items()):
             self._report_if_due(zone, wave, now_ms)
             is_active = wave.state != DrainState.COMPLETED
-            if is_active and is_voter and not self.coordinators.is_wanted(zone):
+            if is_active and is_voter and not self.coordinators.wants_lease(zone):
                 self.coordinators.request_lease(zone)  # voters take over from a lost coordinator
         self.coordinators.tick()
--- a/cherrydoor/zone_drain/session_groups.py
+++ b/cherrydoor/zone_drain/session_groups.py
@@ -19,10 +19,10 @@
 RETRY_SAFETIES = ("redeliverable", "keyed", "at-most-once")  # the later, the stricter
 
 
-def strictest(*retry_safeties: str) -> str:
+def strictest_retry_safety(*retry_safeties: str) -> str:
     """The strictest of these retry safeties.
 
-    >>> strictest("keyed", "redeliverable")
+    >>> strictest_retry_safety("keyed", "redeliverable")
     'keyed'
     """
     return max(retry_safeties, key=RETRY_SAFETIES.index)
@@ -93,7 +93,7 @@
             name,
             load.requests_per_s + before.requests_per_s,
             max(load.priority_weight, before.priority_weight),
-            strictest(load.retry_safety, before.retry_safety),
+            strictest_retry_safety(load.retry_safety, before.retry_safety),
             tuple(dict.fromkeys([*before.hosts_with_copy, *load.hosts_with_copy])),
             max(load.dedup_window_ms, before.dedup_window_ms),
         )
@@ -102,11 +102,11 @@
     return ZoneSessions(list(groups.values()), list(copies))
 
 
-def scaled_to(groups: list[SessionGroup], requests_per_s: float) -> list[SessionGroup]:
+def scaled_to_rate(groups: list[SessionGroup], requests_per_s: float) -> list[SessionGroup]:
     """Groups that come to all that goes to the zone: no gateway reports second workers there.
 
     >>> groups = [SessionGroup("a", 3.0), SessionGroup("b", 1.0)]
-    >>> [group.requests_per_s for group in scaled_to(groups, 6.0)]
+    >>> [group.requests_per_s for group in scaled_to_rate(groups, 6.0)]
     [4.5, 1.5]
     """
     total = sum(group.requests_per_s for group in groups)
@@ -134,7 +134,7 @@
             OTHER_FUNCTIONS,
             rate,
             weighted / rate,
-            strictest(*(group.retry_safety for group in small)),
+            strictest_retry_safety(*(group.retry_safety for group in small)),
             ("",),
             max(group.dedup_window_ms for group in small),
         )
--- a/cherrydoor/zone_drain/wave_observation.py
+++ b/cherrydoor/zone_drain/wave_observation.py
@@ -66,7 +66,7 @@
         """Living gateways that have not confirmed this wave."""
         return self.reports.not_confirmed(self.living_gateways(), version)
 
-    def is_wave_underway(
+    def is_wave_in_progress(
         self, now_ms: float, version: tuple[int, int], settle_factor: int = 1
     ) -> bool:
         """Whether the wave is still to be confirmed by a living gateway, or to settle."""
@@ -82,7 +82,7 @@
         """Whether requests fare worse since the last wave."""
         return self._observe(now_ms, self._measured_from_ms, is_beyond_capacity)
 
-    def has_regressed_lately(self, now_ms: float, is_beyond_capacity: bool) -> bool:
+    def has_regressed_since_last_wave(self, now_ms: float, is_beyond_capacity: bool) -> bool:
         """Whether a regression persists that the last wave may have caused."""
         if now_ms - self._began_at_ms > ATTRIBUTION_MS:
             return False
--- a/cherrydoor/zone_drain/wave_plan.py
+++ b/cherrydoor/zone_drain/wave_plan.py
@@ -59,7 +59,7 @@
         """Whether nothing moves; `allow_shortfall` where an operator wants it tried anyway."""
         return self.shortfall_per_s > 0 and not allow_shortfall
 
-    def refusal(self) -> str:
+    def refusal_reason(self) -> str:
         """Why the drain is refused, for people."""
         return (
             f"neighbours are known to bear {self.capacity_per_s:.1f} more of the "
--- a/cherrydoor/zone_drain/wave_progress.py
+++ b/cherrydoor/zone_drain/wave_progress.py
@@ -1,7 +1,7 @@
 """Which waves of a plan have gone out, and the shares of sessions that have moved by them. Pure."""
 
 from cherrydoor.protocol.zone_drain import DrainWave, MovedShare
-from cherrydoor.zone_drain.participant import ALL_MOVED
+from cherrydoor.zone_drain.participant import ALL_MOVED_STATES
 from cherrydoor.zone_drain.wave_plan import Waves, WaveStep
 
 
@@ -27,7 +27,7 @@
         self.moved_shares: dict[str, float] = {}
         if last is not None:
             self.moved_shares = {one.function: one.share for one in last.moved_shares}
-        all_moved = last is not None and last.state in ALL_MOVED
+        all_moved = last is not None and last.state in ALL_MOVED_STATES
         while not self.is_finished and (all_moved or self._has_moved(self.waves[self.reached])):
             self.reached += 1
 
@@ -69,12 +69,12 @@
         """The next wave is passed over, as it has no step left."""
         self.reached += 1
 
-    def take_back_last(self) -> None:
+    def roll_back_last(self) -> None:
         """The last wave's sessions go back, if any wave has gone out."""
         self.reached = max(0, self.reached - 1)
         self._recompute_shares()
 
-    def take_back_rate(self, requests_per_s: float) -> None:
+    def roll_back_rate(self, requests_per_s: float) -> None:
         """So many of the last waves' sessions go back as make up this rate."""
         while requests_per_s > 0 and self.reached:
             self.reached -= 1
--- a/tests/zone_drain/test_neighbours_and_emptying.py
+++ b/tests/zone_drain/test_neighbours_and_emptying.py
@@ -3,7 +3,7 @@
 from coordinator_trial import GROUPS, CoordinatorTrial, fleet, move_all, time_until_next_wave
 
 from cherrydoor.protocol.zone_drain import DrainWave
-from cherrydoor.zone_drain.coordinator import MAX_STEPS_BACK
+from cherrydoor.zone_drain.coordinator import MAX_ROLLBACKS
 from cherrydoor.zone_drain.in_flight_check import MAX_CONCURRENT_QUERIES, InFlightCheck
 from cherrydoor.zone_drain.neighbour_capacity import ZoneState
 from cherrydoor.zone_drain.session_groups import SessionGroup
@@ -94,7 +94,7 @@
 
 def test_after_several_steps_back_the_drain_pauses_until_an_operator_resumes():
     trial = trial_after_first_wave()
-    for _ in range(MAX_STEPS_BACK):
+    for _ in range(MAX_ROLLBACKS):
         time_until_next_wave(trial, 0.5)
         if trial.state != "held":
             time_until_next_wave(trial, 1.0)
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -44,7 +44,7 @@
     ]
     assert plan.waves_within_capacity == 2
     assert plan.shortfall_per_s == 15.0
-    assert "15.0 are missing" in plan.refusal()
+    assert "15.0 are missing" in plan.refusal_reason()
 
 
 def test_few_copies_are_loaded_at_a_time():
