--- a/cherrydoor/zone_drain/coordination.py
+++ b/cherrydoor/zone_drain/coordination.py
@@ -1,4 +1,4 @@
-"""The drains that this gateway coordinates, or would: their leases, plans and actions."""
+"""The drains that this gateway coordinates or stands by to coordinate: leases, plans, actions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -24,21 +24,21 @@
 from cherrydoor.zone_drain.wave_plan import WavePlan
 
 log = structlog.get_logger()
-REPORT_COLLECTION_MS = 1500.0  # for which a new coordinator receives reports before it plans
-HOST_QUERY_TIMEOUT_MS = 1000.0  # for which a host's own count is waited for
-LEASE_RETENTION_S = 2.0  # after the last wave, so that all receive it under its fencing token
+REPORT_COLLECTION_MS = 1500.0  # a new coordinator collects reports that long before it plans
+HOST_QUERY_TIMEOUT_MS = 1000.0
+LEASE_RETENTION_S = 2.0  # after the last wave, so that all gateways receive it under its token
 
 
 def lease_name(zone: str) -> str:
-    """Name of the lease whose holder coordinates the zone's drain."""
+    """Returns the name of the lease whose holder coordinates the zone's drain."""
     return f"site/{zone}"
 
 
 class DrainCoordinators:
-    """Owns the leases that this gateway wants for drains, and a coordinator for each it leads.
+    """Owns this gateway's lease requests for drains, and the coordinators of the drains it leads.
 
-    Invariant: a zone has a coordinator only while its lease is wanted; nothing is carried out for
-    one whose fencing token is no longer the lease's.
+    Invariant: a zone has a coordinator only while its lease is requested or held; no action is
+    executed for a coordinator whose fencing token is not the one of the current lease.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         """Starts without leases.
 
         Args:
-            peers: The gateway's links, clock and event loop.
-            leases: Its leases.
-            loads: What all gateways report.
-            last_wave: Gives the latest wave that this gateway knows of a zone.
-            publish: Applies a wave here and sends it to every other gateway.
-            unversioned: Gives the function that a version is of.
+            peers: The gateway's membership service, which has its links, clock and event loop.
+            leases: The gateway's leases.
+            loads: The loads that gateways report.
+            last_wave: Returns the latest wave of a zone that this gateway knows.
+            publish: Applies a wave at this gateway and sends it to every other gateway.
+            unversioned: Returns the function name without its version.
         """
         self._peers = peers
         self._leases = leases
@@ -70,7 +70,7 @@
         self._publish = publish
         self._unversioned = unversioned
         self._lease_requests: dict[str, float | None] = {}  # zone -> when the lease was granted, ms
-        self._requested: dict[str, RequestedDrain] = {}  # until it is coordinated
+        self._requested: dict[str, RequestedDrain] = {}  # until the drain begins
         self._coordinators: dict[str, DrainCoordinator] = {}
 
     @property
@@ -79,22 +79,22 @@
 
     # ---- leases
     def wants_lease(self, zone: str) -> bool:
-        """Whether this gateway coordinates the zone's drain or waits for its lease."""
+        """Returns whether this gateway holds or has requested the lease of the zone's drain."""
         return zone in self._lease_requests
 
     def coordinator(self, zone: str) -> DrainCoordinator | None:
-        """The coordinator of the zone's drain, if it is here."""
+        """Returns the coordinator of the zone's drain; None if it is not at this gateway."""
         return self._coordinators.get(zone)
 
     def request_drain(self, zone: str, requested: RequestedDrain) -> None:
-        """An operator wants the zone drained; this gateway requests the lease."""
-        if zone in self._coordinators:  # the drain before is over, and its lease still held
+        """Requests the zone's lease, to begin the drain that an operator has requested."""
+        if zone in self._coordinators:  # the last drain is completed but its lease is still held
             self.stop(zone)
         self._requested[zone] = requested
         self.request_lease(zone)
 
     def request_lease(self, zone: str) -> None:
-        """Requests the lease, to coordinate as soon as it is granted."""
+        """Requests the zone's lease; coordination begins after it is granted."""
         self._lease_requests[zone] = None
         self._leases.hold(
             lease_name(zone),
@@ -103,10 +103,11 @@
         )
 
     def _lease_granted(self, zone: str, fencing_token: int) -> None:
-        """Announces the drain under the new token, so that all gateways report here; then listens.
+        """Announces the drain under the new token, so that all gateways send their reports here.
 
-        A drain that is over meanwhile is not begun again: voters queue for the lease while it goes
-        on, and its coordinator hands over last.
+        A drain that has completed in the meantime is not restarted. This can occur because voters
+        wait for the lease while the drain is active, and its coordinator releases the lease only
+        after the last wave.
         """
         last = self._last_wave(zone)
         requested = self._requested.get(zone)
@@ -126,7 +127,7 @@
             self._lease_requests[zone] = None
 
     def stop(self, zone: str) -> None:
-        """Hands the lease over; this gateway goes on as a participant."""
+        """Stops coordinating and releases the lease; this gateway remains a participant."""
         self._lease_requests.pop(zone, None)
         self._requested.pop(zone, None)
         self._coordinators.pop(zone, None)
@@ -134,18 +135,18 @@
         self._leases.release(lease_name(zone))
 
     def release_leases(self) -> None:
-        """Hands all leases over, as the gateway closes."""
+        """Releases all leases when the gateway closes."""
         for zone in list(self._lease_requests):
             self._leases.release(lease_name(zone))
 
     def higher_token_seen(self, zone: str, fencing_token: int) -> None:
-        """Another gateway announced a wave of a drain that may be coordinated here."""
+        """Passes another gateway's fencing token to the leases, if this gateway coordinates."""
         if zone in self._coordinators:
             self._leases.on_higher_token(lease_name(zone), fencing_token)
 
-    # ---- coordinating
+    # ---- coordination
     def tick(self) -> None:
-        """Begins to coordinate where listening is over, and looks what is due."""
+        """Begins coordination once reports are collected; executes coordinators' due actions."""
         now_ms = self._now()
         for zone, granted_at_ms in list(self._lease_requests.items()):
             coordinator = self._coordinators.get(zone)
@@ -159,7 +160,7 @@
                 self._begin(zone, fencing_token)
 
     def _begin(self, zone: str, fencing_token: int) -> None:
-        """Plans by what has been reported, from the wave that was reached."""
+        """Plans the drain from the collected reports and continues it from its last wave."""
         last = self._last_wave(zone)
         assert last is not None  # announced when the lease was granted
         self._requested.pop(zone, None)
@@ -194,7 +195,7 @@
         self._execute(zone, coordinator.start(self._now()))
 
     def _refuse(self, zone: str, fencing_token: int, plan: WavePlan) -> None:
-        """Ends a drain before anything has moved, for lack of known capacity."""
+        """Ends a drain before any session has moved, because known capacity is missing."""
         log.warning(
             "zone drain refused",
             gateway=self._gateway,
@@ -213,7 +214,11 @@
         self.stop(zone)
 
     def _update_coordinator(self, zone: str, coordinator: DrainCoordinator) -> None:
-        """Reports may show a copy that nobody ordered: a request that moved had it loaded."""
+        """Passes the latest reports to the coordinator and runs its due actions.
+
+        Reports may show a pending copy that no order of the drain loaded: a request that was routed
+        outside the zone may have caused the load.
+        """
         coordinator.neighbours.update(self._loads.zones(zone))
         pending = coordinator.preloads.pending
         if pending:
@@ -226,7 +231,7 @@
         self._execute(zone, coordinator.tick(self._now()))
 
     def report_received(self, report: ParticipantReport) -> None:
-        """Takes a participant's report; one that is for another coordinator by now is dropped."""
+        """Processes a participant's report; drops it if this gateway gave up the zone's lease."""
         if report.zone not in self._lease_requests:
             return
         self._loads.add(report)
@@ -235,13 +240,13 @@
             self._execute(report.zone, coordinator.report_received(self._now(), report))
 
     def command_received(self, zone: str, command: CoordinatorCommand) -> None:
-        """Takes an operator's command, if the zone's drain is coordinated here."""
+        """Executes an operator's command if the zone's drain is coordinated here."""
         coordinator = self._coordinators.get(zone)
         if coordinator is not None:
             self._execute(zone, coordinator.command(self._now(), command))
 
     def load_order_ended(self, version: str, host: str, is_success: bool) -> None:
-        """A load order of this gateway has ended."""
+        """Records the end of one of this gateway's load orders."""
         function = self._unversioned(version)
         for zone, coordinator in list(self._coordinators.items()):
             if is_success and function in coordinator.preloads.pending:
@@ -268,7 +273,7 @@
             self._service.post(self._dispatcher.function_expected, version, zone)
 
     def _current_versions(self, function: str) -> list[str]:
-        """The names by which this gateway calls the function by now."""
+        """Returns the versioned names under which this gateway currently calls the function."""
         known = self._dispatcher.router.history.functions
         return [name for name in known if self._unversioned(name) == function] or [function]
 
@@ -296,6 +301,6 @@
             self._peers.loop.call_later(LEASE_RETENTION_S, self._release_lease, zone, coordinator)
 
     def _release_lease(self, zone: str, coordinator: DrainCoordinator) -> None:
-        """A while after the last wave; meanwhile another drain may have been requested here."""
+        """Releases the lease, unless another drain of the zone has been requested since then."""
         if self._coordinators.get(zone) is coordinator:
             self.stop(zone)
--- a/cherrydoor/zone_drain/coordinator.py
+++ b/cherrydoor/zone_drain/coordinator.py
@@ -1,8 +1,10 @@
-"""A zone drain as its coordinator leads it: when a wave goes out, is taken back, or is the last.
+"""Coordinates a zone drain: decides when a wave is announced or rolled back and when it ends.
 
-Participants apply the waves that they receive, numbered under the lease's fencing token; they are
-not commanded. Whoever coordinates next goes on from the highest wave that anybody has, never back,
-and never with a wave under an old token. Pure; times are ms of the caller's clock.
+Waves are numbered under the lease's fencing token, and each participant applies the newest wave
+that it has received. A new coordinator continues from the highest wave that any gateway has. It
+never returns to an earlier wave and never announces one under an old token.
+
+Pure; times are ms of the caller's clock.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -23,17 +25,17 @@
 from cherrydoor.zone_drain.wave_plan import WavePlan
 from cherrydoor.zone_drain.wave_progress import WaveProgress
 
-MAX_ROLLBACKS = 3  # after which the drain is paused until an operator resumes it
-MAX_NAMED = 3  # gateways that a reason names
+MAX_ROLLBACKS = 3  # the drain then pauses until an operator resumes it
+MAX_GATEWAYS_IN_REASON = 3
 
 
 class DrainCoordinator:
-    """One drain under one fencing token, from the wave that was reached before.
+    """Coordinates one drain under one fencing token, from the last announced wave on.
 
-    Owns the state, and one owner for each table: `record` for what is announced, `progress` for
-    the waves, `observation` for what participants report, `preloads` for copies to be loaded,
-    `neighbours` for their capacity, `in_flight_check` for the hosts' own counts. Each method that
-    takes an event returns the actions that it leads to.
+    Owns the drain's state. Each other table has one owner: `record` what is announced, `progress`
+    the waves, `observation` what participants report, `preloads` the copies to be loaded,
+    `neighbours` their capacity, and `in_flight_check` the hosts' own counts. Each method that takes
+    an event returns the actions to execute.
     """
 
     def __init__(
@@ -48,18 +50,18 @@
         copies: Iterable[LoadedCopy] = (),
         listed_hosts: Callable[[], Sequence[str] | None] = lambda: (),
     ):
-        """Takes over or begins; nothing is done before `start`.
+        """Begins a drain or takes one over; nothing happens until `start` is called.
 
         Args:
             zone: The zone to be drained.
-            fencing_token: Of the lease under which this coordinator acts.
+            fencing_token: Fencing token of the lease under which this coordinator acts.
             gateway: The coordinator's own name.
-            plan: The waves, by what is known now.
-            living_gateways: Gives the names of gateways that are members now.
-            now_ms: Now.
-            last: The highest wave that anybody has; None at the beginning.
+            plan: The waves, planned from the current reports.
+            living_gateways: Returns the names of the gateways that are members now.
+            now_ms: The current time, ms.
+            last: The highest wave that any gateway has; None if the drain is new.
             copies: Copies that are loaded outside the zone.
-            listed_hosts: Gives the zone's hosts in the endpoint list; None without a list.
+            listed_hosts: Returns the zone's hosts in the endpoint list; None if there is no list.
         """
         loaded = list(copies)
         self.plan = plan
@@ -79,17 +81,17 @@
 
     @property
     def has_moved_all_sessions(self) -> bool:
-        """Whether nothing is steered to the zone any more."""
+        """Whether requests are no longer routed to the zone."""
         return self.state in (CoordinatorState.EMPTYING, CoordinatorState.EMPTY)
 
     @property
     def is_beyond_capacity(self) -> bool:
-        """Whether more has moved than neighbours are known to bear."""
+        """Whether more load has moved than neighbours are known to have capacity for."""
         return self.progress.reached > self.plan.waves_within_capacity
 
     # ---- events
     def start(self, now_ms: float) -> list[DrainAction]:
-        """Goes on from where the drain is; a pause outlives the coordinator that began it."""
+        """Continues the drain from its last wave; a pause also holds under a new coordinator."""
         if self._is_undoing:
             return self._undo(now_ms)
         if self._starts_paused:
@@ -98,27 +100,27 @@
         return self._prepare_next_wave(now_ms)
 
     def report_received(self, now_ms: float, report: ParticipantReport) -> list[DrainAction]:
-        """Takes a participant's report."""
+        """Processes a participant's report."""
         return self.tick(now_ms) if self.observation.reports.add(now_ms, report) else []
 
     def copy_loaded(
         self, now_ms: float, function: str, host: str, version: str = ""
     ) -> list[DrainAction]:
-        """A copy is loaded outside the zone; `version` is the name by which hosts know it."""
+        """Records a copy loaded outside the zone; `version` is the function's name at hosts."""
         self.record.add_copy(version or function, host)
         self.preloads.copy_loaded(function)
         return self.tick(now_ms)
 
     def host_answered(self, now_ms: float, host: str, count: HostCount | None) -> list[DrainAction]:
-        """Takes a host's own count; None where it gave none."""
+        """Records a host's own count; None if the host did not report one."""
         self.in_flight_check.host_answered(now_ms, host, count)
         return self.tick(now_ms)
 
     def command(self, now_ms: float, command: CoordinatorCommand) -> list[DrainAction]:
-        """Takes an operator's command; one that does not fit the state changes nothing."""
+        """Executes an operator's command; one that is invalid in the current state is ignored."""
         if command == CoordinatorCommand.PAUSE:
             can_pause = self.state in (CoordinatorState.PRELOADING, CoordinatorState.MOVING)
-            return self._pause("by an operator") if can_pause else []
+            return self._pause("paused by an operator") if can_pause else []
         if command == CoordinatorCommand.RESUME:
             has_shed = bool(self.record.shed_functions) and self.has_moved_all_sessions
             can_resume = self.state == CoordinatorState.PAUSED or has_shed
@@ -134,11 +136,11 @@
         return self.start(now_ms)
 
     def tick(self, now_ms: float) -> list[DrainAction]:
-        """Looks whether the next thing is due."""
+        """Takes the next action that is due, if any."""
         if self._is_undoing or self.state == CoordinatorState.COMPLETED:
             return self._check_wave_effect(now_ms) if self.state == CoordinatorState.MOVING else []
-        if loss := self.neighbours.loss_reason():
-            return self._handle_lost_neighbours(now_ms, loss)
+        if loss_reason := self.neighbours.loss_reason():
+            return self._handle_lost_neighbours(now_ms, loss_reason)
         if self.record.reason.startswith("neighbours"):
             self.record.reason = ""
         if self.state == CoordinatorState.PRELOADING:
@@ -166,7 +168,7 @@
         for name in overdue.postpone:
             remaining = self.preloads.postpone(name, self.progress.remaining_waves)
             self.progress.replace_remaining(remaining)
-            self.record.reason = f"put off, as no copy stands: {' '.join(self.preloads.postponed)}"
+            self.record.reason = f"postponed, no copy loaded: {' '.join(self.preloads.postponed)}"
         if is_last and (reason := self.preloads.give_up_if_overdue(now_ms)):
             return self._pause(reason)
         if self.preloads.pending:
@@ -183,7 +185,7 @@
         self.observation.set_baseline(now_ms)
         return self._announce_move(now_ms, DrainState.MOVING)
 
-    # ---- what is announced
+    # ---- announcements
     def _announce(self, state: DrainState) -> list[DrainAction]:
         return self.record.announce(state, self.progress.announced_shares())
 
@@ -193,13 +195,13 @@
         return self._announce(state)
 
     def _begin_emptying(self, now_ms: float) -> list[DrainAction]:
-        """All that has capacity elsewhere has moved; what is shed is rejected from here on."""
+        """Announces that all sessions have moved; those of shed functions are now rejected."""
         self.state = CoordinatorState.EMPTYING
         self.observation.begin_wave(now_ms)
         return self._announce(DrainState.EMPTYING)
 
     def _pause(self, reason: str) -> list[DrainAction]:
-        """Sends no wave until an operator resumes; announced, so that successors pause as well."""
+        """Pauses until an operator resumes; announced so that a new coordinator also pauses."""
         self.state = CoordinatorState.PAUSED
         self.record.reason = reason
         return self._announce(DrainState.PAUSED)
@@ -221,16 +223,17 @@
         return self._prepare_next_wave(now_ms)
 
     def _has_regressed_after_last_wave(self, now_ms: float) -> bool:
-        """Whether a regression persists that the last wave may have caused and can be mended."""
-        can_mend = self.record.allow_shortfall or self.neighbours.is_drained_zone_available()
-        if not self.progress.reached or not can_mend:
+        """Whether a persistent regression may stem from the last wave and can be undone."""
+        can_roll_back = self.record.allow_shortfall or self.neighbours.is_drained_zone_available()
+        if not self.progress.reached or not can_roll_back:
             return False
         return self.observation.has_regressed_since_last_wave(now_ms, self.is_beyond_capacity)
 
     def _roll_back_last_wave(self, now_ms: float) -> list[DrainAction]:
-        """Takes the last wave back; pauses after MAX_STEPS_BACK or once all had moved.
+        """Rolls the last wave back; pauses after MAX_ROLLBACKS, or if all sessions had moved.
 
-        Where a shortfall is allowed, it and all below are shed instead, which ends the waves.
+        If a shortfall is allowed, the functions of this wave and of all later ones are shed
+        instead: their priority is lower, and no further wave follows.
         """
         had_moved_all_sessions = self.has_moved_all_sessions
         self.record.reason = self.observation.regression.reason
@@ -244,11 +247,11 @@
             return self._pause(self.record.reason)
         return self._announce_move(now_ms, DrainState.MOVING)
 
-    def _handle_lost_neighbours(self, now_ms: float, loss: str) -> list[DrainAction]:
-        """Sends no wave; the zone takes back what the neighbours left cannot serve."""
+    def _handle_lost_neighbours(self, now_ms: float, loss_reason: str) -> list[DrainAction]:
+        """Stops further waves; rolls back the load that the remaining neighbours cannot serve."""
         if self.state == CoordinatorState.PAUSED:
             return []
-        self.record.reason = loss
+        self.record.reason = loss_reason
         excess_per_s = self.neighbours.excess_per_s()
         if (
             not excess_per_s
@@ -262,9 +265,9 @@
         self.progress.roll_back_rate(excess_per_s)
         return self._announce_move(now_ms, DrainState.MOVING)
 
-    # ---- the end
+    # ---- emptying and undo
     def _check_empty(self, now_ms: float) -> list[DrainAction]:
-        """By the gateways' reports, then by the hosts' own counts."""
+        """Checks the gateways' reports first, then the hosts' own counts."""
         unconfirmed = self.observation.unconfirmed(self.record.version)
         self.record.reason = ""
         if unconfirmed and self.observation.may_still_confirm(now_ms):
@@ -272,10 +275,12 @@
         living = self.observation.living_gateways()
         busy = self.observation.reports.with_requests_in_flight(living)
         if busy:
-            self.record.reason = "in hand at " + " ".join(busy[:MAX_NAMED])
+            self.record.reason = "requests in flight at " + " ".join(busy[:MAX_GATEWAYS_IN_REASON])
             return []
         if unconfirmed:
-            self.record.reason = "not confirmed by " + " ".join(unconfirmed[:MAX_NAMED])
+            self.record.reason = "wave not confirmed by " + " ".join(
+                unconfirmed[:MAX_GATEWAYS_IN_REASON]
+            )
         hosts = self.in_flight_check.hosts_to_query(now_ms)
         if not self.in_flight_check.is_empty(now_ms):
             self.record.reason = self.in_flight_check.reason() or self.record.reason
@@ -284,7 +289,7 @@
         return self._announce(DrainState.EMPTY)
 
     def _undo(self, now_ms: float) -> list[DrainAction]:
-        """Takes the waves back in reverse, one at a time, each confirmed."""
+        """Rolls the waves back in reverse order; each must be confirmed before the next."""
         self._is_undoing = True
         if not self.progress.moved_shares:
             self.state = CoordinatorState.COMPLETED
--- a/cherrydoor/zone_drain/drain_actions.py
+++ b/cherrydoor/zone_drain/drain_actions.py
@@ -1,4 +1,4 @@
-"""What a drain's coordinator wants done: the service carries it out in this order."""
+"""Actions that a drain's coordinator returns; they are executed in the order of the list."""
 
 from msgspec import Struct
 
@@ -6,19 +6,19 @@
 
 
 class PreloadCopy(Struct, frozen=True):
-    """A copy of the function is to be loaded outside the zone before its sessions move."""
+    """Load a copy of the function outside the zone before its sessions move."""
 
     function: str
 
 
 class AnnounceWave(Struct, frozen=True):
-    """The wave is to be sent to every gateway."""
+    """Send the wave to every gateway."""
 
     wave: DrainWave
 
 
 class QueryHost(Struct, frozen=True):
-    """A host of the zone is to be asked what it has in flight."""
+    """Ask a host of the zone for its count of attempts in flight."""
 
     host: str
 
--- a/cherrydoor/zone_drain/drain_record.py
+++ b/cherrydoor/zone_drain/drain_record.py
@@ -1,4 +1,4 @@
-"""What a coordinator announces of its drain: one record from which every wave is made. Pure."""
+"""The record of a drain from which its coordinator builds every wave. Pure."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class CoordinatorState(StrEnum):
-    """What a coordinator is doing; operators read the values."""
+    """State of a coordinator; operators read the values."""
 
     PRELOADING = "copies"
     MOVING = "moving"
@@ -23,26 +23,26 @@
 
 
 class RequestedDrain(NamedTuple):
-    """What an operator asked for: the share of a wave, and whether to accept a shortfall."""
+    """An operator's request: the share per wave, and whether to accept a capacity shortfall."""
 
     wave_share: float = DEFAULT_WAVE_SHARE
     allow_shortfall: bool = False
 
 
 class DrainRecord:
-    """Owns the number of the last wave and what waves contain beside the moved shares.
+    """Owns the number of the last wave, and the contents of waves except the moved shares.
 
-    Invariant: the wave number only grows.
+    Invariant: the wave number never decreases.
 
     Attributes:
         zone: The zone that is drained.
-        fencing_token: Of the lease under which the coordinator acts.
+        fencing_token: Fencing token of the lease under which the coordinator acts.
         gateway: The coordinator's name.
         wave: Number of the last wave that was announced.
-        reason: What the drain waits for or why it is paused, for people.
-        shed_functions: Functions whose remaining sessions are rejected once all others moved.
-        wave_share: Share of the zone's traffic that a wave moves at most.
-        allow_shortfall: Whether to go on where neighbours lack capacity for all.
+        reason: What the drain waits for or why it is paused, as text for operators.
+        shed_functions: Functions whose remaining sessions are rejected once all others have moved.
+        wave_share: The largest share of the zone's traffic that one wave moves.
+        allow_shortfall: Whether to drain although neighbours lack capacity for all sessions.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         last: DrainWave | None,
         copies: Iterable[LoadedCopy],
     ):
-        """Goes on from the last wave that any gateway has; None at the beginning."""
+        """Continues from the last wave that any gateway has; None if the drain is new."""
         self.zone = zone
         self.fencing_token = fencing_token
         self.gateway = gateway
@@ -66,15 +66,15 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Of the last wave that was announced."""
+        """Version of the last announced wave: its fencing token and number."""
         return self.fencing_token, self.wave
 
     def add_copy(self, version: str, host: str) -> None:
-        """Further waves list this copy."""
+        """Adds a copy to all later waves."""
         self._ready_copies.append(ReadyCopy(version, host))
 
     def announce(self, state: DrainState, moved_shares: list[MovedShare]) -> list[DrainAction]:
-        """The next wave."""
+        """Returns the action that announces the next wave."""
         self.wave += 1
         wave = DrainWave(
             zone=self.zone,
@@ -95,16 +95,16 @@
 def takeover_wave(
     zone: str, fencing_token: int, gateway: str, last: DrainWave | None, requested: RequestedDrain
 ) -> DrainWave:
-    """The current state of the drain, under a new coordinator's token.
+    """Returns a wave with the drain's unchanged state under the new coordinator's token.
 
     Args:
         zone: The zone to be drained.
-        fencing_token: Of the new coordinator's lease.
+        fencing_token: Fencing token of the new coordinator's lease.
         gateway: The new coordinator's name.
-        last: The latest wave that it knows; None where the drain begins.
-        requested: What the operator asked for, where the drain begins.
+        last: The latest wave that it knows; None if the drain is new.
+        requested: The operator's request, used only if the drain is new.
     """
-    reason = f"{gateway} conducts"
+    reason = f"{gateway} coordinates the drain"
     if last is None:
         return DrainWave(
             zone,
--- a/cherrydoor/zone_drain/drain_status.py
+++ b/cherrydoor/zone_drain/drain_status.py
@@ -1,6 +1,6 @@
-"""Drains as operators read them on the control socket.
+"""Tables of drains for operators on the control socket.
 
-The keys are the control socket's; operators and documents use them.
+The keys of the tables are part of the control socket's interface and must not change.
 """
 
 from typing import Any
@@ -18,12 +18,12 @@
 
 
 def function_label(function: str) -> str:
-    """The name of a function, or the label of the rest."""
+    """Returns the name of a function, or the label for all functions that are not named."""
     return OTHER_FUNCTIONS_LABEL if function == OTHER_FUNCTIONS else function
 
 
 def coordinator_table(coordinator: DrainCoordinator) -> Table:
-    """A drain that this gateway coordinates."""
+    """Returns the table of a drain that this gateway coordinates."""
     record = coordinator.record
     reports = coordinator.observation.reports
     return {
@@ -47,7 +47,7 @@
 
 
 def wave_table(wave: DrainWave) -> Table:
-    """The last wave of a drain that this gateway knows."""
+    """Returns the table of a drain's last wave that this gateway knows."""
     return {
         "site": wave.zone,
         "number": wave.fencing_token,
@@ -64,7 +64,7 @@
 
 
 def drain_table(zone: str, wave: DrainWave | None, coordinator: DrainCoordinator | None) -> Table:
-    """A zone's drain as this gateway knows it."""
+    """Returns the table of a zone's drain as this gateway knows it."""
     table: Table = {"site": zone}
     table.update(wave_table(wave) if wave else {"state": "not drained"})
     if coordinator is not None:
@@ -73,12 +73,12 @@
 
 
 def zone_table(zone: ZoneState) -> Table:
-    """A zone's load and hosts."""
+    """Returns the table of a zone's load and hosts."""
     return {"rate": round(zone.requests_per_s, 1), "busy": zone.utilization, "hosts": zone.hosts}
 
 
 def step_table(step: WaveStep, priority_weight: float) -> Table:
-    """One step of a planned wave."""
+    """Returns the table of one step of a planned wave."""
     return {
         "function": function_label(step.function),
         "share": round(step.share, 3),
@@ -90,7 +90,7 @@
 def plan_table(
     zone: str, planned: PlannedDrain, gateways: list[str], zones: dict[str, ZoneState]
 ) -> Table:
-    """What a drain of the zone would do."""
+    """Returns the table of a planned drain of the zone."""
     plan = planned.plan
     weights = {group.function: group.priority_weight for group in planned.groups}
     beyond_capacity = plan.waves[plan.waves_within_capacity :]
--- a/cherrydoor/zone_drain/listed_hosts.py
+++ b/cherrydoor/zone_drain/listed_hosts.py
@@ -1,4 +1,4 @@
-"""What the endpoint list and this gateway's connections say of a zone's hosts. Pure."""
+"""Reads a zone's hosts from the endpoint list and this gateway's connections. Pure."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -9,19 +9,19 @@
 
 
 def listed_zones(dispatcher: Any) -> set[str]:
-    """Zones with a host in the list, draining ones too."""
+    """Returns the zones that have a host in the list; draining hosts count too."""
     return {host.row.zone for host in _listed(dispatcher)}
 
 
 def listed_hosts(dispatcher: Any, zone: str) -> list[str] | None:
-    """The zone's hosts in the list, draining ones too; None without a list, as after a start."""
+    """Returns the zone's listed hosts, including draining ones; None before the first list."""
     if not dispatcher.hosts:
         return None
     return [host.id for host in _listed(dispatcher) if host.row.zone == zone]
 
 
 def calls_in_flight(dispatcher: Any, zone: str) -> int:
-    """Calls that this gateway has in flight at the zone's hosts, those no longer listed too."""
+    """Counts this gateway's calls in flight at the zone's hosts, including unlisted hosts."""
     return sum(
         len(link.out)
         for host in dispatcher.hosts.values()
--- a/cherrydoor/zone_drain/local_load.py
+++ b/cherrydoor/zone_drain/local_load.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of its own requests, as it reports it to a drain's coordinator.
+"""This gateway's own requests, as it reports them to a drain's coordinator.
 
 Pure; times are ms of the caller's clock.
 """
@@ -15,14 +15,14 @@
     strictest_retry_safety,
 )
 
-MAX_FUNCTIONS = 4000  # of which request classes are remembered; bounds the table
-MAX_REPORTED_HOSTS = (
-    8  # with a copy, of each function: one is enough to move, and reports are short
-)
+MAX_FUNCTIONS = 4000  # whose request classes are remembered; limits the size of the table
+# Hosts with a copy that a report lists per function. One is enough to move sessions; a low limit
+# keeps reports short.
+MAX_REPORTED_HOSTS = 8
 
 
 class ResponseCounts(NamedTuple):
-    """Requests answered, and those of them within their latency objective."""
+    """Number of responses, and of those within their latency objective."""
 
     responses: int
     timely_responses: int
@@ -31,7 +31,8 @@
 class LocalLoad:
     """Owns the rates, request classes and response counts of this gateway's requests.
 
-    Invariant: at most MAX_FUNCTIONS functions; those no longer attempted go with a report.
+    Invariant: at most MAX_FUNCTIONS functions. Each report removes those that are no longer
+    attempted.
     """
 
     def __init__(
@@ -43,9 +44,9 @@
         """Starts without requests.
 
         Args:
-            request_classes: Name -> request class of the configuration.
-            priority_weights: Name of a request class -> its weight.
-            now_ms: Now.
+            request_classes: Name -> request class, from the configuration.
+            priority_weights: Name of a request class -> its priority weight.
+            now_ms: The current time, ms.
         """
         self.attempt_rates = AttemptRates(now_ms)
         self._request_classes = request_classes
@@ -55,7 +56,7 @@
         self._timely_responses = 0
 
     def decide(self, participant: Participant, now_ms: float, request: Any) -> DrainDecision:
-        """What the drains that the participant knows mean for a request."""
+        """Returns the effect of the participant's drains on a request."""
         request_class = self._request_classes[request.request_class]
         is_scope_partial = (
             request_class.retry_safety == "keyed" and request_class.dedup_scope != "all"
@@ -69,7 +70,7 @@
         )
 
     def request_routed(self, function: str, request_class: str) -> None:
-        """A request of that class calls the function, under its version's name."""
+        """Records that a request of that class calls the function, given by its versioned name."""
         known = self._classes_by_function
         if function in known or len(known) < MAX_FUNCTIONS:
             known.setdefault(function, {})[request_class] = None
@@ -82,14 +83,14 @@
             self._timely_responses += duration_ms <= objective_ms
 
     def take_response_counts(self) -> ResponseCounts:
-        """The counts since the last call; they begin anew."""
+        """Returns the counts since the last call and resets them."""
         counts = ResponseCounts(self._responses, self._timely_responses)
         self._responses = 0
         self._timely_responses = 0
         return counts
 
     def function_loads(self, now_ms: float, zone: str, zone_table: Any) -> list[FunctionLoad]:
-        """The functions attempted in the zone, the busiest by name and the others as one."""
+        """Returns the loads of functions attempted in the zone: the busiest by name, then a sum."""
         rates = self.attempt_rates.rates(now_ms, zone)
         self._classes_by_function = {
             name: classes
@@ -112,7 +113,7 @@
     ) -> FunctionLoad:
         seen = self._classes_by_function.get(function, {})
         classes = [self._request_classes[name] for name in seen]
-        if not classes:  # none seen yet: held to be of the first class
+        if not classes:  # none seen yet: assume the first class
             classes = list(self._request_classes.values())[:1]
         return FunctionLoad(
             function,
@@ -125,5 +126,5 @@
 
 
 def zone_loads(zone_table: Any) -> list[ZoneLoad]:
-    """What this gateway's routing knows of each zone."""
+    """Returns the load of each zone, from this gateway's routing tables."""
     return [ZoneLoad(*one) for one in zone_table.sites()]
--- a/cherrydoor/zone_drain/neighbour_capacity.py
+++ b/cherrydoor/zone_drain/neighbour_capacity.py
@@ -1,11 +1,13 @@
-"""What the neighbours of a drained zone can serve, and whether hosts of theirs are lost. Pure.
-
-Each gateway reports of each zone how many hosts it holds to be available, the requests a second
-that it sends there, and the response time. Of the host counts the median is taken, so that a
-gateway that is cut off makes nobody think that a zone is lost. What a host has in flight follows
-from rate and time (Little's law), and from that the least that it can do: one request takes its
-response time divided by what is in flight. A host of many cores can do more, which shows as it is
-given more; so this is what neighbours are *known* to serve.
+"""Estimates the capacity of a drained zone's neighbours and detects loss of their hosts. Pure.
+
+For each zone, each gateway reports the number of hosts that it considers available, the requests
+per second that it sends there, and the mean response time. The median of the host counts is used,
+so that a gateway without a connection to a zone does not make the zone appear lost.
+
+The requests in flight at a host follow from rate and response time (Little's law). They give a
+lower bound of its capacity: a host with n requests in flight is taken to be n / (n + 1) utilized,
+as if it served one request at a time. A host with many cores can serve more, which shows only when
+it receives more requests. This is therefore the capacity that neighbours are *known* to have.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -13,18 +15,19 @@
 
 from cherrydoor.protocol.zone_drain import ZoneLoad
 
-REPORT_LIFETIME_MS = 15000.0  # three of the longest intervals between two reports of a gateway
-LOST_HOSTS_SHARE = 0.25  # of the neighbours' hosts that must be missing before waves wait for them
-MAX_UTILIZATION = 0.9  # to which neighbours may be filled; with hosts lost, the excess goes back
+# Three times the longest interval between two reports of a gateway.
+REPORT_LIFETIME_MS = 15000.0
+LOST_HOSTS_SHARE = 0.25  # waves wait once this share of the neighbours' hosts is missing
+MAX_UTILIZATION = 0.9  # limit for neighbours; after a loss of hosts, load above it is rolled back
 
 
 class ZoneState(NamedTuple):
-    """A zone by all gateways' reports.
+    """State of a zone, combined from all gateways' reports.
 
     Attributes:
-        hosts: Hosts that are available.
-        requests_per_s: Requests a second that go there.
-        utilization: Share of the capacity in use, at the most; None where it is unknown.
+        hosts: Number of available hosts.
+        requests_per_s: Requests per second sent to the zone.
+        utilization: Upper bound of the share of its capacity in use; None if unknown.
     """
 
     hosts: int
@@ -33,12 +36,12 @@
 
     @property
     def capacity_per_s(self) -> float | None:
-        """Requests a second that it is known to serve at full utilization."""
+        """Requests per second that the zone is known to serve at full utilization."""
         return self.requests_per_s / self.utilization if self.utilization else None
 
 
 def lower_median(values: Iterable[int]) -> int:
-    """The lower one of the two in the middle.
+    """Returns the median; of an even number of values, the lower of the middle two.
 
     >>> lower_median([6, 2, 5]), lower_median([6, 0])
     (5, 0)
@@ -48,7 +51,7 @@
 
 
 def utilization(requests_per_s: float, response_time_ms: float | None, hosts: int) -> float | None:
-    """The share of their capacity that hosts use at the most: n of n + 1 with n in flight at each.
+    """Returns an upper bound of the hosts' utilization: n / (n + 1) with n in flight at each.
 
     >>> utilization(40.0, 50.0, 2), utilization(40.0, None, 2)
     (0.5, None)
@@ -60,7 +63,7 @@
 
 
 def combined_zone(loads: Sequence[ZoneLoad]) -> ZoneState:
-    """One zone by the loads that gateways report of it."""
+    """Combines the loads that gateways report of one zone."""
     hosts = lower_median(one.available_hosts for one in loads)
     requests_per_s = sum(one.requests_per_s for one in loads)
     timed = [
@@ -74,7 +77,7 @@
 
 
 def combined_zones(reports: Iterable[Iterable[ZoneLoad]]) -> dict[str, ZoneState]:
-    """Each zone by the loads that all gateways report.
+    """Combines the loads that all gateways report, by zone.
 
     >>> combined_zones([[ZoneLoad("a", 60.0, 50.0, 4)], [ZoneLoad("a", 20.0, None, 4)],
     ...     [ZoneLoad("a", 0.0, 80.0, 0)]])
@@ -88,9 +91,9 @@
 
 
 def spare_capacity(zones: Mapping[str, ZoneState], drained_zone: str) -> float | None:
-    """Requests a second that other zones are known to serve beyond their load.
+    """Returns the requests per second that other zones are known to have spare capacity for.
 
-    They are filled to MAX_UTILIZATION. None where no utilization is known.
+    That is the capacity up to MAX_UTILIZATION. None if no zone's utilization is known.
 
     >>> spare_capacity({"a": ZoneState(4, 50.0, 0.9), "b": ZoneState(4, 40.0, 0.5),
     ...     "c": ZoneState(4, 40.0, None)}, "a")
@@ -109,10 +112,11 @@
 
 
 class NeighbourCapacity:
-    """Owns what the other zones had and could serve at their best since the drain began.
+    """Owns the most hosts and the highest capacity that each other zone has had during the drain.
 
-    Guards against a neighbour that is lost while the zone drains into it. Harms where hosts of a
-    neighbour are removed on purpose meanwhile: the drain waits for them.
+    With these the coordinator notices when a neighbour is lost while sessions move to it, and stops
+    sending more there. The drawback: if an operator removes hosts of a neighbour during the drain,
+    the drain waits for them.
     """
 
     def __init__(self, drained_zone: str):
@@ -122,7 +126,7 @@
         self._capacity_per_s: dict[str, float] = {}
 
     def update(self, zones: Mapping[str, ZoneState]) -> None:
-        """Takes the zones as all reports that still count describe them."""
+        """Replaces the zone states, combined from all reports that have not expired."""
         self._zones = zones
         for name, one in zones.items():
             if name != self._drained_zone and one.hosts >= self._most_hosts.get(name, 1):
@@ -135,13 +139,13 @@
         return self._zones[name].hosts if name in self._zones else 0
 
     def available_share(self) -> float:
-        """The share of the neighbours' hosts that is available."""
+        """Returns the share of the neighbours' hosts that is available, of the most seen."""
         most = sum(self._most_hosts.values())
         now = sum(min(hosts, self._available(name)) for name, hosts in self._most_hosts.items())
         return now / most if most else 1.0
 
     def loss_reason(self) -> str:
-        """Why no wave goes out, for people; "" where nothing is lost."""
+        """Returns which neighbours lost hosts, as text for operators; "" below LOST_HOSTS_SHARE."""
         if self.available_share() > 1 - LOST_HOSTS_SHARE:
             return ""
         short = [
@@ -149,10 +153,10 @@
             for name, most in sorted(self._most_hosts.items())
             if self._available(name) < most
         ]
-        return "neighbours are lost: " + ", ".join(short) + " hosts stand"
+        return "neighbours have lost hosts: " + ", ".join(short) + " available"
 
     def excess_per_s(self) -> float:
-        """Requests a second beyond what the neighbours left can serve; 0 where it is not known."""
+        """Returns the load beyond the remaining capacity, requests per second; 0 if unknown."""
         if not self._capacity_per_s or not self.loss_reason():
             return 0.0
         capacity = sum(
@@ -166,5 +170,5 @@
         return max(0.0, load - MAX_UTILIZATION * capacity)
 
     def is_drained_zone_available(self) -> bool:
-        """Whether the drained zone's own hosts are available."""
+        """Returns whether the drained zone has available hosts, so that sessions can return."""
         return self._available(self._drained_zone) > 0
--- a/cherrydoor/zone_drain/operator_commands.py
+++ b/cherrydoor/zone_drain/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask of zone drains on the control socket, and what they are answered."""
+"""Operators' zone drain commands on the control socket, and the answers to them."""
 
 from collections.abc import Callable, Mapping
 from enum import StrEnum
@@ -13,13 +13,13 @@
 from cherrydoor.zone_drain.reported_loads import PlannedDrain, ReportedLoads
 from cherrydoor.zone_drain.wave_plan import wave_share_within
 
-MIN_WAVE_MS = 2000.0  # that a wave takes where nothing holds it up: announced, confirmed, watched
-DEFAULT_DURATION_S = 3600.0  # in which a drain is to be over unless an operator says otherwise
-WHOLE_ZONE_SHARE = 1.0  # the wave share of a dry run for which no wave fits into the time
+MIN_WAVE_MS = 2000.0  # a wave without delays: announced, confirmed and observed
+DEFAULT_DURATION_S = 3600.0  # target duration of a drain unless an operator gives one
+WHOLE_ZONE_SHARE = 1.0  # wave share of a dry run whose duration is too short for any wave
 
 
 class DrainCommand(StrEnum):
-    """The commands; what is not handled here goes to the drain's coordinator."""
+    """Commands handled by this gateway, and those forwarded to the drain's coordinator."""
 
     SHOW = "show"
     PLAN = "plan"
@@ -30,11 +30,11 @@
 
 
 class CommandRefusedError(Exception):
-    """A command that cannot be followed; its text says which zone and why, for operators."""
+    """A command that is refused; its text gives operators the zone and the reason."""
 
 
 class OperatorCommands:
-    """Answers the control socket; owns nothing but the ways to the drains."""
+    """Answers drain commands from the control socket; owns no state of its own."""
 
     def __init__(
         self,
@@ -45,15 +45,15 @@
         report_own_load: Callable[[str], None],
         send_command: Callable[[str, str, CoordinatorCommand], None],
     ):
-        """Connects the commands.
+        """Stores the sources of the answers.
 
         Args:
-            dispatcher: Gives the gateway's dispatcher, for its hosts.
-            participant: Gives the drains as this gateway knows them.
+            dispatcher: Returns the gateway's dispatcher, which has its hosts.
+            participant: Returns the participant, which has the drains that this gateway knows.
             coordinators: The drains that are coordinated here.
-            loads: What gateways report.
+            loads: The loads that gateways report.
             report_own_load: Adds this gateway's own report on a zone to `loads`.
-            send_command: Sends (coordinator, zone, command).
+            send_command: Sends a command to a coordinator: (coordinator, zone, command).
         """
         self._dispatcher = dispatcher
         self._participant = participant
@@ -63,11 +63,11 @@
         self._send_command = send_command
 
     def answer(self, request: Mapping[str, Any]) -> Table:
-        """The answer to a command.
+        """Answers a command; a refused one with a table that has only the key `error`.
 
         Args:
-            request: `what`, a DrainCommand; `site`, the zone; where they apply `within`, in
-                seconds, and `even`, whether to accept a shortfall.
+            request: `what`, a DrainCommand; `site`, the zone; optionally `within`, the duration
+                in seconds, and `even`, whether to accept a capacity shortfall.
         """
         zone = str(request["site"])
         try:
@@ -89,8 +89,8 @@
         zones = listed_zones(self._dispatcher())
         if zone not in zones:
             raise CommandRefusedError(
-                f"no host of the list is at site {zone!r}; "
-                f"there are {' '.join(sorted(zones)) or 'none'}"
+                f"no host in the endpoint list is in zone {zone!r}; "
+                f"zones with hosts: {' '.join(sorted(zones)) or 'none'}"
             )
 
     def _show(self, zone: str) -> Table:
@@ -98,7 +98,7 @@
         return drain_table(zone, wave, self._coordinators.coordinator(zone))
 
     def _plan(self, zone: str, wave_share: float) -> PlannedDrain:
-        """By what this gateway knows alone, or as coordinator by what all have reported."""
+        """Plans from this gateway's own load; as coordinator, from all gateways' reports."""
         self._report_own_load(zone)
         return self._loads.plan(zone, wave_share)
 
@@ -110,12 +110,12 @@
     def _drain(self, zone: str, request: Mapping[str, Any]) -> Table:
         self._require_no_drain(zone)
         if len(listed_zones(self._dispatcher())) < 2:
-            raise CommandRefusedError(f"{zone} has no neighbour")
+            raise CommandRefusedError(f"zone {zone} has no neighbour")
         wave_share = _wave_share(request)
         if wave_share is None:
             shortest_s = (REPORT_COLLECTION_MS + MIN_WAVE_MS) / 1000
             raise CommandRefusedError(
-                f"a drain takes {shortest_s:g} s at the least: to listen, and a wave"
+                f"a drain takes at least {shortest_s:g} s: for collecting reports and one wave"
             )
         allow_shortfall = bool(request.get("even"))
         plan = self._plan(zone, wave_share).plan
@@ -128,24 +128,24 @@
         drain = self._participant().active_drain(zone)
         if drain is not None:
             raise CommandRefusedError(
-                f"{zone} is drained already, by {drain.coordinator}: "
+                f"zone {zone} is already being drained by {drain.coordinator}: "
                 f"wave {drain.wave}, {drain.state}"
             )
         other = self._participant().any_active_drain()
         if other is not None:
-            raise CommandRefusedError(f"{other.zone} is being drained: one site at a time")
+            raise CommandRefusedError(f"zone {other.zone} is being drained: one zone at a time")
 
     def _forward(self, zone: str, name: str) -> Table:
         drain: DrainWave | None = self._participant().active_drain(zone)
         if drain is None:
-            raise CommandRefusedError(f"{zone} is not being drained")
+            raise CommandRefusedError(f"zone {zone} is not being drained")
         if name not in list(CoordinatorCommand):
-            raise CommandRefusedError(f"unknown: {name}")
+            raise CommandRefusedError(f"unknown command: {name}")
         self._send_command(drain.coordinator, zone, CoordinatorCommand(name))
         return self._show(zone)
 
 
 def _wave_share(request: Mapping[str, Any]) -> float | None:
-    """The share of a wave for a drain of the length asked for; None where that is too short."""
+    """Returns the share per wave for the requested duration; None if it is too short."""
     duration_s = float(request.get("within") or DEFAULT_DURATION_S)
     return wave_share_within(1000.0 * duration_s - REPORT_COLLECTION_MS, MIN_WAVE_MS)
--- a/cherrydoor/zone_drain/participant.py
+++ b/cherrydoor/zone_drain/participant.py
@@ -1,9 +1,11 @@
-"""A zone drain as each participant applies it: the current wave, and where a request may go.
+"""A participant in zone drains: keeps each zone's current wave and decides where requests may go.
 
-Of two waves the one with the higher (fencing token, number) applies, whatever order they come in. A
-gateway that receives nothing stays at its wave and serves. Sessions move by hash in nested shares:
-one that has moved stays moved as the share grows, and no table grows with sessions. Pure; times are
-ms of the caller's clock.
+Of two waves the one with the higher (fencing token, number) applies, in whatever order they arrive.
+A gateway that receives no waves stays at its last one and continues to serve. A session is served
+outside the zone if its hash is below the moved share. It therefore stays moved as the share grows,
+and no table of sessions is needed.
+
+Pure; times are ms of the caller's clock.
 """
 
 from collections import Counter
@@ -14,21 +16,21 @@
 from cherrydoor.protocol.zone_drain import DrainState, DrainWave
 from cherrydoor.zone_drain.session_groups import OTHER_FUNCTIONS
 
-ALL_MOVED_STATES = (
-    DrainState.EMPTYING,
-    DrainState.EMPTY,
-)  # nothing is steered to the zone any more
-KEYS_REMEMBERED_REASON = "its marks are still remembered at a site that is drained"
-NO_CAPACITY_REASON = "a site is drained and its neighbours have no room"
+# In these states no request is routed to the zone.
+ALL_MOVED_STATES = (DrainState.EMPTYING, DrainState.EMPTY)
+KEYS_REMEMBERED_REASON = (
+    "its idempotency key may still be remembered in a zone that is being drained"
+)
+NO_CAPACITY_REASON = "a zone is being drained and its neighbours have no capacity"
 
 
 def session_key(affinity_key: str, tenant: str, function: str) -> str:
-    """What moves together: requests of one affinity key, else of one tenant and function."""
+    """Returns the key of a session: the affinity key, or else tenant and function."""
     return affinity_key or f"{tenant}\0{function}"
 
 
 def unversioned(name: str) -> str:
-    """The function that a version is of, as requests name it.
+    """Returns the function name without its version, as requests use it.
 
     >>> unversioned("deed-1@7"), unversioned("deed-1")
     ('deed-1', 'deed-1')
@@ -37,7 +39,7 @@
 
 
 def hash_position(zone: str, session: str) -> float:
-    """The position of a session between 0 and 1, alike at every gateway.
+    """Returns the session's position in [0, 1), which is the same at every gateway.
 
     >>> hash_position("z", "a") == hash_position("z", "a") and 0.0 <= hash_position("z", "a") < 1.0
     True
@@ -46,7 +48,7 @@
 
 
 class DrainDecision(Struct, frozen=True):
-    """What the drains mean for a request: the zone that is not eligible, and why it is rejected."""
+    """Effect of drains on a request: a zone to avoid and a reason to reject it; "" if none."""
 
     excluded_zone: str = ""
     rejection_reason: str = ""
@@ -56,10 +58,10 @@
 
 
 class Participant:
-    """Owns the latest wave of each zone, and since when each function's share has grown.
+    """Owns the latest wave of each zone, and when each function's moved share last grew.
 
-    Invariant: the wave of a zone never goes back in (fencing token, number). A completed drain
-    stays until the next one of that zone, so that its old waves are still known to be old.
+    Invariant: the (fencing token, number) of a zone's wave never decreases. A completed drain is
+    kept until the zone's next drain, so that its outdated waves are still recognized.
     """
 
     def __init__(self) -> None:
@@ -68,14 +70,14 @@
         self._share_grew_at_ms: dict[str, dict[str, float]] = {}
 
     def accept_wave(self, now_ms: float, wave: DrainWave) -> bool:
-        """Goes by the wave if it is newer than the known one; whether it is."""
+        """Applies the wave if it is newer than the known one; returns whether it was."""
         known = self.drains.get(wave.zone)
         if known is not None and known.version >= wave.version:
             self.counters["outdated_waves"] += known.version > wave.version
             return False
         before: dict[str, float] = {}
         if known is not None and known.state == DrainState.COMPLETED:
-            self._share_grew_at_ms.pop(wave.zone, None)  # another drain: its sessions move anew
+            self._share_grew_at_ms.pop(wave.zone, None)  # a new drain moves its sessions again
         elif known is not None:
             before = {one.function: one.share for one in known.moved_shares}
         grew_at_ms = self._share_grew_at_ms.setdefault(wave.zone, {})
@@ -86,17 +88,17 @@
         return True
 
     def active_drain(self, zone: str) -> DrainWave | None:
-        """The latest wave of the zone's drain; None where none goes on."""
+        """Returns the latest wave of the zone's drain; None if the zone is not being drained."""
         wave = self.drains.get(zone)
         return None if wave is None or wave.state == DrainState.COMPLETED else wave
 
     def any_active_drain(self) -> DrainWave | None:
-        """The latest wave of a drain that goes on, whichever zone it is of."""
+        """Returns the latest wave of any active drain; None if there is none."""
         active = (one for one in self.drains.values() if one.state != DrainState.COMPLETED)
         return next(active, None)
 
     def zones_with_moved_sessions(self) -> list[str]:
-        """Zones of which sessions have moved."""
+        """Returns the draining zones from which sessions have moved."""
         return [
             zone
             for zone, wave in self.drains.items()
@@ -107,19 +109,20 @@
     def decide(
         self, now_ms: float, function: str, retry_safety: str, dedup_window_ms: float, session: str
     ) -> DrainDecision:
-        """Where a request may not go, and whether it is rejected.
+        """Decides which zone a request must avoid, and whether it is rejected.
 
-        A request with an idempotency key that only a part of the hosts remembers does not move
-        while that part may still know it: its retry would have its effect again elsewhere. This
-        harms in that first requests with new keys are rejected for that time as well.
+        Some idempotency keys are remembered by a part of the hosts only. A request with such a key
+        is rejected until the dedup window after its share grew has passed: elsewhere, a retry would
+        be executed a second time. The cost is that first requests with new keys are rejected during
+        that time too, because they cannot be told from retries.
 
         Args:
-            now_ms: Now.
-            function: As the request names it.
-            retry_safety: Of its request class.
-            dedup_window_ms: For how long a part of the hosts remembers its key; 0 where all hosts
-                do, or none.
-            session: Its session key.
+            now_ms: The current time, ms.
+            function: Function name as in the request.
+            retry_safety: Retry safety of the request class.
+            dedup_window_ms: How long a part of the hosts remembers the request's key, ms; 0 if all
+                hosts remember it, or none.
+            session: Session key of the request.
         """
         for zone, wave in self.drains.items():
             if wave.state == DrainState.COMPLETED:
--- a/cherrydoor/zone_drain/participant_reports.py
+++ b/cherrydoor/zone_drain/participant_reports.py
@@ -1,4 +1,4 @@
-"""What participants report of a drain: the wave they go by, what is in flight, how requests fare.
+"""Reports of a drain's participants: their wave, requests in flight and timely responses.
 
 Pure; times are ms of the caller's clock.
 """
@@ -10,16 +10,17 @@
 
 from cherrydoor.protocol.zone_drain import ParticipantReport
 
-MIN_RESPONSES = 30  # by which a share in time is judged
-MAX_SAMPLES = 400  # reports that shares are made of
-REPORT_INTERVAL_MS = 250.0  # between two reports of one gateway in a small fleet ...
-GATEWAYS_PER_INTERVAL = 50  # ... and once more for each so many gateways
+MIN_RESPONSES = 30  # fewer responses give no timely share
+MAX_SAMPLES = 400  # reports from which timely shares are computed
+REPORT_INTERVAL_MS = 250.0  # between two reports of one gateway of a small fleet
+GATEWAYS_PER_INTERVAL = 50  # each further 50 gateways add another REPORT_INTERVAL_MS
 
 
 def report_interval_ms(gateways: int) -> float:
-    """Time between two reports of one gateway, so that a coordinator reads some 200 a second.
+    """Returns the time between two reports of one gateway, ms.
 
-    A new wave is confirmed at once, whatever this says.
+    It limits a coordinator's load to about 200 reports per second. A new wave is confirmed at once,
+    regardless of the interval.
 
     >>> report_interval_ms(8), report_interval_ms(1000)
     (250.0, 5000.0)
@@ -28,7 +29,7 @@
 
 
 class ParticipantState(Struct):
-    """What one participant last reported: the version of its wave and its requests in flight."""
+    """A participant's last report: the version of its wave and its requests in flight."""
 
     wave_version: tuple[int, int] = (0, 0)
     in_flight: int = 0
@@ -36,7 +37,7 @@
 
 
 class ResponseSample(NamedTuple):
-    """Responses of one report, and those of them within their latency objective."""
+    """Number of responses in one report, and of those within their latency objective."""
 
     reported_at_ms: float
     timely_responses: int
@@ -44,7 +45,7 @@
 
 
 class TimelyShare(NamedTuple):
-    """The share of responses in time, None where there are too few; and of how many."""
+    """The share of responses within their latency objective; None if there are too few."""
 
     share: float | None
     responses: int
@@ -53,8 +54,8 @@
 class ParticipantReports:
     """Owns the last report of each participant, and samples of their responses.
 
-    Invariant: at most one state a gateway name, and MAX_SAMPLES samples. A report of an earlier
-    incarnation than the known one changes nothing.
+    Invariant: at most one state per gateway name, and at most MAX_SAMPLES samples. A report of an
+    earlier incarnation than the known one is ignored.
     """
 
     def __init__(self) -> None:
@@ -62,7 +63,7 @@
         self._samples: list[ResponseSample] = []
 
     def add(self, now_ms: float, report: ParticipantReport) -> bool:
-        """Takes a report; False where it is of an earlier incarnation than the known one."""
+        """Adds a report; returns False if it is from an earlier incarnation than the known one."""
         state = self.participants.setdefault(report.gateway, ParticipantState())
         if report.incarnation < state.incarnation:
             return False
@@ -76,7 +77,7 @@
         return True
 
     def not_confirmed(self, living: Iterable[str], version: tuple[int, int]) -> list[str]:
-        """Living gateways that have not confirmed this wave."""
+        """Returns the living gateways that have not confirmed this wave."""
         return [
             name
             for name in living
@@ -84,11 +85,11 @@
         ]
 
     def confirmed_count(self, version: tuple[int, int]) -> int:
-        """How many participants have confirmed this wave."""
+        """Returns the number of participants that have confirmed this wave."""
         return sum(one.wave_version >= version for one in self.participants.values())
 
     def with_requests_in_flight(self, living: Iterable[str]) -> list[str]:
-        """Living gateways with requests in flight in the zone."""
+        """Returns the living gateways with requests in flight in the zone."""
         return [
             name
             for name in living
@@ -96,11 +97,11 @@
         ]
 
     def in_flight(self) -> int:
-        """Requests in flight in the zone, by the last reports of all."""
+        """Returns the sum of the requests in flight in the zone, by all last reports."""
         return sum(one.in_flight for one in self.participants.values())
 
     def timely_share(self, since_ms: float) -> TimelyShare:
-        """The share in time of all responses reported since then."""
+        """Returns the timely share of all responses reported since then."""
         recent = [one for one in self._samples if one.reported_at_ms >= since_ms]
         timely_responses = sum(one.timely_responses for one in recent)
         responses = sum(one.responses for one in recent)
--- a/cherrydoor/zone_drain/preload_tracker.py
+++ b/cherrydoor/zone_drain/preload_tracker.py
@@ -1,8 +1,10 @@
-"""Copies to be loaded outside a zone before a wave goes out: ordered, ordered again, postponed.
+"""Tracks the copies that must be loaded outside a zone before a wave is announced.
+
+A load order may be lost, the store may stop, or no host may be able to load the function. None of
+these may delay other functions. A function that has no copy after MAX_ORDERS orders is therefore
+postponed to an additional last wave. There it is ordered again until LAST_WAVE_TIMEOUT_MS; the
+drain then pauses, and an operator decides whether its sessions move without a copy.
 
-An order may be lost, a store may stop, and a function may be one that nothing loads. None of them
-holds up the others: a function without a copy after some orders is postponed to a last wave; there
-it is ordered for a while longer, and then an operator decides whether its sessions move without.
 Pure; times are ms of the caller's clock.
 """
 
@@ -12,13 +14,13 @@
 
 from cherrydoor.zone_drain.wave_plan import Waves, WaveStep
 
-ORDER_TIMEOUT_MS = 4000.0  # after which a copy that is not loaded is ordered again ...
-MAX_ORDERS = 3  # ... so often; then its function is postponed to the last wave
-LAST_WAVE_TIMEOUT_MS = 30000.0  # for which the last wave's copies are ordered; then it is paused
+ORDER_TIMEOUT_MS = 4000.0  # a copy that is not loaded by then is ordered again
+MAX_ORDERS = 3  # load orders of a copy before its function is postponed to the last wave
+LAST_WAVE_TIMEOUT_MS = 30000.0  # if copies of the last wave are missing by then, the drain pauses
 
 
 class OverdueCopies(NamedTuple):
-    """Functions whose copies are overdue: to be ordered again, and to be postponed."""
+    """Functions with overdue copies: those to order again, and those to postpone."""
 
     order_again: list[str]
     postpone: list[str]
@@ -30,12 +32,12 @@
     Invariant: a function is pending only while no copy of it is loaded outside the zone.
 
     Attributes:
-        pending: Function -> when its copy was last ordered, ms.
+        pending: Function -> time of its last load order, ms.
         postponed: Function -> its step in the last wave.
     """
 
     def __init__(self, loaded: Iterable[str]):
-        """Starts with the functions of which a copy is loaded outside the zone."""
+        """Starts with the functions that already have a copy outside the zone."""
         self.pending: dict[str, float] = {}
         self.postponed: dict[str, WaveStep] = {}
         self._loaded = set(loaded)
@@ -45,7 +47,7 @@
         self._has_given_up = False
 
     def begin_wave(self, now_ms: float, wave: list[WaveStep]) -> list[str]:
-        """Functions of the wave whose copies are to be ordered now."""
+        """Begins the preloads of a wave; returns the functions whose copies must be ordered."""
         wanted = [
             step.function
             for step in wave
@@ -57,12 +59,12 @@
         return wanted
 
     def copy_loaded(self, function: str) -> None:
-        """A copy of the function is loaded outside the zone."""
+        """Records that a copy of the function is loaded outside the zone."""
         self._loaded.add(function)
         self.pending.pop(function, None)
 
     def overdue(self, now_ms: float, is_last_wave: bool) -> OverdueCopies:
-        """What to do about overdue copies; in the last wave nothing can be postponed further."""
+        """Finds overdue copies and counts their new orders; the last wave postpones none."""
         found = OverdueCopies([], [])
         late = [name for name, at_ms in self.pending.items() if now_ms - at_ms > ORDER_TIMEOUT_MS]
         for name in late:
@@ -75,7 +77,7 @@
         return found
 
     def postpone(self, name: str, waves: Waves) -> Waves:
-        """The waves that are left, with that function's steps as one in the last of them."""
+        """Postpones a function; returns the waves with its steps merged into one in the last."""
         del self.pending[name]
         steps = [step for wave in waves for step in wave if step.function == name]
         remaining = [[step for step in wave if step.function != name] for wave in waves]
@@ -87,16 +89,16 @@
         return remaining
 
     def give_up_if_overdue(self, now_ms: float) -> str:
-        """Why the drain pauses before its last wave, for people; "" where it need not."""
+        """Gives up on missing copies once overdue; returns why the drain pauses, else ""."""
         if not self.pending or now_ms - self._began_at_ms < LAST_WAVE_TIMEOUT_MS:
             return ""
         self._has_given_up = True
         names = ", ".join(self.pending)
         seconds = LAST_WAVE_TIMEOUT_MS / 1000
-        return f"no copy of {names} stands after {seconds:g} s: resume goes on without"
+        return f"no copy of {names} loaded after {seconds:g} s: resume continues without it"
 
     def resume(self) -> None:
-        """An operator goes on: without the copies that were given up, if any."""
+        """Continues for an operator, without the copies that were given up, if any."""
         if self._has_given_up:
             self._moving_without_copy.update(self.pending)
         self._has_given_up = False
--- a/cherrydoor/zone_drain/regression_detector.py
+++ b/cherrydoor/zone_drain/regression_detector.py
@@ -1,29 +1,33 @@
-"""Whether fewer requests than before a drain meet their latency objective, and for how long.
+"""Detects that fewer requests meet their latency objective than before a drain, and for how long.
 
-No gateway reports what neighbours can serve; that they can serve less than was assumed shows here
-first. A small regression may be chance and passes; a deep one is overload, which grows while one
-waits. Pure; times are ms of the caller's clock.
+No gateway reports the capacity of neighbours directly. If it is less than assumed, the *timely
+share* shows that first: the share of responses within their latency objective. A small regression
+may be chance and pass. A large one is overload, which grows if nothing is done; it is therefore
+tolerated for a shorter time.
+
+Pure; times are ms of the caller's clock.
 """
 
-TOLERATED_DROP = 0.05  # of the share in time, against before the drain ...
-TOLERATED_DROP_BEYOND_CAPACITY = 0.02  # ... and beyond known capacity: overload feeds itself
-MAX_TOLERATED_MS = 4000.0  # for a regression of TOLERATED_DROP; the less, the deeper it is ...
-MIN_TOLERATED_MS = 1000.0  # ... but this long at the least
-RECOVERY_MS = 4000.0  # after a step back, until queues at hosts have been served or dropped
-SHARE_WINDOW_MS = 4000.0  # of responses that a share is made of once all sessions have moved
-ATTRIBUTION_MS = 20000.0  # after the last wave, for which a regression is held to be its effect
-ASSUMED_RESPONSES = 1e9  # where the caller knows no number: chance plays no part
+TOLERATED_DROP = 0.05  # of the timely share below the baseline
+TOLERATED_DROP_BEYOND_CAPACITY = 0.02  # smaller, as an overload makes itself worse
+MAX_TOLERATED_MS = 4000.0  # for a drop of TOLERATED_DROP; the larger the drop, the shorter
+MIN_TOLERATED_MS = 1000.0  # for a drop of any size
+RECOVERY_MS = 4000.0  # after a rollback, until the queues at hosts have been served or dropped
+SHARE_WINDOW_MS = 4000.0  # of responses in a timely share once all sessions have moved
+ATTRIBUTION_MS = 20000.0  # after the last wave; later regressions are not attributed to it
+ASSUMED_RESPONSES = 1e9  # if the caller gives no number: sampling error is then negligible
 
 
 class RegressionDetector:
-    """Compares the share in time with the one before the drain.
+    """Compares the timely share with its baseline from before the drain.
 
-    Harms where another cause lowers the share meanwhile: the drain waits or steps back for it.
+    It cannot distinguish causes: if something else lowers the share during the drain, the drain
+    waits or rolls a wave back as well.
 
     Attributes:
-        baseline: The share before the drain; None until it is known.
-        since_ms: Since when there has been a regression; None while there is none.
-        reason: What the share has fallen to, for people.
+        baseline: The timely share before the drain; None until it is known.
+        since_ms: Start of the current regression, ms; None if there is none.
+        reason: Current share and baseline, as text for operators; "" if there is no regression.
     """
 
     def __init__(self) -> None:
@@ -33,7 +37,7 @@
         self._drop = 0.0
 
     def reset(self) -> None:
-        """Forgets a regression that was seen; the baseline stays."""
+        """Ends the current regression; the baseline stays."""
         self.since_ms = None
 
     def observe(
@@ -43,24 +47,25 @@
         responses: float = ASSUMED_RESPONSES,
         tolerated_drop: float = TOLERATED_DROP,
     ) -> bool:
-        """Whether there is a regression.
+        """Records a timely share and returns whether it is a regression.
 
         Args:
-            now_ms: Now.
-            share: Of the last responses, those in time; None where they are too few.
-            responses: How many those are: what may be chance among so few counts for nothing.
-            tolerated_drop: By which the share may fall.
+            now_ms: The current time, ms.
+            share: The timely share of the last responses; None if they are too few.
+            responses: Number of those responses; a drop within two standard errors of that sample
+                is not a regression.
+            tolerated_drop: How far the share may fall below the baseline.
         """
         baseline = self.baseline
         if share is None or baseline is None:
             return self._clear_regression()
-        chance = 2 * (baseline * (1 - baseline) / responses) ** 0.5 if baseline else 0.0
-        if share >= baseline - tolerated_drop - chance:
+        sampling_error = 2 * (baseline * (1 - baseline) / responses) ** 0.5 if baseline else 0.0
+        if share >= baseline - tolerated_drop - sampling_error:
             return self._clear_regression()
         if self.since_ms is None:
             self.since_ms = now_ms
         self._drop = baseline - share
-        self.reason = f"{share:.2f} within target, {baseline:.2f} before"
+        self.reason = f"{share:.2f} of responses within latency objective, {baseline:.2f} before"
         return True
 
     def _clear_regression(self) -> bool:
@@ -69,7 +74,7 @@
         return False
 
     def persists(self, now_ms: float) -> bool:
-        """Whether the regression has lasted for longer than it is tolerated."""
+        """Returns whether the regression has lasted longer than a drop of its size is tolerated."""
         if self.since_ms is None:
             return False
         tolerated_ms = MAX_TOLERATED_MS * TOLERATED_DROP / max(TOLERATED_DROP, self._drop)
--- a/cherrydoor/zone_drain/reported_loads.py
+++ b/cherrydoor/zone_drain/reported_loads.py
@@ -1,4 +1,4 @@
-"""What all gateways report of the load on zones, and the plan that follows from it. Pure."""
+"""Collects the gateways' reports on the load of zones and plans drains from them. Pure."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -19,11 +19,11 @@
 )
 from cherrydoor.zone_drain.wave_plan import WavePlan, plan_waves
 
-UNLIMITED_CAPACITY_PER_S = 1e9  # where it is unknown: no drain is refused for it
+UNLIMITED_CAPACITY_PER_S = 1e9  # if it is unknown, so that no drain is refused for it
 
 
 class PlannedDrain(NamedTuple):
-    """A plan with the session groups and copies that it was made of."""
+    """A plan with the session groups and copies from which it was made."""
 
     plan: WavePlan
     groups: list[SessionGroup]
@@ -31,7 +31,7 @@
 
 
 class ReceivedReport(NamedTuple):
-    """A report and when it came."""
+    """A report with its time of arrival, ms."""
 
     received_at_ms: float
     report: ParticipantReport
@@ -40,7 +40,7 @@
 class ReportedLoads:
     """Owns the last report of each gateway on each zone that may be drained from here.
 
-    Invariant: a report counts for REPORT_LIFETIME_MS; those of a zone go when it is forgotten.
+    Reports older than REPORT_LIFETIME_MS are ignored; `forget` removes those of a zone.
     """
 
     def __init__(self, now: Callable[[], float], unversioned: Callable[[str], str]):
@@ -48,27 +48,27 @@
 
         Args:
             now: The clock, in ms.
-            unversioned: Gives the function that a version is of.
+            unversioned: Returns the function name without its version.
         """
         self._now = now
         self._unversioned = unversioned
         self._received: dict[str, dict[str, ReceivedReport]] = {}
 
     def add(self, report: ParticipantReport) -> None:
-        """Takes a report."""
+        """Adds a report; it replaces the gateway's last one on the zone."""
         of_zone = self._received.setdefault(report.zone, {})
         of_zone[report.gateway] = ReceivedReport(self._now(), report)
 
     def forget(self, zone: str) -> None:
-        """Drops the reports on the zone."""
+        """Removes the reports on the zone."""
         self._received.pop(zone, None)
 
     def gateways(self, zone: str) -> list[str]:
-        """Names of the gateways that reported, sorted."""
+        """Returns the sorted names of the gateways that reported on the zone."""
         return sorted(self._received[zone])
 
     def fresh(self, zone: str) -> list[ParticipantReport]:
-        """Reports on the zone that still count."""
+        """Returns the reports on the zone that have not expired."""
         now_ms = self._now()
         return [
             one.report
@@ -77,16 +77,16 @@
         ]
 
     def zones(self, zone: str) -> dict[str, ZoneState]:
-        """All zones as the reports on this one describe them."""
+        """Returns the state of all zones, from the reports on this zone's drain."""
         return combined_zones(report.zone_loads for report in self.fresh(zone))
 
     def sessions(self, zone: str) -> ZoneSessions:
-        """The zone's session groups, versions of one function together, and loaded copies."""
+        """Returns the zone's session groups, one per function, and the loaded copies."""
         loads = (load for report in self.fresh(zone) for load in report.function_loads)
         return combined_sessions(loads, self._unversioned)
 
     def plan(self, zone: str, wave_share: float) -> PlannedDrain:
-        """The drain of the zone by what is reported now."""
+        """Plans a drain of the zone from the current reports."""
         sessions = self.sessions(zone)
         zones = self.zones(zone)
         capacity = spare_capacity(zones, zone)
--- a/cherrydoor/zone_drain/service.py
+++ b/cherrydoor/zone_drain/service.py
@@ -1,4 +1,4 @@
-"""Zone drains at one gateway: goes by waves, reports, and coordinates where it holds the lease."""
+"""Zone drains at one gateway: applies waves, sends reports, coordinates if it holds the lease."""
 
 from asyncio import TimerHandle
 from collections.abc import Callable, Mapping
@@ -26,31 +26,31 @@
 from cherrydoor.zone_drain.reported_loads import ReportedLoads
 
 log = structlog.get_logger()
-TICK_S = 0.25  # between looks at what is to be reported and what is due
-TIMER_TOLERANCE_MS = 1.0  # by which a tick may come early and still count as its time
+TICK_S = 0.25  # between two checks for due reports and actions
+TIMER_TOLERANCE_MS = 1.0  # a report may be sent that much early, as timers can fire early
 NO_RESPONSES = ResponseCounts(0, 0)
 
 
 class SentReport(NamedTuple):
-    """When this gateway last reported on a drain, and the version of the wave it went by."""
+    """The time of this gateway's last report on a drain, and the version of its wave then."""
 
     sent_at_ms: float
     version: tuple[int, int]
 
 
 def version_reader(releases: Any) -> Callable[[str], str]:
-    """How names of functions are read: without their version where there are releases."""
+    """Returns how function names are read: without their version if the gateway has releases."""
     return (lambda name: name) if releases is None else unversioned
 
 
 class ZoneDrainService:
-    """One gateway's part in zone drains, and the dispatcher's interface to them.
+    """One gateway's zone drains and their interface for the dispatcher.
 
-    Owns the participant, the coordinators, the operators' commands and this gateway's own load.
+    Owns the participant, the coordinators, the operator commands and this gateway's own load.
     """
 
     def __init__(self, peers: MembershipService, leases: LeaseService):
-        """Connects to the gateway's links and leases; `start` begins to report."""
+        """Subscribes to the gateway's peers; reports are sent only after `start`."""
         self._peers = peers
         self._leases = leases
         self._service = peers.service
@@ -86,61 +86,61 @@
         peers.subscribe(OperatorCommand, self._command_received)
 
     def start(self) -> None:
-        """Begins to report and to coordinate."""
+        """Starts the timer that reports and coordinates."""
         self._tick()
 
     def close(self) -> None:
-        """Hands the leases over."""
+        """Stops the timer and releases the leases."""
         if self._timer:
             self._timer.cancel()
         self.coordinators.release_leases()
 
-    def order(self, said: Mapping[str, Any]) -> Table:
-        """The answer to an operator's command (operator_commands.py)."""
-        return self._operator_commands.answer(said)
+    def order(self, request: Mapping[str, Any]) -> Table:
+        """Answers an operator's command (operator_commands.py)."""
+        return self._operator_commands.answer(request)
 
     # ---- the dispatcher's interface
     def _decide(self, request: Any) -> DrainDecision:
         return self.load.decide(self.participant, self._now(), request)
 
     def rejection_reason(self, request: Any) -> str:
-        """Why the request is rejected for a drain; "" where it is not."""
+        """Returns why a drain rejects the request; "" if none does."""
         return self._decide(request).rejection_reason if self.participant.drains else ""
 
     def drained_zone(self, request: Any, function: str) -> str:
-        """The zone that is not eligible for the request, if any.
+        """Returns the drained zone that the request must avoid; "" if there is none.
 
         Args:
             request: The request.
-            function: As it is called: a version of the request's.
+            function: The versioned name of the request's function.
         """
         self.load.request_routed(function, request.request_class)
         return self._decide(request).excluded_zone if self.participant.drains else ""
 
     def draining_zones(self) -> list[str]:
-        """Zones of which sessions have moved: releases load ahead outside them, too."""
+        """Returns the zones from which sessions have moved; releases also preload outside them."""
         return self.participant.zones_with_moved_sessions()
 
     def attempt_started(self, function: str, zone: str) -> None:
-        """An attempt goes to a host of the zone."""
+        """Counts an attempt at a host of the zone."""
         self.load.attempt_rates.attempt_started(function, zone)
 
     def request_finished(self, pending: Any, outcome: str, now_ms: float) -> None:
-        """A request has been answered."""
+        """Counts a response."""
         duration_ms = now_ms - pending.accepted_at_ms
         request_class = pending.request.request_class
         self.load.request_finished(request_class, outcome == SUCCEEDED, duration_ms)
 
     def load_ended(self, function: str, host: str, is_success: bool) -> None:
-        """A load order of this gateway has ended; `function` is a version's name."""
+        """Records the end of a load order of this gateway; `function` is a versioned name."""
         self.coordinators.load_order_ended(function, host, is_success)
 
     # ---- waves
     def _wave_received(self, sender: str, wave: DrainWave) -> None:
-        """Goes by a wave that is new, and forwards it to everybody linked, once.
+        """Applies a wave if it is new, and forwards it once to every other connected peer.
 
         Args:
-            sender: The peer it came from; "" where this gateway announces it.
+            sender: The peer that sent it; "" if this gateway announces it.
             wave: The wave.
         """
         if not self.participant.accept_wave(self._now(), wave):
@@ -164,7 +164,7 @@
             self.coordinators.higher_token_seen(wave.zone, wave.fencing_token)
 
     def _send_newer_wave(self, sender: str, wave: DrainWave) -> None:
-        """A sender that is behind receives the current wave."""
+        """Sends the current wave to a sender that has an older one."""
         known = self.participant.drains.get(wave.zone)
         if known is not None and sender and known.version > wave.version:
             self._peers.send(sender, known)
@@ -176,7 +176,7 @@
                 self._service.post(dispatcher.copy_reported, copy.function, copy.host)
 
     def _peer_linked(self, name: str) -> None:
-        """A peer that was away receives the current waves from the first that it links to."""
+        """Sends the current waves to a peer that has just connected and may have missed them."""
         for wave in self.participant.drains.values():
             self._peers.send(name, wave)
 
@@ -200,15 +200,15 @@
         )
 
     def _add_own_report(self, zone: str) -> None:
-        """For a plan that is asked for here."""
+        """Adds this gateway's own report, for a plan that an operator requests here."""
         self._reported_loads.add(self._report(zone, (0, 0), NO_RESPONSES))
 
     def _report_if_due(self, zone: str, wave: DrainWave, now_ms: float) -> None:
-        """Confirms a new wave to the coordinator at once; repeats at intervals."""
+        """Confirms a new wave to the coordinator at once; then reports at regular intervals."""
         interval_ms = report_interval_ms(len(self._peers.members.alive_names()))
         sent = self._sent_reports.get(zone)
         if sent is not None and sent.version == wave.version:
-            is_completed = wave.state == DrainState.COMPLETED  # reported once
+            is_completed = wave.state == DrainState.COMPLETED  # reported only once
             if is_completed or now_ms - sent.sent_at_ms < interval_ms - TIMER_TOLERANCE_MS:
                 return
         self._sent_reports[zone] = SentReport(now_ms, wave.version)
@@ -216,14 +216,14 @@
         self._send(wave.coordinator, report)
 
     def _report_received(self, sender: str, report: ParticipantReport) -> None:
-        """Takes a report, or forwards it as a voter."""
+        """Processes a report that is for this gateway; forwards any other to its recipient."""
         if report.recipient == self._gateway:
             self.coordinators.report_received(report)
         else:
             self._peers.send(report.recipient, report)
 
     def _command_received(self, sender: str, message: OperatorCommand) -> None:
-        """Takes an operator's command, or forwards it as a voter."""
+        """Executes a command that is for this gateway; forwards any other to its recipient."""
         if message.recipient == self._gateway:
             self.coordinators.command_received(message.zone, message.command)
         else:
@@ -233,7 +233,7 @@
         self._send(coordinator, OperatorCommand(zone, command))
 
     def _send(self, coordinator: str, message: ParticipantReport | OperatorCommand) -> None:
-        """Sends to the coordinator: directly where it is linked, else by way of a voter."""
+        """Sends to the coordinator: directly if it is connected, else through a voter."""
         message.recipient = coordinator
         if coordinator == self._gateway:
             if isinstance(message, ParticipantReport):
@@ -258,5 +258,5 @@
             self._report_if_due(zone, wave, now_ms)
             is_active = wave.state != DrainState.COMPLETED
             if is_active and is_voter and not self.coordinators.wants_lease(zone):
-                self.coordinators.request_lease(zone)  # voters take over from a lost coordinator
+                self.coordinators.request_lease(zone)  # to take over if the coordinator is lost
         self.coordinators.tick()
--- a/cherrydoor/zone_drain/session_groups.py
+++ b/cherrydoor/zone_drain/session_groups.py
@@ -1,8 +1,8 @@
-"""The sessions of a zone by function, and in which order they move. Pure.
+"""Groups the sessions of a zone by function and orders them for a drain. Pure.
 
-A *session group* is the sessions of one function at the zone, over all gateways. Groups move in
-order of their priority weight, then of what moving costs: nothing where a matching copy is loaded
-elsewhere, else a load order, a fetch and memory.
+A *session group* is all sessions of one function at the zone, at all gateways. Groups move in order
+of their priority weight. Among equal weights, groups with a matching copy outside the zone move
+first, as they need no load order, no fetch and no further memory.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,15 +12,15 @@
 
 from cherrydoor.protocol.zone_drain import FunctionLoad
 
-MIN_GROUP_SHARE = 0.02  # of the zone's traffic; smaller groups move together as the rest
-MAX_NAMED_FUNCTIONS = 60  # that a report names; the others are reported as the rest
-OTHER_FUNCTIONS = ""  # the name of the rest: every function that is not named
+MIN_GROUP_SHARE = 0.02  # of the zone's traffic; smaller groups move together as other functions
+MAX_NAMED_FUNCTIONS = 60  # in a report; the others are reported together as other functions
+OTHER_FUNCTIONS = ""  # function name that stands for every function that is not named
 
-RETRY_SAFETIES = ("redeliverable", "keyed", "at-most-once")  # the later, the stricter
+RETRY_SAFETIES = ("redeliverable", "keyed", "at-most-once")  # in ascending strictness
 
 
 def strictest_retry_safety(*retry_safeties: str) -> str:
-    """The strictest of these retry safeties.
+    """Returns the strictest of these retry safeties.
 
     >>> strictest_retry_safety("keyed", "redeliverable")
     'keyed'
@@ -32,12 +32,12 @@
     """The sessions of one function at the zone.
 
     Attributes:
-        function: Name of the function, without its version where there are any.
-        requests_per_s: Requests a second at the zone.
-        priority_weight: Lost with each request that is late.
+        function: Name of the function, without a version if the gateway has releases.
+        requests_per_s: Requests per second at the zone.
+        priority_weight: Weight that is lost with each late request.
         retry_safety: The strictest of its request classes.
-        hosts_with_copy: Hosts elsewhere where matching copies are loaded.
-        dedup_window_ms: For how long hosts remember its idempotency keys.
+        hosts_with_copy: Hosts outside the zone that have a matching copy loaded.
+        dedup_window_ms: How long hosts remember its idempotency keys, ms.
     """
 
     function: str
@@ -49,7 +49,7 @@
 
 
 class LoadedCopy(NamedTuple):
-    """A copy outside the zone; `version` is the name by which hosts know the function."""
+    """A loaded copy outside the zone; `version` is the function's name at hosts."""
 
     function: str
     version: str
@@ -57,14 +57,14 @@
 
 
 class ZoneSessions(NamedTuple):
-    """The session groups of a zone, and where matching copies are loaded."""
+    """The session groups of a zone, and the matching copies loaded outside it."""
 
     groups: list[SessionGroup]
     copies: list[LoadedCopy]
 
 
 def move_order(group: SessionGroup) -> tuple[float, bool, float, str]:
-    """Sort key: the highest weight first, then what costs nothing to move, then the busiest."""
+    """Sort key: highest weight first, then groups with a copy elsewhere, then the busiest."""
     return (
         -group.priority_weight,
         not group.hosts_with_copy,
@@ -76,13 +76,13 @@
 def combined_sessions(
     loads: Iterable[FunctionLoad], unversioned: Callable[[str], str]
 ) -> ZoneSessions:
-    """The session groups and copies by the loads that all gateways report.
+    """Combines the loads that all gateways report into session groups and copies.
 
-    Sessions move by function, while a copy is of one version alone.
+    All versions of a function form one group, but each copy is a copy of one version.
 
     Args:
-        loads: Of all gateways.
-        unversioned: Gives the function that a version is of.
+        loads: The function loads of all gateways.
+        unversioned: Returns the function name without its version.
     """
     groups: dict[str, SessionGroup] = {}
     copies: dict[LoadedCopy, None] = {}
@@ -103,7 +103,7 @@
 
 
 def scaled_to_rate(groups: list[SessionGroup], requests_per_s: float) -> list[SessionGroup]:
-    """Groups that come to all that goes to the zone: no gateway reports second workers there.
+    """Scales groups up to the zone's total rate, as no gateway reports its second workers there.
 
     >>> groups = [SessionGroup("a", 3.0), SessionGroup("b", 1.0)]
     >>> [group.requests_per_s for group in scaled_to_rate(groups, 6.0)]
@@ -119,7 +119,7 @@
 
 
 def ordered_groups(groups: list[SessionGroup]) -> list[SessionGroup]:
-    """Groups in the order in which they move; small ones together as the rest."""
+    """Returns groups in the order in which they move; small ones are merged into one."""
     total = sum(group.requests_per_s for group in groups)
     large = [
         group
@@ -130,7 +130,7 @@
     rate = sum(group.requests_per_s for group in small)
     if rate:
         weighted = sum(group.requests_per_s * group.priority_weight for group in small)
-        rest = SessionGroup(
+        merged = SessionGroup(
             OTHER_FUNCTIONS,
             rate,
             weighted / rate,
@@ -138,5 +138,5 @@
             ("",),
             max(group.dedup_window_ms for group in small),
         )
-        large.append(rest)
+        large.append(merged)
     return sorted(large, key=move_order)
--- a/cherrydoor/zone_drain/wave_plan.py
+++ b/cherrydoor/zone_drain/wave_plan.py
@@ -1,28 +1,29 @@
-"""The waves in which a zone's sessions move, by what neighbours are known to bear. Pure.
+"""Plans the waves in which a zone's sessions move to neighbours with known capacity. Pure.
 
-A wave holds whole session groups or a share of one, bounded by the share of the zone's traffic and
-by the copies that are to be loaded. What goes beyond the known capacity of the neighbours has the
-lowest priority, and moves last, in smaller waves: what then turns out to find no capacity is
-*shed*, rejected, so that nothing above it is.
+A wave holds whole session groups or a share of one. It is limited both by its share of the zone's
+traffic and by the number of copies to be loaded for it. Sessions beyond the known capacity of the
+neighbours are those of the lowest priority; they move last, in smaller waves. If neighbours turn
+out to have no capacity for them, they are *shed*: their requests are rejected, so that sessions of
+higher priority are still served.
 """
 
 from msgspec import Struct
 
 from cherrydoor.zone_drain.session_groups import SessionGroup, ordered_groups
 
-DEFAULT_WAVE_SHARE = 0.25  # of the zone's requests a second that one wave moves at most
-MAX_COPIES_PER_WAVE = 4  # to be loaded: the store and warm-up budgets bear so many at a time
-EPSILON = 1e-9  # below which shares and rates count as nothing: rounding of sums
+DEFAULT_WAVE_SHARE = 0.25  # the most of the zone's requests per second that one wave moves
+MAX_COPIES_PER_WAVE = 4  # the store and the warm-up budgets allow that many loads at a time
+EPSILON = 1e-9  # smaller shares and rates are rounding errors of sums and count as 0
 
 
 class WaveStep(Struct, frozen=True):
-    """From its wave on, sessions of the function below the share are served elsewhere.
+    """One function's part of a wave: its sessions below the share are then served elsewhere.
 
     Attributes:
         function: Name of the function.
-        share: Counted from nothing, not from the step before.
-        needs_copy: Whether a copy has to be loaded elsewhere first.
-        requests_per_s: Requests a second that move with this step.
+        share: Total share moved by then, including the steps of earlier waves.
+        needs_copy: Whether a copy must first be loaded outside the zone.
+        requests_per_s: Requests per second that move with this step.
     """
 
     function: str
@@ -38,11 +39,11 @@
     """The waves of a drain.
 
     Attributes:
-        waves: The steps of each.
-        waves_within_capacity: How many of them neighbours are known to bear; those beyond are
-            smaller.
-        capacity_per_s: Requests a second that neighbours are known to bear.
-        demand_per_s: Requests a second at the zone.
+        waves: The steps of each wave.
+        waves_within_capacity: Number of waves, from the first on, that fit into the known capacity
+            of the neighbours; the waves after them are smaller.
+        capacity_per_s: Requests per second that neighbours are known to have capacity for.
+        demand_per_s: Requests per second at the zone.
     """
 
     waves: Waves = []
@@ -52,27 +53,28 @@
 
     @property
     def shortfall_per_s(self) -> float:
-        """Requests a second for which neighbours have no known capacity."""
+        """Requests per second for which neighbours have no known capacity."""
         return max(0.0, self.demand_per_s - self.capacity_per_s)
 
     def is_refused(self, allow_shortfall: bool) -> bool:
-        """Whether nothing moves; `allow_shortfall` where an operator wants it tried anyway."""
+        """Whether the drain is refused for a shortfall that the operator has not allowed."""
         return self.shortfall_per_s > 0 and not allow_shortfall
 
     def refusal_reason(self) -> str:
-        """Why the drain is refused, for people."""
+        """Why the drain is refused, as text for operators."""
         return (
-            f"neighbours are known to bear {self.capacity_per_s:.1f} more of the "
-            f"{self.demand_per_s:.1f} events a second here: "
+            f"neighbours are known to have capacity for {self.capacity_per_s:.1f} more requests "
+            f"per second, and this zone has {self.demand_per_s:.1f}: "
             f"{self.shortfall_per_s:.1f} are missing; "
-            "--even tries them last and defers what finds no room"
+            "--even moves them last and rejects those for which there is no capacity"
         )
 
 
 class WaveBuilder:
-    """Owns the waves while a plan is made.
+    """Owns the waves while a plan is built.
 
-    Invariant: no closed wave is empty, moves more than its bound or loads more than `max_copies`.
+    Invariant: no closed wave is empty, moves more than its limit or needs more than `max_copies`
+    loads.
     """
 
     def __init__(
@@ -88,13 +90,13 @@
         self._copies = 0
 
     def add_group(self, group: SessionGroup) -> None:
-        """Adds the steps that move the whole group."""
+        """Adds steps until the whole group has moved."""
         share = 0.0
         while share < 1 - EPSILON:
             share = self._add_step(group, share)
 
     def _add_step(self, group: SessionGroup, share: float) -> float:
-        """Moves as much more of the group as the wave holds; its share by then."""
+        """Adds as much of the group as fits into the wave; returns the total share moved."""
         is_beyond_capacity = self._remaining_capacity <= EPSILON
         is_first_beyond = is_beyond_capacity and self.waves_within_capacity is None
         needs_copy = not group.hosts_with_copy and not share
@@ -103,7 +105,7 @@
             is_full = True
         if is_full or (is_first_beyond and self._wave):
             self._close_wave()
-        if is_first_beyond:  # no smaller group goes before one that did not fit
+        if is_first_beyond:  # the part that did not fit moves next, ahead of smaller groups
             self.waves_within_capacity = len(self.waves)
             self._max_per_wave /= 2
         rate = group.requests_per_s
@@ -127,7 +129,7 @@
         self._copies = 0
 
     def finish(self) -> None:
-        """Closes the last wave."""
+        """Closes the last wave, if it has steps."""
         if self._wave:
             self._close_wave()
 
@@ -138,13 +140,13 @@
     wave_share: float = DEFAULT_WAVE_SHARE,
     max_copies: int = MAX_COPIES_PER_WAVE,
 ) -> WavePlan:
-    """The waves that drain a zone of these groups.
+    """Returns the waves that drain a zone of these groups.
 
     Args:
-        groups: What has to move.
-        capacity_per_s: Requests a second that neighbours are known to bear.
-        wave_share: Of the zone's requests that one wave moves at most.
-        max_copies: Copies that one wave has loaded at most.
+        groups: The session groups to move.
+        capacity_per_s: Requests per second that neighbours are known to have capacity for.
+        wave_share: The largest share of the zone's requests that one wave moves.
+        max_copies: The largest number of copies that one wave needs loaded.
 
     >>> groups = [SessionGroup("a", 1.0), SessionGroup("b", 1.0, 5.0)]
     >>> [[step.function for step in wave] for wave in plan_waves(groups, 10.0, 0.5).waves]
@@ -163,9 +165,9 @@
 
 
 def wave_share_within(duration_ms: float, wave_ms: float) -> float | None:
-    """The share that a wave has to move for the drain to end in time; None if no wave fits.
+    """Returns the share per wave with which the drain ends in time; None if no wave fits.
 
-    It is DEFAULT_WAVE_SHARE unless time is short.
+    It is DEFAULT_WAVE_SHARE unless the duration allows too few waves of that share.
 
     >>> wave_share_within(60000.0, 2000.0), wave_share_within(4000.0, 2000.0)
     (0.25, 0.5)
@@ -176,7 +178,7 @@
 
 
 def served_weight_per_s(plan: WavePlan, groups: list[SessionGroup]) -> float:
-    """Priority weight a second of what moves within capacity: the measure of a move order.
+    """Returns the priority weight per second that moves within capacity: the quality of an order.
 
     >>> groups = [SessionGroup("a", 1.0), SessionGroup("b", 1.0, 5.0)]
     >>> served_weight_per_s(plan_waves(groups, 1.0), groups)
--- a/cherrydoor/zone_drain/wave_progress.py
+++ b/cherrydoor/zone_drain/wave_progress.py
@@ -1,4 +1,4 @@
-"""Which waves of a plan have gone out, and the shares of sessions that have moved by them. Pure."""
+"""Tracks which waves of a plan have been announced, and the shares moved by them. Pure."""
 
 from cherrydoor.protocol.zone_drain import DrainWave, MovedShare
 from cherrydoor.zone_drain.participant import ALL_MOVED_STATES
@@ -8,19 +8,19 @@
 class WaveProgress:
     """Owns the waves of a drain and the moved share of each function.
 
-    Invariant: the first `reached` waves have gone out; no share is below what they say, unless
-    they have been taken back.
+    Invariant: the first `reached` waves have been announced; no moved share is below theirs, unless
+    they have been rolled back.
 
     Attributes:
-        waves: The steps of each wave, those that have gone out included.
-        reached: How many waves have gone out.
-        moved_shares: Function -> share of its sessions that is served elsewhere.
+        waves: The steps of each wave, including the announced ones.
+        reached: Number of announced waves.
+        moved_shares: Function -> share of its sessions that is served outside the zone.
     """
 
     def __init__(self, waves: Waves, last: DrainWave | None):
-        """Goes on from the last wave that any gateway has; None at the beginning.
+        """Continues from the last wave that any gateway has; None if the drain is new.
 
-        Never back: sessions that have moved stay moved, whatever the plan has found since.
+        Sessions that have moved stay moved, even if the new plan would move them later.
         """
         self.waves = [list(wave) for wave in waves]
         self.reached = 0
@@ -36,12 +36,12 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether every wave has gone out."""
+        """Whether every wave has been announced."""
         return self.reached >= len(self.waves)
 
     @property
     def is_at_last_wave(self) -> bool:
-        """Whether one wave alone is left."""
+        """Whether only one wave is left."""
         return self.reached == len(self.waves) - 1
 
     @property
@@ -51,31 +51,31 @@
 
     @property
     def remaining_waves(self) -> Waves:
-        """The waves that have not gone out."""
+        """The waves that have not been announced."""
         return self.waves[self.reached :]
 
     def replace_remaining(self, waves: Waves) -> None:
-        """Sets the waves that have not gone out."""
+        """Replaces the waves that have not been announced."""
         self.waves[self.reached :] = waves
 
     def advance(self) -> None:
-        """The next wave goes out."""
+        """Adds the next wave's shares to the moved ones."""
         for step in self.next_wave:
             before = self.moved_shares.get(step.function, 0.0)
             self.moved_shares[step.function] = max(step.share, before)
         self.reached += 1
 
     def skip(self) -> None:
-        """The next wave is passed over, as it has no step left."""
+        """Skips the next wave, which has no step left."""
         self.reached += 1
 
     def roll_back_last(self) -> None:
-        """The last wave's sessions go back, if any wave has gone out."""
+        """Rolls the last announced wave back, if there is one."""
         self.reached = max(0, self.reached - 1)
         self._recompute_shares()
 
     def roll_back_rate(self, requests_per_s: float) -> None:
-        """So many of the last waves' sessions go back as make up this rate."""
+        """Rolls back as many of the last waves as add up to at least this rate."""
         while requests_per_s > 0 and self.reached:
             self.reached -= 1
             requests_per_s -= sum(step.requests_per_s for step in self.next_wave)
@@ -89,11 +89,11 @@
                 self.moved_shares[step.function] = max(step.share, before)
 
     def remaining_functions(self) -> list[str]:
-        """Functions of the waves that have not gone out, each once."""
+        """Returns the functions of the waves that have not been announced, each once."""
         return list(dict.fromkeys(step.function for wave in self.remaining_waves for step in wave))
 
     def announced_shares(self) -> list[MovedShare]:
-        """The moved shares as a wave announces them."""
+        """Returns the moved shares as a wave announces them."""
         return [
             MovedShare(function, share)
             for function, share in self.moved_shares.items()
--- a/tests/zone_drain/coordinator_trial.py
+++ b/tests/zone_drain/coordinator_trial.py
@@ -1,4 +1,4 @@
-"""A coordinator on a clock of its own, and gateways that report what they are set to report."""
+"""Test driver for one coordinator with a simulated clock and simulated gateway reports."""
 
 from cherrydoor.protocol.zone_drain import ParticipantReport
 from cherrydoor.zone_drain.coordinator import DrainCoordinator
@@ -13,18 +13,18 @@
     SessionGroup("iron", 20.0, 1.0),
     SessionGroup("lead", 10.0, 0.5, hosts_with_copy=("h2",)),
 ]
-REPORTED_RESPONSES = 100  # in each report
+RESPONSES_PER_REPORT = 100
 
 
 class CoordinatorTrial:
-    """Drives one coordinator and keeps what it last wanted done.
+    """Drives one coordinator and records the actions that it returned last.
 
     Attributes:
-        now_ms: The coordinator's clock.
-        timely_share: Of the responses that gateways report.
-        preloads: Functions whose copies the last event had ordered.
-        queried_hosts: Hosts that the last event had queried.
-        wave: The last wave that was announced; None before the first.
+        now_ms: The coordinator's clock, ms.
+        timely_share: Share of the reported responses within their latency objective.
+        preloads: Functions whose copies were ordered after the last event.
+        queried_hosts: Hosts that were queried after the last event.
+        wave: The last announced wave; None before the first.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
 
     @property
     def shares(self):
-        """Function -> moved share, by the last wave."""
+        """Function -> moved share in the last wave."""
         return {one.function: one.share for one in self.wave.moved_shares}
 
     def take(self, actions):
-        """Keeps the actions; whether a wave is among them."""
+        """Records the actions; returns whether a wave is among them."""
         self.preloads = [one.function for one in actions if isinstance(one, PreloadCopy)]
         self.queried_hosts = [one.host for one in actions if isinstance(one, QueryHost)]
         waves = [one.wave for one in actions if isinstance(one, AnnounceWave)]
@@ -72,7 +72,7 @@
         return bool(waves)
 
     def confirm(self, gateways=None, in_flight=0, wave=None):
-        """These gateways report the coordinator's wave, or another."""
+        """Adds reports of these gateways, with the coordinator's wave or another."""
         record = self.coordinator.record
         for name in gateways or self.gateways:
             report = ParticipantReport(
@@ -82,17 +82,17 @@
                 record.fencing_token,
                 record.wave if wave is None else wave,
                 in_flight,
-                REPORTED_RESPONSES,
-                int(REPORTED_RESPONSES * self.timely_share),
+                RESPONSES_PER_REPORT,
+                int(RESPONSES_PER_REPORT * self.timely_share),
             )
             self.take(self.coordinator.report_received(self.now_ms, report))
 
     def load_copy(self, function, host):
-        """A copy is loaded there."""
+        """Reports a copy loaded at the host."""
         self.take(self.coordinator.copy_loaded(self.now_ms, function, host))
 
     def answer_host(self, host, in_flight, arrived, gateways=()):
-        """A host's own count, after a while."""
+        """Answers the query of a host 700 ms later."""
         self.now_ms += 700.0
         self.take(self.coordinator.tick(self.now_ms))
         count = HostCount(in_flight, arrived, gateways)
@@ -102,26 +102,26 @@
         self.take(self.coordinator.command(self.now_ms, command))
 
     def later(self, ms):
-        """Some time passes; whether a wave goes out."""
+        """Advances the clock; returns whether a wave was announced."""
         self.now_ms += ms
         return self.take(self.coordinator.tick(self.now_ms))
 
     def confirm_repeatedly(self, times):
-        """All gateways confirm, each time after 2 s."""
+        """Lets all gateways confirm, each time after 2 s."""
         for _ in range(times):
             self.later(2000.0)
             self.confirm()
 
 
 def move_all(trial):
-    """Until sessions have moved as far as the plan says."""
+    """Continues until all waves of the plan have been announced."""
     while trial.state not in ("emptying", "empty"):
         trial.load_copy("iron", "h3")
         trial.confirm_repeatedly(1)
 
 
-def fleet(east, west=4, own=4, utilization=0.4, rate=20.0):
-    """What all gateways report of two neighbours and of the zone itself."""
+def zone_states(east, west=4, own=4, utilization=0.4, rate=20.0):
+    """Returns the states of two neighbours and of the drained zone itself."""
     return {
         "east": ZoneState(east, rate, utilization),
         "west": ZoneState(west, rate, utilization),
@@ -130,7 +130,7 @@
 
 
 def time_until_next_wave(trial, timely_share, max_steps=60):
-    """With that share in time: how long it is until another wave, ms."""
+    """Returns the time until another wave, ms, with the given timely share."""
     began_ms = trial.now_ms
     wave_before = trial.wave.wave
     trial.timely_share = timely_share
--- a/tests/zone_drain/test_coordinator.py
+++ b/tests/zone_drain/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A drain as its coordinator leads it: when the next wave goes out, and who goes on with it."""
+"""The coordinator: when it announces the next wave, and how a successor continues a drain."""
 
 from coordinator_trial import GROUPS, CoordinatorTrial
 
@@ -15,7 +15,7 @@
     return trial
 
 
-def test_a_wave_goes_out_when_its_copies_are_loaded_and_the_next_when_all_confirm():
+def test_a_wave_is_announced_when_its_copies_are_loaded_and_the_next_when_all_confirm():
     trial = CoordinatorTrial()
     assert trial.wave is None
     assert trial.preloads == ["iron"]
@@ -43,7 +43,7 @@
 
 def test_a_lost_load_order_is_repeated_and_a_function_that_never_loads_delays_no_other():
     trial = CoordinatorTrial([*GROUPS, SessionGroup("zinc", 20.0, 4.0)])
-    assert trial.preloads == ["zinc"], "gold and a part of zinc are the first wave"
+    assert trial.preloads == ["zinc"], "the first wave is gold and a part of zinc"
     for _ in range(MAX_ORDERS - 1):
         trial.later(ORDER_TIMEOUT_MS + 1)
         assert trial.preloads == ["zinc"]
@@ -60,7 +60,7 @@
     assert trial.shares["zinc"] == 1.0
 
 
-def test_a_failing_store_pauses_the_drain_and_an_operator_may_go_on_without_copies():
+def test_a_failing_store_pauses_the_drain_and_an_operator_may_continue_without_copies():
     trial = CoordinatorTrial([SessionGroup("iron", 20.0), SessionGroup("tin", 20.0)])
     trial.confirm_repeatedly(40)
     assert trial.state == "held"
@@ -72,7 +72,7 @@
     assert set(trial.shares) == {"iron", "tin"}
 
 
-def test_the_next_coordinator_goes_on_from_the_highest_wave_that_anybody_has():
+def test_the_next_coordinator_continues_from_the_highest_wave_that_any_gateway_has():
     last = after_first_wave().wave
     successor = CoordinatorTrial(last=last, token=2)
     assert successor.coordinator.record.wave > last.wave
@@ -82,14 +82,14 @@
     assert all(successor.shares.get(function, 0) >= share for function, share in shares.items())
 
 
-def test_the_next_coordinator_of_an_empty_zone_steers_nothing_there_again():
+def test_the_next_coordinator_of_an_empty_zone_moves_no_sessions_back_to_it():
     last = DrainWave("s", 2, 9, "a", DrainState.EMPTY, after_first_wave().wave.moved_shares)
     groups = [*GROUPS, SessionGroup("new", 30.0, 9.0)]
     successor = CoordinatorTrial(groups, last=last, token=3)
     assert successor.wave.state == "emptying"
 
 
-def test_undo_brings_sessions_back_in_reverse_order():
+def test_undo_rolls_waves_back_in_reverse_order():
     trial = after_first_wave()
     trial.confirm_repeatedly(6)
     assert trial.state == "empty"
@@ -105,7 +105,7 @@
     assert all(after <= before for before, after in zip(seen, seen[1:], strict=False))
 
 
-def test_a_pause_outlives_the_coordinator_until_an_operator_resumes():
+def test_a_pause_stays_in_force_under_the_next_coordinator_until_an_operator_resumes():
     trial = CoordinatorTrial()
     trial.now_ms = 1.0
     trial.command("hold")
@@ -113,7 +113,7 @@
     assert not trial.later(59999.0)
     successor = CoordinatorTrial(last=trial.wave, token=2)
     assert successor.wave.state == "held"
-    assert successor.wave.reason == "by an operator"
+    assert successor.wave.reason == "paused by an operator"
     assert not successor.later(60000.0)
     for paused in (trial, successor):
         paused.command("resume")
--- a/tests/zone_drain/test_drain_of_a_fleet.py
+++ b/tests/zone_drain/test_drain_of_a_fleet.py
@@ -1,6 +1,6 @@
-"""A zone drain by several gateways as processes, under load.
+"""Zone drains by several gateway processes under load, also with faults during the drain.
 
-Its coordinator is killed, the fleet is partitioned, a neighbour is lost.
+The faults: the coordinator is killed, the fleet is partitioned, a neighbour loses its hosts.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class Load:
-    """Sessions that go on calling: each affinity key one function, at gateways in turn."""
+    """Sends requests until it is closed: one function per affinity key, gateways in turn."""
 
     def __init__(self, platform, gateways):
         self.platform = platform
@@ -34,7 +34,7 @@
     async def run(self):
         for count in itertools.count(1):
             key = count % AFFINITY_KEYS
-            # each gateway calls every function in time
+            # shifts by one each round, so that every gateway calls every function
             gateway = self.gateways[(count + count // AFFINITY_KEYS) % len(self.gateways)]
             if self.is_connected(gateway):
                 number = self.platform.caller.send(
@@ -60,7 +60,7 @@
 
 
 def hosts_attempted(platform, since=0):
-    """The host of each attempt from that record on."""
+    """Returns the host of each attempt from that record on."""
     records = platform.rows.rows[since:]
     return [record["who"] for record in records if record["what"] == "launch"]
 
@@ -70,26 +70,26 @@
 
 
 async def attempts_reach_zone(platform):
-    """Until an attempt from now on goes to the zone."""
+    """Waits until a new attempt reaches the zone."""
     since = len(platform.rows.rows)
     await come(lambda: set(hosts_attempted(platform, since)) & hosts_in_zone(platform))
 
 
 async def assert_zone_is_avoided(platform, attempts):
-    """None of the next attempts goes to the zone."""
+    """Asserts that none of the next attempts reaches the zone."""
     since = len(platform.rows.rows)
     await come(lambda: len(hosts_attempted(platform, since)) > attempts)
     reached = set(hosts_attempted(platform, since)) & hosts_in_zone(platform)
-    assert not reached, "steered there once it was empty"
+    assert not reached, "attempts reached the zone although it was empty"
 
 
 async def command(gateway, what, **options):
-    """The answer to an operator's command on the zone."""
+    """Sends an operator's command on the zone and returns the answer."""
     return await gateway.ask(**({"do": "site", "what": what, "site": ZONE} | options))
 
 
 async def coordinator_in_state(gateways, *wanted):
-    """Waits until a living gateway coordinates and is in one of those states; that gateway."""
+    """Waits until a living gateway coordinates in one of these states; returns the gateway."""
     found = []
 
     async def look():
@@ -107,7 +107,7 @@
 
 
 async def until_shown(gateway, condition):
-    """What the gateway shows of the drain as soon as that fits the condition."""
+    """Waits until the gateway's drain status meets the condition; returns that status."""
     return await until(lambda: command(gateway, "show"), condition)
 
 
@@ -116,12 +116,12 @@
 
 
 async def until_functions_are_known(load):
-    """Until each function has been called often enough to be known at every gateway."""
+    """Waits until each function has been called often enough to be known at every gateway."""
     await come(lambda: len(load.outcomes()) > 150)
 
 
 @story
-async def test_a_zone_is_emptied_while_sessions_go_on_and_is_given_back(tmp_path):
+async def test_a_zone_is_emptied_under_load_and_an_undo_moves_sessions_back(tmp_path):
     async with platform_of(tmp_path) as platform:
         gateway = platform.gates[4]
         with Load(platform, platform.gates) as load:
@@ -131,10 +131,10 @@
             assert planned["waves"]
             assert planned["missing"] == 0
             assert planned["told by"]
-            hasty = await command(gateway, "plan", within=4.0)
-            assert len(hasty["waves"]) <= len(planned["waves"])
-            short = await command(gateway, "drain", within=3.0)
-            assert "3.5 s at the least" in short["error"]
+            shorter = await command(gateway, "plan", within=4.0)
+            assert len(shorter["waves"]) <= len(planned["waves"])
+            too_short = await command(gateway, "drain", within=3.0)
+            assert "at least 3.5 s" in too_short["error"]
             assert "error" not in await command(gateway, "drain")
             assert "already" in (await command(gateway, "drain")).get("error", "already")
             coordinator = await coordinator_in_state(platform.gates, "empty")
@@ -146,7 +146,7 @@
 
 
 @story
-async def test_the_coordinator_is_killed_and_the_next_goes_on_from_the_highest_wave(tmp_path):
+async def test_after_the_coordinator_is_killed_the_next_continues_from_the_highest_wave(tmp_path):
     async with platform_of(tmp_path) as platform:
         with Load(platform, platform.gates[:4]) as load:
             await until_functions_are_known(load)
@@ -166,7 +166,7 @@
 
 
 @story
-async def test_a_partition_without_a_majority_stays_at_its_wave_and_serves(tmp_path):
+async def test_a_gateway_without_a_quorum_stays_at_its_wave_and_serves(tmp_path):
     async with platform_of(tmp_path) as platform:
         with Load(platform, platform.gates) as load:
             await until_functions_are_known(load)
@@ -176,11 +176,11 @@
             others = platform.gates[:5]
             platform.relay.cut([isolated.name], [gateway.name for gateway in others])
             before = await command(isolated, "show")
-            # not empty while it still sends there, as its hosts report
+            # hosts report the isolated gateway's attempts, so the zone may stay at emptying
             await coordinator_in_state(others, "emptying", "empty")
             after = await command(isolated, "show")
             assert (after["number"], after["wave"]) == (before["number"], before["wave"])
-            # hosts may hold its incarnation to have ended: then it began another
+            # it may have begun another incarnation, if hosts took this one to have ended
             await platform.caller.connect(isolated)
             number = platform.caller.send(isolated, "draft", function="deed-1", document="doc-1")
             assert (await platform.caller.answer(number)).outcome == "handled"
@@ -190,7 +190,7 @@
 
 
 @story
-async def test_a_neighbour_lost_in_the_middle_delays_the_next_wave_until_it_is_back(tmp_path):
+async def test_a_neighbour_lost_during_a_drain_delays_the_next_wave_until_it_recovers(tmp_path):
     async with platform_of(tmp_path) as platform:
         with Load(platform, platform.gates) as load:
             await until_functions_are_known(load)
@@ -203,7 +203,7 @@
                 platform.endpoint_watch.set(gone)
 
             async def coordinator_status():
-                """What the coordinator shows; {} while there is none."""
+                """Returns the coordinator's status; {} while there is none."""
                 tables = [await command(gateway, "show") for gateway in platform.gates]
                 found = [table for table in tables if table and "conductor here" in table]
                 return found[0]["conductor here"] if found else {}
@@ -211,7 +211,7 @@
             before = await until(
                 coordinator_status,
                 lambda status: (
-                    status and status["why"].startswith("neighbours are lost: floor-1 0")
+                    status and status["why"].startswith("neighbours have lost hosts: floor-1 0")
                 ),
             )
             sent = len(load.outcomes())
@@ -228,10 +228,10 @@
 
 
 @story
-async def test_a_drain_that_cannot_be_done_is_refused_with_the_reason(tmp_path):
+async def test_an_impossible_drain_is_refused_with_the_reason(tmp_path):
     async with Town(tmp_path, gates=3, hosts=2, work=8.0, sites=1) as platform:
         gateway = platform.gates[0]
         unknown = await command(gateway, "drain", site="nowhere")
-        assert "there are floor-0" in unknown["error"]
+        assert "zones with hosts: floor-0" in unknown["error"]
         assert "no neighbour" in (await command(gateway, "drain"))["error"]
         assert "not being drained" in (await command(gateway, "undo"))["error"]
--- a/tests/zone_drain/test_operator_commands.py
+++ b/tests/zone_drain/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators are answered on the control socket."""
+"""Answers to operators' drain commands on the control socket."""
 
 from types import SimpleNamespace
 
@@ -52,25 +52,25 @@
     assert answer["state"] == "moving"
 
 
-def test_an_unknown_command_is_refused_and_sent_to_nobody(commands, participant, sent_commands):
+def test_an_unknown_command_is_refused_and_not_sent(commands, participant, sent_commands):
     start_drain(participant)
-    assert commands.answer({"what": "stop", "site": "east"}) == {"error": "unknown: stop"}
+    assert commands.answer({"what": "stop", "site": "east"}) == {"error": "unknown command: stop"}
     assert sent_commands == []
 
 
 def test_a_command_to_a_completed_drain_is_refused(commands, participant, sent_commands):
     start_drain(participant, DrainState.COMPLETED)
     answer = commands.answer({"what": "hold", "site": "east"})
-    assert answer == {"error": "east is not being drained"}
+    assert answer == {"error": "zone east is not being drained"}
     assert sent_commands == []
 
 
 @pytest.mark.parametrize(
     ("zone", "reason"),
     [
-        ("east", "east is drained already, by g1: wave 1, moving"),
-        ("west", "east is being drained: one site at a time"),
-        ("north", "no host of the list is at site 'north'; there are east west"),
+        ("east", "zone east is already being drained by g1: wave 1, moving"),
+        ("west", "zone east is being drained: one zone at a time"),
+        ("north", "no host in the endpoint list is in zone 'north'; zones with hosts: east west"),
     ],
 )
 def test_a_second_drain_is_refused_with_the_reason(commands, participant, zone, reason):
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -1,4 +1,4 @@
-"""The waves of a drain: in which order session groups move, and what participants make of them."""
+"""Planning of waves, and the decisions that participants make from them."""
 
 from types import SimpleNamespace
 
@@ -21,7 +21,7 @@
 from cherrydoor.zone_drain.wave_plan import plan_waves, served_weight_per_s
 
 
-def test_waves_go_by_priority_then_by_the_cost_of_moving_and_are_bounded():
+def test_waves_are_ordered_by_priority_then_cost_and_are_limited_in_size():
     plan = plan_waves(GROUPS, 100.0, 0.25)
     steps = [[(s.function, round(s.share, 2), s.needs_copy) for s in wave] for wave in plan.waves]
     assert steps == [
@@ -34,7 +34,7 @@
     assert plan.waves_within_capacity == len(plan.waves)
 
 
-def test_what_exceeds_the_known_capacity_moves_last_and_in_smaller_waves():
+def test_load_beyond_the_known_capacity_moves_last_and_in_smaller_waves():
     plan = plan_waves(GROUPS, 25.0, 0.5)
     assert [[(s.function, round(s.share, 2)) for s in wave] for wave in plan.waves] == [
         [("gold", 1.0), ("iron", 0.5)],
@@ -47,12 +47,12 @@
     assert "15.0 are missing" in plan.refusal_reason()
 
 
-def test_few_copies_are_loaded_at_a_time():
+def test_the_number_of_copies_loaded_for_a_wave_is_limited():
     plan = plan_waves([SessionGroup(f"f{i}", 1.0) for i in range(20)], 100.0, 1.0, max_copies=4)
     assert [sum(s.needs_copy for s in wave) for wave in plan.waves] == [4, 4, 4, 4, 4]
 
 
-def test_groups_that_are_too_small_move_together_as_the_rest():
+def test_small_groups_move_together_as_other_functions():
     groups = ordered_groups(
         [SessionGroup("big", 100.0), *(SessionGroup(f"f{i}", 0.5, 1.0, "keyed") for i in range(10))]
     )
@@ -68,7 +68,7 @@
 )
 @settings(max_examples=200, deadline=None)
 def test_the_move_order_serves_as_much_weight_as_a_fractional_knapsack(loads, capacity):
-    """Shares can be split, so the order of priority is optimal: no gap to a solver's bound."""
+    """Groups can be split, so moving them in order of priority serves the optimal weight."""
     groups = [SessionGroup(f"f{i}", rate, weight) for i, (rate, weight) in enumerate(loads)]
     best = 0.0
     remaining = capacity
@@ -79,7 +79,7 @@
     assert served == pytest.approx(best, abs=1e-6)
 
 
-def test_spare_capacity_is_what_utilization_leaves_and_unknown_where_no_zone_has_one():
+def test_spare_capacity_follows_from_utilization_and_is_unknown_if_no_utilization_is_known():
     assert (
         spare_capacity(
             {
@@ -96,14 +96,14 @@
     )
 
 
-def test_one_gateway_that_is_cut_off_makes_nobody_think_that_a_zone_is_lost():
-    blind = [ZoneLoad("east", 0.0, None, 0)]
-    well = [ZoneLoad("east", 5.0, 0.5, 4)]
-    assert combined_zones([blind, well, well])["east"].hosts == 4
-    assert combined_zones([blind, blind, well])["east"].hosts == 0
+def test_one_disconnected_gateway_does_not_make_a_zone_appear_lost():
+    disconnected = [ZoneLoad("east", 0.0, None, 0)]
+    connected = [ZoneLoad("east", 5.0, 0.5, 4)]
+    assert combined_zones([disconnected, connected, connected])["east"].hosts == 4
+    assert combined_zones([disconnected, disconnected, connected])["east"].hosts == 0
 
 
-def test_versions_of_a_function_move_as_one_and_copies_stay_each_versions_own():
+def test_versions_of_a_function_move_together_and_each_copy_keeps_its_version():
     loads = [
         FunctionLoad("deed@1", 2.0, hosts_with_copy=["h1"]),
         FunctionLoad("deed@2", 1.0, 3.0, "keyed", hosts_with_copy=["h2"]),
@@ -122,7 +122,7 @@
         "deed@1",
         "deed@2",
         "other",
-    ], "no releases here"
+    ], "without releases, a name has no version"
 
 
 def test_a_release_preloads_also_outside_a_zone_whose_sessions_have_moved():
@@ -137,7 +137,7 @@
     dispatcher.router_messages.clear()
     LoadOrders(dispatcher).function_expected("deed@2", "s")
     assert [message.drained_zone for message in dispatcher.router_messages] == ["s"], (
-        "a drain's own copy is wanted outside alone"
+        "a drain needs its copy only outside the zone"
     )
 
 
@@ -183,7 +183,7 @@
     assert not any(decision(one, "other", s).excluded_zone for s in sessions)
 
 
-def test_a_zone_has_moved_sessions_from_its_first_share_until_the_drain_is_over():
+def test_a_zone_has_moved_sessions_from_its_first_share_until_the_drain_is_completed():
     participant = Participant()
     assert participant.zones_with_moved_sessions() == []
     participant.accept_wave(0.0, wave(1, 1))
@@ -194,24 +194,24 @@
     assert participant.zones_with_moved_sessions() == []
 
 
-def test_shed_functions_are_rejected_once_the_zone_empties_and_not_before():
+def test_shed_functions_are_rejected_only_after_all_other_sessions_have_moved():
     participant = Participant()
     participant.accept_wave(0.0, wave(1, 1, shed=["lead"], gold=1.0))
     assert decision(participant, "gold").excluded_zone == "s"
     assert not decision(participant, "lead").rejection_reason
     participant.accept_wave(0.0, wave(1, 2, "emptying", ["lead"], gold=1.0))
-    assert "no room" in decision(participant, "lead").rejection_reason
+    assert "no capacity" in decision(participant, "lead").rejection_reason
     assert not decision(participant, "gold").rejection_reason
-    assert decision(participant, "unheard of").excluded_zone == "s", (
-        "nothing new is steered there once it is to be empty"
+    assert decision(participant, "new").excluded_zone == "s", (
+        "new functions are not routed to a zone that is emptying"
     )
 
 
-def test_a_keyed_request_is_rejected_while_a_part_of_the_hosts_remembers_its_key():
+def test_a_keyed_request_is_rejected_while_only_some_hosts_remember_its_key():
     participant = Participant()
     participant.accept_wave(1000.0, wave(1, 1, f=1.0))
     assert (
-        "marks"
+        "idempotency key"
         in decision(
             participant, retry_safety="keyed", dedup_window_ms=5000.0, now_ms=5900.0
         ).rejection_reason
