--- a/cherrydoor/zone_drain/coordination.py
+++ b/cherrydoor/zone_drain/coordination.py
@@ -1,4 +1,4 @@
-"""The drains that this gateway coordinates or stands by to coordinate: leases, plans, actions."""
+"""The drains that this gateway coordinates or may coordinate: their leases, plans and actions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -69,7 +69,7 @@
         self._last_wave = last_wave
         self._publish = publish
         self._unversioned = unversioned
-        self._lease_requests: dict[str, float | None] = {}  # zone -> when the lease was granted, ms
+        self._lease_requests: dict[str, float | None] = {}  # zone -> time of grant, ms; None before
         self._requested: dict[str, RequestedDrain] = {}  # until the drain begins
         self._coordinators: dict[str, DrainCoordinator] = {}
 
@@ -105,6 +105,8 @@
     def _lease_granted(self, zone: str, fencing_token: int) -> None:
         """Announces the drain under the new token, so that all gateways send their reports here.
 
+        The plan is made from these reports, REPORT_COLLECTION_MS later.
+
         A drain that has completed in the meantime is not restarted. This can occur because voters
         wait for the lease while the drain is active, and its coordinator releases the lease only
         after the last wave.
--- a/cherrydoor/zone_drain/coordinator.py
+++ b/cherrydoor/zone_drain/coordinator.py
@@ -25,17 +25,17 @@
 from cherrydoor.zone_drain.wave_plan import WavePlan
 from cherrydoor.zone_drain.wave_progress import WaveProgress
 
-MAX_ROLLBACKS = 3  # the drain then pauses until an operator resumes it
+MAX_ROLLBACKS = 3  # after that many, the drain pauses until an operator resumes it
 MAX_GATEWAYS_IN_REASON = 3
 
 
 class DrainCoordinator:
     """Coordinates one drain under one fencing token, from the last announced wave on.
 
-    Owns the drain's state. Each other table has one owner: `record` what is announced, `progress`
-    the waves, `observation` what participants report, `preloads` the copies to be loaded,
-    `neighbours` their capacity, and `in_flight_check` the hosts' own counts. Each method that takes
-    an event returns the actions to execute.
+    Owns the drain's state. Its attributes own the tables: `record` owns what is announced,
+    `progress` the waves, `observation` the participants' reports, `preloads` the copies to be
+    loaded, `neighbours` the neighbours' capacity, and `in_flight_check` the hosts' own counts.
+    Each method that takes an event returns the actions to execute.
     """
 
     def __init__(
@@ -208,8 +208,8 @@
 
     # ---- after a wave
     def _check_wave_effect(self, now_ms: float) -> list[DrainAction]:
-        settles_longer = self.is_beyond_capacity and not self._is_undoing
-        settle_factor = SETTLE_FACTOR_BEYOND_CAPACITY if settles_longer else 1
+        needs_longer_settling = self.is_beyond_capacity and not self._is_undoing
+        settle_factor = SETTLE_FACTOR_BEYOND_CAPACITY if needs_longer_settling else 1
         if self.observation.is_wave_in_progress(now_ms, self.record.version, settle_factor):
             return []
         if self._is_undoing:
@@ -223,7 +223,7 @@
         return self._prepare_next_wave(now_ms)
 
     def _has_regressed_after_last_wave(self, now_ms: float) -> bool:
-        """Whether a persistent regression may stem from the last wave and can be undone."""
+        """Whether a persistent regression may stem from the last wave and can be rolled back."""
         can_roll_back = self.record.allow_shortfall or self.neighbours.is_drained_zone_available()
         if not self.progress.reached or not can_roll_back:
             return False
--- a/cherrydoor/zone_drain/participant.py
+++ b/cherrydoor/zone_drain/participant.py
@@ -114,7 +114,7 @@
         Some idempotency keys are remembered by a part of the hosts only. A request with such a key
         is rejected until the dedup window after its share grew has passed: elsewhere, a retry would
         be executed a second time. The cost is that first requests with new keys are rejected during
-        that time too, because they cannot be told from retries.
+        that time too, because they cannot be distinguished from retries.
 
         Args:
             now_ms: The current time, ms.
--- a/cherrydoor/zone_drain/regression_detector.py
+++ b/cherrydoor/zone_drain/regression_detector.py
@@ -27,7 +27,8 @@
     Attributes:
         baseline: The timely share before the drain; None until it is known.
         since_ms: Start of the current regression, ms; None if there is none.
-        reason: Current share and baseline, as text for operators; "" if there is no regression.
+        reason: Share and baseline of the last regression, as text for operators; "" after the
+            share has recovered.
     """
 
     def __init__(self) -> None:
@@ -37,7 +38,7 @@
         self._drop = 0.0
 
     def reset(self) -> None:
-        """Ends the current regression; the baseline stays."""
+        """Restarts the detection of a regression; the baseline stays."""
         self.since_ms = None
 
     def observe(
@@ -52,8 +53,8 @@
         Args:
             now_ms: The current time, ms.
             share: The timely share of the last responses; None if they are too few.
-            responses: Number of those responses; a drop within two standard errors of that sample
-                is not a regression.
+            responses: Number of those responses. The tolerated drop is widened by two standard
+                errors of a sample of that size, as such a drop may be chance.
             tolerated_drop: How far the share may fall below the baseline.
         """
         baseline = self.baseline
--- a/cherrydoor/zone_drain/session_groups.py
+++ b/cherrydoor/zone_drain/session_groups.py
@@ -135,7 +135,7 @@
             rate,
             weighted / rate,
             strictest_retry_safety(*(group.retry_safety for group in small)),
-            ("",),
+            ("",),  # counts as having a copy: none is preloaded for merged groups
             max(group.dedup_window_ms for group in small),
         )
         large.append(merged)
--- a/cherrydoor/zone_drain/wave_plan.py
+++ b/cherrydoor/zone_drain/wave_plan.py
@@ -11,17 +11,17 @@
 
 from cherrydoor.zone_drain.session_groups import SessionGroup, ordered_groups
 
-DEFAULT_WAVE_SHARE = 0.25  # the most of the zone's requests per second that one wave moves
+DEFAULT_WAVE_SHARE = 0.25  # largest share of the zone's request rate that one wave moves
 MAX_COPIES_PER_WAVE = 4  # the store and the warm-up budgets allow that many loads at a time
 EPSILON = 1e-9  # smaller shares and rates are rounding errors of sums and count as 0
 
 
 class WaveStep(Struct, frozen=True):
-    """One function's part of a wave: its sessions below the share are then served elsewhere.
+    """One function's part of a wave: sessions with a hash below the share are served elsewhere.
 
     Attributes:
         function: Name of the function.
-        share: Total share moved by then, including the steps of earlier waves.
+        share: Total share that has moved after this step, including earlier steps.
         needs_copy: Whether a copy must first be loaded outside the zone.
         requests_per_s: Requests per second that move with this step.
     """
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -202,8 +202,8 @@
     participant.accept_wave(0.0, wave(1, 2, "emptying", ["lead"], gold=1.0))
     assert "no capacity" in decision(participant, "lead").rejection_reason
     assert not decision(participant, "gold").rejection_reason
-    assert decision(participant, "new").excluded_zone == "s", (
-        "new functions are not routed to a zone that is emptying"
+    assert decision(participant, "unnamed").excluded_zone == "s", (
+        "functions that the wave does not name are not routed to an emptying zone either"
     )
 
 
