--- a/cherrydoor/zone_drain/local_load.py
+++ b/cherrydoor/zone_drain/local_load.py
@@ -90,7 +90,7 @@
         return counts
 
     def function_loads(self, now_ms: float, zone: str, zone_table: Any) -> list[FunctionLoad]:
-        """Returns loads of the functions attempted in the zone: the busiest by name, others as one."""
+        """Returns loads of functions attempted in the zone: the busiest by name, others as one."""
         rates = self.attempt_rates.rates(now_ms, zone)
         self._classes_by_function = {
             name: classes
