--- a/cherrydoor/failover/claim_forwarding.py
+++ b/cherrydoor/failover/claim_forwarding.py
@@ -57,7 +57,7 @@
         def reply_to_client(reply: ClaimReply | None) -> None:
             end.write(_client_reply(message.id, reply))
 
-        late_ms = end.client.late(message.sent_at_ms, self.now())
+        late_ms = end.client.excess_delay_ms(message.sent_at_ms, self.now())
         # The successor gives its last response when all of the reserved time is left: half of that
         # is for the way here.
         timeout_ms = message.remaining_ms - late_ms - self.limits.spare / 2
--- a/cherrydoor/gateway/__init__.py
+++ b/cherrydoor/gateway/__init__.py
@@ -1,5 +1,5 @@
-"""The gateway: clients, hosts and the endpoint list on sockets around the routing decisions.
+"""The gateway: connects clients, hosts and the endpoint list over sockets to the router.
 
-Begin at `daemon.main`, which runs the process; `service.GatewayService` is one gateway in it, and
-`dispatcher.Dispatcher` is what every request passes through.
+Start reading at `daemon.main`, which runs the process. `service.GatewayService` is one gateway in
+it, and every request passes through its `dispatcher.Dispatcher`.
 """
--- a/cherrydoor/gateway/attempts.py
+++ b/cherrydoor/gateway/attempts.py
@@ -1,4 +1,7 @@
-"""What the router decides about a request, and the ends of its attempts. No I/O, no clock."""
+"""Carries out the router's decisions on requests and reports outcomes of attempts.
+
+No I/O, no clock.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -13,17 +16,17 @@
 if TYPE_CHECKING:
     from cherrydoor.gateway.dispatcher import Dispatcher
 
-# Values of ``copy`` in an attempt's result
+# Values of ``copy`` in an attempt's result: whether the host had to load the function.
 LOAD_STARTED = 2
 LOAD_AWAITED = 3
 LOAD_FAILED = 4
 
 
 class Attempts:
-    """Carries out the router's decisions on requests and notifies it of each attempt's end.
+    """Carries out the router's decisions on requests and notifies it of each attempt's outcome.
 
-    Owner of ``PendingRequest.attempts``: ``add`` extends it, ``RequestTable.route`` empties it.
-    An action on a request that is finished, or on an attempt that has ended, is ignored.
+    Owns ``PendingRequest.attempts``: ``add`` extends it, ``RequestTable.route`` empties it.
+    An action on a finished request or an ended attempt is ignored.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
@@ -31,7 +34,7 @@
 
     # ---- decisions
     def start(self, action: routing.StartAttempt) -> None:
-        """Sends an attempt to a host, for as long as its client waits at most."""
+        """Sends an attempt to a host, with a timeout no later than the request's deadline."""
         dispatcher = self.dispatcher
         pending = dispatcher.requests.get(action.request_id)
         host = dispatcher.hosts.get(action.host)
@@ -44,7 +47,7 @@
         if host is None or pending.streaming or timeout_ms <= 0:
             dispatcher.calls.end(call, AttemptOutcome.NOT_SENT)
             return
-        message = self.message(pending, call, timeout_ms)
+        message = self.make_message(pending, call, timeout_ms)
         if not dispatcher.calls.send(host, call, message):
             return
         if dispatcher.failover is not None:
@@ -62,7 +65,7 @@
             )
 
     def add(self, pending: PendingRequest) -> HostCall:
-        """Adds an attempt to a request, which is kept until the attempt has ended."""
+        """Adds an attempt to a request; the request is kept until the attempt has ended."""
         dispatcher = self.dispatcher
         call = HostCall(
             CallKind.ATTEMPT,
@@ -75,12 +78,12 @@
         pending.references += 1
         return call
 
-    def message(
+    def make_message(
         self, pending: PendingRequest, call: HostCall, timeout_ms: float
     ) -> protocol.Attempt:
-        """Returns the message of an attempt and notes the version that it calls.
+        """Returns the message of an attempt and records the version that it calls.
 
-        After an error, a release may have a further attempt call the version before.
+        After an error, a release may make the next attempt call the previous version.
         """
         request = pending.request
         versions = self.dispatcher.releases
@@ -105,7 +108,7 @@
         )
 
     def cancel(self, action: routing.CancelAttempt) -> None:
-        """Cancels an attempt in flight; not one whose response has begun to stream."""
+        """Cancels an attempt in flight, unless its response has begun to stream."""
         dispatcher = self.dispatcher
         pending = dispatcher.requests.get(action.request_id)
         if pending is None or not 0 <= action.attempt < len(pending.attempts) or pending.streaming:
@@ -115,17 +118,17 @@
         dispatcher.calls.abandon(pending.attempts[action.attempt], AttemptOutcome.CANCELLED)
 
     def reject_request(self, action: routing.RejectRequest) -> None:
-        """Answers a request with the advice to try again later."""
+        """Rejects a request with a retry-after."""
         self.respond_without_result(action.request_id, REJECTED, action.retry_after_ms)
 
     def fail_request(self, action: routing.FailRequest) -> None:
-        """Answers a request with a failure."""
+        """Fails a request."""
         self.respond_without_result(action.request_id, FAILED, 0.0)
 
     def respond_without_result(
         self, number: int, outcome: FinalOutcome, retry_after_ms: float
     ) -> None:
-        """Answers a request; the reason lists how its attempts have ended."""
+        """Answers a request; the reason lists the outcomes of its attempts."""
         dispatcher = self.dispatcher
         pending = dispatcher.requests.get(number)
         if pending is None or pending.finished:
@@ -137,9 +140,9 @@
             pending, protocol.Response(pending.request.id, outcome, retry_after_ms, reason)
         )
 
-    # ---- ends
+    # ---- outcomes
     def streaming_started(self, call: HostCall) -> None:
-        """Notifies client and router of the first attempt whose response begins to stream."""
+        """Notifies client and router of the request's first attempt that starts to stream."""
         pending = call.pending
         link = call.link
         assert pending is not None and link is not None, "an attempt in flight has both"
@@ -154,7 +157,7 @@
                 routing.StreamStarted(pending.number, call.index, link.host.id)
             )
 
-    def ended(
+    def attempt_ended(
         self,
         call: HostCall,
         outcome: AttemptOutcome,
@@ -162,27 +165,27 @@
         host_id: str,
         message: protocol.AttemptResult | None,
     ) -> None:
-        """Answers the client if that is due, and notifies releases and the router."""
+        """Answers the client if the outcome calls for it, and notifies releases and the router."""
         dispatcher = self.dispatcher
         pending = call.pending
         assert pending is not None, "an attempt belongs to a request"
         adopted = pending.adopted
         pending.references -= 1
         if not pending.finished:
-            self.respond_to_end(pending, outcome, message)
+            self.respond_to_outcome(pending, outcome, message)
         if dispatcher.releases is not None and call.link is not None:
             self.notify_releases(call, outcome, took_ms, host_id, message)
         if not adopted:
             self.notify_router(call, pending, outcome, took_ms, host_id, message)
-        dispatcher.request_table.forget(pending)
+        dispatcher.request_table.remove_if_unreferenced(pending)
 
-    def respond_to_end(
+    def respond_to_outcome(
         self,
         pending: PendingRequest,
         outcome: AttemptOutcome,
         message: protocol.AttemptResult | None,
     ) -> None:
-        """Answers the client of an attempt that succeeded or whose stream broke."""
+        """Answers the client after a success or a broken stream, or retries an adopted attempt."""
         dispatcher = self.dispatcher
         request_id = pending.request.id
         if outcome == AttemptOutcome.SUCCEEDED and message is not None:
@@ -205,10 +208,11 @@
         host_id: str,
         message: protocol.AttemptResult | None,
     ) -> None:
-        """Notifies the router of an attempt's end, with what the host reports of itself.
+        """Notifies the router of an attempt's outcome and of what the host reports about itself.
 
-        What this deployment's replies do not report is None, but a failed load always is reported.
-        Nothing is passed on of copies of another version than the one the router knows.
+        Values that hosts are configured not to report are None, except that a failed load is
+        always passed on. The copy and concurrency of a version other than the one that the router
+        knows are not passed on.
         """
         copy = None
         concurrency = None
@@ -249,7 +253,7 @@
         host_id: str,
         message: protocol.AttemptResult | None,
     ) -> None:
-        """Notifies releases of how an attempt at a version ended."""
+        """Notifies releases of the outcome of an attempt that called a version."""
         assert call.pending is not None, "an attempt belongs to a request"
         copy = message.copy if message is not None else 0
         self.dispatcher.call_ended(
--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -1,10 +1,12 @@
-"""Dispatcher between the sockets and the router: requests in, attempts out. No I/O, no clock.
+"""Dispatcher between the sockets and the router. It does no I/O and reads no clock.
 
-The service posts what came in and calls ``tick(now)`` once for all of it. The dispatcher notifies
-the router, carries out its actions by writing to wires, and has the I/O dial hosts. It keeps what
-the router is promised: each attempt ends in exactly one outcome, nothing is sent past a client's
-deadline, a host that was never listed gets nothing, and an action on what has ended is ignored.
-It chooses nothing.
+The service posts inputs as they arrive and calls ``tick(now)`` once for all of them. The dispatcher
+notifies the router, carries out the actions that the router returns by writing messages to
+connections, and asks the I/O layer to connect to hosts. It makes no routing decisions.
+
+It guarantees to the router that each attempt ends in exactly one outcome, that nothing is sent
+after a client's deadline, that nothing is sent to a host that was never listed, and that an action
+on a request or attempt that has ended is ignored.
 """
 
 from collections import Counter, deque
@@ -26,43 +28,45 @@
 from cherrydoor.routing import messages as routing
 
 
-def ignore(argument: object) -> None:
-    """Stands for a receiver that this gateway does not have."""
+def do_nothing(argument: object) -> None:
+    """Does nothing; the default for callbacks that are not set."""
 
 
 class Dispatcher:
-    """One gateway's requests, attempts and connections, put together from their owners.
+    """Holds one gateway's requests, attempts and connections, each in a part that owns its table.
+
+    The table states for each owner what it holds and what keeps that from growing without bound.
 
     ========================  ==================================================================
     owner                     table
     ========================  ==================================================================
-    ``request_table``         pending requests (empties with responses) and clients
+    ``request_table``         pending requests (removed after their response) and clients
     ``attempts``              attempts of each pending request
-    ``connections``           connections to hosts (closed when they are unused)
-    ``calls``                 calls to hosts in flight (each ends within its time)
-    ``endpoint_list``         hosts (dropped when gone and without connections)
+    ``connections``           connections to hosts (closed when idle)
+    ``calls``                 calls to hosts in flight (each ends by its timeout)
+    ``endpoint_list``         hosts (removed when gone and without connections)
     ``timers``                timers (due within the longest deadline)
     ``load_orders``           none: load orders are calls in flight
     ``takeover``              none: requests taken over are pending requests
-    the dispatcher            posted inputs and messages to the router, both emptied by each tick
+    the dispatcher            posted inputs and messages to the router (each tick empties both)
     ========================  ==================================================================
 
-    Invariant: all of it is called from ``tick`` (but for construction and ``respond_to_all``), at
-    one ``now``, so that a callback never runs while another one is at work.
+    Invariant: except for construction and ``respond_to_all``, all methods of the parts run within
+    ``tick``, at a single ``now``, and no callback runs while another one is running.
 
     Attributes:
-        router: The decision module.
-        limits: Bounds, which may be replaced in service.
+        router: Makes the routing decisions.
+        limits: Limits, which may be replaced while the gateway runs.
         now: Time of the latest tick, in ms of the caller's clock.
-        draining: Why nothing new is accepted, None while it is.
-        counters: What happened how often, for metrics.
-        failover: Gets requests in flight, where they outlive this gateway; set by the service.
-        zone_drain: Knows the zones that drain; set by the service.
-        router_log: Gets log messages of the router; set by the service.
-        dial: Asks the I/O to open a connection.
-        poll_endpoints: Asks the I/O for the endpoint list.
-        releases: Chooses the version that a request calls, None without gradual releases.
-        call_ended: Gets each attempt and load order that has ended, for releases.
+        draining: Why new requests are rejected; None while they are accepted.
+        counters: Event counts by name, for metrics.
+        failover: Replicates requests in flight to peers; set by the service, None without peers.
+        zone_drain: Knows which zones are draining; set by the service, None without peers.
+        router_log: Called with each log message of the router; set by the service.
+        dial: Asks the I/O layer to open a connection to a host.
+        poll_endpoints: Asks the I/O layer for the endpoint list.
+        releases: Chooses the version that a request calls; None without gradual releases.
+        call_ended: Called with each attempt and load order that has ended, for releases.
     """
 
     def __init__(
@@ -79,15 +83,15 @@
         self.limits = limits
         self.dial = dial
         self.now = now_ms
-        self.poll_endpoints = poll_endpoints or ignore
+        self.poll_endpoints = poll_endpoints or do_nothing
         self.releases = releases
-        self.call_ended = call_ended or ignore
+        self.call_ended = call_ended or do_nothing
         self.failover: Any = None
         self.zone_drain: Any = None
-        self.router_log: Callable[[str], object] = ignore
+        self.router_log: Callable[[str], object] = do_nothing
         self.draining: str | None = None
         self.counters: Counter[str] = Counter({ATTEMPTS_AFTER_CLOSE: 0})
-        # requests, calls and timers share one sequence of numbers
+        # Requests, calls and timers share one sequence of numbers.
         self.next_number: Callable[[], int] = count(1).__next__
         self.inputs: list[tuple[Callback, tuple[Any, ...]]] = []
         self.router_messages: deque[Any] = deque()
@@ -100,20 +104,20 @@
         self.endpoint_list = EndpointList(self)
         self.load_orders = LoadOrders(self)
         self.takeover = Takeover(self)
-        # the tables that others read
+        # Shortcuts to the tables that other modules read.
         self.requests = self.request_table.requests
         self.clients = self.request_table.clients
         self.hosts = self.endpoint_list.hosts
 
-        self.expose_inputs()
+        self.expose_input_methods()
         self.handlers = self.action_handlers()
         self.carry_out(router.start(now_ms))
         self.timers.set(now_ms + limits.idle / CLEANUPS_PER_IDLE_TIME, self.endpoint_list.clean_up)
 
-    def expose_inputs(self) -> None:
-        """Makes the parts' inputs callable here, for the service and the subsystems to post.
+    def expose_input_methods(self) -> None:
+        """Exposes the parts' input methods here, for the service and the subsystems to post.
 
-        They are attributes rather than methods, as a further call would be paid for each request.
+        They are attributes rather than methods because a method would add a call to each request.
         """
         self.client_connected = self.request_table.client_connected
         self.client_disconnected = self.request_table.client_disconnected
@@ -121,15 +125,15 @@
         self.request_withdrawn = self.request_table.request_withdrawn
         self.respond = self.request_table.respond
         self.respond_to_all = self.request_table.respond_to_all
-        self.connection_opened = self.connections.opened
-        self.connection_lost = self.connections.lost
+        self.connection_opened = self.connections.connection_opened
+        self.connection_lost = self.connections.connection_lost
         self.message_not_sent = self.calls.message_not_sent
-        self.host_replied = self.calls.replied
+        self.host_replied = self.calls.reply_received
         self.endpoints_updated = self.endpoint_list.update
-        self.endpoints_confirmed = self.endpoint_list.confirmed
-        self.endpoints_requested = self.endpoint_list.requested
+        self.endpoints_confirmed = self.endpoint_list.list_confirmed
+        self.endpoints_requested = self.endpoint_list.updates_requested
         self.endpoint_poll_failed = self.endpoint_list.poll_failed
-        self.endpoints = self.endpoint_list.rows
+        self.endpoints = self.endpoint_list.current_rows
         self.order_load = self.load_orders.order_load
         self.function_expected = self.load_orders.function_expected
         self.copy_reported = self.load_orders.copy_reported
@@ -140,7 +144,7 @@
         self.set_timer = self.timers.set
 
     def action_handlers(self) -> dict[type, Callable[[Any], object]]:
-        """Returns who carries out each action of the router."""
+        """Returns the handler for each type of action that the router returns."""
         return {
             routing.StartAttempt: self.attempts.start,
             routing.CancelAttempt: self.attempts.cancel,
@@ -156,19 +160,20 @@
 
     @property
     def timer_lag_ms(self) -> float:
-        """How many ms late timers have lately fired."""
+        """How late recent timers fired, in ms; decays over time."""
         return self.timers.lag_ms
 
     # ---- ticks
     def post(self, callback: Callback, *args: Any) -> bool:
-        """Queues an input for the next tick; returns whether that tick has to be scheduled."""
+        """Queues an input for the next tick; returns whether the caller must schedule that tick."""
         self.inputs.append((callback, args))
         return len(self.inputs) == 1
 
     def tick(self, now_ms: float) -> None:
-        """Handles all inputs, then the timers that are due, at one point in time.
+        """Handles all inputs, then all timers that are due, at the same time ``now_ms``.
 
-        Inputs go first: a reply that came in counts, also if its time has run out meanwhile.
+        Inputs are handled first, so that a reply that has arrived counts even if its timeout has
+        passed in the meantime.
         """
         now_ms = max(now_ms, self.now)
         self.timers.decay_lag(now_ms - self.now)
@@ -182,44 +187,44 @@
             self.notify_router()
 
     def next_timer_ms(self) -> float | None:
-        """Returns when the next tick is due without input."""
+        """Returns when the next tick is due, in ms, if no input arrives before."""
         return self.timers.next_due_ms(self.request_table.is_obsolete)
 
     def notify_router(self) -> None:
-        """Hands all messages to the router and carries out what it decides."""
+        """Passes all queued messages to the router and carries out the actions it returns."""
         messages = self.router_messages
         while messages:
             self.carry_out(self.router.take(self.now, messages.popleft()))
-        self.request_table.forget_cancelled()
+        self.request_table.release_cancelled()
 
     def carry_out(self, actions: Iterable[Any]) -> None:
-        """Carries out the router's actions in their order."""
+        """Carries out the router's actions in order."""
         handlers = self.handlers
         for action in actions:
             handlers[type(action)](action)
 
     # ---- actions of the router
     def set_router_timer(self, action: routing.SetTimer) -> None:
-        """Sets a timer of the router."""
+        """Sets a timer for the router, which gets ``TimerFired`` with the action's token."""
         fired = routing.TimerFired(action.token)
         self.timers.set(action.at_ms, self.router_messages.append, fired)
 
     def request_endpoints(self, action: routing.PollEndpoints) -> None:
-        """Asks for the endpoint list."""
+        """Requests the endpoint list, as the router decided."""
         self.poll_endpoints(True)
 
     def count_log_message(self, action: routing.LogMessage) -> None:
-        """Counts a log message of the router, and hands it to the service's log."""
+        """Counts a log message of the router and passes it to the service's log."""
         self.counters["log messages of the router"] += 1
         self.router_log(action.text)
 
     # ---- inputs about the whole gateway
     def host_greeted(self, link: Any, hello: Any) -> None:
-        """Learns from a host's hello when it was started."""
+        """Records the start time that a host states in its hello."""
         self.endpoint_list.host_greeted(link.host, hello.started_at_ms)
 
     def drain(self, reason: str) -> None:
-        """Rejects new requests from now on and notifies clients once; pending ones are answered."""
+        """Rejects new requests from now on and notifies clients once; pending ones continue."""
         if self.draining is None:
             self.draining = reason
             for client in self.clients:
--- a/cherrydoor/gateway/endpoints.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the dispatcher holds it: updates of it, and when a host is forgotten."""
+"""The dispatcher's endpoint list: applies updates and removes hosts that are gone."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Final
@@ -12,18 +12,18 @@
 
 GONE: Final = "gone"
 READY: Final = "ready"
-# Unused connections are looked for so many times within the time after which they are closed.
+# Number of clean-ups within the time after which an idle connection is closed.
 CLEANUPS_PER_IDLE_TIME = 10
 
 
 class EndpointList:
-    """Owner of the host table.
+    """Owns the host table.
 
     Invariant: a host is in the table from the first update that lists it until it is gone and its
-    last connection is closed. A host that was never listed is not in it, and is sent nothing.
+    last connection is closed. A host that was never listed is not in the table and is sent nothing.
 
     Attributes:
-        hosts: Records of hosts by their ids.
+        hosts: Host records by host id.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
@@ -31,7 +31,7 @@
         self.hosts: dict[str, HostRecord] = {}
 
     def update(self, kind: routing.UpdateKind, rows: Iterable[protocol.Endpoint]) -> None:
-        """Takes in rows of the endpoint list. All but an incremental update name every host."""
+        """Applies rows of the endpoint list; only an incremental update may leave out hosts."""
         if kind != routing.UpdateKind.INCREMENTAL:
             self.mark_absent_as_gone({row.host for row in rows})
         endpoints = []
@@ -47,18 +47,18 @@
         self.dispatcher.router_messages.append(routing.EndpointsUpdated(kind, tuple(endpoints)))
 
     def mark_absent_as_gone(self, listed: set[str]) -> None:
-        """Marks the hosts as gone that a whole list leaves out."""
+        """Marks hosts that a complete list leaves out as gone."""
         for host in self.hosts.values():
             if host.id not in listed:
                 row = host.row
                 host.row = protocol.Endpoint(host.id, GONE, row.started_at_ms, row.zone, row.cell)
 
-    def confirmed(self, at_ms: float) -> None:
-        """Notifies the router that the endpoint list was up to date at this time."""
+    def list_confirmed(self, at_ms: float) -> None:
+        """Notifies the router that the endpoint list was up to date at ``at_ms``."""
         self.dispatcher.router_messages.append(routing.EndpointsConfirmed(at_ms))
 
-    def requested(self, at_ms: float) -> None:
-        """Notifies the router that the stream was asked for updates at this time."""
+    def updates_requested(self, at_ms: float) -> None:
+        """Notifies the router that the watch requested updates at ``at_ms``."""
         self.dispatcher.router_messages.append(routing.EndpointsRequested(at_ms))
 
     def poll_failed(self) -> None:
@@ -68,7 +68,7 @@
         )
 
     def host_greeted(self, host: HostRecord, started_at_ms: float) -> None:
-        """Learns a restart from the host's own hello, which may be newer than the list."""
+        """Detects a restart from a host's hello, which may be newer than the endpoint list."""
         if started_at_ms > host.started_at_ms + 1 and host.row.state == READY:
             host.started_at_ms = started_at_ms
             self.dispatcher.counters["restarts learned from hosts"] += 1
@@ -76,12 +76,12 @@
                 routing.EndpointsUpdated(routing.UpdateKind.INCREMENTAL, (endpoint_of(host),))
             )
 
-    def rows(self) -> list[protocol.Endpoint]:
-        """Returns the list as last held, for the next start."""
+    def current_rows(self) -> list[protocol.Endpoint]:
+        """Returns the current endpoint list without hosts that are gone, to be cached."""
         return [host.row for host in self.hosts.values() if host.row.state != GONE]
 
     def clean_up(self) -> None:
-        """Closes idle connections, forgets hosts that are gone, and sets its timer again."""
+        """Closes idle connections, removes hosts that are gone, and sets its timer again."""
         dispatcher = self.dispatcher
         dispatcher.timers.set(
             dispatcher.now + dispatcher.limits.idle / CLEANUPS_PER_IDLE_TIME, self.clean_up
@@ -94,6 +94,6 @@
 
 
 def endpoint_of(host: HostRecord) -> routing.Endpoint:
-    """Returns a host as the router gets it."""
+    """Converts a host record to the router's endpoint."""
     row = host.row
     return routing.Endpoint(row.host, row.state, host.started_at_ms, row.zone, row.cell)
--- a/cherrydoor/gateway/host_calls.py
+++ b/cherrydoor/gateway/host_calls.py
@@ -1,4 +1,4 @@
-"""Calls to hosts, from when they are sent until they end. No I/O, no clock."""
+"""Calls to hosts, from sending to their outcome. No I/O, no clock."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -19,11 +19,13 @@
 if TYPE_CHECKING:
     from cherrydoor.gateway.dispatcher import Dispatcher
 
-# Requests remembered on a connection as missing at its host; old ones have had their last reply.
-MISSING_REMEMBERED = 32
-# New work, which is held back where a host drains or a request is over.
-NEW_WORK = (protocol.Attempt, protocol.LoadOrder, protocol.HealthCheck)
-# Names of the counters of how calls ended; a query's end is of no use beyond its asker.
+# Requests that each connection remembers as answered with "function missing". Older ones can be
+# forgotten, as no further reply to them is expected.
+MAX_MISSING_REQUESTS = 32
+# Messages that give a host new work; held back if the host is draining or the request has ended.
+NEW_WORK_TYPES = (protocol.Attempt, protocol.LoadOrder, protocol.HealthCheck)
+# Prefixes of the outcome counters of each kind of call. Queries are not counted, as their outcome
+# matters only to the caller.
 OUTCOME_COUNTERS: dict[CallKind, str] = {
     CallKind.ATTEMPT: "attempts ended",
     CallKind.HEALTH_CHECK: "health checks ended",
@@ -38,13 +40,13 @@
 
 
 class HostCalls:
-    """Owner of the calls to hosts (``link.out`` of each connection).
+    """Owns the calls to hosts (``link.out`` of each connection).
 
-    Invariant: a call that was made ends exactly once, in ``end``. Until then it is in its
-    connection's ``out``; replies that come in elsewhere are ignored.
+    Invariant: each call ends exactly once, in ``end``. Until then it is in its connection's
+    ``out``, and a reply on any other connection is ignored.
 
     Attributes:
-        outcomes: How often calls of each kind ended in each way, for the log.
+        outcomes: How often calls of each kind ended with each outcome, for the log.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
@@ -55,13 +57,15 @@
     def check_health(self, action: routing.CheckHealth) -> None:
         """Sends a health check, as the router decided."""
         wait_ms = self.dispatcher.limits.probe
-        self.ask(action.host, CallKind.HEALTH_CHECK, "", wait_ms, protocol.HealthCheck)
+        self.start_call(action.host, CallKind.HEALTH_CHECK, "", wait_ms, protocol.HealthCheck)
 
     def check_lease(self, action: routing.CheckLease) -> None:
-        """Sends a health check that may take as long as the router says."""
-        self.ask(action.host, CallKind.HEALTH_CHECK, "", action.timeout_ms, protocol.HealthCheck)
+        """Sends a health check with the timeout that the router sets, to renew a host's lease."""
+        self.start_call(
+            action.host, CallKind.HEALTH_CHECK, "", action.timeout_ms, protocol.HealthCheck
+        )
 
-    def ask(
+    def start_call(
         self,
         host_id: str,
         kind: CallKind,
@@ -70,14 +74,14 @@
         make_message: Callable[..., Any],
         *values: Any,
     ) -> None:
-        """Sends a health check or a load order; the router gets exactly one message of its end.
+        """Sends a health check or a load order; the router gets exactly one message of its outcome.
 
         Args:
-            host_id: The host; one that was never listed counts as not reachable.
-            kind: Which of the two.
-            function: The function of a load order.
-            wait_ms: After this time it ends without a response.
-            make_message: Makes the message of the call's number and ``values``.
+            host_id: The host; if it was never listed, the call ends as a failed connection.
+            kind: ``HEALTH_CHECK`` or ``LOAD_ORDER``.
+            function: The function of a load order; empty for a health check.
+            wait_ms: After this time the call ends without a response.
+            make_message: Makes the message from the call's id and ``values``.
             values: Further fields of the message.
         """
         dispatcher = self.dispatcher
@@ -91,8 +95,8 @@
                 dispatcher.now + wait_ms, self.abandon, call, AttemptOutcome.NO_RESPONSE
             )
 
-    def hold_back(self, host: HostRecord, call: HostCall, message: Any) -> bool:
-        """Ends a call as never sent if it may not go out to the host now; returns whether so."""
+    def end_if_held_back(self, host: HostRecord, call: HostCall, message: Any) -> bool:
+        """Ends a call as not sent if it may not be sent to the host now; returns whether it did."""
         reason = self.held_back_reason(host, call, message)
         if not reason:
             return False
@@ -101,26 +105,27 @@
         return True
 
     def held_back_reason(self, host: HostRecord, call: HostCall, message: Any) -> str:
-        """Returns why a message may not go out to the host now, "" where it may.
+        """Returns why a message may not be sent to the host now; empty if it may.
 
-        Each attempt, health check and load order is checked when it is sent, and again when it
-        waited for a connection. Guards against new work for a host that is known to drain, or that
-        may drain unknown to an outdated endpoint list, and against attempts for a request that is
-        finished or whose client has disconnected; costs a system call for each attempt.
+        Each attempt, health check and load order is checked when it is sent and, if it waited for
+        a connection, again when that opens. The check keeps new work from a host that is draining,
+        or that may be draining while the endpoint list is outdated. It also stops attempts of a
+        request that is finished or whose client has disconnected. It costs one system call for
+        each attempt.
         """
-        if type(message) not in NEW_WORK:
+        if type(message) not in NEW_WORK_TYPES:
             return ""
         if host.row.state != "ready":
             return "the host drains"
         dispatcher = self.dispatcher
-        # A list without news says nothing of a drain that has begun since: the lease decides.
+        # An outdated endpoint list may not show a recent drain, so the host lease decides.
         needs_lease = type(message) is not protocol.HealthCheck
         if needs_lease and not dispatcher.router.may_get_new_work(host.id, dispatcher.now):
             return "the host has no lease"
         pending = call.pending
         if pending is None:
             return ""
-        if not pending.finished and not pending.client.connected(dispatcher.now):
+        if not pending.finished and not pending.client.check_connected(dispatcher.now):
             dispatcher.counters["closes found at a launch"] += 1
             dispatcher.request_table.cancel(pending)
         if pending.finished:
@@ -128,8 +133,8 @@
         return "" if dispatcher.now < pending.deadline_ms else "the time is up"
 
     def send(self, host: HostRecord, call: HostCall, message: Any) -> bool:
-        """Sends a call on a connection to the host; returns False where nothing may go out."""
-        if self.hold_back(host, call, message):
+        """Sends a call on a connection to the host; returns False if it was held back."""
+        if self.end_if_held_back(host, call, message):
             return False
         host.calls_sent += 1
         link = self.dispatcher.connections.choose(host, call)
@@ -140,14 +145,14 @@
         return True
 
     def message_not_sent(self, link: HostConnection, number: int) -> None:
-        """Ends a call whose message the I/O could not write."""
+        """Ends a call whose message the I/O layer could not write."""
         call = link.out.get(number)
         if call is not None:
             self.end(call, AttemptOutcome.NOT_SENT)
 
-    # ---- ends of calls
-    def replied(self, link: HostConnection, message: Any) -> None:
-        """Takes in a host's reply; it counts only for a call in flight on this connection."""
+    # ---- outcomes
+    def reply_received(self, link: HostConnection, message: Any) -> None:
+        """Handles a host's reply; it is ignored unless its call is in flight on this connection."""
         link.last_used_ms = link.last_reply_ms = self.dispatcher.now
         link.unresponsive = False
         call = link.out.get(message.id)
@@ -165,17 +170,20 @@
             self.dispatcher.counters["replies without a call in flight"] += 1
 
     def abandon(self, call: HostCall, outcome: AttemptOutcome) -> None:
-        """Ends a call without waiting further; the host is sent a cancellation of an attempt.
+        """Ends a call without waiting for its reply; an attempt is also cancelled at the host.
+
+        If the host has been silent for too long, the connection is marked as unresponsive and the
+        host's other silent connections are closed.
 
         Args:
             call: Ignored if it has ended.
-            outcome: How it ends. A call that still waits for its connection ends as never sent if
-                it is cancelled, else as not connected.
+            outcome: The outcome. A call that still waits for its connection to open ends as not
+                sent if it is cancelled, otherwise as a failed connection.
         """
         if call.outcome is not None:
             return
         link = call.link
-        assert link is not None, "a call without a connection ends as it is made"
+        assert link is not None, "a call without a connection has already ended"
         if link.state is ConnectionState.DIALING:
             link.unsent = [message for message in link.unsent if message.id != call.id]
             if outcome is AttemptOutcome.CANCELLED:
@@ -197,13 +205,13 @@
     def end(
         self, call: HostCall, outcome: AttemptOutcome, message: Any = None, host_id: str = ""
     ) -> None:
-        """Ends a call; the only place where one ends.
+        """Ends a call and reports its outcome; no other method ends a call.
 
         Args:
             call: Ignored if it has ended.
-            outcome: How it ended.
-            message: The host's reply, if there was one.
-            host_id: The host of a call that never had a connection.
+            outcome: The outcome.
+            message: The host's reply; None without one.
+            host_id: The host, for a call that never had a connection.
         """
         if call.outcome is not None:
             return
@@ -218,7 +226,7 @@
             if outcome == AttemptOutcome.FUNCTION_MISSING and call.pending is not None:
                 remember_missing(link, call.pending.number)
         if call.kind is CallKind.ATTEMPT:
-            self.dispatcher.attempts.ended(call, outcome, took_ms, host_id, message)
+            self.dispatcher.attempts.attempt_ended(call, outcome, took_ms, host_id, message)
         elif call.on_reply is not None:
             call.on_reply(host_id, outcome, message)
         else:
@@ -230,7 +238,7 @@
     def notify_router_of_end(
         self, call: HostCall, host_id: str, outcome: AttemptOutcome, copies: int, took_ms: float
     ) -> None:
-        """Notifies the router of the end of a health check or a load order."""
+        """Notifies the router of the outcome of a health check or a load order."""
         ended: Any
         if call.kind is CallKind.HEALTH_CHECK:
             ended = routing.HealthCheckEnded(host_id, outcome, took_ms)
@@ -241,7 +249,7 @@
     def load_order_ended(
         self, call: HostCall, host_id: str, outcome: AttemptOutcome, took_ms: float
     ) -> None:
-        """Notifies releases and the zone drain of the end of a load order."""
+        """Notifies releases and the zone drain of the outcome of a load order."""
         dispatcher = self.dispatcher
         dispatcher.call_ended(releases.LoadEnded(call.function, outcome, took_ms))
         if dispatcher.zone_drain is not None:
@@ -251,6 +259,6 @@
 
 
 def remember_missing(link: HostConnection, number: int) -> None:
-    """Remembers that the connection's host answered a request without running it."""
+    """Records that the host answered a request with "function missing", without running it."""
     numbers = [*link.missing_requests, number]
-    link.missing_requests = dict.fromkeys(numbers[-MISSING_REMEMBERED:])
+    link.missing_requests = dict.fromkeys(numbers[-MAX_MISSING_REQUESTS:])
--- a/cherrydoor/gateway/host_connections.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: when they are opened, chosen and closed. No I/O, no clock."""
+"""Connections to hosts: opening, choosing and closing them. No I/O, no clock."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -8,29 +8,32 @@
 if TYPE_CHECKING:
     from cherrydoor.gateway.dispatcher import Dispatcher
 
-# Share of the calls to a host that connections beside the first may cost (limits.handshake each).
-HANDSHAKE_SHARE = 0.01
+# Upper bound on handshake cost, as a share of the calls to a host. Each connection after the first
+# costs as much as ``limits.handshake`` calls.
+MAX_HANDSHAKE_SHARE = 0.01
 
 
 class HostConnections:
-    """Owner of the connections to each host (``host.links``).
+    """Owns the connections to each host (``host.links``).
 
-    Invariant: a connection is among its host's ``links`` from when it is dialed until it is
-    closed, refused or lost; whichever comes first ends all calls on it.
+    Invariant: a connection is in its host's ``links`` from when it is dialed until it is closed,
+    refused or lost, which ends all calls on it.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
         self.dispatcher = dispatcher
 
     def choose(self, host: HostRecord, call: HostCall) -> HostConnection:
-        """Returns the connection for a call: the first one with room, or a new one.
+        """Returns the connection for a call: the first one with room, a new one, or a shared one.
 
-        A new one is opened up to the bound, and once the host has had calls enough to be worth the
-        cost; then connections are shared. Guards against hundreds of gateways opening connections
-        that serve once each; harms where a connection that is lost takes more attempts with it.
+        A new connection is opened only below ``limits.links``, and only once the host has had
+        enough calls to outweigh the handshake. Otherwise the call shares the least busy connection.
+        This keeps hundreds of gateways from opening connections that are used only once; the cost
+        is that a lost connection ends more attempts.
 
-        A request that was missing at the host goes out on another connection, where there is one:
-        a second copy of that reply would pass for the new attempt's.
+        A request that a host answered with "function missing" is sent to that host on another
+        connection if there is one. On the same connection, a duplicate of that reply could be taken
+        for the reply to the new attempt.
         """
         limits = self.dispatcher.limits
         responsive = [link for link in host.links if not link.unresponsive]
@@ -43,13 +46,15 @@
         for link in suitable:
             if len(link.out) < limits.per_link:
                 return link
-        worth_it = HANDSHAKE_SHARE * host.calls_sent >= limits.handshake * len(responsive)
-        if worth_it and len(host.links) < limits.links:
+        worth_handshake = MAX_HANDSHAKE_SHARE * host.calls_sent >= limits.handshake * len(
+            responsive
+        )
+        if worth_handshake and len(host.links) < limits.links:
             return self.open(host)
         return min(suitable or responsive or host.links, key=calls_in_flight)
 
     def open(self, host: HostRecord) -> HostConnection:
-        """Dials the host; what is written meanwhile is sent once the connection is open."""
+        """Dials the host; messages written before the connection is open are sent once it is."""
         dispatcher = self.dispatcher
         link = HostConnection(host, dispatcher.now)
         host.links.append(link)
@@ -59,9 +64,9 @@
         dispatcher.dial(link)
         return link
 
-    def opened(self, link: HostConnection, wire: Any) -> None:
-        """Sends what waited for the connection, as far as it still may go out."""
-        if link.state is not ConnectionState.DIALING:  # it timed out in the meantime
+    def connection_opened(self, link: HostConnection, wire: Any) -> None:
+        """Sends the messages that waited for the connection, except those now held back."""
+        if link.state is not ConnectionState.DIALING:  # it has timed out
             wire.close("")
             return
         link.state = ConnectionState.OPEN
@@ -72,17 +77,17 @@
         calls = self.dispatcher.calls
         for message in unsent:
             call = link.out.get(message.id)
-            if call is None or not calls.hold_back(link.host, call, message):
+            if call is None or not calls.end_if_held_back(link.host, call, message):
                 wire.write(message)
 
     def connect_timed_out(self, link: HostConnection) -> None:
-        """Gives up a connection that was not opened in time."""
+        """Ends a connection that was not opened within the connect timeout."""
         if link.state is ConnectionState.DIALING:
             self.dispatcher.counters["connect timeouts"] += 1
-            self.lost(link)
+            self.connection_lost(link)
 
-    def lost(self, link: HostConnection) -> None:
-        """Ends all calls on a connection that was refused, never opened, or lost."""
+    def connection_lost(self, link: HostConnection) -> None:
+        """Ends all calls on a connection that was refused, timed out while connecting, or lost."""
         if link.state is ConnectionState.CLOSED:
             return
         outcome = AttemptOutcome.CONNECTION_LOST
@@ -99,7 +104,7 @@
             self.dispatcher.calls.end(call, outcome)
 
     def close_idle(self, host: HostRecord, idle_ms: float, host_is_gone: bool) -> None:
-        """Closes the host's connections unused for ``idle_ms``; if it is gone, all unused ones."""
+        """Closes the host's connections idle for ``idle_ms``; if it is gone, all without calls."""
         now_ms = self.dispatcher.now
         for link in list(host.links):
             if (
@@ -110,10 +115,10 @@
                 self.close(link)
 
     def close_silent(self, host: HostRecord, since_ms: float) -> None:
-        """Closes the host's unused connections without a reply since then.
+        """Closes the host's connections that carry no call and had no reply after ``since_ms``.
 
-        Guards against connections that a cut network leaves open, where each attempt would be lost
-        anew; harms where a host is only slow: it is dialed again.
+        A network partition can leave dead connections open, and each would lose another attempt.
+        If the host was only slow, the cost is dialing it again.
         """
         for link in list(host.links):
             if (
@@ -132,5 +137,5 @@
 
 
 def calls_in_flight(link: HostConnection) -> int:
-    """Returns how many calls are in flight on a connection."""
+    """Returns the number of calls in flight on a connection."""
     return len(link.out)
--- a/cherrydoor/gateway/incarnations.py
+++ b/cherrydoor/gateway/incarnations.py
@@ -99,7 +99,9 @@
 
         Nothing is sent where the deadline of the request has passed as well.
         """
-        if request.timeout_ms > client.late(request.sent_at_ms, self.service.clock.now()):
+        if request.timeout_ms > client.excess_delay_ms(
+            request.sent_at_ms, self.service.clock.now()
+        ):
             client.wire.write(
                 protocol.Response(request.id, "deferred", retry_after_ms, INCARNATION_ENDED)
             )
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -1,4 +1,4 @@
-"""Load orders, and what releases and zone drains know of functions and their copies."""
+"""Load orders, unloads, and notices to the router about expected functions and their copies."""
 
 from typing import TYPE_CHECKING
 
@@ -11,9 +11,9 @@
 
 
 class LoadOrders:
-    """Sends load orders and unloads to hosts, and functions and copies to the router.
+    """Sends load orders and unloads to hosts, and notifies the router of functions and copies.
 
-    It has no table: a load order in flight is a call of ``HostConnections``.
+    It owns no table: load orders in flight are calls of ``HostCalls``.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
@@ -22,7 +22,7 @@
     def order_load(self, action: routing.OrderLoad) -> None:
         """Orders a host to load copies of a function, as the router decided."""
         self.dispatcher.counters["load orders"] += 1
-        self.dispatcher.calls.ask(
+        self.dispatcher.calls.start_call(
             action.host,
             CallKind.LOAD_ORDER,
             action.function,
@@ -33,13 +33,13 @@
         )
 
     def function_expected(self, function: str, drained_zone: str = "") -> None:
-        """Notifies the router that a function will be called.
+        """Notifies the router that a function will be called, so that it is loaded ahead.
 
         Args:
-            function: The version expected.
-            drained_zone: A zone outside which alone it is wanted. Without one it is wanted
-                everywhere, and beside that outside each zone that drains: a release loads ahead
-                where the sessions of that zone have moved as well.
+            function: The expected version.
+            drained_zone: If set, the function is expected only outside this zone. If empty, it is
+                expected everywhere and also, separately, outside each zone that is draining, so
+                that a release is loaded ahead where the sessions of those zones have moved.
         """
         dispatcher = self.dispatcher
         if drained_zone:
@@ -52,13 +52,13 @@
             dispatcher.router_messages.append(routing.FunctionExpected(function, zone))
 
     def copy_reported(self, function: str, host_id: str) -> None:
-        """Notifies the router of a loaded copy that others report, as of a load order's end."""
+        """Notifies the router of a copy that others report as loaded, as if a load order ended."""
         self.dispatcher.router_messages.append(
             routing.LoadOrderEnded(function, host_id, routing.AttemptOutcome.SUCCEEDED, 1, 0.0)
         )
 
     def unload(self, function: str, host_ids: list[str]) -> None:
-        """Allows hosts to drop idle copies of a version; no reply is waited for."""
+        """Allows hosts to drop idle copies of a version, without waiting for a reply."""
         for host_id in host_ids:
             host = self.dispatcher.hosts.get(host_id)
             if host is None:
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -20,57 +20,59 @@
 SUCCEEDED: Final = "handled"
 REJECTED: Final = "deferred"
 FAILED: Final = "dead-lettered"
-# Timers that fire late cost a request twice: once as it is read, once as its deadline passes.
-LAGS_PER_REQUEST = 2
+# A late timer delays a request twice: when the request is read and when its deadline fires.
+LATE_TIMERS_PER_REQUEST = 2
 
 
 class RequestTable:
-    """Owner of the tables of pending requests and of clients.
+    """Owns the tables of pending requests and of clients.
 
-    Invariant: a request is in ``requests`` from ``accept`` until it is finished and nothing refers
-    to it any more (``references`` is 0); it gets one response at most. It is among its client's
-    ``open`` requests until it is finished.
+    Invariant: a request is in ``requests`` from ``accept`` until it is finished and its
+    ``references`` are 0. It gets at most one response. It is in its client's ``open`` requests
+    until it is finished.
 
     Attributes:
         requests: Pending requests by their numbers.
-        clients: Clients connected, in the order in which they connected.
+        clients: Connected clients, in the order in which they connected.
+        cancelled: Cancelled requests of which the router has not been notified yet.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
         self.dispatcher = dispatcher
         self.requests: dict[int, PendingRequest] = {}
         self.clients: dict[ClientConnection, bool] = {}
-        self.cancelled: list[PendingRequest] = []  # the router has not been notified of them yet
+        self.cancelled: list[PendingRequest] = []
 
     # ---- clients
     def client_connected(self, client: ClientConnection, hello: Any) -> None:
         """Adds a client and notifies it if the gateway is draining."""
         dispatcher = self.dispatcher
         client.name = hello.name
-        client.late(hello.clock_ms, dispatcher.now)
+        client.excess_delay_ms(hello.clock_ms, dispatcher.now)
         self.clients[client] = True
         if dispatcher.draining is not None:
             client.wire.write(Draining(dispatcher.draining))
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Cancels all that the client has open."""
+        """Removes a client and cancels all its pending requests."""
         self.clients.pop(client, None)
         for pending in list(client.open.values()):
             self.cancel(pending)
 
     # ---- acceptance
     def request_received(self, client: ClientConnection, request: protocol.Request) -> None:
-        """Accepts a request, rejects it, or ignores it: one that is open already or past its time.
+        """Accepts a request, rejects it, or ignores a duplicate or one past its deadline.
 
-        The time that is set aside for its response grows with the lag of the timers. Guards
-        against a response after the client's deadline, as a request that is read late is also
-        answered late; harms where the lag was a single stall: the request has less time for it.
+        The time reserved for sending the response grows with the lag of the timers. A request that
+        is read late is also answered late, and without the reserve its response could miss the
+        client's deadline. After a single stall the reserve is too large, and the request has less
+        time to run than it could have.
         """
         dispatcher = self.dispatcher
-        delay_ms = client.late(request.sent_at_ms, dispatcher.now)
+        delay_ms = client.excess_delay_ms(request.sent_at_ms, dispatcher.now)
         client_deadline_ms = dispatcher.now + request.timeout_ms - delay_ms
         lag_ms = min(
-            LAGS_PER_REQUEST * dispatcher.timers.lag_ms, MAX_LAG_SHARE * request.timeout_ms
+            LATE_TIMERS_PER_REQUEST * dispatcher.timers.lag_ms, MAX_LAG_SHARE * request.timeout_ms
         )
         deadline_ms = client_deadline_ms - dispatcher.limits.spare - lag_ms
         if request.id in client.open:
@@ -96,17 +98,17 @@
             self.route(pending)
 
     def invalid_reason(self, request: protocol.Request) -> str | None:
-        """Returns why no gateway would accept the request, None where one would."""
+        """Returns why every gateway would reject the request; None if it is valid."""
         dispatcher = self.dispatcher
         if request.request_class not in dispatcher.router.settings.request_classes:
             return "no such event type"
-        # only the gateway names versions
+        # Names with "@" denote versions, which only the gateway chooses.
         if dispatcher.releases is not None and "@" in request.function:
             return "no function has a name with @"
         return None
 
     def overload_reason(self, request: protocol.Request) -> str | None:
-        """Returns why this gateway does not accept the request now, None where it does."""
+        """Returns why this gateway cannot accept the request now; None if it can."""
         dispatcher = self.dispatcher
         if dispatcher.draining is not None:
             return dispatcher.draining
@@ -124,14 +126,14 @@
         retry_after_ms: float,
         outcome: FinalOutcome = REJECTED,
     ) -> None:
-        """Answers a request that is not accepted."""
+        """Answers a request that is not accepted, and counts the reason."""
         self.dispatcher.counters[f"not accepted: {reason}"] += 1
         client.wire.write(protocol.Response(request.id, outcome, retry_after_ms, reason))
 
     def accept(
         self, client: ClientConnection, request: protocol.Request, deadline_ms: float
     ) -> PendingRequest:
-        """Makes a request pending: from here on its client is owed a response by the deadline."""
+        """Adds a pending request, whose client must get a response by the deadline."""
         dispatcher = self.dispatcher
         number = dispatcher.next_number()
         client.last_connected_ms = dispatcher.now
@@ -143,7 +145,7 @@
         return pending
 
     def route(self, pending: PendingRequest) -> None:
-        """Hands a pending request to the router, without the attempts of another gateway."""
+        """Passes a pending request to the router, without attempts that another gateway made."""
         dispatcher = self.dispatcher
         request = pending.request
         pending.adopted = False
@@ -171,7 +173,7 @@
         if dispatcher.failover is not None:
             dispatcher.failover.request_accepted(pending)
 
-    # ---- ends
+    # ---- responses and cancellation
     def request_withdrawn(self, client: ClientConnection, request_id: int) -> None:
         """Cancels a request that its client no longer waits for."""
         pending = client.open.get(request_id)
@@ -181,10 +183,10 @@
             self.cancel(pending)
 
     def cancel(self, pending: PendingRequest) -> None:
-        """Finishes a request whose client has disconnected or withdrawn it.
+        """Finishes a request that its client has withdrawn or whose client has disconnected.
 
-        The router decides about its attempts in flight. Only those of a stream are cancelled here:
-        a stream has no deadline at which that would happen.
+        The router decides whether to cancel its attempts in flight. Only those of a stream are
+        cancelled here, because a stream has no deadline at which they would be cancelled.
         """
         dispatcher = self.dispatcher
         dispatcher.counters["clients left"] += 1
@@ -195,18 +197,18 @@
         if pending.streaming:
             for call in pending.attempts:
                 dispatcher.calls.abandon(call, AttemptOutcome.CANCELLED)
-        # what the router decides before it is notified must find the request
+        # Actions that the router decides before it is notified must still find the request.
         pending.references += 1
         self.cancelled.append(pending)
         self.finish(pending)
         dispatcher.router_messages.append(routing.RequestCancelled(pending.number))
 
-    def forget_cancelled(self) -> None:
-        """Forgets the cancelled requests, once the router has been notified of all of them."""
+    def release_cancelled(self) -> None:
+        """Drops the reference held on each cancelled request once the router has been notified."""
         while self.cancelled:
             pending = self.cancelled.pop()
             pending.references -= 1
-            self.forget(pending)
+            self.remove_if_unreferenced(pending)
 
     def respond(self, pending: PendingRequest, response: protocol.Response) -> None:
         """Sends the response to a request and finishes it."""
@@ -218,9 +220,9 @@
         self.finish(pending)
 
     def respond_to_all(self, reason: str) -> None:
-        """Answers all requests at once, as the gateway ends.
+        """Answers all pending requests immediately when the gateway ends.
 
-        Those without an attempt are rejected, as a repeat of them is harmless; the others fail.
+        A request without attempts is rejected, as it is safe to retry; one with attempts fails.
         """
         for pending in list(self.requests.values()):
             if not pending.finished:
@@ -228,24 +230,25 @@
                 self.respond(pending, protocol.Response(pending.request.id, outcome, 0.0, reason))
 
     def finish(self, pending: PendingRequest) -> None:
-        """Marks a request as finished; the only place that does."""
+        """Marks a request as finished; no other method does."""
         pending.finished = True
         pending.client.open.pop(pending.request.id, None)
         if self.dispatcher.failover is not None:
             self.dispatcher.failover.request_finished(pending)
-        self.forget(pending)
+        self.remove_if_unreferenced(pending)
 
-    def forget(self, pending: PendingRequest) -> None:
-        """Drops a request that is finished and that nothing refers to any more."""
+    def remove_if_unreferenced(self, pending: PendingRequest) -> None:
+        """Removes a request that is finished and has no references left."""
         if pending.finished and not pending.references:
             self.requests.pop(pending.number, None)
 
     # ---- deadlines
     def deadline_passed(self, pending: PendingRequest) -> None:
-        """Cancels the attempts in flight, also those of a finished request, and answers it.
+        """Cancels the attempts in flight, even of a finished request, and ensures a response.
 
-        The router is notified first and owes the response. One is sent for it if it owes it still;
-        that is counted, as it should never happen but for an attempt it does not know of.
+        The router is notified first and should answer the request. If it does not, the request
+        fails here, and that is counted: it should only happen to an adopted attempt, which the
+        router does not know of.
         """
         if pending.streaming and not pending.finished:
             return
--- a/cherrydoor/gateway/tables.py
+++ b/cherrydoor/gateway/tables.py
@@ -1,6 +1,7 @@
 """Records of the dispatcher: clients, pending requests, calls to hosts, connections and hosts.
 
-Plain state without decisions. Each record names the object that owns it; nobody else writes it.
+They hold state and make no decisions. Each docstring names the record's owner; other objects write
+only the attributes for which it says so.
 """
 
 from collections.abc import Callable
@@ -10,45 +11,45 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
-# Counter that must stay 0: attempts started more than CLOSE_GRACE_MS after their client, which
-# disconnected, was last seen connected.
+# Counter that must stay 0: attempts started more than CLOSE_GRACE_MS after the last check that
+# found their client, which has since disconnected, still connected.
 ATTEMPTS_AFTER_CLOSE = "attempts after the client had closed"
-# Between a check for the client's close and the write of its attempt lies one tick at most.
+# At most one tick passes between the check for a client's close and the write of its attempt.
 CLOSE_GRACE_MS = 100.0
 
 
 class ConnectionState(StrEnum):
-    """State of a connection to a host; it only moves down this list."""
+    """State of a connection to a host; it only changes to a later state in this order."""
 
     DIALING = "dialing"
     OPEN = "open"
     CLOSED = "closed"
 
 
-CLOSED = ConnectionState.CLOSED  # the service closes all connections as it starts anew
+CLOSED = ConnectionState.CLOSED  # used when the service replaces its dispatcher
 
 
 class CallKind(Enum):
-    """What a host was sent that it owes a reply to."""
+    """Kind of a call, which a host is expected to answer."""
 
     ATTEMPT = 1
     HEALTH_CHECK = 2
     LOAD_ORDER = 3
-    QUERY = 4  # asked for failover or a zone drain, unknown to the router
+    QUERY = 4  # sent for failover or a zone drain; the router is not notified
 
 
-class Wire(Protocol):
-    """The sending side of a connection, as the I/O provides it."""
+class MessageWriter(Protocol):
+    """The sending side of a connection, provided by the I/O layer."""
 
     def write(self, message: Any) -> None:
         """Sends a message."""
 
     def close(self, reason: str) -> None:
-        """Closes the connection and states the reason to the other end."""
+        """Closes the connection and sends the reason to the peer."""
 
 
 def never_closed() -> bool:
-    """Stands for the check for a close where the I/O has none."""
+    """Default of ``has_closed`` where the I/O layer cannot check for an unread close."""
     return False
 
 
@@ -57,11 +58,12 @@
 
     Attributes:
         wire: Where responses are written.
-        name: Name that the client gave.
-        open: Pending requests by the client's own ids.
-        has_closed: Whether the other end has closed, though that has not been read yet.
-        min_clock_gap_ms: Least (our clock less its clock) seen, which is taken as no delay.
-        last_connected_ms: When it was last known to be connected.
+        name: Name in the client's hello.
+        open: Pending requests by the ids that the client gave them.
+        has_closed: Returns whether the client has closed, even if the close has not been read yet.
+        min_clock_gap_ms: Smallest difference seen between our receive time and the client's send
+            time, which is taken as zero delay; None before the first message.
+        last_connected_ms: When the client was last known to be connected.
     """
 
     def __init__(
@@ -74,23 +76,23 @@
         self.min_clock_gap_ms: float | None = None
         self.last_connected_ms = 0.0
 
-    def connected(self, now_ms: float) -> bool:
-        """Checks for a close that has not been read; called before each attempt."""
+    def check_connected(self, now_ms: float) -> bool:
+        """Returns whether the client has not closed, checked before each attempt is sent."""
         if self.has_closed():
             return False
         self.last_connected_ms = now_ms
         return True
 
-    def late(self, sent_at_ms: float, now_ms: float) -> float:
-        """Returns by how many ms a frame took longer than the fastest one of this connection.
+    def excess_delay_ms(self, sent_at_ms: float, now_ms: float) -> float:
+        """Returns how many ms longer a frame took than the fastest frame of this connection.
 
-        Guards against a stall of ours or of the network, after which a request would be given
-        time that its client no longer has; harms where the client's clock goes slow against ours,
-        as that counts as a delay.
+        After a stall of the gateway or the network, a request would otherwise get time that its
+        client no longer has. If the client's clock runs slower than ours, the drift counts as
+        delay.
 
         Args:
-            sent_at_ms: When it was sent, by the client's clock.
-            now_ms: When it was read, by ours.
+            sent_at_ms: When the frame was sent, by the client's clock.
+            now_ms: When it was read, by our clock.
         """
         gap_ms = now_ms - sent_at_ms
         if self.min_clock_gap_ms is None or gap_ms < self.min_clock_gap_ms:
@@ -99,20 +101,22 @@
 
 
 class PendingRequest:
-    """A request from its arrival to its response and the end of its last attempt.
+    """A request from its arrival until it has a response and its last attempt has ended.
 
     Owned by ``RequestTable``; ``Attempts`` adds its attempts and ends them.
 
     Attributes:
-        number: Its number in this gateway; ``request.id`` is the client's.
-        deadline_ms: When its client stops waiting, less the time that a response takes.
+        number: Number in this gateway; ``request.id`` is the client's.
+        deadline_ms: When the client stops waiting, less the time reserved for the response.
         attempts: All attempts, in the order in which the router decided them.
-        references: Attempts not yet ended, and a cancellation that the router is yet to get.
-        finished: Its response was sent, or its client disconnected.
-        streaming: Its response has begun as a stream.
-        function: The version of the function that the router knows it by.
-        origin: Identity in the gateway it was taken over from, as an attempt carries it; or None.
-        adopted: An attempt of another gateway is still in flight, unknown to the router.
+        references: Number of attempts in flight, plus one while the router has yet to be notified
+            of a cancellation.
+        finished: Whether the response was sent or the request was cancelled.
+        streaming: Whether the response has started to stream.
+        function: The version of the function under which the router knows the request.
+        origin: Identity in the gateway it was taken over from, as attempts carry it; None if it
+            was accepted here.
+        adopted: Whether an attempt of another gateway, unknown to the router, is in flight.
     """
 
     __slots__ = (
@@ -153,19 +157,19 @@
 
 
 class HostCall:
-    """An attempt, health check, load order or query that a host owes a reply to.
+    """An attempt, health check, load order or query, which a host is expected to answer.
 
     Owned by ``HostCalls``, which sets ``outcome`` exactly once.
 
     Attributes:
-        id: Its number on the wire.
-        started_at_ms: When it was decided.
-        link: The connection that it went out on, or None.
-        pending: The request of an attempt, else None.
+        id: Number on the wire.
+        started_at_ms: When the call was created.
+        link: The connection to the host that it was sent on; None if it was not sent.
+        pending: The request of an attempt; None for other kinds.
         index: Position of an attempt among those of its request.
         function: Function of a load order.
         called_function: Version that an attempt calls.
-        outcome: How it ended, None while it is in flight.
+        outcome: The outcome; None while the call is in flight.
         on_reply: Called as (host id, outcome, message) when a query has ended.
     """
 
@@ -208,14 +212,15 @@
     """One connection to a host. Owned by ``HostConnections``.
 
     Attributes:
-        wire: Where messages are written, None until it is open.
+        wire: Where messages are written; None until the connection is open.
         out: Calls in flight on it, by their ids.
-        unsent: Messages written while it is dialed; if that fails they were never sent.
+        unsent: Messages written while dialing; they are dropped if dialing fails.
         last_used_ms: When it last carried a message.
-        last_reply_ms: When a reply last came in on it, or it was opened.
-        unresponsive: A call on it was given up after a long silence: it gets no new ones until a
-            reply comes in.
-        missing_requests: Numbers of requests that the host answered here without running them.
+        last_reply_ms: When the last reply was read from it, or when it was opened.
+        unresponsive: Whether a call on it was abandoned after a long silence. If the host has other
+            connections, new calls avoid this one until a reply arrives on it.
+        missing_requests: Numbers of requests that the host answered on this connection with
+            "function missing", oldest first.
     """
 
     def __init__(self, host: "HostRecord", now_ms: float) -> None:
@@ -230,7 +235,7 @@
         self.missing_requests: dict[int, None] = {}
 
     def write(self, message: Any) -> None:
-        """Sends a message, or keeps it until the connection is open."""
+        """Sends a message, or queues it until the connection is open; ignored once it is closed."""
         if self.state is ConnectionState.OPEN:
             self.wire.write(message)
         elif self.state is ConnectionState.DIALING:
@@ -242,9 +247,9 @@
 
     Attributes:
         row: Its latest row of the endpoint list.
-        links: Connections to it that are not closed; ``HostConnections`` changes them.
-        started_at_ms: The later of what the list and the host's own hello state.
-        calls_sent: How many calls it was sent, written by ``HostCalls``.
+        links: Connections to it that are not closed; written by ``HostConnections``.
+        started_at_ms: The later of the start times in the endpoint list and in the host's hello.
+        calls_sent: Number of calls sent to it; written by ``HostCalls``.
     """
 
     def __init__(self, row: protocol.Endpoint) -> None:
--- a/cherrydoor/gateway/takeover.py
+++ b/cherrydoor/gateway/takeover.py
@@ -1,7 +1,6 @@
-"""Requests of another gateway: queries to hosts, attempts adopted, and cancellation after a loss.
+"""Takeover of another gateway's requests: host queries, adopted attempts and cancellation.
 
-Asked for by failover and zone drains (``cherrydoor/failover``); a gateway without peers uses none
-of it.
+Used by failover and zone drains (``cherrydoor/failover``); a gateway without peers uses none of it.
 """
 
 from collections.abc import Callable
@@ -23,9 +22,9 @@
 
 
 class Takeover:
-    """Takes over the requests of a lost gateway, for failover, which decides which.
+    """Takes over requests of a failed gateway; failover decides which ones.
 
-    It has no table: what it takes over are pending requests of ``RequestTable`` with an origin.
+    It owns no table: requests taken over are pending requests of ``RequestTable`` with an origin.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
@@ -38,12 +37,12 @@
         wait_ms: float,
         on_reply: Callable[[str, Any, Any], object],
     ) -> None:
-        """Asks a host, also a draining one, something that the router does not know of.
+        """Sends a query to a host, which may be draining; the router is not notified of it.
 
         Args:
             host_id: The host.
-            make_message: Makes the message of the query's number.
-            wait_ms: After this time it ends without a response.
+            make_message: Makes the message from the query's id.
+            wait_ms: After this time the query ends without a response.
             on_reply: Called exactly once as (host id, outcome, message or None).
         """
         dispatcher = self.dispatcher
@@ -67,13 +66,13 @@
         deadline_ms: float,
         origin: tuple[Any, ...],
     ) -> None:
-        """Accepts a request of another gateway and routes it anew in the time that it has left.
+        """Accepts a request of another gateway and routes it again within its remaining time.
 
         Args:
-            client: Stands for the client, whose response is claimed here.
+            client: Represents the client, which may claim its response at this gateway.
             request: The request as it was replicated.
-            deadline_ms: When its client stops waiting.
-            origin: Its identity in the other gateway, as attempts carry it.
+            deadline_ms: When the client stops waiting.
+            origin: The request's identity in the other gateway, as attempts carry it.
         """
         pending = self.dispatcher.request_table.accept(client, request, deadline_ms)
         pending.origin = origin
@@ -89,15 +88,17 @@
         host_id: str,
         make_message: Callable[[int], Any],
     ) -> None:
-        """Accepts a request whose attempt is still in flight: its outcome is the response.
+        """Accepts a request of another gateway whose attempt is still in flight, and adopts it.
+
+        If the attempt succeeds, its result is the response.
 
         Args:
-            client: As in ``take_over_request``.
-            request: As there.
-            deadline_ms: As there.
-            origin: As there.
-            host_id: The host with the attempt.
-            make_message: Makes the message that adopts it of the call's number.
+            client: See ``take_over_request``.
+            request: See ``take_over_request``.
+            deadline_ms: See ``take_over_request``.
+            origin: See ``take_over_request``.
+            host_id: The host that runs the attempt.
+            make_message: Makes the message that adopts the attempt, from the call's id.
         """
         dispatcher = self.dispatcher
         pending = dispatcher.request_table.accept(client, request, deadline_ms)
@@ -108,7 +109,7 @@
         dispatcher.calls.send(dispatcher.hosts[host_id], call, make_message(call.id))
 
     def adopted_attempt_failed(self, pending: PendingRequest, outcome: AttemptOutcome) -> None:
-        """Routes a request anew whose adopted attempt failed, or answers it."""
+        """Routes the request again if failover allows a retry; otherwise fails it."""
         if self.dispatcher.failover.may_retry_adopted(pending, outcome):
             self.dispatcher.request_table.route(pending)
         else:
@@ -117,10 +118,11 @@
             self.dispatcher.request_table.respond(pending, response)
 
     def cancel_on_other_connection(self, host: HostRecord, calls: list[HostCall]) -> None:
-        """Cancels the attempts of a lost connection over another one, where there is failover.
+        """Cancels the attempts of a lost connection over another connection to the same host.
 
-        With failover a host continues its work, as it cannot tell a lost connection from a lost
-        gateway. Guards against two attempts of one request in flight at once.
+        Needed only with failover. There a host keeps running its attempts after a connection is
+        lost, because it cannot tell this from a failed gateway. Without the cancellation, a retry
+        could run at the same time as the first attempt of its request.
         """
         if self.dispatcher.failover is None or host.row.state == "gone":
             return
--- a/cherrydoor/gateway/timers.py
+++ b/cherrydoor/gateway/timers.py
@@ -1,23 +1,24 @@
-"""Timers of the dispatcher and how late they have lately fired. No I/O, no clock."""
+"""Timers of the dispatcher and how late they recently fired. No I/O, no clock."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from typing import Any
 
-MAX_LAG_SHARE = 0.25  # of a request's time that may be set aside for late timers on a busy core
-LAG_HALF_LIFE_MS = 2000.0  # a stall counts half after so long: a short one is over by then
+# Largest share of a request's timeout that may be reserved for late timers on a busy core.
+MAX_LAG_SHARE = 0.25
+LAG_HALF_LIFE_MS = 2000.0  # a short stall is over by then
 
 Callback = Callable[..., object]
 Entry = tuple[float, int, Callback, tuple[Any, ...]]
 
 
 class TimerQueue:
-    """Timers in the order in which they are due; owned by the dispatcher.
+    """Timers in order of due time; owned by the dispatcher.
 
     Invariant: timers with the same time fire in the order in which they were set.
 
     Attributes:
-        lag_ms: How late timers have lately fired; fades with ``LAG_HALF_LIFE_MS``.
+        lag_ms: How late recent timers fired; decays with ``LAG_HALF_LIFE_MS``.
     """
 
     __slots__ = ("next_number", "entries", "lag_ms")
@@ -28,7 +29,7 @@
         self.lag_ms = 0.0
 
     def __len__(self) -> int:
-        """Returns the number of timers, including those that are obsolete."""
+        """Returns the number of timers, including obsolete ones that are not yet dropped."""
         return len(self.entries)
 
     def set(self, at_ms: float, callback: Callback, *args: Any) -> None:
@@ -36,7 +37,7 @@
         heappush(self.entries, (at_ms, self.next_number(), callback, args))
 
     def decay_lag(self, elapsed_ms: float) -> None:
-        """Lets the lag fade over the time since the last tick."""
+        """Decays the lag over the time since the last tick."""
         self.lag_ms *= 0.5 ** (elapsed_ms / LAG_HALF_LIFE_MS)
 
     def fire_next(self, now_ms: float) -> bool:
@@ -49,11 +50,11 @@
         return True
 
     def next_due_ms(self, is_obsolete: Callable[[Callback, tuple[Any, ...]], bool]) -> float | None:
-        """Returns when the next timer is due, or None without any.
+        """Returns when the next timer is due; None if there is none.
 
         Args:
-            is_obsolete: Whether a timer has nothing left to do. Such timers at the head are
-                dropped, so that nobody waits for them.
+            is_obsolete: Returns whether a timer has nothing left to do. Obsolete timers at the
+                head of the queue are dropped, so that they cause no tick.
         """
         entries = self.entries
         while entries:
