--- a/cherrydoor/connection.py
+++ b/cherrydoor/connection.py
@@ -1,7 +1,7 @@
-"""One end of a framed connection on asyncio, which decodes messages and hands them to its owner.
+"""A framed connection on asyncio, which decodes messages and passes them to its owner.
 
-The gateway and all test doubles use it. It knows frames, the opening hello and the closing notice,
-and nothing of what the messages mean.
+The gateway and all test doubles use it. It handles frames, the opening hello and the closing
+go-away, and does not interpret other messages.
 """
 
 import asyncio
@@ -11,22 +11,22 @@
 from cherrydoor.protocol import codec
 from cherrydoor.protocol import messages as protocol
 
-# Bytes that may wait for a slow peer before its connection is aborted: no peer may fill the memory
-# of all.
+# Unsent bytes above which the connection to a slow peer is aborted, so that no peer can exhaust the
+# memory of the process.
 MAX_WRITE_BUFFER_BYTES = 32 * 2**20
-# Time that a peer has for its hello; a connection without one is of no use and holds a descriptor.
+# Time for the peer's hello to arrive; a connection without one is useless and holds a descriptor.
 HELLO_TIMEOUT_S = 5.0
-# Characters of a reason that are sent to the peer.
+# Longer close reasons are truncated before they are sent to the peer.
 MAX_REASON_CHARACTERS = 1000
 
 Element = TypeVar("Element")
 
 
 class OrderedSet(dict[Element, None]):
-    """A set that iterates in order of insertion: no behaviour depends on memory addresses."""
+    """A set that iterates in insertion order, so that behaviour is independent of addresses."""
 
     def add(self, element: Element) -> None:
-        """Adds an element; one that is present keeps its position."""
+        """Adds an element; an element that is already present keeps its position."""
         self[element] = None
 
     def discard(self, element: Element) -> None:
@@ -35,27 +35,27 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a `FramedConnection` calls on the object that it belongs to."""
+    """Methods that a `FramedConnection` calls on its owner."""
 
-    def hello_received(self, end: Any, hello: Any) -> None:
-        """The peer's hello, which is always its first message."""
+    def hello_received(self, connection: Any, hello: Any) -> None:
+        """Called with the peer's hello, which is always its first message."""
 
-    def message_received(self, end: Any, message: Any) -> None:
-        """A message after the hello."""
+    def message_received(self, connection: Any, message: Any) -> None:
+        """Called with each message after the hello."""
 
-    def connection_ended(self, end: Any) -> None:
-        """The connection has ended; `end.close_reason` holds the reason."""
+    def connection_ended(self, connection: Any) -> None:
+        """Called once the connection has ended, with its reason in `connection.close_reason`."""
 
 
 class FramedConnection(asyncio.BaseProtocol):
     """An asyncio protocol that reads and writes frames.
 
     Attributes:
-        owner: Receives the hello, the messages and the end of the connection.
+        owner: Notified of the hello, of messages and of the connection's end.
         reader: Decodes input; holds the peer's hello.
-        transport: The asyncio transport, None until the connection is made.
-        close_reason: Why the connection ended; empty where the peer simply closed it.
-        peer_max_frame_bytes: Longest frame body that the peer accepts, by its hello.
+        transport: The asyncio transport; None until the connection is made.
+        close_reason: Why the connection ended; empty if the peer closed it without a reason.
+        peer_max_frame_bytes: Longest frame body that the peer accepts, as stated in its hello.
     """
 
     transport: Any
@@ -74,8 +74,8 @@
         Args:
             owner: See `ConnectionOwner`.
             message_types: The message types that are accepted.
-            make_hello: Makes our hello as the connection opens.
-            max_write_buffer_bytes: Unsent output beyond which the connection is aborted.
+            make_hello: Makes our hello when the connection opens.
+            max_write_buffer_bytes: Unsent output above which the connection is aborted.
             max_frame_bytes: Longest frame body that is accepted.
         """
         self.owner = owner
@@ -87,7 +87,7 @@
         self.peer_max_frame_bytes = protocol.DEFAULT_MAX_FRAME_BYTES
 
     def connection_made(self, transport: Any) -> None:
-        """Sends our hello and starts the timeout for the peer's."""
+        """Sends our hello and starts the timeout for the peer's hello."""
         self.transport = transport
         self.write(self.make_hello())
         self.hello_timer = asyncio.get_running_loop().call_later(
@@ -100,13 +100,13 @@
             self.close(f"no hello within {HELLO_TIMEOUT_S:g} s")
 
     def data_received(self, data: bytes) -> None:
-        """Decodes input and hands its messages to the owner."""
+        """Decodes input and passes its messages to the owner."""
         self.process_data(data)
 
     def process_data(self, data: bytes) -> int:
-        """Decodes input and hands its messages to the owner; returns how many there were.
+        """Decodes input and passes its messages to the owner; returns the number of messages.
 
-        A closing notice of the peer ends the connection, and counts as no message.
+        A go-away from the peer closes the connection, and 0 is returned.
         """
         owner = self.owner
         messages = self.reader.feed(data)
@@ -132,16 +132,16 @@
         """Sends a message.
 
         Raises:
-            codec.FrameTooLargeError: The peer accepts no frame of this size; nothing was sent.
+            codec.FrameTooLargeError: The frame exceeds the peer's limit; nothing was sent.
         """
         self.write_bytes(codec.encode(message, self.peer_max_frame_bytes))
 
     def write_bytes(self, data: bytes) -> None:
-        """Sends encoded frames; ignored on a connection that is closing.
+        """Sends encoded frames; does nothing on a connection that is closing.
 
-        Aborts the connection once more than `max_write_buffer_bytes` wait. Guards the memory of the
-        process against a peer that does not read; harms a peer that is merely slow under a burst of
-        large messages.
+        Aborts the connection if more than `max_write_buffer_bytes` are unsent, so that a peer that
+        does not read cannot exhaust the process's memory. The cost is that a peer that is only slow
+        may be disconnected by a burst of large messages.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -151,11 +151,11 @@
             self.abort("the peer reads too slowly")
 
     def close(self, reason: str = "", retry_after_ms: float = 0.0) -> None:
-        """Closes after all output has been sent.
+        """Closes the connection after all output has been sent.
 
         Args:
-            reason: Sent to the peer first; empty sends nothing.
-            retry_after_ms: When the peer may come back, sent with the reason.
+            reason: Sent to the peer in a go-away; if empty, none is sent.
+            retry_after_ms: Time after which the peer may reconnect, sent with the reason.
         """
         if self.transport is not None and not self.transport.is_closing():
             if reason:
@@ -165,13 +165,13 @@
             self.transport.close()
 
     def abort(self, reason: str = "") -> None:
-        """Closes at once and drops unsent output; the peer is sent nothing."""
+        """Closes the connection immediately; drops unsent output and sends no reason."""
         self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        """The peer has closed its side; asyncio then closes ours."""
+        """Lets asyncio close our side when the peer has closed its side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -17,10 +17,10 @@
     """A gateway's clock on the world's time."""
 
     def __init__(self, world):
-        self.world, self.ahead = world, world.wall() * 1000 - world.time() * 1000
+        self.world, self.offset_ms = world, world.wall() * 1000 - world.time() * 1000
 
     def now(self):
-        return self.world.time() * 1000 + self.ahead
+        return self.world.time() * 1000 + self.offset_ms
 
 
 class Uses:
@@ -173,7 +173,7 @@
 
     def wires(self):
         """All its transports."""
-        found = [end.transport for end in self.client_listener.ends]
+        found = [end.transport for end in self.client_listener.connections]
         found += [
             caller.wire.end.transport
             for caller in list(self.listeners.controller.pending.unidentified)
@@ -187,7 +187,7 @@
         ]
         found += [
             end.transport
-            for end in (self.endpoint_watch.end, self.releases and self.releases.end)
+            for end in (self.endpoint_watch.connection, self.releases and self.releases.end)
             if end
         ]
         found += (
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -1,4 +1,4 @@
-"""Client connections of one gateway, from their hello to their end."""
+"""Client connections of one gateway, from the hello until they are closed."""
 
 import asyncio
 from typing import TYPE_CHECKING, Any
@@ -21,29 +21,31 @@
 
 log = structlog.get_logger()
 
-MAX_HELLO_BYTES = 8192  # longest hello that is read from a client which is not yet admitted
+MAX_HELLO_BYTES = 8192  # longest hello accepted from a client that is not yet admitted
 IDENTIFICATION_RETRY_AFTER_MS = 1000.0  # for a client whose certificate or token is invalid
-# A connection whose credentials are withdrawn is closed once it is idle. A request that is under
-# way to us as we close would be lost, so that it counts as idle only after a pause longer than a
-# message usually takes; and a client that never pauses may not keep a withdrawn credential in use
-# for long.
+# A connection whose credentials are withdrawn is closed once it is idle, which is checked at this
+# interval.
 IDLE_CHECK_INTERVAL_S = 0.1
+# Longer than a message usually takes to arrive: a request that is in transit when the gateway
+# closes the connection would be lost.
 IDLE_AFTER_MS = 250.0
+# Afterwards the connection is closed even if it is not idle, so that a client that is always active
+# cannot keep using a withdrawn credential.
 MAX_WITHDRAWAL_S = 30.0
-# Time in which what a client sent before an incarnation ended is still read, and rejected with a
+# Time for which requests sent before an incarnation ended are still read, and rejected with a
 # retry-after.
-LAST_READ_S = 0.05
+FINAL_READ_S = 0.05
 
 
 class ClientProtocol(ChunkedReading, FramedConnection):
-    """The connection of one client; until it is admitted only a short hello is read from it.
+    """The connection of one client; only a short hello is read from it until it is admitted.
 
     Attributes:
-        arrival: The connection as admission control knows it.
-        client: The client as the dispatcher knows it.
-        credential_facts: What the client's certificate or token showed, set with its hello.
-        retry_after_ms: Set once the incarnation that admitted the client has ended: its requests
-            are rejected.
+        arrival: Admission control's record of the connection.
+        client: The dispatcher's record of the client.
+        credential_facts: What the client's certificate or token proves; set on its hello.
+        retry_after_ms: Set once the incarnation that admitted the client has ended; its requests
+            are then rejected with this retry-after.
     """
 
     def __init__(self, service: "GatewayService", arrival: Any) -> None:
@@ -64,16 +66,16 @@
         arrival.connection.open = self.client.open
 
     def connection_made(self, transport: Any) -> None:
-        """Lets admission control send the client, from now on, the reason of a rejection."""
+        """Registers with admission control, which can then send the client a rejection reason."""
         self.arrival.end = self
         super().connection_made(transport)
 
     def has_closed(self) -> bool:
-        """Whether the client has closed, also where that has not been read yet."""
+        """Returns whether the client has closed, even if the close has not been read yet."""
         return peer_closed(self.transport)
 
     def data_received(self, data: bytes) -> None:
-        """Decodes input, and keeps admission control's count of unfinished input."""
+        """Decodes input and reports to admission control how many bytes are unfinished."""
         message_count = self.process_data(data)
         if (
             message_count
@@ -81,11 +83,11 @@
             and self.arrival.connection.state == "seated"
             and not self.reader.fault
         ):
-            message_count += self.process_data(b"")  # what came along with the hello
+            message_count += self.process_data(b"")  # messages that arrived with the hello
         self.holds(len(self.reader.held), message_count)
 
     def admitted(self, max_frame_bytes: int) -> None:
-        """Admission control has admitted the client: larger frames are read from now on."""
+        """Accepts larger frames from now on, as admission control has admitted the client."""
         self.reader.largest = min(max_frame_bytes, self.owner.service.bounds.frame)
         self.owner.admitted(self)
 
@@ -94,123 +96,150 @@
     """All client connections of one gateway.
 
     Attributes:
-        ends: The admitted connections of this incarnation.
+        connections: The admitted connections of this incarnation.
     """
 
     def __init__(self, service: "GatewayService") -> None:
-        """Keeps the service whose dispatcher is notified."""
+        """Creates a listener that notifies the service's current dispatcher."""
         self.service = service
-        self.ends: OrderedSet[ClientProtocol] = OrderedSet()
+        self.connections: OrderedSet[ClientProtocol] = OrderedSet()
 
-    # ---- what connections report
-    def hello_received(self, end: ClientProtocol, hello: protocol.Hello) -> None:
-        """Identifies a client by its certificate or token; admission control then decides on it."""
+    # ---- events of connections
+    def hello_received(self, client_connection: ClientProtocol, hello: protocol.Hello) -> None:
+        """Identifies a client by certificate or token and asks admission control to admit it."""
         service = self.service
         if hello.role != "client":
-            end.close(f"a client is expected here, not a {hello.role}")
+            client_connection.close(f"a client is expected here, not a {hello.role}")
             return
         try:
-            known_client, facts = service.tls.identify(end.transport, hello.token)
+            known_client, facts = service.tls.identify(client_connection.transport, hello.token)
         except PeerAuthenticationError as error:
-            # One name for all of them: the error's text may hold what a client wrote.
+            # One counter for all failures, as the error's text may contain input from the client.
             service.listeners.controller.count("authentication failures")
-            end.close(str(error), IDENTIFICATION_RETRY_AFTER_MS)
+            client_connection.close(str(error), IDENTIFICATION_RETRY_AFTER_MS)
             return
-        end.credential_facts = facts
-        service.listeners.post(admission.ClientIdentified(end.arrival.connection, known_client))
+        client_connection.credential_facts = facts
+        service.listeners.post(
+            admission.ClientIdentified(client_connection.arrival.connection, known_client)
+        )
 
-    def admitted(self, end: ClientProtocol) -> None:
-        """Admission control has admitted the client."""
+    def admitted(self, client_connection: ClientProtocol) -> None:
+        """Adds an admitted client and notifies credentials and the dispatcher."""
         service = self.service
-        self.ends.add(end)
-        service.tls.post(credentials.ConnectionOpened(end, **end.credential_facts))
-        service.post(service.dispatcher.client_connected, end.client, end.reader.hello)
+        self.connections.add(client_connection)
+        service.tls.post(
+            credentials.ConnectionOpened(client_connection, **client_connection.credential_facts)
+        )
+        service.post(
+            service.dispatcher.client_connected,
+            client_connection.client,
+            client_connection.reader.hello,
+        )
 
-    def message_received(self, end: ClientProtocol, message: Any) -> None:
-        """Hands a client's message to the dispatcher; a request counts against its read quota."""
+    def message_received(self, client_connection: ClientProtocol, message: Any) -> None:
+        """Passes a client's message to the dispatcher; requests count against its read quota."""
         service = self.service
         message_type = type(message)
-        if end not in self.ends:
-            if end.retry_after_ms is not None and message_type is protocol.Request:
-                service.incarnations.reject_unaccepted(end.client, message, end.retry_after_ms)
+        if client_connection not in self.connections:
+            if client_connection.retry_after_ms is not None and message_type is protocol.Request:
+                service.incarnations.reject_unaccepted(
+                    client_connection.client, message, client_connection.retry_after_ms
+                )
             return
         if message_type is protocol.Request:
-            service.post(service.dispatcher.request_received, end.client, message)
-            connection = end.arrival.connection
+            service.post(service.dispatcher.request_received, client_connection.client, message)
+            connection = client_connection.arrival.connection
             group = connection.group
             group.read += 1
             if group.allowed is not None and group.read >= group.allowed and not group.paused:
                 service.listeners.post(admission.ReadQuotaExceeded(connection))
         elif message_type is protocol.CancelRequest:
-            service.post(service.dispatcher.request_withdrawn, end.client, message.id)
+            service.post(service.dispatcher.request_withdrawn, client_connection.client, message.id)
         elif service.peer_services:
-            service.peer_services.claim_response(end, message)
+            service.peer_services.claim_response(client_connection, message)
         else:
-            end.write(failover_messages.ResponseUnknown(message.id, "this gateway is alone"))
+            client_connection.write(
+                failover_messages.ResponseUnknown(message.id, "this gateway is alone")
+            )
 
-    def connection_ended(self, end: ClientProtocol) -> None:
-        """Notifies admission control, credentials and dispatcher of a connection that has ended."""
+    def connection_ended(self, client_connection: ClientProtocol) -> None:
+        """Notifies admission control, credentials and the dispatcher of an ended connection."""
         service = self.service
-        service.listeners.post(admission.ConnectionClosed(end.arrival.connection))
-        if end in self.ends:
-            self.ends.discard(end)
-            service.tls.post(credentials.ConnectionClosed(end))
-            service.post(service.dispatcher.client_disconnected, end.client)
-        if end.close_reason and not end.close_reason.startswith("[Errno"):
-            log.info("client connection closed", client=end.client.name, why=end.close_reason)
-
-    # ---- connections that the gateway ends
+        service.listeners.post(admission.ConnectionClosed(client_connection.arrival.connection))
+        if client_connection in self.connections:
+            self.connections.discard(client_connection)
+            service.tls.post(credentials.ConnectionClosed(client_connection))
+            service.post(service.dispatcher.client_disconnected, client_connection.client)
+        if client_connection.close_reason and not client_connection.close_reason.startswith(
+            "[Errno"
+        ):
+            log.info(
+                "client connection closed",
+                client=client_connection.client.name,
+                why=client_connection.close_reason,
+            )
+
+    # ---- closing connections
     def close_with_incarnation(
-        self, end: ClientProtocol, reason: str, retry_after_ms: float
+        self, client_connection: ClientProtocol, reason: str, retry_after_ms: float
     ) -> None:
-        """Ends a connection of an incarnation that is over.
+        """Closes a connection of an incarnation that has ended, after ``FINAL_READ_S``.
 
-        A request that is still read on it was never accepted, and is rejected with the same
-        retry-after.
+        Requests read until then were never accepted and are rejected with the same retry-after.
         """
-        self.ends.discard(end)
-        self.service.tls.post(credentials.ConnectionClosed(end))
-        end.retry_after_ms = retry_after_ms
-        asyncio.get_running_loop().call_later(LAST_READ_S, end.close, reason, retry_after_ms)
+        self.connections.discard(client_connection)
+        self.service.tls.post(credentials.ConnectionClosed(client_connection))
+        client_connection.retry_after_ms = retry_after_ms
+        asyncio.get_running_loop().call_later(
+            FINAL_READ_S, client_connection.close, reason, retry_after_ms
+        )
 
-    def withdraw(self, end: ClientProtocol, reason: str, at_once: bool) -> None:
-        """Ends a connection whose certificate or token is in service no more.
+    def withdraw(self, client_connection: ClientProtocol, reason: str, at_once: bool) -> None:
+        """Closes a connection whose certificate or token is no longer valid.
 
-        Unless `at_once`, the client is notified that it should go elsewhere, and the connection is
-        closed once it is idle.
+        Unless `at_once` is set, the client is notified that this connection is draining, and the
+        connection is closed once it is idle.
         """
-        if end not in self.ends:
+        if client_connection not in self.connections:
             return
         if at_once:
-            self.close_withdrawn(end, reason)
+            self.close_withdrawn(client_connection, reason)
         else:
             withdrawn_at_s = asyncio.get_running_loop().time()
-            end.write(protocol.Draining(reason))
-            self.close_when_idle(end, reason, withdrawn_at_s)
+            client_connection.write(protocol.Draining(reason))
+            self.close_when_idle(client_connection, reason, withdrawn_at_s)
 
-    def close_when_idle(self, end: ClientProtocol, reason: str, withdrawn_at_s: float) -> None:
-        """Closes a withdrawn connection if it is idle or its time is over; else checks again later.
+    def close_when_idle(
+        self, client_connection: ClientProtocol, reason: str, withdrawn_at_s: float
+    ) -> None:
+        """Closes a connection if it is idle or its time is over; otherwise checks again later.
 
         Args:
-            end: The connection; ignored once it has ended.
+            client_connection: Connection with withdrawn credentials; ignored if it has ended.
             reason: Sent to the client.
-            withdrawn_at_s: Time of the event loop at which the client was notified.
+            withdrawn_at_s: Event loop time at which the client was notified.
         """
-        if end not in self.ends:
+        if client_connection not in self.connections:
             return
         loop = asyncio.get_running_loop()
         clock = self.service.clock
-        quiet_since_ms = max(end.arrival.connection.used, 1000 * withdrawn_at_s + clock.ahead)
-        idle = not end.client.open and clock.now() - quiet_since_ms > IDLE_AFTER_MS
+        quiet_since_ms = max(
+            client_connection.arrival.connection.used, 1000 * withdrawn_at_s + clock.offset_ms
+        )
+        idle = not client_connection.client.open and clock.now() - quiet_since_ms > IDLE_AFTER_MS
         if idle or loop.time() - withdrawn_at_s > MAX_WITHDRAWAL_S:
-            self.close_withdrawn(end, reason)
+            self.close_withdrawn(client_connection, reason)
         else:
             loop.call_later(
-                IDLE_CHECK_INTERVAL_S, self.close_when_idle, end, reason, withdrawn_at_s
+                IDLE_CHECK_INTERVAL_S,
+                self.close_when_idle,
+                client_connection,
+                reason,
+                withdrawn_at_s,
             )
 
-    def close_withdrawn(self, end: ClientProtocol, reason: str) -> None:
+    def close_withdrawn(self, client_connection: ClientProtocol, reason: str) -> None:
         """Counts and closes a connection whose credentials are withdrawn."""
         counters = self.service.dispatcher.counters
         counters["connections closed for withdrawn credentials"] += 1
-        end.close(reason)
+        client_connection.close(reason)
--- a/cherrydoor/gateway/control.py
+++ b/cherrydoor/gateway/control.py
@@ -10,17 +10,17 @@
 
 
 class ControlSocket:
-    """Answers each line of JSON with one line of JSON.
+    """Answers each command, one line of JSON, with one line of JSON.
 
-    A command that is malformed is answered by `{"error": ...}`. Only the file's owner may connect.
+    A malformed command is answered with `{"error": ...}`. Only the file's owner may connect.
     """
 
     def __init__(self, path: str | Path, handle_command: Callable[[Any], Any]) -> None:
         """Prepares a socket that `start` opens.
 
         Args:
-            path: The socket's file; one that is present is replaced.
-            handle_command: Gives the answer to one decoded command.
+            path: The socket's file; an existing file is replaced.
+            handle_command: Returns the answer to one decoded command.
         """
         self.path = Path(path)
         self.handle_command = handle_command
@@ -49,7 +49,7 @@
                 writer.write(json.dumps(answer).encode() + b"\n")
                 await writer.drain()
         except (ConnectionError, ValueError):
-            pass  # the operator has gone, or sent a line longer than the reader's limit
+            pass  # the operator disconnected or sent a line longer than the reader's limit
         finally:
             writer.close()
 
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""`cherrydoor gateway`: one process with one or more gateways, until a signal ends it."""
+"""`cherrydoor gateway`: runs one or more gateways in one process until a signal ends it."""
 
 import asyncio
 import errno
@@ -25,10 +25,9 @@
 log = structlog.get_logger()
 
 DESCRIPTORS_PER_GATEWAY = 2  # client listener and endpoint list
-MAX_HOSTS = 256  # hosts for whose connections a gateway asks descriptors
-LAST_OUTPUT_S = (
-    0.05  # between the close of all sockets and the end of the process: what was written is sent
-)
+MAX_HOSTS = 256  # number of hosts for whose connections each gateway requests descriptors
+# Time between closing all sockets and ending the process, in which pending output is sent.
+FINAL_OUTPUT_S = 0.05
 STDIN_CHUNK_BYTES = 4096
 
 
@@ -36,17 +35,17 @@
     """The process cannot start; the reason has been logged.
 
     Attributes:
-        exit_code: What the process ends with.
+        exit_code: Exit code of the process.
     """
 
     def __init__(self, exit_code: int) -> None:
-        """Names the exit code."""
+        """Creates the error for a process that must end with this exit code."""
         super().__init__(f"the gateway cannot start, exit code {exit_code}")
         self.exit_code = exit_code
 
 
 class Daemon:
-    """The gateways of one process, and the signals that it obeys.
+    """Runs the gateways of one process and handles its signals.
 
     Attributes:
         services: The gateways, in the order of their configuration files.
@@ -64,9 +63,9 @@
 
         Args:
             paths: The configuration files, read again on SIGHUP.
-            make_router: Makes the routing decisions of a gateway, of their settings.
-            ends_with_stdin: Whether the end of standard input ends the process at once.
-            announce: Called with name and port of each gateway that clients can connect to.
+            make_router: Makes a gateway's router from its routing settings.
+            ends_with_stdin: Whether the end of standard input ends the process immediately.
+            announce: Called with name and port of each gateway once clients can connect to it.
             join_peers: Makes the peer services of a gateway.
         """
         self.paths = paths
@@ -78,7 +77,7 @@
         self.termination_count = 0
 
     async def run(self, configs: Sequence[Any]) -> int:
-        """Runs one gateway per configuration until all have ended; returns the exit code."""
+        """Runs one gateway for each configuration until all have ended; returns the exit code."""
         usage = ProcessUsage(min(config.memory for config in configs))
         connection_slots = self.divide_descriptors(usage, configs)
         try:
@@ -90,11 +89,11 @@
             return error.exit_code
         self.handle_signals()
         gc.collect()
-        gc.freeze()  # what lives as long as the process is not looked through again
+        gc.freeze()  # excludes objects that live as long as the process from garbage collection
         exit_codes = await asyncio.gather(*(service.done for service in self.services))
         for service in self.services:
             await service.stop()
-        await asyncio.sleep(LAST_OUTPUT_S)
+        await asyncio.sleep(FINAL_OUTPUT_S)
         log.info("process ended", exit_code=max(exit_codes))
         return max(exit_codes)
 
@@ -146,20 +145,20 @@
         if self.announce:
             self.announce(config.name, service.port)
 
-    def start_metrics(self, where: str) -> None:
+    def start_metrics(self, listen_address: str) -> None:
         """Serves metrics of all gateways.
 
         Raises:
             StartError: The address cannot be bound.
         """
         try:
-            serve_metrics(self.services, address(where))
+            serve_metrics(self.services, address(listen_address))
         except OSError as error:
-            log.error("metrics listener cannot be opened", address=where, error=str(error))
+            log.error("metrics listener cannot be opened", address=listen_address, error=str(error))
             raise StartError(PORT_TAKEN) from error
 
     def handle_signals(self) -> None:
-        """Handles signals and, if the process ends with it, standard input."""
+        """Installs the signal handlers and, with `ends_with_stdin`, watches standard input."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.terminate)
@@ -169,7 +168,7 @@
 
     # ---- signals
     def terminate(self) -> None:
-        """Drains all gateways at the first call, and ends them at once at a further one."""
+        """Drains all gateways on the first call, and ends them immediately on any further call."""
         self.termination_count += 1
         for service in self.services:
             if self.termination_count == 1:
@@ -178,17 +177,17 @@
                 service.drain_timed_out()
 
     def stdin_readable(self) -> None:
-        """Ends the process at once where standard input has ended; ignores what is read."""
+        """Ends the process immediately if standard input has ended; discards what is read."""
         if not sys.stdin.buffer.read1(STDIN_CHUNK_BYTES):
             asyncio.get_running_loop().remove_reader(sys.stdin.fileno())
             self.terminate()
             self.terminate()
 
     def reload_configuration(self) -> None:
-        """Reads all configuration files again, and applies what can change without a restart.
+        """Reads all configuration files again and applies the settings that need no restart.
 
         These are limits and keys; a change of other settings is logged as one that needs a restart.
-        One file that is invalid leaves all gateways as they are.
+        If any file is invalid, no gateway is changed.
         """
         try:
             configs = [read_config(path) for path in self.paths]
@@ -199,7 +198,7 @@
             self.apply_configuration(service, config)
 
     def apply_configuration(self, service: GatewayService, config: Any) -> None:
-        """Applies the limits of a configuration that has been read again, and looks at its keys."""
+        """Applies the limits of a reloaded configuration and checks the key files for changes."""
         service.tls.look(True)
         old = service.config
         if (config.lease, config.door, config.keys) != (old.lease, old.door, old.keys):
@@ -220,7 +219,7 @@
 ) -> int:
     """Runs a gateway for each configuration file until a signal ends it; returns the exit code.
 
-    See `Daemon` for the parameters. Problems of all files are printed to standard error.
+    See `Daemon` for the parameters. The problems found in all files are printed to standard error.
     """
     configs, problems = [], []
     for path in paths:
--- a/cherrydoor/gateway/event_loop.py
+++ b/cherrydoor/gateway/event_loop.py
@@ -1,7 +1,7 @@
-"""How a gateway service drives its dispatcher on the event loop, and how it connects to hosts.
+"""Runs a gateway's dispatcher on the event loop, and connects to hosts.
 
-The daemon and the platform's gateway share this module; it imports nothing that the platform does
-without.
+The daemon and the platform's gateway share this module, so it must not import anything that the
+platform does not have.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 from cherrydoor.admission.listener import NO_DESCRIPTORS
 from cherrydoor.gateway.sockets import after_input
 
-# Time until a connection that found no descriptor is tried again: a close takes effect in the
-# loop's next pass.
+# Delay before a connection that found no free descriptor is tried again; a closed connection frees
+# its descriptor in the event loop's next iteration.
 DESCRIPTOR_RETRY_S = 0.002
 
 
@@ -22,30 +22,32 @@
     """Splits `127.0.0.1:4000` or `[::1]:4000` into host and port.
 
     Raises:
-        ValueError: The text names no port.
+        ValueError: The text contains no valid port.
     """
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Clock:
-    """Unix time in ms as of the start, from then on by the monotonic clock: it never goes back.
+    """Unix time in ms, read once at the start and advanced by the monotonic clock.
+
+    It never goes back.
 
     Attributes:
-        ahead: What is added to the monotonic time, in ms.
+        offset_ms: Added to the monotonic time.
     """
 
     def __init__(self) -> None:
-        """Reads the system's time once."""
-        self.ahead = time.time() * 1000 - time.monotonic() * 1000
+        """Reads the system time, which is not read again."""
+        self.offset_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def now(self) -> float:
-        """The time in ms since 1970."""
-        return time.monotonic() * 1000 + self.ahead
+        """Returns the Unix time in ms."""
+        return time.monotonic() * 1000 + self.offset_ms
 
 
 class TickingService:
-    """Runs a dispatcher in ticks: all callbacks of one pass of the event loop share one.
+    """Runs a dispatcher in ticks; all callbacks of one event loop iteration share one tick.
 
     A subclass sets `dispatcher` and implements `restart`.
     """
@@ -56,7 +58,7 @@
         """Binds the service to the running loop.
 
         Args:
-            clock: Gives the time in ms as `now()`.
+            clock: Returns the time in ms from `now()`.
         """
         self.clock = clock
         self.loop = asyncio.get_running_loop()
@@ -65,15 +67,15 @@
         self.tick_scheduled = False
 
     def post(self, handler: Callable[..., object], *arguments: Any) -> None:
-        """Queues a call of a dispatcher's method for the next tick."""
+        """Queues a call of a dispatcher method for the next tick."""
         if self.dispatcher.post(handler, *arguments):
             self.schedule_tick()
 
     def schedule_tick(self) -> None:
-        """Schedules a tick for when all input that is ready has been read.
+        """Schedules a tick for when all available input has been read.
 
-        A client's close that came with its request, or while the process was suspended, is then
-        known before anything is sent to a host for it.
+        If a client closed right after its request, or while the process was suspended, the close is
+        then known before an attempt is sent to a host.
         """
         if not self.tick_scheduled:
             self.tick_scheduled = True
@@ -93,19 +95,19 @@
         """Called at the end of each tick; does nothing unless overridden."""
 
     def restart(self) -> None:
-        """Called within the handler of an exception that the dispatcher raised."""
+        """Called from the exception handler when the dispatcher has raised."""
         raise NotImplementedError
 
     def set_timer(self) -> None:
-        """Arranges a tick for when the dispatcher's next timer falls due."""
+        """Schedules a tick for when the dispatcher's next timer is due."""
         timer_at_ms = self.dispatcher.next_timer_ms()
         if self.timer is not None:
             if self.timer_at_ms == timer_at_ms:
                 return
             self.timer.cancel()
         self.timer_at_ms = timer_at_ms
-        # Whole ms, rounded up: a fraction would be rounded down to none, and the loop would spin
-        # until it had passed.
+        # Rounded up to whole ms: the event loop rounds a fraction of a ms down to 0 and would spin
+        # until the timer is due.
         delay_ms = max(0, ceil(timer_at_ms - self.clock.now()))
         self.timer = self.loop.call_later(delay_ms / 1000, self.timer_fired)
 
@@ -127,17 +129,17 @@
     port: int,
     tls: Any = None,
 ) -> tuple[Any, Any]:
-    """Connects; where no descriptor is free the listeners are asked for one, and it tries again.
+    """Connects; if no descriptor is free, asks the listeners to free one and tries again.
 
     Args:
         listeners: The service's listener set.
         make_protocol: Makes the asyncio protocol of the connection.
         host: Address to connect to.
         port: Port to connect to.
-        tls: SSL context; None connects in plain TCP.
+        tls: SSL context; None connects over plain TCP.
 
     Raises:
-        OSError: The connection failed for another reason than a lack of descriptors.
+        OSError: The connection failed for a reason other than a lack of descriptors.
     """
     while True:
         try:
@@ -154,14 +156,14 @@
 async def dial(
     service: Any,
     connection: Any,
-    where: str,
+    host_address: str,
     make_protocol: Callable[[], Any],
     tls: Any = None,
 ) -> None:
-    """Connects to a host within the connect timeout; the dispatcher is notified of a failure."""
+    """Connects to a host within the connect timeout; notifies the dispatcher of a failure."""
     try:
         async with asyncio.timeout(service.dispatcher.limits.connect / 1000):
-            host, port = address(where)
+            host, port = address(host_address)
             await open_connection(service.listeners, make_protocol, host, port, tls)
     except (TimeoutError, OSError, ValueError):
         service.post(service.dispatcher.connection_lost, connection)
--- a/cherrydoor/gateway/exit_codes.py
+++ b/cherrydoor/gateway/exit_codes.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 DRAINED: Final = 0  # all requests were answered
-DRAIN_TIMED_OUT: Final = 3  # requests were left when the time to drain was over
+DRAIN_TIMED_OUT: Final = 3  # requests were still unanswered at the drain timeout
 BAD_CONFIGURATION: Final = 64
 PORT_TAKEN: Final = 69  # an address could not be bound
-ROUTING_BROKEN: Final = 70  # the routing decisions failed again and again
+ROUTING_BROKEN: Final = 70  # the router kept failing after several restarts
--- a/cherrydoor/gateway/incarnations.py
+++ b/cherrydoor/gateway/incarnations.py
@@ -1,4 +1,4 @@
-"""How a gateway ends one incarnation and begins the next: after a fault, or a takeover by peers."""
+"""Ends a gateway's incarnation and begins the next, after a fault or a takeover by peers."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,29 +21,32 @@
 
 
 class Incarnations:
-    """Replaces the dispatcher of a service by a new one; only the endpoint list is kept.
+    """Replaces a service's dispatcher with a new one, which keeps only the endpoint list.
 
-    The service owns dispatcher and peer services; only this class exchanges them while the service
-    runs.
+    The service owns its dispatcher and peer services, but only this class replaces them while the
+    service runs.
     """
 
     def __init__(self, service: "GatewayService") -> None:
-        """Keeps the service whose dispatcher is exchanged."""
+        """Prepares to replace the dispatcher of this service."""
         self.service = service
         self.peer_start: asyncio.Task[None] | None = None
 
-    def abandon(self) -> None:
-        """Begins anew after a fault: clients are cut off, as if the process had died."""
-        self.begin_next(lambda end: end.abort("the gateway starts anew"))
+    def restart_after_fault(self) -> None:
+        """Begins the next incarnation after a fault; aborts clients as if the process had died."""
+        self.begin_next(
+            lambda client_connection: client_connection.abort("the gateway restarts after a fault")
+        )
 
     def end(self, why: str) -> None:
-        """Ends an incarnation whose requests its peers have taken over, or may have.
+        """Ends an incarnation whose requests its peers have, or may have, taken over.
 
-        It answers none of those requests, rejects what it had not accepted, asks its clients to
-        reconnect spread over time, and begins the next incarnation. Without peers it does nothing.
+        Leaves those requests to the peers, rejects requests that were not accepted yet, and asks
+        clients to reconnect after delays that are spread over time. Then the next incarnation
+        begins. Does nothing without peers.
 
         Args:
-            why: For the log.
+            why: Reason, for the log.
         """
         service = self.service
         peer_services = service.peer_services
@@ -57,18 +60,18 @@
             requests=len(service.dispatcher.requests),
         )
         retry_after_ms = {
-            end: peer_services.reconnect_delay_ms(number)
-            for number, end in enumerate(service.client_listener.ends)
+            client_connection: peer_services.reconnect_delay_ms(number)
+            for number, client_connection in enumerate(service.client_listener.connections)
         }
-        self.answer_own_requests(peer_services, retry_after_ms)
+        self.answer_unreplicated_requests(peer_services, retry_after_ms)
         self.reject_queued_requests(retry_after_ms)
         self.begin_next(
-            lambda end: service.client_listener.close_with_incarnation(
-                end, INCARNATION_ENDED, retry_after_ms[end]
+            lambda client_connection: service.client_listener.close_with_incarnation(
+                client_connection, INCARNATION_ENDED, retry_after_ms[client_connection]
             )
         )
 
-    def answer_own_requests(
+    def answer_unreplicated_requests(
         self, peer_services: "PeerServices", retry_after_ms: dict["ClientProtocol", float]
     ) -> None:
         """Answers the accepted requests that no peer knows of."""
@@ -87,7 +90,7 @@
             )
 
     def reject_queued_requests(self, retry_after_ms: dict["ClientProtocol", float]) -> None:
-        """Rejects the requests that were read and wait for the dispatcher's next tick."""
+        """Rejects the requests that were read and are queued for the dispatcher's next tick."""
         dispatcher = self.service.dispatcher
         for handler, arguments in dispatcher.inputs:
             if handler == dispatcher.request_received:
@@ -97,7 +100,7 @@
     def reject_unaccepted(self, client: Any, request: Any, retry_after_ms: float) -> None:
         """Rejects a request that the ended incarnation had not accepted.
 
-        Nothing is sent where the deadline of the request has passed as well.
+        Sends nothing if the request's deadline has passed.
         """
         if request.timeout_ms > client.excess_delay_ms(
             request.sent_at_ms, self.service.clock.now()
@@ -106,31 +109,31 @@
                 protocol.Response(request.id, "deferred", retry_after_ms, INCARNATION_ENDED)
             )
 
-    # ---- the exchange
+    # ---- replacement
     def begin_next(self, close_connection: Callable[["ClientProtocol"], None]) -> None:
-        """Exchanges dispatcher and peer services, and ends all connections of the old ones.
+        """Replaces dispatcher and peer services and ends all connections of the old ones.
 
         Args:
-            close_connection: Ends one client connection.
+            close_connection: Closes one client connection.
         """
         service = self.service
         ended = service.dispatcher
         endpoints = ended.endpoints()
-        for end in list(service.client_listener.ends):
-            # What is reported of it from here on reaches the next dispatcher, which has none of its
+        for client_connection in list(service.client_listener.connections):
+            # Later events of this connection reach the next dispatcher, which knows none of its
             # requests.
-            end.client.open.clear()
-            close_connection(end)
+            client_connection.client.open.clear()
+            close_connection(client_connection)
         self.abort_host_connections(ended)
         service.dispatcher = service.make_dispatcher()
         service.post(service.dispatcher.endpoints_updated, routing.UpdateKind.CACHED, endpoints)
         if service.peer_services:
-            self.exchange_peer_services(service.peer_services)
+            self.replace_peer_services(service.peer_services)
         if ended.draining is not None:
             service.post(service.dispatcher.drain, ended.draining)
 
     def abort_host_connections(self, dispatcher: Any) -> None:
-        """Ends all connections to hosts; what was sent on them has no outcome any more."""
+        """Aborts all connections to hosts; the calls on them get no outcome."""
         for host in dispatcher.hosts.values():
             for link in host.links:
                 link.state = CLOSED
@@ -138,10 +141,11 @@
                 if link.wire is not None:
                     link.wire.abort()
 
-    def exchange_peer_services(self, ended: "PeerServices") -> None:
+    def replace_peer_services(self, ended: "PeerServices") -> None:
         """Ends the peer services and starts those of the next incarnation.
 
-        A name that another process goes by is left to that process: this gateway is then alone.
+        If another process uses this gateway's name, the gateway leaves the name to that process and
+        continues without peers.
         """
         service = self.service
         ended.abort()
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -1,6 +1,6 @@
-"""Metrics of the gateways of one process, in Prometheus text over HTTP/1.1.
+"""Metrics of the gateways of one process, in Prometheus text format over HTTP/1.1.
 
-Scrapes are served on the gateways' own loop and pass the same admission control as clients.
+Scrapes are served on the gateways' event loop and pass the same admission control as clients.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -14,19 +14,19 @@
 from cherrydoor.admission.chunked_reading import ChunkedReading
 from cherrydoor.admission.listener import Listener
 
-MAX_REQUEST_BYTES = 8192  # longest head of a request that is read
+MAX_REQUEST_BYTES = 8192  # longest request head that is read
 METRICS_TARGETS = (b"/", b"/metrics")
 
 
 class MetricsCollector:
-    """Reads counters and gauges off the services of a process when they are scraped."""
+    """Reads counters and gauges from the services of a process on each scrape."""
 
     def __init__(self, services: Sequence[Any]) -> None:
-        """Keeps a reference to the list of services, which may still grow."""
+        """Keeps a reference to the list of services, to which more may be added."""
         self.services = services
 
     def collect(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
-        """Yields the two metric families, labelled by gateway and by what is counted."""
+        """Yields the counters and the gauges, labelled with the gateway and the name of each."""
         counters = CounterMetricFamily(
             "cherrydoor_total", "Cumulative counters of a gateway", labels=["gateway", "what"]
         )
@@ -50,8 +50,8 @@
         yield gauges
 
 
-def serve_metrics(services: Sequence[Any], where: tuple[str, int]) -> None:
-    """Opens the listener for scrapes; the first service admits them, and closes the listener.
+def serve_metrics(services: Sequence[Any], listen_address: tuple[str, int]) -> None:
+    """Opens the listener for scrapes; the first service's listener set admits and closes it.
 
     Raises:
         OSError: The address cannot be bound.
@@ -60,20 +60,20 @@
     registry.register(MetricsCollector(services))
     Listener(
         services[0].listeners,
-        where,
+        listen_address,
         lambda arrival: MetricsRequest(arrival, lambda: generate_latest(registry)),
     )
 
 
 class MetricsRequest(ChunkedReading):
-    """The connection of one scrape: one request, one response, and it closes."""
+    """The connection of one scrape, which is closed after one request and its response."""
 
     def __init__(self, arrival: Any, render_metrics: Callable[[], bytes]) -> None:
         """Prepares a connection that admission control has accepted.
 
         Args:
             arrival: The incoming connection.
-            render_metrics: Gives the body of a successful response.
+            render_metrics: Returns the body of a successful response.
         """
         self.arrival = arrival
         self.render_metrics = render_metrics
@@ -84,12 +84,12 @@
         self.request: Any = None
 
     def connection_made(self, transport: Any) -> None:
-        """Makes the connection known to admission control."""
+        """Registers the connection with admission control."""
         self.transport = transport
         self.arrival.end = self
 
     def data_received(self, data: bytes) -> None:
-        """Reads the request; once it is complete, admission control decides on it."""
+        """Reads the request and, once its head is complete, asks admission control to admit it."""
         self.read_bytes += len(data)
         self.holds(self.read_bytes, 0)
         try:
@@ -103,7 +103,7 @@
             self.arrival.listeners.post(admission.ClientIdentified(self.arrival.connection, ""))
 
     def admitted(self, max_frame_bytes: int) -> None:
-        """Admission control has admitted the scrape: responds."""
+        """Responds to the scrape, as admission control has admitted it."""
         target = self.request.target.split(b"?")[0]
         if self.request.method == b"GET" and target in METRICS_TARGETS:
             self.respond(200, self.render_metrics())
@@ -113,7 +113,7 @@
     def respond(
         self, status: int, body: bytes, extra_headers: Sequence[tuple[str, str]] = ()
     ) -> None:
-        """Sends the response and closes; ignored on a connection that is closing."""
+        """Sends the response and closes; does nothing on a connection that is closing."""
         if self.transport.is_closing():
             return
         headers = [
@@ -137,9 +137,9 @@
         self.respond(503, reason.encode() + b"\n", [("retry-after", str(retry_after_s))])
 
     def eof_received(self) -> bool:
-        """The peer has closed its side; asyncio then closes ours."""
+        """Lets asyncio close our side when the peer has closed its side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Frees the connection's slot in admission control."""
+        """Notifies admission control, which frees the connection's slot."""
         self.arrival.listeners.post(admission.ConnectionClosed(self.arrival.connection))
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -1,4 +1,4 @@
-"""One gateway on its sockets: starts, drains and stops the dispatcher and what is around it."""
+"""One gateway with its sockets: starts, drains and stops the dispatcher and its I/O."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,30 +27,31 @@
 
 log = structlog.get_logger()
 
-# Faults of the routing decisions after which the process gives up: each cuts off all clients.
+# Restarts after faults in the router, beyond which the gateway ends. Each one disconnects all
+# clients.
 MAX_RESTARTS = 5
-KEY_EXPIRY_SETTINGS = ("standing", "warn")  # those of `keys` that are no files
+KEY_EXPIRY_SETTINGS = ("standing", "warn")  # settings of `keys` that are not file names
 
 
 def no_peers(service: Any, incarnation: int = 0) -> None:
-    """Joins no fleet: the gateway is alone."""
+    """Default of `join_peers`, for a gateway without peers."""
 
 
 class GatewayService(TickingService):
-    """One gateway: its sockets and what goes on between them.
+    """One gateway: its sockets, its dispatcher and the subsystems around them.
 
     Attributes:
         config: The gateway's configuration.
-        bounds: Limits of the sockets; exchanged as the configuration is reloaded.
-        dispatcher: Of the current incarnation.
-        peer_services: Of the current incarnation; None for a gateway alone.
+        bounds: Limits of the sockets; replaced when the configuration is reloaded.
+        dispatcher: The current incarnation's dispatcher.
+        peer_services: The current incarnation's peer services; None without peers.
         client_listener: Client connections.
         upstream: Connections to hosts.
-        endpoint_watch: The endpoint list.
-        listeners: Admission control with its listening sockets.
-        tls: Keys and tokens in service.
-        releases: Gradual releases; None where they are not configured.
-        done: Gets the exit code once the gateway has ended.
+        endpoint_watch: The watch of the endpoint list.
+        listeners: Admission control and its listening sockets.
+        tls: The keys and tokens in use.
+        releases: Gradual releases; None if they are not configured.
+        done: Future of the exit code, done once the gateway has ended.
         port: Port of the client listener, set by `start`.
     """
 
@@ -67,13 +68,14 @@
 
         Args:
             config: The gateway's configuration.
-            make_router: Makes the routing decisions of one incarnation, of their settings.
-            usage: What the process has in use, shared by its gateways; its own where None.
-            connection_slots: Client connections that there are descriptors for; None sets no limit
-                of its own.
-            clock: Gives the time; the system's where None.
-            join_peers: Makes the peer services (`cherrydoor.peer_services.join`); None for a
+            make_router: Makes an incarnation's router from its routing settings.
+            usage: Resource usage of the process, shared by its gateways; None creates one for this
                 gateway alone.
+            connection_slots: Number of client connections for which there are descriptors; None
+                leaves the configured limit as it is.
+            clock: Clock of the gateway; None uses the system's.
+            join_peers: Makes the peer services (`cherrydoor.peer_services.join`); None for a
+                gateway without peers.
         """
         super().__init__(clock or Clock())
         self.config = config
@@ -99,7 +101,7 @@
 
     # ---- parts
     def make_listeners(self, connection_slots: int | None) -> ListenerSet:
-        """Makes admission control, with no more connection slots than there are descriptors for."""
+        """Makes admission control, limiting connection slots to the descriptors available."""
         limits = client_limits_of(self.config)
         if connection_slots is not None:
             limits = replace(
@@ -108,9 +110,9 @@
         return ListenerSet(limits, self.clock, self.usage)
 
     def make_credentials(self) -> CredentialManager:
-        """Makes the credentials in service.
+        """Makes the credential manager.
 
-        The client listener ends connections whose credentials are withdrawn.
+        The client listener closes connections whose credentials are withdrawn.
         """
         settings = self.config.keys
         files = {name: value for name, value in settings.items() if name not in KEY_EXPIRY_SETTINGS}
@@ -119,7 +121,7 @@
         return CredentialManager(credentials, self.client_listener.withdraw)
 
     def make_dispatcher(self) -> Dispatcher:
-        """Makes the dispatcher of one incarnation."""
+        """Makes the dispatcher of an incarnation, with a new router."""
         router = self.make_router(self.config.lease)
         versions, attempt_ended = None, None
         if self.releases:
@@ -136,11 +138,11 @@
 
     @property
     def incarnation(self) -> int:
-        """Which of its starts this is among its peers; 0 for a gateway alone."""
+        """This gateway's incarnation among its peers; 0 without peers."""
         return self.peer_services.incarnation if self.peer_services else 0
 
     def hello(self) -> protocol.Hello:
-        """The gateway's hello on any connection."""
+        """Returns the gateway's hello, which is the same on every connection."""
         return protocol.Hello(
             protocol.VERSION,
             "gateway",
@@ -176,10 +178,10 @@
         self.set_timer()
 
     async def start_peer_services(self, peer_services: PeerServices | None) -> None:
-        """Joins the fleet: requests accepted from here on outlive this gateway.
+        """Joins the fleet; from now on accepted requests are replicated to peers.
 
         Args:
-            peer_services: Those of the incarnation that begins; None leaves the gateway alone.
+            peer_services: Peer services of the new incarnation; None runs without peers.
         """
         self.peer_services = peer_services
         if peer_services:
@@ -189,26 +191,29 @@
 
     def listen(
         self,
-        where: tuple[str, int],
+        listen_address: tuple[str, int],
         make_protocol: Callable[[Any], Any],
         tls_context: Callable[[], Any] | None,
     ) -> int:
         """Opens the client listener and returns its port.
 
         Args:
-            where: Host and port to bind; port 0 takes a free one.
-            make_protocol: Makes the protocol of an incoming connection.
-            tls_context: Gives the SSL context to use now; None for plain TCP.
+            listen_address: Host and port to bind; port 0 binds a free port.
+            make_protocol: Makes the asyncio protocol of an incoming connection.
+            tls_context: Returns the current SSL context; None for plain TCP.
 
         Raises:
             OSError: The address cannot be bound.
         """
-        port: int = Listener(self.listeners, where, make_protocol, tls_context).port
+        port: int = Listener(self.listeners, listen_address, make_protocol, tls_context).port
         return port
 
     # ---- ticks
     def tick(self) -> None:
-        """Runs the dispatcher once, unless peers may have taken over during a suspension."""
+        """Runs the dispatcher once, or ends the incarnation if the process was suspended.
+
+        After a long suspension, peers may have taken over the requests.
+        """
         if self.peer_services and self.peer_services.was_suspended():
             self.tick_scheduled = False
             self.end_incarnation("the process was suspended")
@@ -216,29 +221,32 @@
         super().tick()
 
     def after_tick(self) -> None:
-        """Runs what the peer services do per tick; ends a gateway that has drained."""
+        """Notifies the peer services of the tick's end, and ends a gateway that has drained."""
         if self.peer_services:
             self.peer_services.after_tick()
         if self.dispatcher.draining is not None and not self.dispatcher.requests:
             self.finish(DRAINED)
 
     def restart(self) -> None:
-        """Begins a new incarnation after a fault in routing decisions; gives up after several."""
+        """Begins a new incarnation after a fault; ends the gateway after ``MAX_RESTARTS``."""
         self.restart_count += 1
         log.critical(
             "fault in the routing decisions, restarting", gateway=self.config.name, exc_info=True
         )
-        self.incarnations.abandon()
+        self.incarnations.restart_after_fault()
         if self.restart_count > MAX_RESTARTS:
             self.finish(ROUTING_BROKEN)
 
     def end_incarnation(self, why: str) -> None:
-        """Ends this incarnation, whose requests peers may have taken over: `Incarnations.end`."""
+        """Ends this incarnation, whose requests peers may have taken over.
+
+        See `Incarnations.end`.
+        """
         self.incarnations.end(why)
 
-    # ---- end
+    # ---- shutdown
     def drain(self, reason: str) -> None:
-        """Accepts no more requests; ends once all are answered, or after the drain timeout."""
+        """Rejects new requests; ends once all are answered, or after the drain timeout."""
         if self.dispatcher.draining is None:
             log.info(
                 "draining",
@@ -250,7 +258,7 @@
             self.loop.call_later(self.bounds.drain / 1000, self.drain_timed_out)
 
     def drain_timed_out(self) -> None:
-        """Ends the gateway with requests still unanswered."""
+        """Ends the gateway although requests are still unanswered."""
         if not self.done.done():
             log.warning(
                 "drain timed out",
@@ -260,7 +268,7 @@
             self.finish(DRAIN_TIMED_OUT)
 
     def finish(self, exit_code: int) -> None:
-        """Sets the gateway's exit code; the first one counts."""
+        """Ends the gateway with this exit code, unless it has ended with another."""
         if not self.done.done():
             self.done.set_result(exit_code)
 
@@ -279,12 +287,12 @@
         self.endpoint_watch.save()
         if self.owns_usage:
             self.usage.close()
-        await asyncio.sleep(0)  # connections that were closed end in the loop's next pass
+        await asyncio.sleep(0)  # closed connections end in the loop's next iteration
 
     def close_connections(self) -> None:
-        """Closes all connections to clients and hosts, once their output has been sent."""
-        for end in list(self.client_listener.ends):
-            end.close()
+        """Closes all connections to clients and hosts once their output has been sent."""
+        for client_connection in list(self.client_listener.connections):
+            client_connection.close()
         for host in self.dispatcher.hosts.values():
             for link in host.links:
                 if link.wire is not None:
--- a/cherrydoor/gateway/sockets.py
+++ b/cherrydoor/gateway/sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel already knows of a connection and the event loop has not read yet."""
+"""Checks of socket state in the kernel that the event loop has not read yet."""
 
 import asyncio
 import select
@@ -9,9 +9,9 @@
 
 
 def ready_events(transport: Any, wanted: int) -> int:
-    """Those of the wanted poll flags that hold now; never waits.
+    """Returns which of the wanted poll flags are set now, without waiting.
 
-    0 on a transport without a socket, as in the emulator.
+    Returns 0 for a transport without a socket, as in the emulator.
     """
     transport_socket = transport.get_extra_info("socket")
     if transport_socket is None:
@@ -20,7 +20,7 @@
 
 
 def descriptor_events(descriptor: int, wanted: int) -> int:
-    """Those of the wanted poll flags that hold on a descriptor now; never waits."""
+    """Returns which of the wanted poll flags are set on a descriptor now, without waiting."""
     poll = select.poll()
     poll.register(descriptor, wanted)
     found = poll.poll(0)
@@ -28,17 +28,17 @@
 
 
 def has_pending_connection(listening: Any) -> bool:
-    """Whether a connection waits to be accepted on a listening socket."""
+    """Returns whether a connection waits to be accepted on a listening socket."""
     return bool(descriptor_events(listening.fileno(), select.POLLIN))
 
 
 def peer_closed(transport: Any) -> bool:
-    """Whether the peer has closed, half-closed or reset, also behind data that is still unread."""
+    """Returns whether the peer has closed, half-closed or reset, even with data still unread."""
     return transport.is_closing() or bool(ready_events(transport, select.POLLRDHUP) & PEER_CLOSED)
 
 
 def has_unread_input(transport: Any) -> bool:
-    """Whether data or an end of the stream waits to be read."""
+    """Returns whether data or an end of stream waits to be read."""
     return not transport.is_closing() and bool(
         ready_events(transport, select.POLLIN) & select.POLLIN
     )
@@ -47,10 +47,10 @@
 def after_input(
     loop: asyncio.AbstractEventLoop, callback: Callable[..., object], *arguments: Any
 ) -> None:
-    """Calls back after the loop has polled its sockets once more.
+    """Calls ``callback`` after the event loop has polled its sockets once more.
 
-    Guards against a timer that fell due while the process was suspended and acts before input that
-    arrived meanwhile. libuv runs timers first, then what `call_soon` has queued, and polls last, so
-    that a callback queued from such a callback follows a poll.
+    Otherwise a timer that became due while the process was suspended would act before the input
+    that arrived in the meantime. libuv first runs timers, then callbacks queued by `call_soon`, and
+    then polls, so a callback that is queued by a queued callback runs after a poll.
     """
     loop.call_soon(loop.call_soon, callback, *arguments)
--- a/cherrydoor/gateway/upstream.py
+++ b/cherrydoor/gateway/upstream.py
@@ -18,15 +18,15 @@
 
 
 class HostProtocol(FramedConnection):
-    """The connection behind one of the dispatcher's host connections.
+    """A connection to a host.
 
     Attributes:
         link: The dispatcher's record of this connection.
-        incarnation: Incarnation of the gateway that opened it, 0 without peers.
+        incarnation: The gateway's incarnation that opened it; 0 without peers.
     """
 
     def __init__(self, service: "GatewayService", link: Any) -> None:
-        """Prepares a connection within the service's current bounds."""
+        """Prepares a connection with the service's current limits."""
         super().__init__(
             service.upstream,
             failover_messages.FROM_HOST,
@@ -38,13 +38,13 @@
         self.incarnation = service.incarnation
 
     def connection_made(self, transport: Any) -> None:
-        """Notifies the dispatcher, which then sends what waited for this connection."""
+        """Notifies the dispatcher, which then sends the messages queued for this connection."""
         super().connection_made(transport)
         service = self.owner.service
         service.post(service.dispatcher.connection_opened, self.link, self)
 
     def write(self, message: Any) -> None:
-        """Sends a message; one that is too large for the host counts as answered by it."""
+        """Sends a message; one too large for the host is handled as if the host had rejected it."""
         try:
             super().write(message)
         except codec.FrameTooLargeError as error:
@@ -52,15 +52,15 @@
 
 
 class Upstream:
-    """Opens connections to hosts and hands what they send to the dispatcher."""
+    """Opens connections to hosts and passes their messages to the dispatcher."""
 
     def __init__(self, service: "GatewayService") -> None:
-        """Keeps the service whose dispatcher is notified."""
+        """Creates an upstream that notifies the service's current dispatcher."""
         self.service = service
-        self.connecting: set[object] = set()  # references that keep the tasks from being collected
+        self.connecting: set[object] = set()  # keeps the tasks from being garbage collected
 
     def dial(self, link: Any) -> None:
-        """Starts to connect; the dispatcher is notified of success and failure alike."""
+        """Starts connecting; the dispatcher is notified of success or failure."""
         self.connecting.add(asyncio.get_running_loop().create_task(self.connect(link)))
 
     async def connect(self, link: Any) -> None:
@@ -76,37 +76,39 @@
         finally:
             self.connecting.discard(asyncio.current_task())
 
-    def hello_received(self, end: HostProtocol, hello: protocol.Hello) -> None:
-        """A peer that is no host is refused."""
+    def hello_received(self, host_connection: HostProtocol, hello: protocol.Hello) -> None:
+        """Notifies the dispatcher of a host's hello; closes the connection to any other peer."""
         if hello.role != "host":
-            end.close(f"a host is expected here, not a {hello.role}")
+            host_connection.close(f"a host is expected here, not a {hello.role}")
             return
-        self.service.post(self.service.dispatcher.host_greeted, end.link, hello)
+        self.service.post(self.service.dispatcher.host_greeted, host_connection.link, hello)
 
-    def message_received(self, end: HostProtocol, message: Any) -> None:
-        """Hands a host's message to the dispatcher."""
-        self.service.post(self.service.dispatcher.host_replied, end.link, message)
+    def message_received(self, host_connection: HostProtocol, message: Any) -> None:
+        """Passes a host's message to the dispatcher."""
+        self.service.post(self.service.dispatcher.host_replied, host_connection.link, message)
 
     def frame_too_large(
-        self, end: HostProtocol, message: Any, error: codec.FrameTooLargeError
+        self, host_connection: HostProtocol, message: Any, error: codec.FrameTooLargeError
     ) -> None:
-        """An attempt that the host would not read ends as if the host had no capacity for it."""
+        """Ends an attempt that exceeds the host's frame limit as if the host were at capacity."""
         log.warning(
-            "message exceeds the host's frame limit", host=end.link.host.id, error=str(error)
+            "message exceeds the host's frame limit",
+            host=host_connection.link.host.id,
+            error=str(error),
         )
         self.service.post(
             self.service.dispatcher.host_replied,
-            end.link,
+            host_connection.link,
             protocol.AttemptResult(message.id, "full"),
         )
 
-    def connection_ended(self, end: HostProtocol) -> None:
-        """Notifies the dispatcher, or ends an incarnation that the host reports as taken over."""
+    def connection_ended(self, host_connection: HostProtocol) -> None:
+        """Notifies the dispatcher; ends this incarnation if the host reports it as taken over."""
         if (
-            failover_messages.INCARNATION_ENDED in end.close_reason
+            failover_messages.INCARNATION_ENDED in host_connection.close_reason
             and self.service.peer_services
-            and self.service.incarnation == end.incarnation
+            and self.service.incarnation == host_connection.incarnation
         ):
             self.service.end_incarnation("a host rejects this incarnation")
             return
-        self.service.post(self.service.dispatcher.connection_lost, end.link)
+        self.service.post(self.service.dispatcher.connection_lost, host_connection.link)
--- a/cherrydoor/peer_services.py
+++ b/cherrydoor/peer_services.py
@@ -1,19 +1,20 @@
-"""What the gateways of a fleet do together: membership, leader election, failover, zone drains.
+"""Interface to the services that connect a fleet's gateways.
 
-A gateway whose configuration names no listener for peers has none of this, and imports none of it.
+These are membership, leader election, failover and zone drains. A gateway whose configuration has
+no listener for peers neither runs nor imports them.
 """
 
 from typing import Any, Protocol
 
 
 class PeerServices(Protocol):
-    """One incarnation of a gateway among its peers, as `GatewayService` uses it.
+    """The peer services of one incarnation of a gateway, as `GatewayService` uses them.
 
     Attributes:
-        incarnation: Greater than that of every earlier start of this gateway.
-        peers: Connections to the other gateways, and who is a member.
+        incarnation: Greater than the incarnation of every earlier start of this gateway.
+        peers: Connections to the other gateways, and the member table.
         failover: Replicates requests in flight, and takes over those of gateways that fail.
-        zone_drains: Which zones are draining.
+        zone_drains: Knows which zones are draining.
     """
 
     peers: Any
@@ -22,7 +23,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Greater than that of every earlier start of this gateway."""
+        """Number of this incarnation, greater than that of every earlier start."""
 
     async def start(self) -> None:
         """Opens the listener for peers and joins the fleet."""
@@ -30,34 +31,38 @@
     def after_tick(self) -> None:
         """Called at the end of each tick of the event loop."""
 
-    def claim_response(self, end: Any, message: Any) -> None:
-        """Answers a client that asks what became of a request which another gateway had taken."""
+    def claim_response(self, client_connection: Any, message: Any) -> None:
+        """Answers a client's claim of the response to a request that another gateway accepted."""
 
     def was_suspended(self) -> bool:
-        """Whether the process was suspended so long that peers may have taken over its requests."""
+        """Returns whether a suspension was long enough for peers to take over the requests."""
 
-    def continue_from(self, before: Any) -> None:
-        """Takes over the drains that the gateway's previous incarnation knew."""
+    def continue_from(self, previous: Any) -> None:
+        """Takes over the state of zone drains from the gateway's previous incarnation."""
 
     def reconnect_delay_ms(self, number: int) -> float:
-        """Time in ms after which the client of that number may reconnect.
+        """Returns the delay after which the client with this number may reconnect.
 
-        The times are spread so that not all clients come back at once.
+        The delays are spread so that clients do not all reconnect at once.
         """
 
     def close(self) -> None:
-        """Leaves the fleet in order."""
+        """Leaves the fleet gracefully: hands over what it holds and notifies the peers."""
 
     def abort(self) -> None:
-        """Ends at once, without a notice to the peers."""
+        """Ends immediately, without notifying the peers."""
 
 
 def join(service: Any, incarnation: int = 0) -> Any:
-    """Makes the gateway's peer services, not yet started; None without a listener for peers.
+    """Makes a gateway's peer services, without starting them.
 
     Args:
         service: The gateway service.
-        incarnation: Greater than that of an earlier incarnation in this process; 0 at the first.
+        incarnation: For the first incarnation of a process, 0; for a later one, a number greater
+            than that of every earlier incarnation.
+
+    Returns:
+        The peer services, or None if the gateway has no listener for peers.
     """
     if not service.config.peers["door"]:
         return None
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -148,7 +148,7 @@
         attempt.id for attempt in host.all(protocol.Attempt)
     }
     await stack.settled(lambda: not stack.service.dispatcher.requests)
-    assert not stack.service.dispatcher.clients and not stack.service.client_listener.ends
+    assert not stack.service.dispatcher.clients and not stack.service.client_listener.connections
 
 
 @story
@@ -293,7 +293,7 @@
     for _ in range(60):
         slow_reader.send(body=bytes(200_000), lasts=4900.0)
         assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
-    await stack.settled(lambda: len(stack.service.client_listener.ends) == 1)
+    await stack.settled(lambda: len(stack.service.client_listener.connections) == 1)
     assert (await client.answer(client.send())).outcome == "handled"
 
 
