--- a/tests/gateway/gateway_process.py
+++ b/tests/gateway/gateway_process.py
@@ -1,4 +1,4 @@
-"""`cherrydoor gateway` as a process of its own, beside hosts and a list that a test plays."""
+"""`cherrydoor gateway` in a separate process, with hosts and an endpoint list run by the test."""
 
 import asyncio
 import json
@@ -11,10 +11,10 @@
 
 
 class GatewayProcess:
-    """A running gateway.
+    """A gateway process.
 
-    `port` is that of its client listener, None where it did not start; `errors` are the lines of
-    its log that a test has read.
+    `port` is the port of its client listener, None if it did not start. `errors` is a list of log
+    lines for tests that collect them.
     """
 
     def __init__(self, process, errors=None):
@@ -47,18 +47,18 @@
         return gateway
 
     async def end(self):
-        """Waits for the end of the process; its exit code and what it logged."""
+        """Waits for the process to end; returns its exit code and the rest of its log."""
         _, errors = await self.process.communicate()
         return self.process.returncode, errors.decode()
 
-    async def logged(self, text):
-        """Waits for a line of the log with this text."""
+    async def wait_for_log(self, text):
+        """Waits for a log line that contains this text."""
         while text not in (line := (await self.process.stderr.readline()).decode()):
             assert line, f"the process ended before it logged {text!r}"
 
 
 class KilledAtEnd:
-    """Stands in `Stack.opened` for a process, so that a failed test leaves none behind."""
+    """Entry of `Stack.opened` that kills a process, so that a failed test leaves none running."""
 
     server = None
 
@@ -67,18 +67,18 @@
 
     @property
     def ends(self):
-        """Kills the process; there are no connections to close."""
+        """Kills the process if it still runs; returns no connections, as it has none to close."""
         if self.process.returncode is None:
             self.process.kill()
         return ()
 
 
 async def configuration_file(stack, folder, *hosts, more="", port=0):
-    """Starts an endpoint list and hosts; the file of a gateway that watches that list."""
+    """Starts an endpoint list and hosts; returns the configuration file of a gateway for them."""
     stack.list = await Listing().start()
     stack.opened.append(stack.list)
     for host in hosts:
-        await stack.host(host, tell=False)
+        await stack.host(host, listed=False)
     stack.list.rows = {host.id: protocol.Endpoint(host.id, "ready", 0.0, "z", 0) for host in hosts}
     path = folder / "g.lease"
     path.write_text(
@@ -90,11 +90,11 @@
 
 
 def with_folder(test):
-    """Runs an async test of a stack and a temporary folder (see `stack.story`)."""
+    """Runs an async test with a stack and a temporary folder (see `stack.story`)."""
 
     @wraps(test)
     def run(tmp_path):
         story(lambda stack: test(stack, tmp_path))()
 
-    del run.__wrapped__  # so that pytest looks for the fixture tmp_path alone
+    del run.__wrapped__  # otherwise pytest would look for the wrapped test's fixtures
     return run
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -1,6 +1,6 @@
-"""A gateway on real sockets between hosts, an endpoint list and clients that a test plays.
+"""A gateway on real sockets, with hosts, an endpoint list and clients run by the test.
 
-All of them run on one event loop; `Stack` is where a test begins.
+All of them run on one event loop. Tests start with `Stack`.
 """
 
 import asyncio
@@ -26,19 +26,24 @@
   {name: "read", target: 400ms, max_age: 5s, stream: true}
 ]
 """
-MAY = "may: {launches: 3, recall: true, probe: true, order: true, advice: 1s}\n"
-REST = {"cold": "cold: {}", "ration": "ration: {}", "bounds": "bounds: {}", "may": MAY}
-WAIT_LIMIT_S = 20.0  # a test that waits longer for something has failed
-TEST_LIMIT_S = 60.0  # a test that runs longer has failed
+PERMISSIONS = "may: {launches: 3, recall: true, probe: true, order: true, advice: 1s}\n"
+DEFAULT_PARTS = {
+    "cold": "cold: {}",
+    "ration": "ration: {}",
+    "bounds": "bounds: {}",
+    "may": PERMISSIONS,
+}
+WAIT_LIMIT_S = 20.0  # timeout of each wait for a condition
+TEST_LIMIT_S = 60.0  # timeout of a whole test
 
 
 def now():
-    """Monotonic time in ms."""
+    """Returns the monotonic time in ms."""
     return time.monotonic() * 1000
 
 
 def story(test):
-    """Runs an async test of a stack on uvloop, and closes what the stack has opened."""
+    """Runs an async test with a stack on uvloop, and closes everything that the stack opened."""
 
     @wraps(test)
     def run():
@@ -51,14 +56,15 @@
 
         uvloop.run(run_and_close())
 
-    del run.__wrapped__  # so that pytest does not look for a fixture named stack
+    del run.__wrapped__  # otherwise pytest would look for a fixture named stack
     return run
 
 
 class ScriptedPeer:
-    """A peer that a test plays: what it receives is kept, and can be waited for.
+    """A peer controlled by the test, which records what it receives and can wait for it.
 
-    `heard_all` are connection and message of all that was received, `ends` the connections.
+    `heard_all` holds (connection, message) for each message received, `ends` all connections, and
+    `lost_ends` the number of connections that have ended.
     """
 
     def __init__(self):
@@ -80,18 +86,18 @@
         self.stir()
 
     def stir(self):
-        """Lets all that wait look again whether they have what they wait for."""
+        """Wakes all waiters, which check their conditions again."""
         for future in self.waiters:
             if not future.done():
                 future.set_result(None)
         self.waiters.clear()
 
     def all(self, message_type):
-        """The messages of this type, oldest first."""
+        """Returns the messages received of this type, oldest first."""
         return [message for _, message in self.heard_all if isinstance(message, message_type)]
 
     async def until(self, condition):
-        """Waits until condition() gives something true, and returns that."""
+        """Waits until condition() returns a true value, and returns that value."""
 
         async def wait():
             while not (result := condition()):
@@ -103,20 +109,23 @@
         return await asyncio.wait_for(wait(), WAIT_LIMIT_S)
 
     async def got(self, message_type, count=1):
-        """Waits for so many messages of this type, and returns all of them."""
+        """Waits for at least `count` messages of this type, and returns all of them."""
         await self.until(lambda: len(self.all(message_type)) >= count)
         return self.all(message_type)
 
 
 class Host(ScriptedPeer):
-    """A host that answers at once with the outcome `answers`, or only as the test does."""
+    """A host that answers immediately with the outcome `answers`; None leaves it to the test.
 
-    def __init__(self, answers=None, since=0.0):
+    `started_at_ms` is the start time that it states in its hello.
+    """
+
+    def __init__(self, answers=None, started_at_ms=0.0):
         super().__init__()
         self.answers = answers
-        self.since = since
+        self.started_at_ms = started_at_ms
         self.server = None
-        self.largest = protocol.DEFAULT_MAX_FRAME_BYTES
+        self.max_frame_bytes = protocol.DEFAULT_MAX_FRAME_BYTES
         self.tls = None
 
     async def start(self, port=0):
@@ -126,7 +135,12 @@
                 self,
                 protocol.TO_HOST,
                 lambda: protocol.Hello(
-                    protocol.VERSION, "host", self.id, now(), self.since, self.largest
+                    protocol.VERSION,
+                    "host",
+                    self.id,
+                    now(),
+                    self.started_at_ms,
+                    self.max_frame_bytes,
                 ),
             ),
             "127.0.0.1",
@@ -147,23 +161,23 @@
             end.write(protocol.LoadOrderResult(message.id, "handled", message.copies))
 
     def outcome(self, attempt, outcome="handled", copy=1, end=None, body=b""):
-        """Answers an attempt, on the connection that it came on unless another is named."""
+        """Answers an attempt, by default on the connection on which it was received."""
         end = end or next(e for e, message in self.heard_all if message is attempt)
         end.write(protocol.AttemptResult(attempt.id, outcome, copy, 0, None, body))
 
-    def reset(self):
+    def abort_connections(self):
         """Aborts all connections."""
         for end in self.ends:
             end.abort()
 
-    def die(self):
-        """Accepts no more connections and aborts those there are."""
+    def crash(self):
+        """Stops accepting connections and aborts the existing ones."""
         self.server.close()
-        self.reset()
+        self.abort_connections()
 
 
 class Listing(ScriptedPeer):
-    """An endpoint list."""
+    """An endpoint list server."""
 
     async def start(self):
         loop = asyncio.get_running_loop()
@@ -186,16 +200,16 @@
         if type(message) in (protocol.Watch, protocol.Poll):
             end.write(protocol.EndpointUpdate(self.revision, "whole", list(self.rows.values())))
 
-    async def tell(self, *rows, how="changes"):
-        """Pushes rows and waits until every gateway has acknowledged them."""
+    async def push(self, *rows, kind="changes"):
+        """Sends rows to all connected gateways and waits until each has acknowledged them."""
         self.revision += 1
         for row in rows:
             self.rows[row.host] = row
-        if how == "whole":
+        if kind == "whole":
             self.rows = {row.host: row for row in rows}
         open_ends = [end for end in self.ends if not end.transport.is_closing()]
         for end in open_ends:
-            end.write(protocol.EndpointUpdate(self.revision, how, list(rows)))
+            end.write(protocol.EndpointUpdate(self.revision, kind, list(rows)))
         await self.until(
             lambda: (
                 sum(
@@ -231,27 +245,27 @@
     def send(
         self,
         function="deed",
-        clause="draft",
+        request_class="draft",
         lasts=4000.0,
         mark="",
         body=b"",
         number=None,
-        sent=None,
+        sent_at_ms=None,
     ):
-        """Sends a request and returns its id, `number` or the next one.
+        """Sends a request and returns its id, which is `number` or by default the next one.
 
-        `clause` is the request class, `lasts` the time in ms until the deadline, `mark` the
-        idempotency key and `sent` the client's clock in ms.
+        `lasts` is the timeout in ms, `mark` the idempotency key and `sent_at_ms` the send time by
+        the client's clock.
         """
         self.ids += 1
         number = self.ids if number is None else number
         self.end.write(
             protocol.Request(
                 number,
-                clause,
+                request_class,
                 function,
                 lasts,
-                now() if sent is None else sent,
+                now() if sent_at_ms is None else sent_at_ms,
                 "",
                 mark,
                 4.0,
@@ -262,35 +276,37 @@
         return number
 
     async def answer(self, number):
-        """Waits for the response to a request; more than one would show in answers()."""
+        """Waits for the response to a request; answers() would return any duplicate as well."""
         await self.until(lambda: self.answers(number))
         return self.answers(number)[0]
 
     def answers(self, number):
-        """All responses to a request."""
+        """Returns all responses to a request."""
         return [response for response in self.all(protocol.Response) if response.id == number]
 
 
 class Stack:
-    """A gateway in this process, `service`, and all that was opened around it."""
+    """A gateway in this process, `service`, and the peers that the test has opened."""
 
     def __init__(self):
         self.opened = []
         self.service = None
 
     async def start(self, *hosts, saved=None, plain=True, **parts):
-        """Starts a gateway that knows these hosts; returns a client of it if it speaks plain TCP.
+        """Starts a gateway that knows these hosts; returns a client of it, or None without `plain`.
 
-        `parts` replace parts of the configuration, `saved` is the file of its cached list.
+        `parts` replaces parts of the configuration, `saved` is the cache file of the endpoint list,
+        and `plain` states that the gateway listens on plain TCP.
         """
         self.list = await Listing().start()
         self.opened.append(self.list)
         for host in hosts:
-            await self.host(host, tell=False)
+            await self.host(host, listed=False)
         self.list.rows = {
-            host.id: protocol.Endpoint(host.id, "ready", host.since, "z", 0) for host in hosts
+            host.id: protocol.Endpoint(host.id, "ready", host.started_at_ms, "z", 0)
+            for host in hosts
         }
-        text = LEASE % self.list.port + "\n".join({**REST, **parts}.values())
+        text = LEASE % self.list.port + "\n".join({**DEFAULT_PARTS, **parts}.values())
         if saved:
             text += f'\nsaved: "{saved}"'
         self.service = GatewayService(
@@ -301,21 +317,21 @@
         return await self.client() if plain else None
 
     async def client(self):
-        """A client of the gateway."""
+        """Connects a new client to the gateway."""
         client = await Client().connect(self.service.port)
         self.opened.append(client)
         return client
 
-    async def host(self, host, tell=True, zone="z", port=0):
-        """Starts a host and, with `tell`, puts it on the endpoint list."""
+    async def host(self, host, listed=True, zone="z", port=0):
+        """Starts a host and, if `listed` is set, adds it to the endpoint list."""
         await host.start(port)
         self.opened.append(host)
-        if tell:
-            await self.list.tell(protocol.Endpoint(host.id, "ready", host.since, zone, 0))
+        if listed:
+            await self.list.push(protocol.Endpoint(host.id, "ready", host.started_at_ms, zone, 0))
         return host
 
     async def settled(self, condition):
-        """Waits for something inside the gateway that no peer can see, tick by tick."""
+        """Waits for a condition inside the gateway, checked in each iteration of the event loop."""
 
         async def wait():
             while not condition():
@@ -325,11 +341,11 @@
 
     @property
     def counters(self):
-        """The counters of the gateway's dispatcher."""
+        """Returns the counters of the gateway's dispatcher."""
         return self.service.dispatcher.counters
 
     async def stop(self):
-        """Stops the gateway and closes what was opened around it."""
+        """Stops the gateway and closes its peers."""
         if self.service:
             await self.service.stop()
         for peer in self.opened:
@@ -341,5 +357,5 @@
 
 
 def environment():
-    """Environment variables of a process that runs the project from this directory."""
+    """Returns the environment of a process that runs the project from this directory."""
     return os.environ | {"PYTHONPATH": os.getcwd()}
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -1,22 +1,22 @@
-"""Faults are injected on real sockets; what clients and hosts received is judged."""
+"""Faults on real sockets: checks what clients and hosts receive."""
 
 import asyncio
 
-from stack import MAY, Client, Host, now, story
+from stack import PERMISSIONS, Client, Host, now, story
 
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
 
 @story
-async def test_a_host_that_accepts_and_goes_silent_costs_no_answer(stack):
+async def test_a_request_to_a_host_that_never_answers_is_rejected_by_its_deadline(stack):
     silent = Host()
     client = await stack.start(silent, bounds="bounds: {spare: 2s}")
-    begun = now()
+    started_at_ms = now()
     number = client.send(lasts=2500.0)
     await silent.got(protocol.Attempt)
     answer = await client.answer(number)
-    assert answer.outcome == "deferred" and now() - begun < 2500
+    assert answer.outcome == "deferred" and now() - started_at_ms < 2500
     await silent.got(protocol.CancelAttempt)
     assert stack.service.dispatcher.requests == {} and len(client.answers(number)) == 1
 
@@ -30,10 +30,10 @@
         [asyncio.ensure_future(h.got(protocol.Attempt)) for h in (one, other)],
         return_when="FIRST_COMPLETED",
     )
-    silent, well = (one, other) if one.all(protocol.Attempt) else (other, one)
-    well.answers = "handled"
+    silent, healthy = (one, other) if one.all(protocol.Attempt) else (other, one)
+    healthy.answers = "handled"
     assert (await client.answer(number)).outcome == "handled"
-    [first], [second] = silent.all(protocol.Attempt), well.all(protocol.Attempt)
+    [first], [second] = silent.all(protocol.Attempt), healthy.all(protocol.Attempt)
     assert (first.request_id, first.attempt, second.request_id, second.attempt) == (
         number,
         0,
@@ -41,27 +41,27 @@
         1,
     )
     assert len(await silent.got(protocol.CancelAttempt)) == 1, (
-        "the first was cancelled before the second was sent"
+        "the first attempt must be cancelled exactly once"
     )
 
 
 @story
 async def test_a_draining_host_completes_its_attempts_and_gets_no_new_ones(stack):
-    leaving, staying = Host(), Host("handled")
-    client = await stack.start(leaving)
-    waits = [client.send("deed", lasts=4500.0) for _ in range(3)]
-    attempts = await leaving.got(protocol.Attempt, 3)
-    await stack.host(staying)
-    await stack.list.tell(protocol.Endpoint(leaving.id, "draining", 0.0, "z", 0))
+    draining, ready = Host(), Host("handled")
+    client = await stack.start(draining)
+    numbers = [client.send("deed", lasts=4500.0) for _ in range(3)]
+    attempts = await draining.got(protocol.Attempt, 3)
+    await stack.host(ready)
+    await stack.list.push(protocol.Endpoint(draining.id, "draining", 0.0, "z", 0))
     assert (await client.answer(client.send("deed"))).outcome == "handled"
     for attempt in attempts:
-        leaving.outcome(attempt)
-    assert [(await client.answer(n)).outcome for n in waits] == ["handled"] * 3
-    assert len(leaving.all(protocol.Attempt)) == 3 and len(staying.all(protocol.Attempt)) == 1
+        draining.outcome(attempt)
+    assert [(await client.answer(n)).outcome for n in numbers] == ["handled"] * 3
+    assert len(draining.all(protocol.Attempt)) == 3 and len(ready.all(protocol.Attempt)) == 1
 
 
 @story
-async def test_a_host_that_answers_after_its_launch_was_recalled(stack):
+async def test_a_response_to_a_cancelled_attempt_is_ignored(stack):
     host = Host()
     client = await stack.start(host)
     number = client.send(lasts=400.0)
@@ -69,18 +69,18 @@
     assert (await client.answer(number)).outcome == "deferred"
     await host.got(protocol.CancelAttempt)
     host.outcome(attempt)
-    after = client.send(lasts=400.0)
-    late = "replies without a call in flight"
-    await stack.settled(lambda: stack.counters[late])
-    assert stack.counters[late] == 1 and len(client.answers(number)) == 1
-    await client.answer(after)
+    following = client.send(lasts=400.0)
+    late_replies = "replies without a call in flight"
+    await stack.settled(lambda: stack.counters[late_replies])
+    assert stack.counters[late_replies] == 1 and len(client.answers(number)) == 1
+    await client.answer(following)
 
 
 @story
 async def test_a_response_from_a_host_without_the_attempt_is_ignored(stack):
     asked, other = Host(), Host()
     client = await stack.start(asked, other)
-    for i in range(12):  # so that both hosts hold something
+    for i in range(12):  # enough requests for both hosts to get attempts
         client.send(f"deed {i}", lasts=3000.0)
     await asked.got(protocol.Attempt)
     await other.got(protocol.Attempt)
@@ -93,7 +93,7 @@
 
 
 @story
-async def test_a_connection_reset_with_fifty_launches_on_it(stack):
+async def test_after_a_connection_reset_with_fifty_attempts_only_idempotent_ones_are_retried(stack):
     first, second = Host(), Host()
     client = await stack.start(first, second, bounds="bounds: {launches_on_a_link: 1000}")
     class_by_number = {}
@@ -102,10 +102,10 @@
         for request_class in ("draft", "archive"):
             class_by_number[client.send(f"deed {i}", request_class, lasts=4500.0)] = request_class
             i += 1
-        sent = len(class_by_number)
+        sent_count = len(class_by_number)
         await stack.settled(
-            lambda sent=sent: (
-                sent
+            lambda sent_count=sent_count: (
+                sent_count
                 == sum(
                     map(
                         len,
@@ -118,21 +118,26 @@
                 )
             )
         )
-    waits = {attempt.request_id for attempt in first.all(protocol.Attempt)}
+    numbers_at_first = {attempt.request_id for attempt in first.all(protocol.Attempt)}
     for attempt in second.all(protocol.Attempt):
         second.outcome(attempt)
-    class_by_number = {n: c for n, c in class_by_number.items() if n in waits}
+    class_by_number = {n: c for n, c in class_by_number.items() if n in numbers_at_first}
     second.answers = "handled"
-    first.die()
+    first.crash()
     answers = {n: await client.answer(n) for n in class_by_number}
     outcomes = {
         c: {answers[n].outcome for n in class_by_number if class_by_number[n] == c}
         for c in ("draft", "archive")
     }
-    assert outcomes["archive"] == {"dead-lettered"}, "it may have run, so nothing more is promised"
-    again = [attempt.request_id for attempt in second.all(protocol.Attempt) if attempt.attempt]
-    assert all(class_by_number[n] == "draft" for n in again) and len(again) == len(set(again)) > 0
-    assert all((answers[n].outcome == "handled") == (n in again) for n in class_by_number)
+    assert outcomes["archive"] == {"dead-lettered"}, (
+        "an at-most-once request may have run and must not be retried"
+    )
+    retried = [attempt.request_id for attempt in second.all(protocol.Attempt) if attempt.attempt]
+    assert (
+        all(class_by_number[n] == "draft" for n in retried)
+        and len(retried) == len(set(retried)) > 0
+    )
+    assert all((answers[n].outcome == "handled") == (n in retried) for n in class_by_number)
     assert all(len(client.answers(n)) == 1 for n in class_by_number)
 
 
@@ -169,8 +174,8 @@
     host = Host()
     client = await stack.start(host)
     number = client.send(
-        clause="archive", lasts=500.0
-    )  # never cancelled by the router: it may have run
+        request_class="archive", lasts=500.0
+    )  # the router never cancels an at-most-once attempt, as it may have run
     await host.got(protocol.Attempt)
     client.end.write(protocol.CancelRequest(number))
     await stack.settled(lambda: stack.counters["clients left"])
@@ -183,10 +188,10 @@
     host = Host("handled")
     client = await stack.start(host)
     assert (await client.answer(client.send())).outcome == "handled"
-    await stack.list.tell(how="whole")
+    await stack.list.push(kind="whole")
     answer = await client.answer(client.send())
     assert answer.outcome == "deferred" and len(host.all(protocol.Attempt)) == 1
-    await stack.list.tell(protocol.Endpoint(host.id, "ready", 0.0, "z", 0))
+    await stack.list.push(protocol.Endpoint(host.id, "ready", 0.0, "z", 0))
     assert (await client.answer(client.send())).outcome == "handled"
 
 
@@ -204,7 +209,7 @@
 async def test_an_endpoint_list_older_than_the_one_before_is_ignored(stack):
     host = Host("handled")
     client = await stack.start(host)
-    await stack.list.tell(protocol.Endpoint(host.id, "draining", 0.0, "z", 0))
+    await stack.list.push(protocol.Endpoint(host.id, "draining", 0.0, "z", 0))
     stack.list.ends[0].write(
         protocol.EndpointUpdate(0, "whole", [protocol.Endpoint(host.id, "ready", 0.0, "z", 0)])
     )
@@ -226,21 +231,25 @@
 
 
 @story
-async def test_a_request_with_an_idempotency_key_is_retried_only_where_repeats_are_dropped(stack):
-    near, twin, far = Host(), Host("handled"), Host("handled")
-    client = await stack.start(near)
-    number = client.send(clause="sign", lasts=4500.0, mark="m1")
-    [attempt] = await near.got(protocol.Attempt)
-    await stack.host(far, zone="elsewhere")
-    near.outcome(attempt, "error", 0)
+async def test_a_request_with_an_idempotency_key_is_retried_only_where_duplicates_are_detected(
+    stack,
+):
+    first, same_zone, other_zone = Host(), Host("handled"), Host("handled")
+    client = await stack.start(first)
+    number = client.send(request_class="sign", lasts=4500.0, mark="m1")
+    [attempt] = await first.got(protocol.Attempt)
+    await stack.host(other_zone, zone="elsewhere")
+    first.outcome(attempt, "error", 0)
     answer = await client.answer(number)
-    assert answer.outcome == "dead-lettered" and not far.all(protocol.Attempt), (
-        "it left its zone, where repeats are dropped"
+    assert answer.outcome == "dead-lettered" and not other_zone.all(protocol.Attempt), (
+        "it must not be retried outside its zone, where duplicates are not detected"
     )
-    await stack.host(twin, zone="z")
-    near.answers = "error"
-    outcome = await client.answer(client.send(clause="sign", lasts=4500.0, mark="m2"))
-    assert not [x for x in far.all(protocol.Attempt) if x.attempt > 0] and outcome.outcome in (
+    await stack.host(same_zone, zone="z")
+    first.answers = "error"
+    outcome = await client.answer(client.send(request_class="sign", lasts=4500.0, mark="m2"))
+    assert not [
+        x for x in other_zone.all(protocol.Attempt) if x.attempt > 0
+    ] and outcome.outcome in (
         "handled",
         "dead-lettered",
     )
@@ -265,7 +274,7 @@
 
 
 @story
-async def test_large_requests_and_responses_pass_whole(stack):
+async def test_large_requests_and_responses_are_passed_on_unchanged(stack):
     host = Host("handled")
     client = await stack.start(host)
     for size in (64 * 2**10, 10 * 2**20):
@@ -275,9 +284,9 @@
 
 
 @story
-async def test_a_request_larger_than_its_host_takes_is_rejected(stack):
+async def test_a_request_larger_than_its_host_accepts_is_rejected(stack):
     host = Host("handled")
-    host.largest = 1000
+    host.max_frame_bytes = 1000
     client = await stack.start(host)
     assert (await client.answer(client.send())).outcome == "handled"
     answer = await client.answer(client.send(body=bytes(5000)))
@@ -285,7 +294,7 @@
 
 
 @story
-async def test_a_client_that_reads_nothing_is_the_casualty_and_no_other(stack):
+async def test_a_client_that_reads_nothing_is_disconnected_and_others_are_served(stack):
     host = Host("handled")
     client = await stack.start(host, bounds="bounds: {client_bytes: 64kB}")
     slow_reader = await stack.client()
@@ -304,9 +313,9 @@
     number = client.send(lasts=3000.0)
     client.send(lasts=3000.0, number=number)
     await stack.settled(lambda: stack.counters["duplicate request ids"])
-    client.send(lasts=50.0, number=900, sent=now() - 1000)
+    client.send(lasts=50.0, number=900, sent_at_ms=now() - 1000)
     await stack.settled(lambda: stack.counters["requests past their deadline"])
-    assert (await client.answer(client.send(clause="unheard-of"))).outcome == "dead-lettered"
+    assert (await client.answer(client.send(request_class="unheard-of"))).outcome == "dead-lettered"
     [attempt] = await host.got(protocol.Attempt)
     host.outcome(attempt)
     assert (await client.answer(number)).outcome == "handled" and client.answers(900) == []
@@ -329,8 +338,10 @@
     host = Host()
     client = await stack.start(host, bounds="bounds: {open_events: 3}")
     numbers = [client.send(lasts=3000.0) for _ in range(5)]
-    refused = [await client.answer(n) for n in numbers[3:]]
-    assert {a.outcome for a in refused} == {"deferred"} and all("open" in a.reason for a in refused)
+    rejected = [await client.answer(n) for n in numbers[3:]]
+    assert {a.outcome for a in rejected} == {"deferred"} and all(
+        "open" in a.reason for a in rejected
+    )
     for attempt in await host.got(protocol.Attempt, 3):
         host.outcome(attempt)
     assert {(await client.answer(n)).outcome for n in numbers[:3]} == {"handled"}
@@ -358,60 +369,60 @@
 
 @story
 async def test_requests_succeed_elsewhere_when_a_host_refuses_connections(stack):
-    dead, well = Host(), Host("handled")
-    client = await stack.start(dead, well)
-    dead.die()
+    unreachable, healthy = Host(), Host("handled")
+    client = await stack.start(unreachable, healthy)
+    unreachable.crash()
     answers = [await client.answer(client.send(f"deed {i}")) for i in range(6)]
-    assert {a.outcome for a in answers} == {"handled"} and not dead.all(protocol.Attempt)
+    assert {a.outcome for a in answers} == {"handled"} and not unreachable.all(protocol.Attempt)
 
 
 @story
-async def test_a_restart_is_learned_from_the_hosts_own_start_time(stack):
+async def test_a_restart_is_detected_from_the_start_time_in_the_hosts_hello(stack):
     host = Host("handled")
     client = await stack.start(host, cold="cold: {from: 25%, time: 10s, multiple: 3, fall: 2s}")
     await client.answer(client.send())
     port = int(host.id.rpartition(":")[2])
-    host.die()
-    begun = stack.service.clock.now()
-    again = Host("handled", since=begun)
-    await stack.host(again, tell=False, port=port)
+    host.crash()
+    restarted_at_ms = stack.service.clock.now()
+    restarted = Host("handled", started_at_ms=restarted_at_ms)
+    await stack.host(restarted, listed=False, port=port)
     number = client.send(lasts=4500.0)
     await client.answer(number)
     await client.answer(client.send(lasts=4500.0))
     await stack.settled(lambda: stack.counters["restarts learned from hosts"])
-    assert stack.service.dispatcher.router.hosts[again.id].started_at_ms == begun
+    assert stack.service.dispatcher.router.hosts[restarted.id].started_at_ms == restarted_at_ms
 
 
 @story
 async def test_a_started_stream_has_no_deadline_and_fails_when_it_breaks(stack):
     host = Host()
     client = await stack.start(host)
-    number = client.send(clause="read", lasts=500.0)
+    number = client.send(request_class="read", lasts=500.0)
     [attempt] = await host.got(protocol.Attempt)
     host.ends[0].write(protocol.AttemptStreaming(attempt.id))
     await client.got(protocol.StreamStarted)
-    other = client.send(clause="read", lasts=500.0)
+    other = client.send(request_class="read", lasts=500.0)
     await host.got(protocol.Attempt, 2)
     host.outcome(attempt, body=b"all of it")
     assert (await client.answer(number)).body == b"all of it"
     host.ends[0].write(protocol.AttemptStreaming(host.all(protocol.Attempt)[1].id))
     await client.got(protocol.StreamStarted, 2)
-    host.reset()
+    host.abort_connections()
     assert (await client.answer(other)).outcome == "dead-lettered" and not host.all(
         protocol.CancelAttempt
     )
 
 
 @story
-async def test_answer_and_time_out_in_the_same_turn(stack):
+async def test_a_response_in_the_same_tick_as_its_deadline_is_returned(stack):
     host = Host()
-    client = await stack.start(host, may=MAY)
+    client = await stack.start(host, may=PERMISSIONS)
     number = client.send(lasts=1000.0)
     [attempt] = await host.got(protocol.Attempt)
     dispatcher = stack.service.dispatcher
     [pending] = dispatcher.requests.values()
     link = pending.attempts[0].link
-    # both are there as the tick begins: the response, and the client's deadline
+    # The response has arrived and the client's deadline has passed when the tick begins.
     dispatcher.post(dispatcher.host_replied, link, protocol.AttemptResult(attempt.id, "handled", 1))
     dispatcher.tick(pending.deadline_ms + 5)
     assert (await client.answer(number)).outcome == "handled"
@@ -425,12 +436,12 @@
     stack.service.dispatcher.router.take = None
     client.send()
     await client.until(lambda: client.lost_ends)
-    again = await stack.client()
-    assert (await again.answer(again.send())).outcome == "handled"
+    second_client = await stack.client()
+    assert (await second_client.answer(second_client.send())).outcome == "handled"
 
 
 @story
-async def test_what_hosts_are_configured_not_to_report_reaches_the_router_as_none(stack):
+async def test_values_that_hosts_are_configured_not_to_report_reach_the_router_as_none(stack):
     host = Host()
     client = await stack.start(host, tells="tells: {copy: false, crowd: false}")
     messages = []
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: its start, signals, crashes, suspensions and metrics."""
+"""The gateway process: start, signals, crashes, suspensions and metrics."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 from cherrydoor.protocol import messages as protocol
 
-Daemon, Ended, given = GatewayProcess, KilledAtEnd, configuration_file  # as other tests import them
+Daemon, Ended, given = GatewayProcess, KilledAtEnd, configuration_file  # names that other tests import
 
 MISSING_LATENCY_OBJECTIVE = """
 name: "g", number: 3, gateways: 2, list: "nowhere"
@@ -30,7 +30,7 @@
 
 
 async def connected_client(stack, port):
-    """A client of a gateway that knows its hosts: before that it rejects requests."""
+    """Connects a client once the gateway knows its hosts; it rejects requests until then."""
     await stack.list.got(protocol.UpdateAcknowledged)
     client = await Client().connect(port)
     stack.opened.append(client)
@@ -48,26 +48,26 @@
 
 
 # ---- start
-def test_an_invalid_configuration_ends_the_start_and_is_explained(tmp_path):
+def test_an_invalid_configuration_prevents_the_start_and_is_explained(tmp_path):
     path = tmp_path / "bad.lease"
     path.write_text(MISSING_LATENCY_OBJECTIVE)
-    ended = run_command("gateway", "--lease", path)
-    assert ended.returncode == 64
-    assert "clauses" in ended.stderr
-    assert "Traceback" not in ended.stderr
+    result = run_command("gateway", "--lease", path)
+    assert result.returncode == 64
+    assert "clauses" in result.stderr
+    assert "Traceback" not in result.stderr
 
 
 def test_a_check_reports_all_problems_of_a_configuration(tmp_path):
     path = tmp_path / "bad.lease"
     path.write_text(DEADLINE_BELOW_LATENCY_OBJECTIVE)
-    ended = run_command("lease", "check", path, "--json")
-    assert ended.returncode == 64
-    problems = json.loads(ended.stdout)
+    result = run_command("lease", "check", path, "--json")
+    assert result.returncode == 64
+    problems = json.loads(result.stdout)
     assert {problem["path"] for problem in problems} == {"list", "number", "clauses.0.target"}
 
 
 @with_folder
-async def test_a_listener_port_that_is_in_use_ends_the_start(stack, folder):
+async def test_a_listener_port_that_is_in_use_prevents_the_start(stack, folder):
     other = await Host().start()
     stack.opened.append(other)
     port = int(other.id.rpartition(":")[2])
@@ -101,7 +101,7 @@
 
 
 @with_folder
-async def test_a_second_sigterm_ends_the_process_at_once(stack, folder):
+async def test_a_second_sigterm_ends_the_process_immediately(stack, folder):
     host = Host()
     configuration = await configuration_file(stack, folder, host)
     gateway = await GatewayProcess.start(stack, configuration)
@@ -125,10 +125,10 @@
     valid = configuration.read_text()
     configuration.write_text(valid + "\nnonsense: 3")
     gateway.process.send_signal(signal.SIGHUP)
-    await gateway.logged("keeping the old one")
+    await gateway.wait_for_log("keeping the old one")
     configuration.write_text(valid.replace("bounds: {}", "bounds: {open_events: 1}"))
     gateway.process.send_signal(signal.SIGHUP)
-    await gateway.logged("configuration reloaded")
+    await gateway.wait_for_log("configuration reloaded")
     client.send("a", lasts=4500.0)
     assert (await client.answer(client.send("b", lasts=4500.0))).outcome == "deferred"
     [attempt] = await host.got(protocol.Attempt)
@@ -139,7 +139,9 @@
 
 # ---- crash and suspension
 @with_folder
-async def test_after_a_kill_under_load_it_starts_again_with_the_cached_endpoint_list(stack, folder):
+async def test_after_a_kill_under_load_the_gateway_restarts_with_the_cached_endpoint_list(
+    stack, folder
+):
     host = Host()
     configuration = await configuration_file(stack, folder, host)
     gateway = await GatewayProcess.start(stack, configuration)
@@ -174,14 +176,14 @@
     gateway.process.send_signal(signal.SIGSTOP)
     suspended_at_ms = now()
     expired = [client.send(f"function {i}", lasts=300.0) for i in range(10)]
-    while now() < suspended_at_ms + 600:  # what is provoked: their deadlines pass meanwhile
+    while now() < suspended_at_ms + 600:  # their deadlines pass during the suspension
         await asyncio.sleep(0.05)
     in_time = [client.send(f"function {i}", lasts=4500.0) for i in range(10)]
     gateway.process.send_signal(signal.SIGCONT)
     for number in in_time:
         await client.answer(number)
     assert not any(client.answers(number) for number in expired), (
-        "their deadlines had passed before the gateway could accept them"
+        "expired requests must get no response"
     )
     attempted = {attempt.request_id for attempt in host.all(protocol.Attempt)}
     assert attempted.isdisjoint(expired)
@@ -197,7 +199,7 @@
 
 
 async def connect_to_metrics(port):
-    """A connection to the metrics listener, which opens after the client listener is announced."""
+    """Connects to the metrics listener, which opens after the client listener is announced."""
     async with asyncio.timeout(WAIT_LIMIT_S):
         while True:
             try:
@@ -207,7 +209,7 @@
 
 
 async def scrape(port, request):
-    """Status and body of the response to these bytes."""
+    """Sends these bytes and returns the status and body of the response."""
     reader, writer = await connect_to_metrics(port)
     writer.write(request)
     response = await reader.read()
