--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -23,17 +23,16 @@
 
 MAX_HELLO_BYTES = 8192  # longest hello accepted from a client that is not yet admitted
 IDENTIFICATION_RETRY_AFTER_MS = 1000.0  # for a client whose certificate or token is invalid
-# A connection whose credentials are withdrawn is closed once it is idle, which is checked at this
-# interval.
+# Interval at which a connection with withdrawn credentials is checked; it is closed once idle.
 IDLE_CHECK_INTERVAL_S = 0.1
-# Longer than a message usually takes to arrive: a request that is in transit when the gateway
-# closes the connection would be lost.
+# Silence after which such a connection is idle. It is longer than a message usually takes to
+# arrive, because a request in transit is lost when the gateway closes the connection.
 IDLE_AFTER_MS = 250.0
-# Afterwards the connection is closed even if it is not idle, so that a client that is always active
-# cannot keep using a withdrawn credential.
+# Time after which such a connection is closed even if it is not idle, so that a client that never
+# pauses cannot keep using a withdrawn credential.
 MAX_WITHDRAWAL_S = 30.0
-# Time for which requests sent before an incarnation ended are still read, and rejected with a
-# retry-after.
+# Requests that clients sent before an incarnation ended are still read for this time, and rejected
+# with a retry-after.
 FINAL_READ_S = 0.05
 
 
--- a/cherrydoor/gateway/host_calls.py
+++ b/cherrydoor/gateway/host_calls.py
@@ -125,7 +125,7 @@
         pending = call.pending
         if pending is None:
             return ""
-        if not pending.finished and not pending.client.check_connected(dispatcher.now):
+        if not pending.finished and not pending.client.connected(dispatcher.now):
             dispatcher.counters["closes found at a launch"] += 1
             dispatcher.request_table.cancel(pending)
         if pending.finished:
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -268,5 +268,5 @@
             dispatcher.router_messages.append(routing.RequestCancelled(pending.number))
 
     def is_obsolete(self, callback: Callback, args: tuple[Any, ...]) -> bool:
-        """Returns whether a timer is the deadline of a request that has been forgotten."""
+        """Returns whether a timer is the deadline of a finished request without references."""
         return callback == self.deadline_passed and args[0].finished and not args[0].references
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -27,8 +27,8 @@
 
 log = structlog.get_logger()
 
-# Restarts after faults in the router, beyond which the gateway ends. Each one disconnects all
-# clients.
+# Number of restarts after faults in the router beyond which the gateway ends, as each restart
+# disconnects all clients.
 MAX_RESTARTS = 5
 KEY_EXPIRY_SETTINGS = ("standing", "warn")  # settings of `keys` that are not file names
 
@@ -142,7 +142,7 @@
         return self.peer_services.incarnation if self.peer_services else 0
 
     def hello(self) -> protocol.Hello:
-        """Returns the gateway's hello, which is the same on every connection."""
+        """Returns the gateway's hello, which it sends on every connection."""
         return protocol.Hello(
             protocol.VERSION,
             "gateway",
@@ -228,7 +228,7 @@
             self.finish(DRAINED)
 
     def restart(self) -> None:
-        """Begins a new incarnation after a fault; ends the gateway after ``MAX_RESTARTS``."""
+        """Begins a new incarnation after a fault; ends the gateway beyond ``MAX_RESTARTS``."""
         self.restart_count += 1
         log.critical(
             "fault in the routing decisions, restarting", gateway=self.config.name, exc_info=True
--- a/cherrydoor/gateway/tables.py
+++ b/cherrydoor/gateway/tables.py
@@ -76,7 +76,7 @@
         self.min_clock_gap_ms: float | None = None
         self.last_connected_ms = 0.0
 
-    def check_connected(self, now_ms: float) -> bool:
+    def connected(self, now_ms: float) -> bool:
         """Returns whether the client has not closed, checked before each attempt is sent."""
         if self.has_closed():
             return False
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -13,7 +13,8 @@
 
 from cherrydoor.protocol import messages as protocol
 
-Daemon, Ended, given = GatewayProcess, KilledAtEnd, configuration_file  # names that other tests import
+# Names that other tests import.
+Daemon, Ended, given = GatewayProcess, KilledAtEnd, configuration_file
 
 MISSING_LATENCY_OBJECTIVE = """
 name: "g", number: 3, gateways: 2, list: "nowhere"
