--- a/cherrydoor/failover/__init__.py
+++ b/cherrydoor/failover/__init__.py
@@ -1,4 +1,5 @@
-"""Failover: requests in flight outlive their gateway, are taken over once, responses claimed.
+"""Failover: peers replicate a gateway's requests in flight and take them over, once, if it is lost.
 
-Begin at `peer_services.py` (what a gateway runs) and `takeover.py` (what is decided for a request).
+Clients then claim the responses from another gateway. Start reading at `peer_services.py` (what a
+gateway runs) and `takeover.py` (how the outcome of each request is decided).
 """
--- a/cherrydoor/failover/claim_forwarding.py
+++ b/cherrydoor/failover/claim_forwarding.py
@@ -1,4 +1,4 @@
-"""Claims of responses, passed between clients, the gateways they ask, and the successors."""
+"""Forwards response claims from clients to successors, and the replies back."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -9,15 +9,14 @@
 from cherrydoor.protocol.messages import Response
 from cherrydoor.protocol.peers import ClaimReply, ClaimRequest
 
-# Claims that wait for a successor; beyond it the client is told that nothing is known.
-MAX_PENDING_CLAIMS = 5000
-REPEAT_TIMEOUT_MS = 5000.0  # that a repeated request waits for the response of the first one
+MAX_PENDING_CLAIMS = 5000  # beyond this, a claim is answered as unknown at once
+REPEAT_TIMEOUT_MS = 5000.0  # how long a repeated request waits for the response of the first one
 
 ReplyCallback = Callable[[ClaimReply | None], object]
 
 
 class PendingClaim(NamedTuple):
-    """A claim that this gateway has passed on, or holds until a successor is known."""
+    """A claim that was forwarded, or that waits until the successor is known."""
 
     request: ClaimRequest
     deadline_ms: float
@@ -25,15 +24,15 @@
 
 
 class ClaimForwarder:
-    """Brings claims to the successor, and its replies back. No request waits for any of it.
+    """Forwards claims to the successor, and its replies back.
 
-    Owns the table of pending claims: each has its callback called once, with the successor's reply
-    or, at its deadline, with None.
+    Owns the table of pending claims. The callback of each pending claim is called once, with the
+    successor's reply or, at the claim's deadline, with None.
 
     Args:
         peers: Connections to the other gateways.
-        claims: Responses of what was taken over here.
-        successors: Who is successor to whom.
+        claims: Responses to the requests that this gateway has taken over.
+        successors: The announced successors.
     """
 
     def __init__(self, peers: Any, claims: ResponseClaims, successors: SuccessorTable) -> None:
@@ -47,7 +46,7 @@
         self.last_id = 0
 
     def claim_for_client(self, end: Any, message: ClaimResponse) -> None:
-        """Handle a client's claim of the response that another gateway owed it.
+        """Handle a client's claim of a response that it did not get from another gateway.
 
         Args:
             end: The client's connection.
@@ -58,8 +57,8 @@
             end.write(_client_reply(message.id, reply))
 
         late_ms = end.client.late(message.sent_at_ms, self.now())
-        # The successor gives its last response when all of the reserved time is left: half of that
-        # is for the way here.
+        # The successor answers at the latest when the whole reserved time (`limits.spare`) is left.
+        # Half of that time is for the reply's way to this gateway.
         timeout_ms = message.remaining_ms - late_ms - self.limits.spare / 2
         request = ClaimRequest(
             0, message.owner, message.incarnation, message.request_id, message.claim_key
@@ -69,12 +68,13 @@
     def claim(
         self, request: ClaimRequest, callback: ReplyCallback, timeout_ms: float = REPEAT_TIMEOUT_MS
     ) -> None:
-        """Ask the successor, as soon as one is known.
+        """Forward a claim to the successor as soon as one is known.
 
         Args:
             request: The claim; its id is set here.
-            callback: Called once, with the reply, or with None where none comes in time.
-            timeout_ms: How long the reply is waited for.
+            callback: Called once, with the reply, or with None if none arrives in time or too many
+                claims are pending.
+            timeout_ms: How long to wait for the reply.
         """
         if timeout_ms <= 0 or len(self.pending) >= MAX_PENDING_CLAIMS:
             callback(None)
@@ -92,22 +92,22 @@
             self.peers.want_link(successor)
 
     def successor_known(self, owner: str, incarnation: int) -> None:
-        """Pass on the claims that wait for the successor of this incarnation."""
+        """Forward the claims that wait for the successor of this incarnation."""
         for pending in list(self.pending.values()):
             request = pending.request
             if (request.owner, request.incarnation) == (owner, incarnation):
                 self._forward(request)
 
     def connections_changed(self) -> None:
-        """Pass on all claims that wait: the connection to a successor may be up again."""
+        """Forward all pending claims, as the connection to a successor may be up again."""
         for pending in list(self.pending.values()):
             self._forward(pending.request)
 
     def claim_received(self, sender: str, request: ClaimRequest) -> None:
-        """Handle a claim that another gateway passes on for one of its clients."""
+        """Handle a claim that another gateway forwards for one of its clients."""
 
         def reply(response: Response) -> None:
-            found = ClaimReply(
+            claim_reply = ClaimReply(
                 request.id,
                 True,
                 response.outcome,
@@ -115,7 +115,7 @@
                 response.reason,
                 response.body,
             )
-            self._send_reply(sender, found)
+            self._send_reply(sender, claim_reply)
 
         known, response = self.claims.claim(
             request.owner,
@@ -126,7 +126,7 @@
             request.key_digest,
         )
         if not known:
-            reason = "it was not entrusted, or its key is another"
+            reason = "the request was not replicated, or the claim key does not match"
             self._send_reply(sender, ClaimReply(request.id, False, reason=reason))
         elif response is not None:
             reply(response)
@@ -144,7 +144,7 @@
             pending.callback(reply)
 
     def expire(self, now: float) -> None:
-        """End the claims whose time is over without a reply."""
+        """End the claims that got no reply before their deadline."""
         for claim_id, pending in list(self.pending.items()):
             if pending.deadline_ms <= now:
                 del self.pending[claim_id]
@@ -153,7 +153,7 @@
 
 def _client_reply(message_id: int, reply: ClaimReply | None) -> Response | ResponseUnknown:
     if reply is None or not reply.known:
-        reason = "nothing is known of it here"
+        reason = "no response to this request is known here"
         if reply is not None and reply.reason:
             reason = reply.reason
         return ResponseUnknown(message_id, reason)
--- a/cherrydoor/failover/in_flight_set.py
+++ b/cherrydoor/failover/in_flight_set.py
@@ -1,36 +1,36 @@
-"""The in-flight set of one incarnation of one gateway, as another gateway holds it. Pure."""
+"""The in-flight set of one gateway incarnation, as held by a replica. Pure."""
 
 from cherrydoor.protocol.peers import ReplicatedRequest
 
-TASK_KIND = "estate"  # first part of such a task's name
+TAKEOVER_TASK_PREFIX = "estate"  # first part of the task name, which is on the wire
 
 
 def takeover_task(owner: str, incarnation: int) -> str:
-    """Name the lease's task under which an in-flight set is taken over; the name is on the wire."""
-    return f"{TASK_KIND}/{owner}/{incarnation}"
+    """Return the name of the lease task for the takeover of an in-flight set."""
+    return f"{TAKEOVER_TASK_PREFIX}/{owner}/{incarnation}"
 
 
 def parse_takeover_task(task: str) -> tuple[str, int] | None:
-    """Return owner and incarnation of a takeover's task, None of any other task.
+    """Return owner and incarnation of a takeover task, or None for any other task.
 
     >>> parse_takeover_task("estate/g1/5"), parse_takeover_task("site/z1")
     (('g1', 5), None)
     """
     kind, _, rest = task.partition("/")
     owner, _, incarnation = rest.rpartition("/")
-    if kind != TASK_KIND or not incarnation.isdecimal():
+    if kind != TAKEOVER_TASK_PREFIX or not incarnation.isdecimal():
         return None
     return owner, int(incarnation)
 
 
 class ReplicatedEntry:
-    """One replicated request of another gateway.
+    """A replicated request of another gateway.
 
     Attributes:
-        request: As the owner sent it.
-        deadline_ms: When the client gives up, by the clock of this gateway.
-        first_seen_ms: When it arrived here: its first attempt may have had an effect then or later.
-        hosts: Hosts that attempts are known to have gone to.
+        request: The request as the owner sent it.
+        deadline_ms: When the client stops waiting for the response, by this gateway's clock.
+        first_seen_ms: When it arrived here. Its first attempt may have had an effect from then on.
+        hosts: Hosts that its replicated attempts were sent to.
     """
 
     __slots__ = ("deadline_ms", "first_seen_ms", "hosts", "request")
@@ -45,16 +45,18 @@
 
 
 class InFlightSet:
-    """What one incarnation of one gateway has replicated here.
+    """The requests that one incarnation of a gateway has replicated to this one.
 
-    Invariant: `body_bytes` is the sum of the bodies of `entries`. Only `ReplicaStore` writes it.
+    Invariant: `body_bytes` is the sum of the bodies of `entries`. Only `ReplicaStore` writes to
+    a set.
 
     Attributes:
         owner: Gateway that accepted the requests.
-        incarnation: The owner's.
-        rank: Which of the owner's replicas this gateway is, from 0.
-        entries: By the owner's number of the request.
-        disconnected_since_ms: Since when the owner is not connected here; None while it is.
+        incarnation: The owner's incarnation.
+        rank: This gateway's position among the owner's replicas, from 0.
+        entries: Entries by the owner's number of the request.
+        disconnected_since_ms: Since when the owner has not been connected to this gateway; None
+            while it is.
     """
 
     __slots__ = ("body_bytes", "disconnected_since_ms", "entries", "incarnation", "owner", "rank")
@@ -69,7 +71,7 @@
 
     @property
     def task(self) -> str:
-        """Name of the lease's task under which it is taken over."""
+        """Name of the lease task for its takeover."""
         return takeover_task(self.owner, self.incarnation)
 
     def add(self, entry: ReplicatedEntry) -> None:
@@ -78,7 +80,7 @@
         self.body_bytes += len(entry.request.body)
 
     def remove(self, number: int) -> None:
-        """Forget a request, if it is here."""
+        """Remove a request, if present."""
         entry = self.entries.pop(number, None)
         if entry is not None:
             self.body_bytes -= len(entry.request.body)
--- a/cherrydoor/failover/owner.py
+++ b/cherrydoor/failover/owner.py
@@ -1,7 +1,7 @@
-"""The owner's side of replication: what replicas are told of this gateway's in-flight set. Pure.
+"""The owner's side of replication: updates of this gateway's in-flight set for its replicas. Pure.
 
-A gateway replicates what it has accepted and not answered at the end of each tick of its event
-loop, after the request is on its way to a host: no request waits for a replica.
+At the end of each event loop tick a gateway replicates the requests that it has accepted and not
+yet answered. By then each request has been sent to a host, so no request waits for a replica.
 """
 
 from collections import Counter
@@ -11,19 +11,20 @@
 from cherrydoor.failover.retry_policy import RETENTION_RANK, RetryPolicy
 from cherrydoor.protocol.peers import ReplicatedAttempt, ReplicatedRequest, ReplicationUpdate
 
-MAX_REQUESTS = 2000  # replicated at once by one owner; also held at once of one owner
-MAX_BODY_BYTES = 8 * 2**20  # of their bodies, likewise
+# Both bounds are per owner, and apply at the owner and at each of its replicas.
+MAX_REQUESTS = 2000
+MAX_BODY_BYTES = 8 * 2**20  # sum over the bodies of the replicated requests
 
 
 class OutgoingUpdate(NamedTuple):
-    """An update, and the replicas it is for."""
+    """An update, and the names of the replicas to send it to."""
 
     replicas: list[str]
     update: ReplicationUpdate
 
 
 class _OwnedRequest:
-    """A request in flight here that is replicated, with its attempts so far."""
+    """A replicated request of this gateway, with its attempts so far."""
 
     __slots__ = ("attempts", "deadline_ms", "rank", "request")
 
@@ -34,23 +35,28 @@
         self.attempts: list[ReplicatedAttempt] = []
 
     def message(self, now: float) -> ReplicatedRequest:
-        """Return the request with the time that is left of it now."""
+        """Return the request with its remaining time set as of `now`."""
         self.request.remaining_ms = max(0.0, self.deadline_ms - now)
         return self.request
 
 
 class OwnerReplication:
-    """This gateway's in-flight set, and what its replicas have not been told of it.
+    """This gateway's in-flight set, and the changes not yet sent to its replicas.
 
-    Invariants: it holds at most `max_requests` requests and `max_body_bytes` of bodies; beyond them
-    the requests that are cheapest to lose are left out first, and counted. Each request goes with
-    its response. `unsent` names requests of which no replica knows.
+    Invariants: it holds at most `max_requests` requests and `max_body_bytes` of bodies. Beyond
+    these bounds the requests that are cheapest to lose are evicted first, and counted. A request is
+    removed once it has its response. `unsent_requests` holds the numbers of requests that were sent
+    to no replica.
 
     Args:
-        incarnation: This gateway's.
+        incarnation: This gateway's incarnation.
         policies: Retry policy by name of request class.
-        max_requests: Bound on requests.
-        max_body_bytes: Bound on the bytes of their bodies.
+        max_requests: Bound on the number of requests.
+        max_body_bytes: Bound on the total size of their bodies.
+
+    Attributes:
+        synced_replicas: Replicas that have received a snapshot and every change since.
+        unsent_since_ms: When the oldest unsent request was added; None if there is none.
     """
 
     def __init__(
@@ -68,24 +74,24 @@
         self.max_requests = max_requests
         self.max_body_bytes = max_body_bytes
         self.requests: dict[int, _OwnedRequest] = {}
-        self.by_rank: dict[int, dict[int, _OwnedRequest]] = {
+        self.requests_by_rank: dict[int, dict[int, _OwnedRequest]] = {
             rank: {} for rank in RETENTION_RANK.values()
         }
         self.body_bytes = 0
         self.counters: Counter[str] = Counter()
-        self.unsent: dict[int, bool] = {}
+        self.unsent_requests: dict[int, bool] = {}
         self.unsent_attempts: list[ReplicatedAttempt] = []
         self.unsent_finished: list[int] = []
-        self.replicas: list[str] = []  # that have been told the whole
+        self.synced_replicas: list[str] = []
         self.unsent_since_ms: float | None = None
 
     def add(self, now: float, request: ReplicatedRequest, deadline_ms: float) -> None:
-        """Take in a request that was accepted, unless the bounds leave it out.
+        """Add an accepted request, unless the bounds leave it out.
 
         Args:
-            now: In ms.
-            request: What replicas are to know of it.
-            deadline_ms: When its client gives up.
+            now: Current time in ms.
+            request: The request as it is sent to replicas.
+            deadline_ms: When its client stops waiting for the response.
         """
         rank = self.rank_by_class[request.request_class]
         size = len(request.body)
@@ -96,20 +102,27 @@
                 self._count_left_out(request)
                 return
         owned = _OwnedRequest(request, deadline_ms, rank)
-        self.by_rank[rank][request.number] = owned
+        self.requests_by_rank[rank][request.number] = owned
         self.requests[request.number] = owned
         self.body_bytes += size
-        self.unsent[request.number] = True
+        self.unsent_requests[request.number] = True
         self.counters["entrusted"] += 1
         if self.unsent_since_ms is None:
             self.unsent_since_ms = now
 
     def _evict_below(self, rank: int) -> bool:
-        """Leave out the oldest of the cheapest requests below this rank; False if there is none."""
-        cheaper = next((r for r in sorted(self.by_rank) if self.by_rank[r] and r < rank), None)
-        if cheaper is None:
+        """Evict the oldest request of the lowest rank below this one; False if there is none."""
+        lower_rank = next(
+            (
+                other
+                for other in sorted(self.requests_by_rank)
+                if self.requests_by_rank[other] and other < rank
+            ),
+            None,
+        )
+        if lower_rank is None:
             return False
-        number, owned = next(iter(self.by_rank[cheaper].items()))
+        number, owned = next(iter(self.requests_by_rank[lower_rank].items()))
         self._count_left_out(owned.request)
         self.finish(number)
         return True
@@ -119,53 +132,53 @@
         self.counters[f"left out: {retry_safety}"] += 1
 
     def attempt_started(self, number: int, host: str) -> None:
-        """Note that an attempt of a request went to a host."""
+        """Record that an attempt of a request was sent to a host."""
         owned = self.requests.get(number)
         if owned is None:
             return
         attempt = ReplicatedAttempt(number, host)
         owned.attempts.append(attempt)
-        if number not in self.unsent:
+        if number not in self.unsent_requests:
             self.unsent_attempts.append(attempt)
 
     def finish(self, number: int) -> None:
-        """Forget a request that has its response.
+        """Remove a request that has its response.
 
-        Replicas are told at the end of the same tick: a successor that had not been told would run
-        it after its response, where the host that ran it is lost as well.
+        Replicas are notified at the end of the same tick. Otherwise a successor could run the
+        request again after its response, if the host that ran it is lost as well.
         """
         owned = self.requests.pop(number, None)
         if owned is None:
             return
-        del self.by_rank[owned.rank][number]
+        del self.requests_by_rank[owned.rank][number]
         self.body_bytes -= len(owned.request.body)
-        if not self.unsent.pop(number, None):  # a replica need not forget what it never knew
+        if not self.unsent_requests.pop(number, None):  # no replica holds it otherwise
             self.unsent_finished.append(number)
 
     def has_unsent(self) -> bool:
-        """Return whether replicas have to be told something at the end of this tick."""
-        return bool(self.unsent or self.unsent_attempts or self.unsent_finished)
+        """Return whether there are changes to send to replicas."""
+        return bool(self.unsent_requests or self.unsent_attempts or self.unsent_finished)
 
     def updates(self, now: float, replicas: list[str]) -> list[OutgoingUpdate]:
-        """Return what each replica is to be told at the end of a tick.
+        """Return the updates to send at the end of a tick, and mark them as sent.
 
         Args:
-            now: In ms.
-            replicas: Names of the replicas that can be told, in the order of their rank.
+            now: Current time in ms.
+            replicas: Names of the connected replicas, in the order of their rank.
 
         Returns:
-            The changes for who was told before, a snapshot for who is new, and an empty snapshot
-            for who is a replica no longer.
+            The changes for replicas that have a snapshot, a snapshot for new replicas, and an empty
+            snapshot for gateways that are no longer replicas.
         """
-        if replicas and replicas == self.replicas:  # as nearly always
+        if replicas and replicas == self.synced_replicas:  # the usual case
             if not self.has_unsent():
                 return []
             update = self._changes(now)
             self._clear_unsent()
             return [OutgoingUpdate(replicas, update)]
-        known = [name for name in replicas if name in self.replicas]
-        added = [name for name in replicas if name not in self.replicas]
-        removed = [name for name in self.replicas if name not in replicas]
+        known = [name for name in replicas if name in self.synced_replicas]
+        added = [name for name in replicas if name not in self.synced_replicas]
+        removed = [name for name in self.synced_replicas if name not in replicas]
         outgoing = []
         if known and self.has_unsent():
             outgoing.append(OutgoingUpdate(known, self._changes(now)))
@@ -175,11 +188,11 @@
             outgoing.append(OutgoingUpdate([name], self._update(0, True, [], [])))
         if replicas:
             self._clear_unsent()
-        self.replicas = list(replicas)
+        self.synced_replicas = list(replicas)
         return outgoing
 
     def _changes(self, now: float) -> ReplicationUpdate:
-        unsent = [self.requests[number] for number in self.unsent]
+        unsent = [self.requests[number] for number in self.unsent_requests]
         attempts = [*self.unsent_attempts, *_attempts_of(unsent)]
         requests = [owned.message(now) for owned in unsent]
         return self._update(0, False, requests, attempts, self.unsent_finished)
@@ -205,23 +218,23 @@
         )
 
     def _clear_unsent(self) -> None:
-        # New tables: the lists went into an update that may not be encoded yet.
-        self.unsent = {}
+        # New objects, not `clear()`: the lists are part of an update that may not be encoded yet.
+        self.unsent_requests = {}
         self.unsent_attempts = []
         self.unsent_finished = []
         self.unsent_since_ms = None
 
     def forget_replica(self, name: str) -> None:
-        """Note that a replica was lost from sight: it is sent a snapshot when it is back."""
-        if name in self.replicas:
-            self.replicas.remove(name)
+        """Record that a replica was disconnected: it needs a snapshot when it reconnects."""
+        if name in self.synced_replicas:
+            self.synced_replicas.remove(name)
 
     def is_replicated(self, number: int) -> bool:
-        """Return whether a replica may know of a request.
+        """Return whether a replica may hold a request.
 
-        Then its response is a successor's to give, once this incarnation is over.
+        If so, only a successor may answer it once this incarnation is over.
         """
-        return number in self.requests and number not in self.unsent
+        return number in self.requests and number not in self.unsent_requests
 
 
 def _attempts_of(requests: Iterable[_OwnedRequest]) -> list[ReplicatedAttempt]:
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -1,4 +1,7 @@
-"""What a gateway runs with its peers: connections, leases, failover, zone drains, control."""
+"""The services that a gateway runs with its peers, and their control socket.
+
+They are membership, leases, failover and zone drains.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,17 +17,17 @@
 from cherrydoor.zone_drain.service import ZoneDrainService
 
 log = structlog.get_logger()
-STOOD_STILL = "it stood still for longer than its witnesses wait"
-DECLARED_OVER = "others hold this life to be over"
+SUSPENDED = "the process was suspended for longer than its peers wait for a heartbeat"
+DECLARED_OVER = "peers have declared this incarnation over"
 
 
 class PeerServices:
     """The peer services of one incarnation of a gateway, not yet started.
 
     Args:
-        service: The gateway's service, which calls this one.
-        incarnation: Above that of an earlier start of the same process; 0 to choose one.
-        vote_store: Makes what keeps a voter's promises, of a path and a name; on disk unless
+        service: The gateway service that these services belong to.
+        incarnation: Greater than that of earlier starts in the same process; 0 to choose one.
+        vote_store: Creates a voter's storage from a path and a gateway name; stores on disk if not
             given.
     """
 
@@ -46,16 +49,16 @@
 
     @property
     def incarnation(self) -> int:
-        """Which start of the gateway this is."""
+        """Number of this start of the gateway; greater than those of all earlier starts."""
         incarnation: int = self.peers.local.incarnation
         return incarnation
 
-    def continue_from(self, before: "PeerServices") -> None:
-        """Take over the zone drains known to the incarnation before, of the same process."""
-        self.zone_drains.participant = before.zone_drains.participant
+    def continue_from(self, previous: "PeerServices") -> None:
+        """Take over the zone drains known to the previous incarnation in this process."""
+        self.zone_drains.participant = previous.zone_drains.participant
 
     async def start(self) -> None:
-        """Open the listener for peers, and begin all services."""
+        """Open the listener for peers, and start all services."""
         await self.peers.start()
         self.failover.start()
         self.zone_drains.start()
@@ -70,42 +73,44 @@
         )
 
     def after_tick(self) -> None:
-        """Send what a tick of the event loop has changed."""
+        """Replicate the changes of an event loop tick."""
         self.failover.after_tick()
 
     def claim_response(self, end: Any, message: Any) -> None:
-        """Handle a client's claim of the response that another gateway owed it."""
+        """Handle a client's claim of a response that it did not get from another gateway."""
         self.failover.claim_response(end, message)
 
     def _connections_checked(self) -> None:
-        """End this incarnation if the process stood still, or if others declared it over."""
+        """End this incarnation if the process was suspended, or if peers declared it over."""
         if self.service.peer_services is not self:
             return
         if self.was_suspended():
-            self.service.end_incarnation(STOOD_STILL)
+            self.service.end_incarnation(SUSPENDED)
             return
         self.failover.connections_changed()
         if self.peers.members.has_ended:
             self.service.end_incarnation(DECLARED_OVER)
 
     def was_suspended(self) -> bool:
-        """Return whether this process was stopped for so long that others may have taken over.
+        """Return whether this process was suspended so long that peers may have taken over.
 
-        Asked before anything else is done: hosts would refuse what it sends. Guards against two
-        answers to one request. It harms when the machine is only slow: the incarnation ends then,
-        and clients reconnect.
+        This is checked before anything else is done, as hosts would refuse what the gateway sends.
+        It prevents two responses to one request. The cost is that a pause of a merely slow machine
+        also ends the incarnation, and clients have to reconnect.
         """
         now = self.peers.now()
-        stopped_ms = now - self.last_check_ms
+        since_last_check_ms = now - self.last_check_ms
         self.last_check_ms = now
-        return bool(stopped_ms > self.suspect_after_ms and self.failover.has_in_flight)
+        return bool(
+            since_last_check_ms > self.suspect_after_ms and self.failover.has_requests_in_flight
+        )
 
     def reconnect_delay_ms(self, number: int) -> float:
-        """Return after how many ms a client of this incarnation, now over, may reconnect."""
+        """Return the delay in ms before a client of this ended incarnation may reconnect."""
         return reconnect_delay_ms(self.service.config.seed + self.incarnation, number)
 
     def close(self) -> None:
-        """Leave: what is held is handed over, and every connected peer is told."""
+        """Leave the fleet: release all leases, and notify every connected peer."""
         self.zone_drains.close()
         self.leases.close()
         self.failover.close()
@@ -114,7 +119,7 @@
             self.control.close()
 
     def abort(self) -> None:
-        """End without telling anybody; the next incarnation announces itself."""
+        """Stop without notifying peers; the next incarnation announces itself."""
         self.zone_drains.close()
         self.leases.abort()
         self.failover.close()
@@ -124,7 +129,7 @@
 
     # ---- for operators
     def run_command(self, command: dict[str, Any]) -> Any:
-        """Carry out a command of the control socket; return its JSON answer."""
+        """Run a command of the control socket; return its JSON response."""
         match command["do"]:
             case "peers":
                 return self.table()
@@ -139,17 +144,17 @@
                 return self.leases.table()
             case "yield":
                 return self._release(str(command["task"]))
-            case unknown:
-                return {"error": f"unknown: {unknown}"}
+            case other:
+                return {"error": f"unknown command: {other}"}
 
     def _release(self, task: str) -> Any:
         if task not in self.leases.holding:
-            return {"error": f"{task} is not held here"}
+            return {"error": f"{task}: this gateway does not hold its lease"}
         self.leases.release(task)
         return self.leases.table()
 
     def table(self) -> dict[str, Any]:
-        """Return the members and connections, as the control socket shows them."""
+        """Return the members and connections for the control socket."""
         members = sorted(self.peers.members.all_rows(), key=lambda member: member.name)
         now = self.peers.now()
         return {
@@ -175,4 +180,4 @@
 
 
 def _ignore(fencing_token: int) -> None:
-    """A task that an operator has held is carried out by nobody."""
+    """Do nothing: a lease that an operator holds by a command has no work attached."""
--- a/cherrydoor/failover/replica.py
+++ b/cherrydoor/failover/replica.py
@@ -8,14 +8,15 @@
 from cherrydoor.failover.owner import MAX_BODY_BYTES, MAX_REQUESTS
 from cherrydoor.protocol.peers import ReplicationUpdate
 
-# For how long updates of a set that was taken over are refused; longer than any client's deadline.
+# How long late updates of a set that was taken over are refused. Longer than any client's deadline.
 COMPLETED_RETENTION_MS = 60000.0
-# States of an owner whose in-flight set is to be taken over; a gateway that "left" has handed over.
+# Member states of an owner whose in-flight set is taken over. "left" is not one of them: a
+# gateway drains its requests before it leaves.
 LOST_STATES = ("silent", "vanished", "over")
 
 
 class MemberStatus(NamedTuple):
-    """Incarnation and state of a gateway, as the membership has them."""
+    """Incarnation and state of a gateway in the member table."""
 
     incarnation: int
     state: str
@@ -27,29 +28,33 @@
 class TakeoverCandidates(NamedTuple):
     """In-flight sets whose takeover this gateway should apply for, and those it should not."""
 
-    wanted: list[InFlightSet]
-    unwanted: list[InFlightSet]
+    eligible: list[InFlightSet]
+    ineligible: list[InFlightSet]
 
 
 class ReplicaStore:
     """In-flight sets of other gateways, by (owner, incarnation).
 
-    A set goes when its owner is well and sends to others, or has left, or when it has been taken
-    over; each request at the latest at its deadline. Bounded for each owner by the owner's bounds.
+    A set is dropped when its owner is up and replicates to others, when its owner has left, or when
+    it has been taken over. Each request is dropped at its deadline at the latest. Each set is
+    limited by the same bounds as at its owner.
+
+    Attributes:
+        completed: Until when updates of a set that was taken over are refused, in ms.
     """
 
     def __init__(self) -> None:
         self.in_flight_sets: dict[tuple[str, int], InFlightSet] = {}
-        self.completed: dict[tuple[str, int], float] = {}  # until when its updates are refused
+        self.completed: dict[tuple[str, int], float] = {}
         self.counters: Counter[str] = Counter()
 
     def apply(self, now: float, owner: str, update: ReplicationUpdate) -> None:
-        """Take in an owner's update; of an incarnation that is over, nothing.
+        """Apply an owner's update, unless its incarnation is over.
 
         Args:
-            now: In ms.
-            owner: Gateway that sent it.
-            update: What changed, or all that there is.
+            now: Current time in ms.
+            owner: Gateway that sent the update.
+            update: The changes, or a snapshot.
         """
         key = owner, update.incarnation
         if key in self.completed or self._has_later_incarnation(owner, update.incarnation):
@@ -82,32 +87,34 @@
         connected: Collection[str],
         stale_after_ms: float,
     ) -> TakeoverCandidates:
-        """Drop what is out of date, and sort the rest by whether it should be taken over.
+        """Drop stale sets and expired requests; sort the other sets by whether to take them over.
 
         Args:
-            now: In ms.
+            now: Current time in ms.
             members: Status by name of gateway.
-            connected: Names of gateways that are connected here.
-            stale_after_ms: After this time without a connection to an owner that is well, its set
-                is dropped: it sends to others by now, and what it has answered since is not known
-                here.
+            connected: Names of gateways that are connected to this one.
+            stale_after_ms: After this time without a connection to an owner that is up, its set is
+                dropped. The owner replicates to others by then, and the set here lacks the
+                responses it has given since: a takeover would run those requests again.
         """
-        wanted: list[InFlightSet] = []
-        unwanted = self._drop_stale(now, members, connected, stale_after_ms)
+        eligible: list[InFlightSet] = []
+        ineligible = self._drop_stale(now, members, connected, stale_after_ms)
         for key, in_flight in list(self.in_flight_sets.items()):
             self._drop_expired(now, in_flight)
             incarnation, state = members.get(in_flight.owner, UNKNOWN_MEMBER)
-            same = incarnation == in_flight.incarnation
-            lost = incarnation > in_flight.incarnation or (same and state in LOST_STATES)
+            same_incarnation = incarnation == in_flight.incarnation
+            lost = incarnation > in_flight.incarnation or (
+                same_incarnation and state in LOST_STATES
+            )
             if lost and in_flight.entries:
-                wanted.append(in_flight)
+                eligible.append(in_flight)
                 continue
-            unwanted.append(in_flight)
-            if lost or (same and state == "left"):
+            ineligible.append(in_flight)
+            if lost or (same_incarnation and state == "left"):
                 del self.in_flight_sets[key]
         for key in [key for key, until in self.completed.items() if until <= now]:
             del self.completed[key]
-        return TakeoverCandidates(wanted, unwanted)
+        return TakeoverCandidates(eligible, ineligible)
 
     def _drop_stale(
         self,
@@ -123,8 +130,8 @@
                 continue
             if in_flight.disconnected_since_ms is None:
                 in_flight.disconnected_since_ms = now
-            owner_is_well = members.get(in_flight.owner) == (in_flight.incarnation, "here")
-            if owner_is_well and now - in_flight.disconnected_since_ms > stale_after_ms:
+            owner_is_up = members.get(in_flight.owner) == (in_flight.incarnation, "here")
+            if owner_is_up and now - in_flight.disconnected_since_ms > stale_after_ms:
                 self.counters["estates that had become stale"] += 1
                 del self.in_flight_sets[key]
                 dropped.append(in_flight)
@@ -132,10 +139,10 @@
 
     def _drop_expired(self, now: float, in_flight: InFlightSet) -> None:
         entries = in_flight.entries
-        for number in [n for n, entry in entries.items() if entry.deadline_ms <= now]:
+        for number in [key for key, entry in entries.items() if entry.deadline_ms <= now]:
             in_flight.remove(number)
 
     def complete(self, now: float, owner: str, incarnation: int) -> None:
-        """Forget a set that a successor has taken over whole, and refuse its late updates."""
+        """Drop a set whose takeover has completed, and refuse its late updates."""
         self.in_flight_sets.pop((owner, incarnation), None)
         self.completed[owner, incarnation] = now + COMPLETED_RETENTION_MS
--- a/cherrydoor/failover/response_claims.py
+++ b/cherrydoor/failover/response_claims.py
@@ -1,4 +1,4 @@
-"""Responses of taken-over requests, kept for whoever may claim them. Pure: no sockets, no clock."""
+"""Responses to taken-over requests, kept for clients to claim. Pure: no sockets, no clock."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -7,15 +7,15 @@
 from cherrydoor.failover.in_flight_set import ReplicatedEntry
 from cherrydoor.protocol.messages import Response
 
-MAX_BODY_BYTES = 16 * 2**20  # of responses kept; beyond it the oldest goes first
-# For how long after its client's deadline a response is kept: clocks and network paths differ.
+MAX_BODY_BYTES = 16 * 2**20  # beyond this sum of bodies the oldest response is evicted first
+# How long a response is kept after its client's deadline, as clocks and network delays differ.
 RETENTION_AFTER_DEADLINE_MS = 2000.0
 
 ResponseCallback = Callable[[Response], object]
 
 
 class RequestKey(NamedTuple):
-    """A request of an in-flight set. Two clients may give one id to a request each."""
+    """Identifies a request of an in-flight set. Two clients may use the same request id."""
 
     owner: str
     incarnation: int
@@ -27,7 +27,7 @@
 
 
 class ClaimLookup(NamedTuple):
-    """Whether a claim's request is known, and its response; None while that is awaited."""
+    """Whether the claimed request is known, and its response; None until there is one."""
 
     known: bool
     response: Response | None
@@ -37,35 +37,36 @@
 
 
 class ClaimableResponse:
-    """A request that was taken over, and its response once it is known.
+    """A request that was taken over, and its response once there is one.
 
     Attributes:
-        claim_key: The secret by which it may be claimed; "" if it never may.
-        key_digest: Idempotency key digest, where the request must not run a second time.
-        deadline_ms: Of its client.
-        response: None until it is known.
-        waiting: Claims that came before the response.
+        claim_key: Secret that a claim must present; "" if the response cannot be claimed.
+        key_digest: Idempotency key digest if the request must not run a second time, else empty.
+        deadline_ms: When its client stops waiting for the response.
+        response: None until there is one.
+        waiting_callbacks: Callbacks of claims that arrived before the response.
     """
 
-    __slots__ = ("claim_key", "deadline_ms", "key_digest", "response", "waiting")
+    __slots__ = ("claim_key", "deadline_ms", "key_digest", "response", "waiting_callbacks")
 
     def __init__(self, claim_key: str, key_digest: bytes, deadline_ms: float) -> None:
         self.claim_key = claim_key
         self.key_digest = key_digest
         self.deadline_ms = deadline_ms
         self.response: Response | None = None
-        self.waiting: list[ResponseCallback] = []
+        self.waiting_callbacks: list[ResponseCallback] = []
 
 
 class ResponseClaims:
-    """Requests that were taken over here, by key, with their responses.
+    """Requests that this gateway has taken over, by key, with their responses.
 
-    Invariants: `index` has each row under its request's id and, where it has one, under its
-    idempotency key digest; `body_bytes` is the sum of the responses' bodies, and at most
-    `max_body_bytes` but for the latest one. A row goes when its client's time is over.
+    Invariants: `index` has each row under its request id and, if it has one, under its idempotency
+    key digest. `body_bytes` is the total size of the responses' bodies; it exceeds `max_body_bytes`
+    only if the latest response alone does. A row is removed `RETENTION_AFTER_DEADLINE_MS` after its
+    client's deadline.
 
     Args:
-        max_body_bytes: Bound on the bodies of responses kept.
+        max_body_bytes: Bound on the total size of the bodies of kept responses.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -78,7 +79,7 @@
     def expect(
         self, owner: str, incarnation: int, entry: ReplicatedEntry, key_digest: bytes = b""
     ) -> None:
-        """Take in a request whose response is to come."""
+        """Add a request whose response is not yet known."""
         request = entry.request
         key = RequestKey(owner, incarnation, request.request_id, request.client)
         if key in self.rows:
@@ -97,21 +98,22 @@
     def respond(
         self, owner: str, incarnation: int, entry: ReplicatedEntry, response: Response
     ) -> list[ResponseCallback]:
-        """Keep a response.
+        """Store a response.
 
         Returns:
-            The claims that wait for it, to be called with it; none where there was a response.
+            Callbacks of the claims that wait for it, for the caller to call with the response.
+            Empty if the request is unknown or already had a response.
         """
         request = entry.request
         row = self.rows.get(RequestKey(owner, incarnation, request.request_id, request.client))
         if row is None or row.response is not None:
             return []
-        waiting = row.waiting
-        row.waiting = []
+        waiting_callbacks = row.waiting_callbacks
+        row.waiting_callbacks = []
         row.response = response
         self.body_bytes += len(response.body)
         self._evict_beyond_bound(row)
-        return waiting
+        return waiting_callbacks
 
     def _evict_beyond_bound(self, latest: ClaimableResponse) -> None:
         while self.body_bytes > self.max_body_bytes:
@@ -137,17 +139,17 @@
         callback: ResponseCallback,
         key_digest: bytes = b"",
     ) -> ClaimLookup:
-        """Look a response up, by request id, or by idempotency key digest for a repeated request.
+        """Look up a response by request id, or by idempotency key digest for a repeated request.
 
-        A response can be claimed again: the way back may fail once more.
+        A response can be claimed more than once, as its delivery to the client may fail again.
 
         Args:
             owner: Gateway that accepted the request.
-            incarnation: The owner's.
-            request_id: The client's id for it.
-            claim_key: The request's own; without it all that is told is that nothing is known.
-            callback: Called with the response, where that is still to come.
-            key_digest: If given, looked up in place of the request's id.
+            incarnation: The owner's incarnation.
+            request_id: The client's id for the request.
+            claim_key: The request's secret; without it the request is reported as unknown.
+            callback: Called with the response later, if it is not known yet.
+            key_digest: If given, looked up instead of the request id.
         """
         lookup_key = owner, incarnation, key_digest or request_id
         for key in self.index.get(lookup_key, ()):
@@ -155,7 +157,7 @@
             if claim_key and row.claim_key == claim_key:
                 self.counters["claimed"] += 1
                 if row.response is None:
-                    row.waiting.append(callback)
+                    row.waiting_callbacks.append(callback)
                 return ClaimLookup(True, row.response)
         self.counters["claims of what is not known"] += 1
         return UNKNOWN
@@ -171,7 +173,7 @@
             self.body_bytes -= len(row.response.body)
 
     def tick(self, now: float) -> None:
-        """Drop what nobody can claim any more."""
+        """Remove the rows whose retention has ended."""
         expired = [
             key
             for key, row in self.rows.items()
--- a/cherrydoor/failover/retry_policy.py
+++ b/cherrydoor/failover/retry_policy.py
@@ -6,31 +6,31 @@
 
 from cherrydoor.routing.messages import AttemptOutcome, RetrySafety
 
-# What it costs to lose a request, in order: beyond a bound the cheapest goes first.
+# Cost of losing a request: beyond a bound, requests of the lowest rank are evicted first.
 RETENTION_RANK: dict[str, int] = {
     RetrySafety.IDEMPOTENT: 0,
     RetrySafety.IDEMPOTENCY_KEY: 1,
     RetrySafety.AT_MOST_ONCE: 2,
 }
-# Outcomes of an attempt that prove that its request did not run.
-DID_NOT_RUN = (
+# Attempt outcomes that prove that the request did not run.
+NOT_RUN_OUTCOMES = (
     AttemptOutcome.FULL,
     AttemptOutcome.FUNCTION_MISSING,
     AttemptOutcome.NOT_SENT,
     AttemptOutcome.CONNECT_FAILED,
 )
-DEDUP_BY_ALL_HOSTS = "all"  # the scope in which every host drops repeats of a key
-DIGEST_BYTES = 12  # enough that two keys of one fleet do not collide
+DEDUP_BY_ALL_HOSTS = "all"  # dedup scope in which every host drops repeats of a key
+DIGEST_BYTES = 12  # long enough that two keys of one fleet do not collide
 
 
 class RetryPolicy(Struct, frozen=True):
-    """What a request class says of running one of its requests again.
+    """Whether requests of a request class may be run again.
 
     Attributes:
         retry_safety: One of `RetrySafety`'s values.
-        dedup_scope: Group of hosts within which repeats of an idempotency key are dropped.
-        dedup_window_ms: How long hosts remember an idempotency key.
-        streaming: Whether its responses stream.
+        dedup_scope: Group of hosts that together drop repeats of an idempotency key.
+        dedup_window_ms: How long hosts remember an idempotency key, in ms.
+        streaming: Whether responses are streamed.
     """
 
     retry_safety: str = RetrySafety.IDEMPOTENT
@@ -45,7 +45,7 @@
 
 
 def idempotency_key_digest(tenant: str, request_class: str, idempotency_key: str) -> bytes:
-    """Identify the repeats of one request, to nobody who does not know its key.
+    """Return a digest that identifies repeats of a request without revealing its key.
 
     >>> first = idempotency_key_digest("c", "file", "m1")
     >>> first == idempotency_key_digest("c", "file", "m1")
@@ -58,5 +58,5 @@
 
 
 def may_retry_adopted_attempt(policy: RetryPolicy, outcome: str) -> bool:
-    """Return whether another attempt may follow an adopted one that ended without a response."""
-    return policy.idempotent or outcome in DID_NOT_RUN
+    """Return whether to allow another attempt after an adopted one without a response."""
+    return policy.idempotent or outcome in NOT_RUN_OUTCOMES
--- a/cherrydoor/failover/running_takeover.py
+++ b/cherrydoor/failover/running_takeover.py
@@ -1,4 +1,4 @@
-"""A takeover that is being carried out by this gateway, and how its responses come back."""
+"""A takeover in progress at this gateway, and the writer that collects its responses."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class ResponseWriter:
-    """Stands in for a client's connection: the dispatcher writes a request's response to it."""
+    """Takes the place of a client's connection, to which the dispatcher writes the response."""
 
     __slots__ = ("entry", "running")
 
@@ -18,7 +18,7 @@
         self.entry = entry
 
     def write(self, message: object) -> None:
-        """Pass on the response; nothing else that a client is sent matters here."""
+        """Pass a response on to the takeover, and ignore all other messages."""
         if type(message) is Response:
             self.running.respond(self.entry, message)
 
@@ -27,26 +27,31 @@
 
 
 class RunningTakeover:
-    """A takeover that is being carried out here.
+    """A takeover in progress at this gateway.
+
+    Args:
+        takeover: The takeover's state and decisions.
+        on_response: Called with in-flight set, entry and response of a retried or adopted request.
 
     Attributes:
-        takeover: What is decided.
-        retrying: The owner's numbers of requests that are run again and have no response yet.
-        adopted: The owner's numbers of requests whose adopted attempt is awaited.
-        first_decision_at_ms: When its requests were decided.
+        takeover: The takeover's state and decisions.
+        in_flight: The in-flight set that is taken over.
+        retrying: Requests that are being retried and have no response yet, by the owner's number.
+        adopted: Requests whose adopted attempt has no outcome yet, by the owner's number.
+        first_decision_at_ms: When its requests were decided; 0.0 before.
     """
 
     def __init__(
         self,
         takeover: Takeover,
-        responded: Callable[[InFlightSet, ReplicatedEntry, Response], None],
+        on_response: Callable[[InFlightSet, ReplicatedEntry, Response], None],
     ) -> None:
         self.takeover = takeover
         self.in_flight = takeover.in_flight
         self.retrying: set[int] = set()
         self.adopted: set[int] = set()
         self.first_decision_at_ms = 0.0
-        self._responded = responded
+        self._on_response = on_response
 
     @property
     def completed(self) -> bool:
@@ -54,16 +59,16 @@
         return self.takeover.completed and not self.retrying and not self.adopted
 
     def respond(self, entry: ReplicatedEntry, response: Response) -> None:
-        """Note that a request that was retried or adopted has its response."""
+        """Record the response of a retried or adopted request, and pass it on."""
         number = entry.request.number
         if number in self.retrying:
             self.retrying.discard(number)
             self.takeover.retry_ended()
         self.adopted.discard(number)
-        self._responded(self.in_flight, entry, response)
+        self._on_response(self.in_flight, entry, response)
 
     def row(self) -> dict[str, Any]:
-        """Return what operators are shown of it while it runs."""
+        """Return the row shown to operators while the takeover runs."""
         return {
             "giver": self.in_flight.owner,
             "life": self.in_flight.incarnation,
@@ -72,8 +77,8 @@
             **self.takeover.counters,
         }
 
-    def finished_row(self, now: float) -> dict[str, Any]:
-        """Return what operators are shown of it once it has completed."""
+    def completed_row(self, now: float) -> dict[str, Any]:
+        """Return the row shown to operators once the takeover has completed."""
         takeover = self.takeover
         first_decision_ms = self.first_decision_at_ms - takeover.started_at_ms
         return {
--- a/cherrydoor/failover/service.py
+++ b/cherrydoor/failover/service.py
@@ -1,7 +1,8 @@
-"""Failover of one gateway: its requests replicated, those of others held, takeovers carried out.
+"""Failover service of one gateway: connects the pure failover modules to peers and dispatcher.
 
-What is decided is in the pure modules beside this one; here messages are passed on. No request
-waits for any of it.
+It replicates the gateway's own requests, holds those of other gateways, and runs takeovers. The
+decisions are made by the pure modules of this package; this module passes messages between them. No
+request waits for replication.
 """
 
 from collections.abc import Callable
@@ -31,19 +32,19 @@
     SuccessorAnnounced,
 )
 
-CHECK_INTERVAL_S = 0.05  # between two checks of in-flight sets and claims
-TAKEOVER_STAGGER_MS = 400.0  # by which each further replica applies later than the one before
+CHECK_INTERVAL_S = 0.05
+TAKEOVER_STAGGER_MS = 400.0  # delay per rank, so that replicas apply for a takeover one by one
 
 
 class FailoverService:
-    """What the dispatcher and the peers' messages call.
+    """Handles the failover calls of the dispatcher and the failover messages of peers.
 
     The dispatcher calls `find_duplicate`, `request_accepted`, `attempt_started`,
-    `request_finished` and `may_retry_adopted`, and the event loop `after_tick`.
+    `request_finished` and `may_retry_adopted`. `after_tick` is called after each event loop tick.
 
     Args:
-        peers: Connections to the other gateways, and the membership.
-        leases: The fleet's leases.
+        peers: Connections to the other gateways, and the member table.
+        leases: This gateway's lease service.
     """
 
     def __init__(self, peers: Any, leases: Any) -> None:
@@ -53,10 +54,13 @@
         self.loop = peers.loop
         self.now: Callable[[], float] = peers.now
         self.policies = {
-            one.name: RetryPolicy(
-                one.retry_safety, one.dedup_scope, one.dedup_window_ms, one.streaming
+            request_class.name: RetryPolicy(
+                request_class.retry_safety,
+                request_class.dedup_scope,
+                request_class.dedup_window_ms,
+                request_class.streaming,
             )
-            for one in self.service.config.lease.request_classes
+            for request_class in self.service.config.lease.request_classes
         }
         self.owner = OwnerReplication(peers.local.incarnation, self.policies)
         self.replicas = ReplicaStore()
@@ -76,20 +80,21 @@
         peers.subscribe(ClaimRequest, self.forwarder.claim_received)
         peers.subscribe(ClaimReply, self.forwarder.reply_received)
         self.leases.vetoes.append(self.reason_to_refuse)
-        # What was under way on the connection before is lost: all is sent on each that comes up.
+        # Messages in transit on a broken connection are lost, so each new connection starts with a
+        # snapshot and all successor announcements.
         peers.link_listeners += [self.successor.peer_connected, self.owner.forget_replica]
 
     def start(self) -> None:
-        """Begin the periodic check."""
+        """Start the periodic check."""
         self.check()
 
     def close(self) -> None:
-        """End the periodic check."""
+        """Stop the periodic check."""
         if self.timer:
             self.timer.cancel()
 
     def reason_to_refuse(self, task: str) -> str:
-        """Return why this voter does not grant the lease of a task, "" where it may."""
+        """Return why this voter refuses the lease of a task, or "" if it may grant it."""
         parsed = parse_takeover_task(task)
         if parsed is None:
             return ""
@@ -100,10 +105,10 @@
 
     # ---- called by the dispatcher
     def request_accepted(self, pending: Any) -> None:
-        """Replicate a request of this gateway's own.
+        """Replicate a request that this gateway accepted from a client.
 
-        Not one that was taken over: other replicas hold it; nor one whose response streams, which
-        has begun to be answered with its first part.
+        A request that was taken over is not replicated: other replicas already hold it. Nor is one
+        with a streaming response, as its client has an incomplete response after the first part.
         """
         request = pending.request
         if pending.origin is not None or self.policies[request.request_class].streaming:
@@ -126,17 +131,18 @@
         self.owner.add(self.now(), replicated, pending.deadline_ms)
 
     def attempt_started(self, pending: Any, host: str) -> None:
-        """Note that an attempt went to a host."""
+        """Record that an attempt was sent to a host."""
         self.owner.attempt_started(pending.number, host)
 
     def request_finished(self, pending: Any) -> None:
-        """Note that a request has its response."""
+        """Record that a request has its response."""
         self.owner.finish(pending.number)
 
     def find_duplicate(self, pending: Any) -> bool:
-        """Return whether a request repeats one that is being taken over and must run once.
+        """Return whether a request repeats a taken-over request that must run only once.
 
-        If so, its response is that one's, and is sent to its client from here.
+        If so, the response of the first request is claimed from its successor and sent to the
+        client of the repeat.
         """
         request = pending.request
         if not request.idempotency_key or self.policies[request.request_class].idempotent:
@@ -144,12 +150,12 @@
         key_digest = idempotency_key_digest(
             request.tenant, request.request_class, request.idempotency_key
         )
-        found = self.successor.table.incarnation_holding(key_digest)
-        if found is None:
+        ended_incarnation = self.successor.table.incarnation_holding(key_digest)
+        if ended_incarnation is None:
             return False
         pending.adopted = True
         self.service.dispatcher.counters["repeats of what an estate holds"] += 1
-        owner, incarnation = found
+        owner, incarnation = ended_incarnation
         self.forwarder.claim(
             ClaimRequest(0, owner, incarnation, 0, request.claim_key, key_digest),
             lambda reply: self.service.post(self._respond_to_duplicate, pending, reply),
@@ -164,31 +170,31 @@
                 pending.request.id, reply.outcome, reply.retry_after_ms, reply.reason, reply.body
             )
         else:
-            reason = "it may have run at a gateway that is lost"
+            reason = "it may have run: its first gateway was lost"
             response = Response(pending.request.id, "dead-lettered", 0.0, reason)
         self.service.dispatcher.respond(pending, response)
 
     def answer_at_end(self, pending: Any) -> FinalAnswer | None:
-        """Return the answer to a request as this incarnation ends, None if it is a successor's."""
+        """Return the answer at the end of this incarnation, None if a successor may give it."""
         if pending.origin is not None or self.owner.is_replicated(pending.number):
             return None
         policy = self.policies[pending.request.request_class]
         return answer_at_incarnation_end(policy, pending.attempts)
 
     def may_retry_adopted(self, pending: Any, outcome: str) -> bool:
-        """Return whether another attempt may follow an adopted one without a response."""
+        """Return whether to allow another attempt after an adopted one without a response."""
         return may_retry_adopted_attempt(self.policies[pending.request.request_class], outcome)
 
     # ---- the end of a tick
     def after_tick(self, check_replicas: bool = False) -> None:
-        """Send replicas what has changed.
+        """Send unsent changes to the replicas.
 
         Args:
-            check_replicas: Whether to look for replicas that were added or removed, too.
+            check_replicas: Whether to also check for replicas that were added or removed.
         """
         owner = self.owner
         if not owner.has_unsent() and not (
-            check_replicas and owner.replicas != self._connected_replicas()
+            check_replicas and owner.synced_replicas != self._connected_replicas()
         ):
             return
         now, replicas = self.now(), self._connected_replicas()
@@ -198,13 +204,13 @@
             self.peers.send_to_all(names, update)
 
     def _connected_replicas(self) -> list[str]:
-        """Return the replicas that can be told now, in the order of their rank."""
+        """Return the connected replicas, in the order of their rank."""
         links = self.peers.links
         return [
             name for name in links.replicas if links.is_up(name) and name in self.peers.connections
         ]
 
-    # ---- in-flight sets of others
+    # ---- in-flight sets of other gateways
     def _update_received(self, sender: str, update: ReplicationUpdate) -> None:
         self.replicas.apply(self.now(), sender, update)
 
@@ -212,11 +218,11 @@
         self.forwarder.successor_known(owner, incarnation)
 
     def connections_changed(self) -> None:
-        """Pass on claims that wait for a connection."""
+        """Forward claims that wait for a connection."""
         self.forwarder.connections_changed()
 
     def check(self) -> None:
-        """Apply for takeovers, carry on those that run, and end what is out of date."""
+        """Apply for takeovers, advance those in progress, and expire old state."""
         if self.peers.is_closed:
             return
         now = self.now()
@@ -224,8 +230,8 @@
         self._apply_for_takeovers(now)
         self.successor.tick(now)
         self.claims.tick(now)
-        for name in list(self.owner.replicas):
-            # Who is connected and a replica no longer is sent an empty snapshot by the next update.
+        for name in list(self.owner.synced_replicas):
+            # A peer that is still connected but no longer a replica gets an empty snapshot instead.
             if name not in self.peers.connections:
                 self.owner.forget_replica(name)
         self.after_tick(check_replicas=True)
@@ -239,31 +245,31 @@
         candidates = self.replicas.tick(
             now, members, self.peers.connections, self.peers.links.suspect_after_ms
         )
-        for in_flight in candidates.wanted:
+        for in_flight in candidates.eligible:
             self.leases.hold(
                 in_flight.task,
                 partial(self.successor.lease_granted, in_flight),
                 partial(self.successor.lease_lost, in_flight),
                 in_flight.rank * TAKEOVER_STAGGER_MS,
             )
-        for in_flight in candidates.unwanted:
+        for in_flight in candidates.ineligible:
             task = in_flight.task
             if task in self.leases.wanted and not self.successor.is_running(task):
                 self.leases.release(task)
 
     # ---- called by PeerServices
     def claim_response(self, end: Any, message: Any) -> None:
-        """Handle a client's claim of the response that another gateway owed it."""
+        """Handle a client's claim of a response that it did not get from another gateway."""
         self.forwarder.claim_for_client(end, message)
 
     @property
-    def has_in_flight(self) -> bool:
-        """Whether this gateway has requests in flight that a successor might take over."""
+    def has_requests_in_flight(self) -> bool:
+        """Whether this gateway has replicated requests that a successor might take over."""
         return bool(self.owner.requests)
 
     # ---- for operators
     def table(self) -> dict[str, Any]:
-        """Return the state of failover, as the control socket shows it."""
+        """Return the state of failover for the control socket."""
         owner = self.owner
         unsent_ms = 0.0
         if owner.unsent_since_ms is not None:
@@ -273,7 +279,7 @@
             "life": self.peers.local.incarnation,
             "in hand": len(owner.requests),
             "bytes": owner.body_bytes,
-            "witnesses": owner.replicas,
+            "witnesses": owner.synced_replicas,
             "counts": dict(owner.counters),
             "untold ms": unsent_ms,
             "told after ms": self.delays.quantile(),
@@ -290,11 +296,11 @@
     def _replica_rows(self) -> list[dict[str, Any]]:
         return [
             {
-                "giver": one.owner,
-                "life": one.incarnation,
-                "rank": one.rank,
-                "events": len(one.entries),
-                "bytes": one.body_bytes,
+                "giver": in_flight.owner,
+                "life": in_flight.incarnation,
+                "rank": in_flight.rank,
+                "events": len(in_flight.entries),
+                "bytes": in_flight.body_bytes,
             }
-            for one in self.replicas.in_flight_sets.values()
+            for in_flight in self.replicas.in_flight_sets.values()
         ]
--- a/cherrydoor/failover/successor.py
+++ b/cherrydoor/failover/successor.py
@@ -1,4 +1,4 @@
-"""Takeovers that fell to this gateway: hosts queried, decisions carried out by the dispatcher."""
+"""Takeovers by this gateway: queries hosts, and has the dispatcher carry out the decisions."""
 
 from collections.abc import Callable, Iterable, Mapping
 from functools import partial
@@ -25,21 +25,22 @@
 from cherrydoor.protocol.peers import ReplicatedRequest, SuccessorAnnounced
 
 log = structlog.get_logger()
-MAX_FINISHED_ROWS = 2000  # takeovers that operators can look back at
-MIN_REQUEST_TIMEOUT_MS = 1.0  # a request's time must be above 0
+MAX_COMPLETED_ROWS = 2000  # completed takeovers that are listed for operators
+MIN_REQUEST_TIMEOUT_MS = 1.0  # a request's timeout must be greater than 0
 
 
 class Successor:
-    """Takes over in-flight sets whose lease this gateway holds, and knows who took over the others.
+    """Takes over the in-flight sets whose lease this gateway holds, and tracks other successors.
 
-    Owns `running`, by task, and the successor table. Nothing is done under a lease that is lost.
+    Owns `running`, the takeovers in progress by lease task, and `table`, the announced successors.
+    A takeover stops once its lease is lost.
 
     Args:
-        peers: Connections to the other gateways, and the membership.
-        leases: The fleet's leases.
+        peers: Connections to the other gateways, and the member table.
+        leases: This gateway's lease service.
         policies: Retry policy by name of request class.
-        replicas: In-flight sets held here.
-        claims: Where responses of taken-over requests are kept.
+        replicas: In-flight sets replicated to this gateway.
+        claims: Store for the responses of taken-over requests.
         successor_known: Called with owner and incarnation when a successor is announced.
     """
 
@@ -62,20 +63,20 @@
         self.successor_known = successor_known
         self.table = SuccessorTable()
         self.running: dict[str, RunningTakeover] = {}
-        self.finished_rows: list[dict[str, Any]] = []
+        self.completed_rows: list[dict[str, Any]] = []
 
     def is_running(self, task: str) -> bool:
-        """Return whether the takeover of this task is carried out here."""
+        """Return whether this gateway is carrying out the takeover of this lease task."""
         return task in self.running
 
-    # ---- who is successor to whom
+    # ---- announced successors
     def peer_connected(self, name: str) -> None:
-        """Tell a peer that has connected who is successor to whom."""
+        """Send all current announcements to a peer that has connected."""
         for announced in self.table.announcements():
             self.peers.send(name, announced)
 
     def announced(self, sender: str, announced: SuccessorAnnounced) -> None:
-        """Take in an announcement, and pass it on along every other connection, once."""
+        """Apply an announcement, and forward it once to every other connected peer."""
         now = self.now()
         if not self.table.accept(now, announced):
             return
@@ -87,7 +88,7 @@
         if announced.completed:
             self.replicas.complete(now, owner, incarnation)
             task = takeover_task(owner, incarnation)
-            # Guards against each further replica taking over what is completed.
+            # Prevents the next replica from repeating a takeover that has completed.
             if task not in self.running:
                 self.leases.release(task)
         self.successor_known(owner, incarnation)
@@ -108,11 +109,11 @@
 
     # ---- a takeover
     def lease_granted(self, in_flight: InFlightSet, fencing_token: int) -> None:
-        """Begin a takeover: expect its responses, announce it, and query the hosts."""
+        """Start a takeover: accept claims for its responses, announce it, and query the hosts."""
         if in_flight.task in self.running:
             return
         hosts = [
-            one.id for one in self.service.dispatcher.hosts.values() if one.row.state != "gone"
+            host.id for host in self.service.dispatcher.hosts.values() if host.row.state != "gone"
         ]
         takeover = Takeover(
             in_flight, fencing_token, hosts, self.policies, self.now(), HOST_REPORT_TIMEOUT_MS
@@ -133,7 +134,7 @@
         self._query_hosts(running, takeover.hosts_to_query())
 
     def _expect_responses(self, in_flight: InFlightSet) -> list[bytes]:
-        """Have claims wait for all responses; return the digests of keys that must not repeat."""
+        """Let claims wait for the responses; return digests of keys that must not run twice."""
         key_digests = []
         for entry in in_flight.entries.values():
             key_digest = self._key_digest(entry.request)
@@ -153,14 +154,14 @@
         in_flight = running.in_flight
         fencing_token = running.takeover.fencing_token
 
-        def question(message_id: int) -> EndIncarnation:
+        def query_message(message_id: int) -> EndIncarnation:
             return EndIncarnation(message_id, in_flight.owner, in_flight.incarnation, fencing_token)
 
         for host in hosts:
             self.service.post(
                 self.service.dispatcher.query_host,
                 host,
-                question,
+                query_message,
                 HOST_REPORT_TIMEOUT_MS,
                 partial(self._host_reported, running),
             )
@@ -174,7 +175,7 @@
             self.leases.on_higher_token(running.in_flight.task, higher_fencing_token)
 
     def tick(self, now: float) -> None:
-        """Decide where hosts have reported, start retries within the bounds, end what completed."""
+        """Decide takeovers whose hosts have reported, start retries, and end what has completed."""
         for task, running in list(self.running.items()):
             takeover = running.takeover
             if self.leases.fencing_token(task) != takeover.fencing_token:
@@ -184,8 +185,8 @@
                 for decision in takeover.decide(now):
                     self._carry_out(running, decision)
             if takeover.decided:
-                for later_decision in takeover.next_retries(now):
-                    self._carry_out(running, later_decision)
+                for retry_decision in takeover.next_retries(now):
+                    self._carry_out(running, retry_decision)
                 if running.completed:
                     self._finish(running)
         self.table.tick(now)
@@ -214,7 +215,7 @@
                 entry.deadline_ms,
                 origin,
                 decision.host,
-                partial(_adoption, decision.attempt_id),
+                partial(_adopt_message, decision.attempt_id),
             )
             return
         takeover.counters["anew"] += 1
@@ -239,16 +240,18 @@
         )
 
     def _respond(self, in_flight: InFlightSet, entry: ReplicatedEntry, response: Response) -> None:
-        waiting = self.claims.respond(in_flight.owner, in_flight.incarnation, entry, response)
-        for callback in waiting:
+        waiting_callbacks = self.claims.respond(
+            in_flight.owner, in_flight.incarnation, entry, response
+        )
+        for callback in waiting_callbacks:
             callback(response)
 
     def _finish(self, running: RunningTakeover) -> None:
         in_flight, takeover = running.in_flight, running.takeover
         now = self.now()
         del self.running[in_flight.task]
-        self.finished_rows.append(running.finished_row(now))
-        del self.finished_rows[:-MAX_FINISHED_ROWS]
+        self.completed_rows.append(running.completed_row(now))
+        del self.completed_rows[:-MAX_COMPLETED_ROWS]
         log.info(
             "takeover completed",
             gateway=self.peers.local.name,
@@ -265,7 +268,7 @@
         self.leases.release(in_flight.task)
 
     def lease_lost(self, in_flight: InFlightSet, fencing_token: int) -> None:
-        """Drop a takeover: nothing more is done under its fencing token."""
+        """Abandon a takeover whose lease is lost; nothing more is done under its fencing token."""
         running = self.running.pop(in_flight.task, None)
         if running is not None:
             log.warning(
@@ -277,9 +280,9 @@
             )
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return what operators are shown: completed takeovers, then those that run."""
-        return [*self.finished_rows, *(running.row() for running in self.running.values())]
+        """Return the rows shown to operators: completed takeovers, then those in progress."""
+        return [*self.completed_rows, *(running.row() for running in self.running.values())]
 
 
-def _adoption(attempt_id: int, message_id: int) -> AdoptAttempt:
+def _adopt_message(attempt_id: int, message_id: int) -> AdoptAttempt:
     return AdoptAttempt(message_id, attempt_id)
--- a/cherrydoor/failover/successor_table.py
+++ b/cherrydoor/failover/successor_table.py
@@ -1,20 +1,21 @@
-"""Who is successor to which incarnation, as gateways announce it. Pure: no sockets, no clock."""
+"""Table of the announced successors of ended incarnations. Pure: no sockets, no clock."""
 
 from collections.abc import Iterator
 
 from cherrydoor.protocol.peers import SuccessorAnnounced
 
-# For how long it is known who took an in-flight set over; longer than any client's deadline.
+# How long an announcement is kept. Longer than any client's deadline.
 RETENTION_MS = 60000.0
 
 IncarnationKey = tuple[str, int]  # owner, incarnation
 
 
 class SuccessorTable:
-    """Announced successors, and the idempotency keys of requests that they took over.
+    """Announced successors, and the idempotency key digests of requests that they took over.
 
-    Invariant: of announcements for one incarnation the one with the highest fencing token stands,
-    and of one token the one that completes the takeover. Each goes `RETENTION_MS` after it came.
+    Invariant: for each incarnation it holds the announcement with the highest fencing token. Under
+    one token, the announcement of the completed takeover replaces that of its start. Each is
+    dropped `RETENTION_MS` after it arrived.
     """
 
     def __init__(self) -> None:
@@ -22,7 +23,7 @@
         self._by_key_digest: dict[bytes, tuple[IncarnationKey, float]] = {}
 
     def accept(self, now: float, announced: SuccessorAnnounced) -> bool:
-        """Take in an announcement; False where it was known, or a higher one is."""
+        """Add an announcement; return False if it or one that supersedes it is already known."""
         key = announced.owner, announced.incarnation
         known = self._announced.get(key)
         if known is not None and _precedence(known[0]) >= _precedence(announced):
@@ -34,25 +35,25 @@
         return True
 
     def successor_of(self, owner: str, incarnation: int) -> str | None:
-        """Return the gateway that takes over an incarnation, None where none is known."""
+        """Return the name of an incarnation's successor, or None if none is known."""
         known = self._announced.get((owner, incarnation))
         return known[0].successor if known else None
 
     def incarnation_holding(self, key_digest: bytes) -> IncarnationKey | None:
-        """Return the taken-over incarnation that had a request of this idempotency key."""
+        """Return the ended incarnation that had a request with this idempotency key, or None."""
         known = self._by_key_digest.get(key_digest)
         return known[0] if known else None
 
     def announcements(self) -> Iterator[SuccessorAnnounced]:
-        """Yield every announcement that stands."""
+        """Yield the current announcement of each incarnation."""
         for announced, _ in self._announced.values():
             yield announced
 
     def tick(self, now: float) -> None:
-        """Drop what has expired."""
-        for key in [key for key, (_, until) in self._announced.items() if until <= now]:
+        """Drop expired announcements."""
+        for key in [key for key, (_, expires) in self._announced.items() if expires <= now]:
             del self._announced[key]
-        for digest in [key for key, (_, until) in self._by_key_digest.items() if until <= now]:
+        for digest in [key for key, (_, expires) in self._by_key_digest.items() if expires <= now]:
             del self._by_key_digest[digest]
 
 
--- a/cherrydoor/failover/takeover.py
+++ b/cherrydoor/failover/takeover.py
@@ -1,10 +1,13 @@
-"""What becomes of the requests that a lost gateway had in flight. Pure: no sockets, no clock.
+"""Decides what happens to the requests that a lost gateway had in flight.
 
-One lost incarnation has one successor, which holds the lease of its in-flight set. It asks every
-host once: that incarnation is over, what do you hold of it? Then each request is answered by what
-hosts report, adopted where an attempt is still running, retried where that can do no harm, or
-failed. What hosts report is final; what they do not report is unknown, and is decided by the
-request's retry safety. Times are in ms; a deadline is by the clock of whoever holds the record.
+Pure: no sockets, no clock.
+
+A lost incarnation has one successor: the gateway that holds the lease of its in-flight set. The
+successor sends each host one query, which says that the incarnation is over and asks for its
+attempts. Each request is then answered from the hosts' reports, adopted if an attempt is still
+running, retried if a second run does no harm, or failed. A host's report is final. If a host does
+not report, the request may have run there, and its retry safety decides. Times are in ms; a
+deadline is by the clock of the gateway that holds the entry.
 """
 
 from collections import Counter
@@ -19,39 +22,41 @@
 from cherrydoor.protocol.failover import AttemptsReport, HostAttempt
 from cherrydoor.routing.messages import RetrySafety
 
-# Share of the time for which hosts remember an idempotency key within which a retry is safe: one
-# later than that might have an effect of its own.
+# A retry is safe only within this share of the dedup window. A later one could reach a host after
+# the host has forgotten the idempotency key, and have a second effect.
 SAFE_DEDUP_SHARE = 0.8
-MIN_REMAINING_MS = 30.0  # less time than this left of a deadline, and a request is not run
-HOST_REPORT_TIMEOUT_MS = 500.0  # that hosts may take to report what they hold
-MAX_HOSTS_QUERIED = 64  # at a time
-MAX_RETRIES_IN_FLIGHT = 100  # at a time, so that the loss of many gateways overloads nobody
-STOPPED_STATES = ("left", "over")  # states of a gateway that are final
+MIN_REMAINING_MS = 30.0  # a request with less time left before its deadline is not run
+HOST_REPORT_TIMEOUT_MS = 500.0
+MAX_QUERIES_IN_FLIGHT = 64
+# Prevents the retries after the loss of many gateways from overloading the rest of the fleet.
+MAX_RETRIES_IN_FLIGHT = 100
+FINAL_STATES = ("left", "over")  # member states that a gateway's incarnation never leaves
 
 
 def reason_to_refuse_lease(connected: bool, state: str) -> str:
-    """Return why a voter does not grant the lease of an in-flight set, "" where it may.
+    """Return why a voter refuses the lease of an in-flight set, or "" if it may grant it.
 
-    Guards against a candidate that alone has lost its connection to the owner: that the owner has
-    disconnected is then repeated to this voter until the owner refutes it, so while the voter has a
-    connection of its own that state does not count; a final state does. It harms when the owner
-    stands still with its connections open, until these are found to be silent.
+    A candidate that alone has lost its connection to the owner reports the owner as disconnected
+    until the owner refutes it. A voter that is connected to the owner therefore ignores that
+    state, and only a final state counts; otherwise requests of a running gateway would be taken
+    over. The cost is a later takeover when the owner hangs with its connections open: the voter
+    refuses until it has found them silent.
 
     Args:
-        connected: Whether the owner's incarnation was heard here lately, directly.
-        state: Of the owner, as members report it.
+        connected: Whether this voter has recently received messages from the owner's incarnation.
+        state: The owner's state in the member table.
 
     >>> reason_to_refuse_lease(True, "vanished"), reason_to_refuse_lease(True, "left")
-    ('this life is heard here', '')
+    ('this incarnation is connected here', '')
     >>> reason_to_refuse_lease(False, "here")
     ''
     """
-    return "this life is heard here" if connected and state not in STOPPED_STATES else ""
+    return "this incarnation is connected here" if connected and state not in FINAL_STATES else ""
 
 
-# ---- what becomes of each request
+# ---- decisions
 class Respond(Struct):
-    """The response is known, and nothing is run."""
+    """The request is answered without running it."""
 
     entry: ReplicatedEntry
     outcome: FinalOutcome
@@ -60,7 +65,7 @@
 
 
 class Adopt(Struct):
-    """An attempt is still running at that host, and its outcome is taken over."""
+    """An attempt is still running at a host; the successor receives its outcome."""
 
     entry: ReplicatedEntry
     host: str
@@ -68,7 +73,7 @@
 
 
 class Retry(Struct):
-    """The request is run again, as any request with the time that is left."""
+    """The request is run again within the time it has left, as any other request is."""
 
     entry: ReplicatedEntry
 
@@ -77,7 +82,7 @@
 
 
 class ReportedAttempt(NamedTuple):
-    """An attempt that a host reported."""
+    """An attempt, and the host that reported it."""
 
     host: str
     attempt: HostAttempt
@@ -90,31 +95,31 @@
     silent_hosts: Collection[str],
     now: float,
 ) -> Decision:
-    """Decide what becomes of one request.
+    """Decide what happens to one request.
 
     Args:
-        entry: The request, with the hosts it is known to have gone to.
-        policy: Of its class.
-        reported: Attempts of it that hosts reported, with their hosts.
-        silent_hosts: Hosts that did not report, of those where it may have run.
-        now: In ms.
+        entry: The request, with the hosts that its replicated attempts went to.
+        policy: Retry policy of its request class.
+        reported: Its attempts in the hosts' reports, each with the host.
+        silent_hosts: Hosts where it may have run and that did not report.
+        now: Current time in ms.
     """
-    succeeded = next((a for _, a in reported if a.outcome == "handled"), None)
+    succeeded = next((attempt for _, attempt in reported if attempt.outcome == "handled"), None)
     if succeeded is not None:
         if succeeded.body_retained:
             return Respond(entry, SUCCEEDED, "", succeeded.body)
         return Respond(entry, FAILED, "it ran, and its answer is no longer held")
     running = [(host, attempt) for host, attempt in reported if not attempt.outcome]
     if running:
-        host, attempt = max(running, key=lambda one: one[1].attempt)
+        host, attempt = max(running, key=lambda host_attempt: host_attempt[1].attempt)
         return Adopt(entry, host, attempt.attempt_id)
     failed = any(attempt.outcome == "error" for _, attempt in reported)
     may_have_run = failed or bool(silent_hosts)
-    if may_have_run and not _may_run_again(entry, policy, now):
-        why = "it ran and failed"
+    if may_have_run and not _may_rerun(entry, policy, now):
+        reason = "it ran and failed"
         if not failed:
-            why = f"it may have run: {len(silent_hosts)} hosts do not say"
-        return Respond(entry, FAILED, why)
+            reason = f"it may have run: {len(silent_hosts)} hosts do not say"
+        return Respond(entry, FAILED, reason)
     if entry.deadline_ms - now < MIN_REMAINING_MS:
         harmless = policy.idempotent or not may_have_run
         outcome = REJECTED if harmless else FAILED
@@ -122,11 +127,12 @@
     return Retry(entry)
 
 
-def _may_run_again(entry: ReplicatedEntry, policy: RetryPolicy, now: float) -> bool:
-    """Return whether a request that may have run can run once more without a second effect.
+def _may_rerun(entry: ReplicatedEntry, policy: RetryPolicy, now: float) -> bool:
+    """Return whether a request that may have run can run again without a second effect.
 
-    A repeat of an idempotency key has no effect while the hosts of its scope remember the key. If
-    that scope is a part of the hosts, which one it was is not known where a host does not report.
+    A repeated idempotency key has no effect while the hosts of its dedup scope remember it. That
+    helps only if the scope is all hosts: where a host does not report, it is unknown in which of
+    several smaller scopes the request ran, and a retry in another one would have a second effect.
     """
     if policy.idempotent:
         return True
@@ -141,21 +147,23 @@
 class Takeover:
     """The takeover of one in-flight set under one fencing token.
 
-    Hosts are queried `MAX_HOSTS_QUERIED` at a time. Once all have reported, or the wait is over,
-    each request is decided, once. Retries go out `MAX_RETRIES_IN_FLIGHT` at a time, the earliest
-    deadline first.
+    At most `MAX_QUERIES_IN_FLIGHT` hosts are queried at a time. Once all hosts have reported or the
+    timeout has passed, each request is decided, once. At most `MAX_RETRIES_IN_FLIGHT` retries run
+    at a time, the earliest deadline first.
 
     Args:
-        in_flight: The set that is taken over.
-        fencing_token: Of the lease it is taken over under.
+        in_flight: The in-flight set that is taken over.
+        fencing_token: Fencing token of the lease that this takeover holds.
         hosts: All hosts of the endpoint list.
         policies: Retry policy by name of request class.
-        now: In ms.
-        timeout_ms: For how long reports of hosts are waited for.
+        now: Current time in ms.
+        timeout_ms: How long to wait for the hosts' reports.
 
     Attributes:
-        higher_fencing_token: A token above this takeover's that a host goes by; 0 if there is none.
-            This takeover is then superseded and decides nothing.
+        awaited_hosts: Hosts that were queried and have not replied yet.
+        reporting_hosts: Hosts whose report was accepted.
+        higher_fencing_token: Highest token above this takeover's that a host reported; 0 if none.
+            If set, another takeover supersedes this one, which decides nothing.
         decided: Whether the requests have been decided.
     """
 
@@ -177,7 +185,7 @@
         self.unqueried = list(self.hosts)
         for entry in in_flight.entries.values():
             self.unqueried += [host for host in entry.hosts if host not in self.unqueried]
-        self.queried: dict[str, bool] = {}
+        self.awaited_hosts: dict[str, bool] = {}
         self.reporting_hosts: dict[str, bool] = {}
         self.reported: dict[tuple[str, int], list[ReportedAttempt]] = {}  # by client, request id
         self.higher_fencing_token = 0
@@ -187,20 +195,20 @@
         self.counters: Counter[str] = Counter()
 
     def hosts_to_query(self) -> list[str]:
-        """Return the hosts that are to be asked now, each host once in a takeover."""
+        """Return the hosts to query now. Each host is returned once in a takeover."""
         hosts: list[str] = []
-        while self.unqueried and len(self.queried) < MAX_HOSTS_QUERIED:
+        while self.unqueried and len(self.awaited_hosts) < MAX_QUERIES_IN_FLIGHT:
             host = self.unqueried.pop(0)
-            self.queried[host] = True
+            self.awaited_hosts[host] = True
             hosts.append(host)
         return hosts
 
     def host_reported(self, host: str, report: AttemptsReport | None) -> list[str]:
-        """Take in a host's report, None where it gave none; return the hosts to ask next.
+        """Add a host's report, or None if it sent none; return the hosts to query next.
 
-        A report under another token than this takeover's counts as none.
+        A report under a fencing token other than this takeover's counts as no report.
         """
-        self.queried.pop(host, None)
+        self.awaited_hosts.pop(host, None)
         if report is not None and report.highest_fencing_token > self.fencing_token:
             self.higher_fencing_token = max(self.higher_fencing_token, report.highest_fencing_token)
         elif report is not None and report.highest_fencing_token == self.fencing_token:
@@ -216,13 +224,13 @@
             self.reported.setdefault(key, []).append(ReportedAttempt(host, attempt))
 
     def can_decide(self, now: float) -> bool:
-        """Return whether it is time: all hosts have reported, or the wait for them is over."""
+        """Return whether to decide now: all hosts have replied, or the timeout has passed."""
         if self.decided or self.higher_fencing_token:
             return False
-        return (not self.queried and not self.unqueried) or now >= self.report_deadline_ms
+        return (not self.awaited_hosts and not self.unqueried) or now >= self.report_deadline_ms
 
     def decide(self, now: float) -> list[Respond | Adopt]:
-        """Decide all requests, once; retries come from `next_retries`."""
+        """Decide all requests; called once. Retries are queued for `next_retries`."""
         self.decided = True
         decisions: list[Respond | Adopt] = []
         for entry in self.in_flight.entries.values():
@@ -240,9 +248,10 @@
         return decisions
 
     def _silent_hosts(self, entry: ReplicatedEntry, policy: RetryPolicy) -> list[str]:
-        """Return the hosts that did not report and where it matters that the request may have run.
+        """Return the hosts that did not report and where the request may have run.
 
-        For an idempotent request these are the hosts it is known to have gone to.
+        A second run of an idempotent request does no harm, so only hosts that are known to have
+        received it count there.
         """
         hosts = dict.fromkeys([*self.hosts, *entry.hosts])
         silent = [host for host in hosts if host not in self.reporting_hosts]
@@ -251,7 +260,7 @@
         return silent
 
     def next_retries(self, now: float) -> list[Respond | Retry]:
-        """Return the retries that may start now; what ran out of time meanwhile is rejected."""
+        """Return the retries that may start now, and rejections for requests out of time."""
         decisions: list[Respond | Retry] = []
         while self.retry_queue and self.retries_in_flight < MAX_RETRIES_IN_FLIGHT:
             entry = self.retry_queue.pop(0)
@@ -264,10 +273,10 @@
         return decisions
 
     def retry_ended(self) -> None:
-        """Note that a retry has its response."""
+        """Record that a retry has got its response."""
         self.retries_in_flight -= 1
 
     @property
     def completed(self) -> bool:
-        """Whether all is decided and no retry is waiting or in flight."""
+        """Whether all requests are decided and no retry is queued or in flight."""
         return self.decided and not self.retry_queue and not self.retries_in_flight
--- a/tests/failover/test_every_order.py
+++ b/tests/failover/test_every_order.py
@@ -123,7 +123,7 @@
         successor = self.successor and (
             self.successor.fencing_token,
             tuple(sorted(self.successor.reporting_hosts)),
-            tuple(sorted(self.successor.queried)),
+            tuple(sorted(self.successor.awaited_hosts)),
             self.successor.decided,
             repr(sorted(self.successor.reported.items())),
         )
--- a/tests/failover/test_replication.py
+++ b/tests/failover/test_replication.py
@@ -91,11 +91,11 @@
         "d": (5, "left"),
         "e": (5, "silent"),
     }
-    wanted, unwanted = replicas.tick(10.0, members, "abcde", 500.0)
-    assert [one.owner for one in wanted] == ["b", "c", "e"]
-    assert {one.owner for one in unwanted} == {"a", "d"}
+    eligible, ineligible = replicas.tick(10.0, members, "abcde", 500.0)
+    assert [one.owner for one in eligible] == ["b", "c", "e"]
+    assert {one.owner for one in ineligible} == {"a", "d"}
     assert ("d", 5) not in replicas.in_flight_sets
-    assert wanted[0].task == "estate/b/5"
+    assert eligible[0].task == "estate/b/5"
     replicas.complete(20.0, "b", 5)
     replicas.apply(30.0, "b", ReplicationUpdate(5, 0, True, [replicated_request(2)]))
     assert ("b", 5) not in replicas.in_flight_sets, "a completed set takes nothing more"
@@ -113,7 +113,7 @@
     well, lost = {"g1": (5, "here")}, {"g1": (5, "vanished")}
     replicas.tick(100.0, well, (), 500.0)
     assert ("g1", 5) in replicas.in_flight_sets, "its connection may be up again, with a snapshot"
-    assert [one.owner for one in replicas.tick(550.0, lost, (), 500.0).wanted] == ["g1"]
+    assert [one.owner for one in replicas.tick(550.0, lost, (), 500.0).eligible] == ["g1"]
     replicas.tick(700.0, well, (), 500.0)
     assert ("g1", 5) not in replicas.in_flight_sets
-    assert not replicas.tick(800.0, lost, (), 500.0).wanted
+    assert not replicas.tick(800.0, lost, (), 500.0).eligible
