--- a/cherrydoor/failover/claim_forwarding.py
+++ b/cherrydoor/failover/claim_forwarding.py
@@ -45,18 +45,18 @@
         self.pending: dict[int, PendingClaim] = {}
         self.last_id = 0
 
-    def claim_for_client(self, end: Any, message: ClaimResponse) -> None:
+    def claim_for_client(self, connection: Any, message: ClaimResponse) -> None:
         """Handle a client's claim of a response that it did not get from another gateway.
 
         Args:
-            end: The client's connection.
+            connection: The client's connection.
             message: The claim.
         """
 
         def reply_to_client(reply: ClaimReply | None) -> None:
-            end.write(_client_reply(message.id, reply))
+            connection.write(_client_reply(message.id, reply))
 
-        late_ms = end.client.late(message.sent_at_ms, self.now())
+        late_ms = connection.client.late(message.sent_at_ms, self.now())
         # The successor answers at the latest when the whole reserved time (`limits.spare`) is left.
         # Half of that time is for the reply's way to this gateway.
         timeout_ms = message.remaining_ms - late_ms - self.limits.spare / 2
--- a/cherrydoor/failover/owner.py
+++ b/cherrydoor/failover/owner.py
@@ -152,7 +152,7 @@
             return
         del self.requests_by_rank[owned.rank][number]
         self.body_bytes -= len(owned.request.body)
-        if not self.unsent_requests.pop(number, None):  # no replica holds it otherwise
+        if not self.unsent_requests.pop(number, None):  # no replica holds an unsent request
             self.unsent_finished.append(number)
 
     def has_unsent(self) -> bool:
@@ -192,9 +192,9 @@
         return outgoing
 
     def _changes(self, now: float) -> ReplicationUpdate:
-        unsent = [self.requests[number] for number in self.unsent_requests]
-        attempts = [*self.unsent_attempts, *_attempts_of(unsent)]
-        requests = [owned.message(now) for owned in unsent]
+        unsent_requests = [self.requests[number] for number in self.unsent_requests]
+        attempts = [*self.unsent_attempts, *_attempts_of(unsent_requests)]
+        requests = [owned.message(now) for owned in unsent_requests]
         return self._update(0, False, requests, attempts, self.unsent_finished)
 
     def _snapshots(self, now: float, added: list[str], replicas: list[str]) -> list[OutgoingUpdate]:
@@ -225,7 +225,7 @@
         self.unsent_since_ms = None
 
     def forget_replica(self, name: str) -> None:
-        """Record that a replica was disconnected: it needs a snapshot when it reconnects."""
+        """Record that a replica lost its connection, so that its next update is a snapshot."""
         if name in self.synced_replicas:
             self.synced_replicas.remove(name)
 
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -76,9 +76,9 @@
         """Replicate the changes of an event loop tick."""
         self.failover.after_tick()
 
-    def claim_response(self, end: Any, message: Any) -> None:
+    def claim_response(self, connection: Any, message: Any) -> None:
         """Handle a client's claim of a response that it did not get from another gateway."""
-        self.failover.claim_response(end, message)
+        self.failover.claim_response(connection, message)
 
     def _connections_checked(self) -> None:
         """End this incarnation if the process was suspended, or if peers declared it over."""
--- a/cherrydoor/failover/service.py
+++ b/cherrydoor/failover/service.py
@@ -108,7 +108,8 @@
         """Replicate a request that this gateway accepted from a client.
 
         A request that was taken over is not replicated: other replicas already hold it. Nor is one
-        with a streaming response, as its client has an incomplete response after the first part.
+        with a streaming response: a successor cannot answer it once its client has received the
+        first part.
         """
         request = pending.request
         if pending.origin is not None or self.policies[request.request_class].streaming:
@@ -258,13 +259,13 @@
                 self.leases.release(task)
 
     # ---- called by PeerServices
-    def claim_response(self, end: Any, message: Any) -> None:
+    def claim_response(self, connection: Any, message: Any) -> None:
         """Handle a client's claim of a response that it did not get from another gateway."""
-        self.forwarder.claim_for_client(end, message)
+        self.forwarder.claim_for_client(connection, message)
 
     @property
     def has_requests_in_flight(self) -> bool:
-        """Whether this gateway has replicated requests that a successor might take over."""
+        """Whether this gateway has requests in flight that a successor might take over."""
         return bool(self.owner.requests)
 
     # ---- for operators
--- a/cherrydoor/failover/takeover.py
+++ b/cherrydoor/failover/takeover.py
@@ -104,7 +104,7 @@
         silent_hosts: Hosts where it may have run and that did not report.
         now: Current time in ms.
     """
-    succeeded = next((attempt for _, attempt in reported if attempt.outcome == "handled"), None)
+    succeeded = next((found for _, found in reported if found.outcome == "handled"), None)
     if succeeded is not None:
         if succeeded.body_retained:
             return Respond(entry, SUCCEEDED, "", succeeded.body)
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, our hosts in the test's own loop, proxies between them."""
+"""Gateways as processes, fake hosts in the test's event loop, and proxies between them."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
 from cherrydoor.protocol import messages as protocol
 
 POLL_INTERVAL_S = 0.005
-STOPPED_SLOWNESS = 1e9  # factor by which work at hosts is slowed while it is paused
+PAUSED_SLOWDOWN_FACTOR = 1e9  # factor by which work at hosts is slowed while it is paused
 
 
 class RecordedRows:
-    """What hosts record, as dicts."""
+    """The events that hosts record, one dict each."""
 
     def __init__(self):
         self.rows = []
@@ -38,14 +38,14 @@
         )
 
     def of(self, what, request_id=None):
-        """Rows of a kind, of one request or of all."""
+        """Return the rows of a kind, for one request or for all."""
         return [
             row for row in self.rows if row["what"] == what and request_id in (None, row["event"])
         ]
 
 
 class FleetClient:
-    """A client of all gateways: connections by gateway, responses by id."""
+    """A client of all gateways. Keeps connections by gateway name and messages by id."""
 
     def __init__(self):
         self.ends = {}
@@ -91,7 +91,7 @@
         body=b"body",
         document="",
     ):
-        """Send a request; return its id."""
+        """Send a request, and return its id."""
         self.last_id += 1
         self.ends[gate.name].write(
             protocol.Request(
@@ -110,7 +110,7 @@
         return self.last_id
 
     def claim(self, gate, owner, request_id, claim_key="secret", timeout_ms=3000.0):
-        """Claim at one gateway the response that another owed; return the claim's id."""
+        """Claim at `gate` the response to a request sent to `owner`; return the claim's id."""
         self.last_id += 1
         incarnation = self.ends[owner.name].reader.hello.incarnation
         self.ends[gate.name].write(
@@ -121,15 +121,15 @@
         return self.last_id
 
     async def answer(self, message_id):
-        """The first message that came back under an id."""
+        """Return the first message received with an id."""
         await eventually(lambda: self.answers.get(message_id))
         return self.answers[message_id][0]
 
 
 class FailoverPlatform(Fleet):
-    """Gateways, hosts and an endpoint list; each gateway and each host behind a proxy.
+    """Gateways, hosts and an endpoint list, with each gateway and each host behind a proxy.
 
-    Work at hosts takes `work` ms; hosts are spread over as many zones as `sites`.
+    Each request runs for `work` ms at its host. The hosts are spread over `sites` zones.
     """
 
     def __init__(self, folder, gates=5, hosts=3, work=600.0, sites=1, **more):
@@ -175,11 +175,11 @@
         self.endpoint_watch.set(protocol.Endpoint(host.id, "ready", 0.0, zone))
 
     def gateways_with_endpoints(self):
-        """Names of gateways that have read the endpoint list."""
+        """Return the names of the gateways that have read the endpoint list."""
         return {row["peer"] for row in self.rows.of("heard")}
 
     async def until_replicated(self, gate):
-        """Until both replicas of this gateway have all that it has in flight."""
+        """Wait until both replicas of a gateway hold all of its requests in flight."""
         await until(
             lambda: gate.ask(do="custody"),
             lambda table: (
@@ -191,19 +191,19 @@
         )
 
     def pause_work(self):
-        """Stop work at hosts, whatever time passes; they go on answering messages."""
-        self._set_slowness(STOPPED_SLOWNESS)
+        """Stop all running work at the hosts, which still answer messages."""
+        self._set_slowdown(PAUSED_SLOWDOWN_FACTOR)
 
     def resume_work(self):
-        self._set_slowness(1.0)
+        self._set_slowdown(1.0)
 
-    def _set_slowness(self, factor):
+    def _set_slowdown(self, factor):
         for host in self.hosts:
             host.slow = factor
             host.kick()
 
     async def until_running(self, request_id):
-        """Until an attempt of this request runs at a host."""
+        """Wait until an attempt of a request runs at a host."""
         await eventually(lambda: self.rows.of("launch", request_id))
         await eventually(
             lambda: any(
@@ -214,7 +214,7 @@
         )
 
     def takeovers_of(self, owner):
-        """What gateways have logged of takeovers of this one's in-flight set."""
+        """Return the gateways' log lines of takeovers of a gateway's in-flight set."""
         return [
             line
             for gate in self.gates
@@ -224,15 +224,15 @@
 
 
 async def eventually(condition):
-    """Wait for a condition, and return what is true of it."""
+    """Wait until a condition returns a true value, and return that value."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + LONGEST
     while not (found := condition()):
-        assert loop.time() < deadline, "never came"
+        assert loop.time() < deadline, f"condition not met within {LONGEST} s"
         await asyncio.sleep(POLL_INTERVAL_S)
     return found
 
 
-# Names that tests of other packages use.
+# Names used by the tests of other packages.
 Town = FailoverPlatform
 come = eventually
--- a/tests/failover/replicated_requests.py
+++ b/tests/failover/replicated_requests.py
@@ -1,4 +1,4 @@
-"""Replicated requests of the classes that the tests of this package use."""
+"""Replicated requests and retry policies of the request classes in this package's tests."""
 
 from cherrydoor.failover.in_flight_set import ReplicatedEntry
 from cherrydoor.failover.retry_policy import RetryPolicy
--- a/tests/failover/test_every_order.py
+++ b/tests/failover/test_every_order.py
@@ -1,7 +1,8 @@
-"""One request, its owner, two successors in turn, two hosts, in every order of messages.
+"""Model check of one request with its owner, two successive successors and two hosts.
 
-Messages under way are lost, doubled and late; the owner is killed, or stopped and resumed;
-successors die at any step. Hosts are a model of what the wire asks of them.
+Covers every order of messages up to a bound. Messages are lost, duplicated and delayed; the owner
+is killed, or stopped and resumed; successors die at any step. The hosts are a model of what the
+protocol requires of a host.
 """
 
 import copy
@@ -18,7 +19,8 @@
 from cherrydoor.protocol.failover import AttemptsReport, HostAttempt
 from cherrydoor.protocol.peers import ReplicatedRequest
 
-MAX_STATES = 2500  # of each class in `make test`: docs/failover.md has what larger searches found
+# Per request class, in `make test`; docs/failover.md has the results of larger searches.
+MAX_STATES = 2500
 POLICIES = {
     "draft": RetryPolicy(),
     "sign": RetryPolicy("keyed", "all", 1e6),
@@ -27,7 +29,7 @@
 
 
 class Kind(StrEnum):
-    """Messages that may be under way."""
+    """Kinds of messages in transit."""
 
     ATTEMPT = "attempt"
     REPLICATE = "replicate"
@@ -36,7 +38,7 @@
 
 
 class InTransit(NamedTuple):
-    """A message under way: to whom, and what it carries."""
+    """A message in transit, with its recipient and content."""
 
     kind: Kind
     to: Any
@@ -44,7 +46,7 @@
 
 
 class Step(StrEnum):
-    """What may happen next."""
+    """Kinds of steps that the model can take."""
 
     DELIVER = "deliver"
     LOSE = "lose"
@@ -62,7 +64,7 @@
 
 
 class Host:
-    """What a host must do: refuse what is over, report what it holds, keep what has ended."""
+    """A host that refuses ended incarnations, reports its attempts, and keeps finished ones."""
 
     def __init__(self, name):
         self.name = name
@@ -89,7 +91,7 @@
     def finish(self, world):
         attempt_id = min(self.running)
         self.ended[attempt_id] = self.running.pop(attempt_id)
-        # hosts drop a repeat whose idempotency key they remember
+        # Hosts drop a repeat whose idempotency key they remember.
         world.effects += not (world.request_class == "sign" and world.effects)
 
 
@@ -115,7 +117,7 @@
         self.owner_retries = 0
 
     def state(self):
-        """All that tells this world from another."""
+        """Return all that distinguishes this state of the model from others."""
         hosts = tuple(
             (host.fencing_token, tuple(host.running.values()), tuple(host.ended.values()))
             for host in self.hosts.values()
@@ -140,29 +142,29 @@
             self.owner_retries,
         )
 
-    # ---- what may happen
+    # ---- steps
     def steps(self):
-        found = []
+        possible = []
         for index, message in enumerate(self.in_transit):
-            found.append((Step.DELIVER, index))
+            possible.append((Step.DELIVER, index))
             if message.kind in (Kind.REPLICATE, Kind.QUERY, Kind.REPORT):
-                found.append((Step.LOSE, index))
+                possible.append((Step.LOSE, index))
             if message.kind in (Kind.QUERY, Kind.REPLICATE):
-                found.append((Step.DUPLICATE, index))
-        found += [(Step.FINISH, name) for name, host in self.hosts.items() if host.running]
+                possible.append((Step.DUPLICATE, index))
+        possible += [(Step.FINISH, name) for name, host in self.hosts.items() if host.running]
         if self.owner == "up":
-            found += [(Step.KILL, None), (Step.STOP, None)]
+            possible += [(Step.KILL, None), (Step.STOP, None)]
         if self.owner == "stopped" and not self.owner_retries and self.request_class != "file":
-            # it takes its connection for lost, and retries what it may
-            found.append((Step.RESUME, None))
+            # The resumed owner finds its connection lost, and retries where its policy permits it.
+            possible.append((Step.RESUME, None))
         next_token = self.fencing_token + 1
         if self.owner != "up" and self.successor is None and next_token in self.replicas:
-            found.append((Step.BEGIN, next_token))
+            possible.append((Step.BEGIN, next_token))
         if self.successor is not None and not self.successor.decided:
-            found.append((Step.DECIDE, None))
+            possible.append((Step.DECIDE, None))
         if self.successor is not None and self.dead_successors < 1:
-            found.append((Step.SUCCESSOR_DIES, None))
-        return found
+            possible.append((Step.SUCCESSOR_DIES, None))
+        return possible
 
     def take(self, step, which):
         match step:
@@ -212,14 +214,14 @@
         ]
 
     def decide(self):
-        """All have reported, or the wait is over: any time will do."""
+        """Decide: allowed at any time, as the wait for reports may time out at any time."""
         successor = self.successor
         for decision in [*successor.decide(self.now), *successor.next_retries(self.now)]:
             if isinstance(decision, Retry):
                 self.in_transit.append(InTransit(Kind.ATTEMPT, "B", successor.fencing_token))
             elif isinstance(decision, Respond):
                 self.responses += 1
-            # an adopted attempt goes on; its outcome goes to the successor
+            # An adopted attempt goes on running; its outcome goes to the successor.
 
     def violation(self):
         if self.request_class != "draft" and self.effects > 1:
@@ -230,29 +232,33 @@
 
 
 def search(max_states=MAX_STATES, **options):
-    """(states, whether that was all of them, the first violation with its history)."""
+    """Search breadth-first.
+
+    Returns the number of states, whether they are all states, and the first violation with its
+    history.
+    """
     first = World(**options)
-    seen, edge = {first.state()}, [(first, ())]
-    while edge:
-        following = []
-        for world, history in edge:
+    seen, frontier = {first.state()}, [(first, ())]
+    while frontier:
+        next_frontier = []
+        for world, history in frontier:
             for step, which in world.steps():
-                new = copy.deepcopy(world)
-                new.take(step, which)
-                if new.violation():
-                    return len(seen), False, (*history, (step, which), new.violation())
-                state = new.state()
+                next_world = copy.deepcopy(world)
+                next_world.take(step, which)
+                if next_world.violation():
+                    return len(seen), False, (*history, (step, which), next_world.violation())
+                state = next_world.state()
                 if state not in seen:
                     seen.add(state)
                     if len(seen) >= max_states:
                         return len(seen), False, None
-                    following.append((new, (*history, (step, which))))
-        edge = following
+                    next_frontier.append((next_world, (*history, (step, which))))
+        frontier = next_frontier
     return len(seen), True, None
 
 
 def walk(seed, **options):
-    """One history by a seed, to its end; its violation."""
+    """Take random steps from a seed, and return the first violation, if any."""
     rng, world = random.Random(seed), World(**options)
     for _ in range(60):
         steps = world.steps()
@@ -265,36 +271,36 @@
 
 
 @pytest.mark.parametrize("request_class", POLICIES)
-def test_no_order_gives_a_request_with_effects_two_of_them(request_class):
+def test_no_order_of_messages_gives_a_request_two_effects(request_class):
     _, _, violation = search(request_class=request_class)
     assert violation is None, violation
     assert not any(walk(seed, request_class=request_class) for seed in range(1500))
 
 
-def is_caught(**options):
+def violation_is_found(**options):
     return any(walk(seed, request_class="file", **options) for seed in range(8000))
 
 
-def test_hosts_without_the_fence_are_caught():
-    """An attempt still under way when its incarnation was declared over runs beside the retry."""
-    assert is_caught(fences=False)
+def test_hosts_that_ignore_fencing_tokens_are_detected():
+    """An attempt in transit when its incarnation was declared over would run beside its retry."""
+    assert violation_is_found(fences=False)
 
 
-def test_a_successor_that_takes_a_silent_host_for_one_that_ran_nothing_is_caught(monkeypatch):
+def test_a_successor_that_assumes_a_silent_host_ran_nothing_is_detected(monkeypatch):
     real = takeover_module.decide_request
     monkeypatch.setattr(
         takeover_module,
         "decide_request",
         lambda entry, policy, reported, silent, now: real(entry, policy, reported, [], now),
     )
-    assert is_caught()
+    assert violation_is_found()
 
 
-def test_a_successor_that_retries_what_is_running_is_caught(monkeypatch):
+def test_a_successor_that_retries_a_running_request_is_detected(monkeypatch):
     real = takeover_module.decide_request
     monkeypatch.setattr(
         takeover_module,
         "decide_request",
         lambda entry, policy, reported, silent, now: real(entry, policy, [], silent, now),
     )
-    assert is_caught()
+    assert violation_is_found()
--- a/tests/failover/test_hosts.py
+++ b/tests/failover/test_hosts.py
@@ -1,4 +1,4 @@
-"""What a host does for requests that outlive their gateway, message by message."""
+"""How a host handles attempts of a gateway whose incarnation has ended."""
 
 from fleet_and_hosts import RecordedRows
 
@@ -13,8 +13,8 @@
         self.incarnation = incarnation
         self.closed = ""
 
-    def close(self, why=""):
-        self.closed = why
+    def close(self, reason=""):
+        self.closed = reason
 
 
 class RunningJob:
@@ -52,9 +52,9 @@
         return self.sent[-1][1]
 
 
-def test_incarnations_may_be_ended_in_any_order_each_under_its_own_fencing_token():
-    """A later incarnation was ended first: the earlier one's successor was told of nothing, and
-    ran again what had run."""
+def test_incarnations_can_be_ended_in_any_order_each_under_its_own_fencing_token():
+    """If the later incarnation was ended first, the host reported no attempts to the successor of
+    the earlier one, which then ran finished requests again."""
     host = HostUnderTest()
     host.start(Connection("g", 5), 1)
     host.start(Connection("g", 6), 2)
@@ -64,7 +64,7 @@
     assert report.highest_fencing_token == 1
 
 
-def test_a_lower_fencing_token_for_an_incarnation_is_refused_and_the_same_answered_again():
+def test_a_lower_fencing_token_for_an_incarnation_is_refused_and_the_same_token_reported_again():
     host = HostUnderTest()
     host.start(Connection("g", 5), 1)
     host.over("g", 5, 4)
@@ -83,7 +83,7 @@
     assert not host.refused(Connection("g", 6))
 
 
-def test_an_attempt_for_another_gateway_needs_the_fencing_token_that_stands():
+def test_an_attempt_for_another_gateway_needs_the_current_fencing_token():
     host = HostUnderTest()
     host.over("g", 5, 2)
 
@@ -101,7 +101,10 @@
     job = host.start(end, 1)
     host.remember(host.start(end, 2), "handled", b"x")
     del host.jobs[end, 2]
-    reported = {one.request_id: (one.outcome, one.body) for one in host.over("g", 5, 1).attempts}
+    reported = {
+        attempt.request_id: (attempt.outcome, attempt.body)
+        for attempt in host.over("g", 5, 1).attempts
+    }
     assert reported == {1: ("", b""), 2: ("handled", b"x")}
     successor = Connection("successor", 1)
     host.adopt(successor, failover.AdoptAttempt(77, job.number))
--- a/tests/failover/test_replication.py
+++ b/tests/failover/test_replication.py
@@ -1,4 +1,4 @@
-"""What an owner replicates, and what its replicas hold of it."""
+"""What an owner replicates, and what its replicas hold."""
 
 from replicated_requests import POLICIES, replicated_request
 
@@ -7,12 +7,12 @@
 from cherrydoor.protocol.peers import ReplicatedAttempt, ReplicationUpdate
 
 
-def test_a_replica_is_updated_after_the_tick_and_forgets_a_request_with_its_response():
+def test_a_replica_is_updated_after_the_tick_and_drops_a_request_once_it_has_its_response():
     owner, replicas = OwnerReplication(5, POLICIES), ReplicaStore()
     owner.add(0.0, replicated_request(1, "file"), 2000.0)
     owner.attempt_started(1, "h1")
     owner.add(0.0, replicated_request(2), 1500.0)
-    owner.finish(2)  # within the tick: no replica ever knows of it
+    owner.finish(2)  # within the same tick: it is never sent to a replica
     [(names, update)] = owner.updates(1.0, ["w"])
     replicas.apply(1.0, "g1", update)
     held = replicas.in_flight_sets["g1", 5]
@@ -31,8 +31,8 @@
 
 
 def test_a_response_is_replicated_in_its_own_tick():
-    """It waited for the next update once: its gateway and its host were lost in between, and a
-    successor ran it again."""
+    """When a response was only replicated with the next update, its gateway and its host could be
+    lost in between, and a successor ran the request again."""
     owner = OwnerReplication(5, POLICIES)
     owner.add(0.0, replicated_request(1), 2000.0)
     owner.updates(1.0, ["w"])
@@ -43,7 +43,7 @@
     assert not owner.has_unsent()
 
 
-def test_a_new_replica_is_sent_a_snapshot_and_one_that_was_away_again():
+def test_a_new_replica_and_a_reconnected_one_are_sent_a_snapshot():
     owner = OwnerReplication(5, POLICIES)
     for number in range(3):
         owner.add(0.0, replicated_request(number), 2000.0)
@@ -62,7 +62,7 @@
     ] == [(["a"], True, [])]
 
 
-def test_beyond_the_bound_the_cheapest_to_lose_are_left_out_and_counted():
+def test_beyond_the_bound_the_requests_cheapest_to_lose_are_left_out_and_counted():
     owner = OwnerReplication(5, POLICIES, max_requests=3)
     for number, request_class in enumerate(("draft", "sign", "file", "file", "draft", "sign")):
         owner.add(0.0, replicated_request(number, request_class), 2000.0)
@@ -98,22 +98,22 @@
     assert eligible[0].task == "estate/b/5"
     replicas.complete(20.0, "b", 5)
     replicas.apply(30.0, "b", ReplicationUpdate(5, 0, True, [replicated_request(2)]))
-    assert ("b", 5) not in replicas.in_flight_sets, "a completed set takes nothing more"
+    assert ("b", 5) not in replicas.in_flight_sets, "a completed set accepts no more updates"
     replicas.tick(3000.0, {}, (), 500.0)
     assert not any(one.entries for one in replicas.in_flight_sets.values()), (
-        "each request goes at its deadline"
+        "each request is dropped at its deadline"
     )
 
 
-def test_a_set_whose_owner_replicates_to_others_by_now_is_dropped_as_stale():
-    """A gateway that was no replica any more kept what had long been answered, and ran it again
-    when its owner was lost."""
+def test_a_set_whose_owner_now_replicates_to_others_is_dropped_as_stale():
+    """A gateway that was no longer a replica kept requests that had been answered since, and ran
+    them again when their owner was lost."""
     replicas = ReplicaStore()
     replicas.apply(0.0, "g1", ReplicationUpdate(5, 0, True, [replicated_request(1)]))
-    well, lost = {"g1": (5, "here")}, {"g1": (5, "vanished")}
-    replicas.tick(100.0, well, (), 500.0)
-    assert ("g1", 5) in replicas.in_flight_sets, "its connection may be up again, with a snapshot"
+    up, lost = {"g1": (5, "here")}, {"g1": (5, "vanished")}
+    replicas.tick(100.0, up, (), 500.0)
+    assert ("g1", 5) in replicas.in_flight_sets, "the owner may reconnect and send a snapshot"
     assert [one.owner for one in replicas.tick(550.0, lost, (), 500.0).eligible] == ["g1"]
-    replicas.tick(700.0, well, (), 500.0)
+    replicas.tick(700.0, up, (), 500.0)
     assert ("g1", 5) not in replicas.in_flight_sets
     assert not replicas.tick(800.0, lost, (), 500.0).eligible
--- a/tests/failover/test_response_claims.py
+++ b/tests/failover/test_response_claims.py
@@ -1,4 +1,4 @@
-"""Responses of taken-over requests, claimed by whoever has the request's claim key."""
+"""Responses to taken-over requests, claimed with the request's claim key."""
 
 from replicated_requests import replicated_entry
 
@@ -6,7 +6,7 @@
 from cherrydoor.protocol.messages import Response
 
 
-def test_a_response_is_claimed_by_its_key_alone_awaited_and_given_again():
+def test_a_response_is_claimed_only_with_its_key_and_can_be_awaited_and_claimed_again():
     claims, received = ResponseClaims(), []
     entry = replicated_entry("file")
     claims.expect("g1", 5, entry)
@@ -24,13 +24,13 @@
     assert claims.body_bytes == 0
 
 
-def test_a_request_without_a_claim_key_is_claimed_by_nobody():
+def test_a_request_without_a_claim_key_cannot_be_claimed():
     claims = ResponseClaims(max_body_bytes=100)
     claims.expect("g1", 5, replicated_entry(claim_key=""))
     assert claims.claim("g1", 5, 101, "", print) == (False, None)
 
 
-def test_beyond_their_bound_the_oldest_response_goes_first():
+def test_beyond_the_bound_the_oldest_response_is_evicted_first():
     claims = ResponseClaims(max_body_bytes=100)
     claims.expect("g1", 5, replicated_entry(claim_key=""))
     for number in (2, 3):
@@ -42,7 +42,7 @@
     assert claims.claim("g1", 5, 103, "k", print).response.body == b"x" * 60
 
 
-def test_a_repeated_request_is_known_by_its_key_digest_and_two_clients_may_use_one_id():
+def test_a_repeated_request_is_found_by_its_key_digest_and_two_clients_may_use_the_same_id():
     claims = ResponseClaims()
     first = replicated_entry("file")
     other = replicated_entry("file", claim_key="k2", client="another")
@@ -54,7 +54,7 @@
     assert claims.claim("g1", 5, 101, "k", print).known
     claims.expect("g1", 5, first, b"m3")
     assert not claims.claim("g1", 5, 0, "k", print, b"m1").known, (
-        "expected again, under its new digest alone"
+        "added again, it is found only under its new digest"
     )
     claims.tick(10000.0)
     assert claims.rows == claims.index == {}
--- a/tests/failover/test_successor_table.py
+++ b/tests/failover/test_successor_table.py
@@ -1,4 +1,4 @@
-"""Who is successor to which incarnation, as announcements come in any order."""
+"""The successor of each incarnation, for announcements that arrive in any order."""
 
 import pytest
 
@@ -11,17 +11,17 @@
     return SuccessorAnnounced("g1", 5, fencing_token, successor, completed, list(key_digests))
 
 
-def test_the_highest_fencing_token_stands_and_of_one_token_the_completion():
+def test_the_highest_fencing_token_wins_and_under_one_token_the_completion():
     table = SuccessorTable()
     assert table.accept(0.0, announced(2, "g2"))
-    assert not table.accept(0.0, announced(2, "g2")), "it is passed on once"
+    assert not table.accept(0.0, announced(2, "g2")), "it is forwarded only once"
     assert not table.accept(0.0, announced(1, "g3", completed=True))
     assert table.accept(0.0, announced(2, "g2", completed=True))
     assert not table.accept(0.0, announced(2, "g2"))
     assert table.accept(0.0, announced(3, "g3"))
     assert table.successor_of("g1", 5) == "g3"
     assert table.successor_of("g1", 6) is None
-    assert [one.fencing_token for one in table.announcements()] == [3]
+    assert [announcement.fencing_token for announcement in table.announcements()] == [3]
 
 
 def test_an_idempotency_key_leads_to_its_incarnation_until_the_announcement_expires():
@@ -42,5 +42,5 @@
 
 
 @pytest.mark.parametrize("task", ["site/z1", "site/g1/5", "estate/g1", "estate/g1/x", ""])
-def test_other_tasks_are_no_takeovers(task):
+def test_other_tasks_are_not_parsed_as_takeovers(task):
     assert parse_takeover_task(task) is None
--- a/tests/failover/test_taken_over_once.py
+++ b/tests/failover/test_taken_over_once.py
@@ -1,4 +1,4 @@
-"""Requests in flight outlive their gateway and are taken over once.
+"""Requests in flight survive the loss of their gateway, and are taken over only once.
 
 Gateways are killed, stopped and cut off while requests run.
 """
@@ -13,7 +13,7 @@
 
 
 def effects_of(platform, request_id):
-    """How often a request had its effect, over all hosts."""
+    """Return how many times a request had its effect, over all hosts."""
     return len(platform.rows.of("effect", request_id))
 
 
@@ -46,7 +46,7 @@
 
 
 @story
-async def test_a_response_is_given_to_nobody_without_its_claim_key(tmp_path):
+async def test_a_response_cannot_be_claimed_without_its_claim_key(tmp_path):
     async with FailoverPlatform(tmp_path) as platform:
         owner, other = platform.gates[3], platform.gates[4]
         request_id = platform.caller.send(owner, "file")
@@ -68,8 +68,8 @@
 async def test_an_attempt_whose_outcome_the_owner_never_read_is_answered_and_not_run_again(
     tmp_path,
 ):
-    """The owner is stopped while the host answers: the answer lies in its socket, and is the
-    successor's alone to give."""
+    """The owner is stopped while the host responds, so the outcome stays unread in its socket. Only
+    the successor may answer the request."""
     async with FailoverPlatform(tmp_path) as platform:
         owner, other = platform.gates[3], platform.gates[4]
         request_id = platform.caller.send(owner, "file")
@@ -79,7 +79,7 @@
         await eventually(lambda: platform.rows.of("outcome", request_id))
         response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
         assert response.outcome == "handled" and effects_of(platform, request_id) == 1
-        # it resumes: its incarnation is over, and its client gets no second response
+        # When the owner resumes, its incarnation has ended: its client gets no second response.
         owner.signal(signal.SIGCONT)
         await eventually(lambda: owner.logged("incarnation ended"))
         await eventually(lambda: platform.caller.ends[owner.name] in platform.caller.lost_ends)
@@ -125,7 +125,7 @@
 
 @story
 async def test_a_request_that_never_reached_a_host_is_retried(tmp_path):
-    """Its attempt is held on its way to the hosts, which refuse it when it comes later."""
+    """The proxy holds back its attempt, and the hosts refuse it if it arrives later."""
     async with FailoverPlatform(tmp_path, work=50.0) as platform:
         owner, other = platform.gates[3], platform.gates[4]
         platform.relay.set(owner.name, "h", hold=True)
@@ -156,7 +156,7 @@
         await platform.until_replicated(owner)
         for gate in platform.gates:
             if gate is not owner:
-                platform.relay.set(gate.name, "h", hold=True)  # no query comes through
+                platform.relay.set(gate.name, "h", hold=True)  # the hosts receive no query
         await owner.kill()
         response = await platform.caller.answer(
             platform.caller.claim(other, owner, request_ids["file"])
@@ -202,8 +202,8 @@
 
 
 @story
-async def test_a_gateway_that_alone_lost_its_connection_to_a_peer_takes_nothing_over(tmp_path):
-    """Voters hear that one: they grant nobody its takeover."""
+async def test_a_gateway_that_alone_has_lost_its_connection_to_a_peer_takes_nothing_over(tmp_path):
+    """The voters are still connected to that peer, so they refuse the lease of its takeover."""
     async with FailoverPlatform(
         tmp_path, work=1500.0, peers={"silent": Duration(1500.0)}
     ) as platform:
@@ -235,7 +235,7 @@
 
 
 @story
-async def test_a_gateway_cut_off_ends_its_incarnation_and_answers_what_no_replica_knows(
+async def test_a_gateway_cut_off_ends_its_incarnation_and_answers_its_unreplicated_requests(
     tmp_path,
 ):
     async with FailoverPlatform(tmp_path, work=900.0) as platform:
@@ -244,7 +244,7 @@
         await platform.until_running(request_id)
         await platform.until_replicated(owner)
         platform.relay.set(owner.name, "*", True, cut=True)
-        platform.caller.ends[owner.name].close()  # a client claims once it has disconnected
+        platform.caller.ends[owner.name].close()  # clients claim only after disconnecting
         response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
         assert response.outcome == "handled" and effects_of(platform, request_id) == 1
         await until(lambda: owner.ask(do="custody"), lambda table: not table["witnesses"])
--- a/tests/failover/test_takeover_decisions.py
+++ b/tests/failover/test_takeover_decisions.py
@@ -1,4 +1,4 @@
-"""What becomes of a lost gateway's requests in flight, one by one."""
+"""Decisions about each of a lost gateway's requests in flight."""
 
 import pytest
 from replicated_requests import POLICIES, replicated_entry, replicated_request
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("request_class", POLICIES)
-def test_a_request_that_ran_is_answered_and_one_that_runs_is_adopted_whatever_its_class(
+def test_a_finished_request_is_answered_and_a_running_one_adopted_in_every_class(
     request_class,
 ):
     succeeded = decide(
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("request_class", POLICIES)
-def test_a_request_that_no_host_knows_of_never_ran_and_is_retried(request_class):
+def test_a_request_that_no_host_has_run_is_retried(request_class):
     assert isinstance(decide(request_class), Retry)
     not_run = [reported_attempt("full"), reported_attempt("missing")]
     assert isinstance(decide(request_class, not_run), Retry)
@@ -56,9 +56,9 @@
 @pytest.mark.parametrize(
     "request_class, retried", [("draft", True), ("sign", True), ("book", False), ("file", False)]
 )
-def test_where_a_host_does_not_report_the_retry_safety_decides(request_class, retried):
-    """An at-most-once request may have run there; one with an idempotency key may run again while
-    all hosts remember that key."""
+def test_if_a_host_does_not_report_the_retry_safety_decides(request_class, retried):
+    """The request may have run at the silent host. An at-most-once request is then not run again;
+    one with an idempotency key is, while all hosts remember that key."""
     unreported = decide(request_class, (), ["h9"])
     failed = decide(request_class, [reported_attempt("error")])
     if retried:
@@ -94,7 +94,7 @@
     return AttemptsReport(0, highest_fencing_token)
 
 
-def test_every_host_is_queried_once_those_that_attempts_went_to_among_them():
+def test_every_host_is_queried_once_including_those_that_attempts_were_sent_to():
     takeover = takeover_of(["file"], attempts_at=["h7"])
     assert takeover.hosts_to_query() == ["h1", "h2", "h7"]
     assert takeover.hosts_to_query() == []
@@ -105,7 +105,7 @@
     assert takeover.decide(501.0)[0].outcome == "dead-lettered", "h7 did not report"
 
 
-def test_a_silent_host_matters_to_an_idempotent_request_only_where_an_attempt_went_there():
+def test_a_silent_host_matters_to_an_idempotent_request_only_if_an_attempt_was_sent_there():
     takeover = takeover_of(["draft", "file"])
     takeover.hosts_to_query()
     takeover.host_reported("h1", report())
@@ -115,7 +115,7 @@
     assert [type(decision) for decision in takeover.next_retries(20.0)] == [Retry]
 
 
-def test_a_host_that_goes_by_a_higher_fencing_token_ends_the_takeover():
+def test_a_host_report_under_a_higher_fencing_token_ends_the_takeover():
     takeover = takeover_of(["draft"])
     takeover.hosts_to_query()
     takeover.host_reported("h1", report(highest_fencing_token=4))
@@ -123,9 +123,9 @@
     assert not takeover.can_decide(900.0)
 
 
-def test_a_host_that_goes_by_another_fencing_token_has_not_reported():
-    """A set was held to be unknown everywhere, as hosts went by the token of a later incarnation
-    that was over first."""
+def test_a_host_report_under_another_fencing_token_counts_as_none():
+    """Hosts that answered under the token of a later incarnation, which was ended first, were taken
+    to have run nothing of the set, so its requests were run again."""
     takeover = takeover_of(["file"])
     takeover.hosts_to_query()
     takeover.host_reported("h1", report(highest_fencing_token=2))
@@ -133,7 +133,7 @@
     assert takeover.decide(20.0)[0].outcome == "dead-lettered"
 
 
-def test_retries_are_bounded_and_what_runs_out_of_time_meanwhile_is_counted():
+def test_retries_are_bounded_and_those_that_run_out_of_time_meanwhile_are_counted():
     takeover = takeover_of(["draft"] * (MAX_RETRIES_IN_FLIGHT + 50), hosts=())
     assert takeover.decide(0.0) == []
     assert len(takeover.next_retries(0.0)) == MAX_RETRIES_IN_FLIGHT
@@ -149,19 +149,19 @@
 
 
 # ---- the end of an incarnation
-def test_a_request_that_no_replica_knows_is_answered_at_the_end_by_whether_it_may_have_run():
+def test_an_unreplicated_request_is_answered_at_the_end_by_whether_it_may_have_run():
     assert answer_at_incarnation_end(POLICIES["file"], []).outcome == "deferred"
     assert answer_at_incarnation_end(POLICIES["draft"], ["x"]).outcome == "deferred"
     assert answer_at_incarnation_end(POLICIES["file"], ["x"]).outcome == "dead-lettered"
 
 
-def test_clients_of_an_ended_incarnation_are_not_sent_back_together():
+def test_clients_of_an_ended_incarnation_do_not_all_reconnect_at_once():
     assert len({round(reconnect_delay_ms(3, number)) for number in range(50)}) > 40
 
 
-def test_a_voter_that_hears_an_incarnation_grants_nobody_its_takeover_unless_its_state_is_final():
-    """Seen: a replica cut off from one peer alone reported again and again that it had vanished,
-    and got its lease in the moment before that peer refuted it."""
+def test_a_voter_connected_to_an_incarnation_refuses_its_takeover_unless_its_state_is_final():
+    """A replica that had lost only its connection to one peer kept reporting that peer as
+    disconnected, and acquired the takeover's lease just before the peer refuted it."""
     for state in ("here", "silent", "vanished"):
         assert reason_to_refuse_lease(True, state)
         assert not reason_to_refuse_lease(False, state)
