--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -228,7 +228,7 @@
     loop = asyncio.get_running_loop()
     deadline = loop.time() + LONGEST
     while not (found := condition()):
-        assert loop.time() < deadline, f"condition not met within {LONGEST} s"
+        assert loop.time() < deadline, "condition not met in time"
         await asyncio.sleep(POLL_INTERVAL_S)
     return found
 
--- a/tests/failover/test_every_order.py
+++ b/tests/failover/test_every_order.py
@@ -166,23 +166,23 @@
             possible.append((Step.SUCCESSOR_DIES, None))
         return possible
 
-    def take(self, step, which):
+    def take(self, step, target):
         match step:
             case Step.DELIVER:
-                self.deliver(self.in_transit.pop(which))
+                self.deliver(self.in_transit.pop(target))
             case Step.DUPLICATE:
-                self.deliver(self.in_transit[which])
+                self.deliver(self.in_transit[target])
             case Step.LOSE:
-                del self.in_transit[which]
+                del self.in_transit[target]
             case Step.FINISH:
-                self.hosts[which].finish(self)
+                self.hosts[target].finish(self)
             case Step.KILL | Step.STOP:
                 self.owner = OWNER_AFTER[step]
             case Step.RESUME:
                 self.owner_retries += 1
                 self.in_transit.append(InTransit(Kind.ATTEMPT, "B", 0))
             case Step.BEGIN:
-                self.begin(which)
+                self.begin(target)
             case Step.DECIDE:
                 self.decide()
             case Step.SUCCESSOR_DIES:
@@ -242,17 +242,17 @@
     while frontier:
         next_frontier = []
         for world, history in frontier:
-            for step, which in world.steps():
+            for step, target in world.steps():
                 next_world = copy.deepcopy(world)
-                next_world.take(step, which)
+                next_world.take(step, target)
                 if next_world.violation():
-                    return len(seen), False, (*history, (step, which), next_world.violation())
+                    return len(seen), False, (*history, (step, target), next_world.violation())
                 state = next_world.state()
                 if state not in seen:
                     seen.add(state)
                     if len(seen) >= max_states:
                         return len(seen), False, None
-                    next_frontier.append((next_world, (*history, (step, which))))
+                    next_frontier.append((next_world, (*history, (step, target))))
         frontier = next_frontier
     return len(seen), True, None
 
@@ -287,20 +287,20 @@
 
 
 def test_a_successor_that_assumes_a_silent_host_ran_nothing_is_detected(monkeypatch):
-    real = takeover_module.decide_request
+    original = takeover_module.decide_request
     monkeypatch.setattr(
         takeover_module,
         "decide_request",
-        lambda entry, policy, reported, silent, now: real(entry, policy, reported, [], now),
+        lambda entry, policy, reported, silent, now: original(entry, policy, reported, [], now),
     )
     assert violation_is_found()
 
 
 def test_a_successor_that_retries_a_running_request_is_detected(monkeypatch):
-    real = takeover_module.decide_request
+    original = takeover_module.decide_request
     monkeypatch.setattr(
         takeover_module,
         "decide_request",
-        lambda entry, policy, reported, silent, now: real(entry, policy, [], silent, now),
+        lambda entry, policy, reported, silent, now: original(entry, policy, [], silent, now),
     )
     assert violation_is_found()
--- a/tests/failover/test_replication.py
+++ b/tests/failover/test_replication.py
@@ -15,18 +15,18 @@
     owner.finish(2)  # within the same tick: it is never sent to a replica
     [(names, update)] = owner.updates(1.0, ["w"])
     replicas.apply(1.0, "g1", update)
-    held = replicas.in_flight_sets["g1", 5]
+    in_flight = replicas.in_flight_sets["g1", 5]
     assert names == ["w"]
-    assert list(held.entries) == [1]
-    assert held.entries[1].hosts == ["h1"]
-    assert held.entries[1].deadline_ms == 2000.0
+    assert list(in_flight.entries) == [1]
+    assert in_flight.entries[1].hosts == ["h1"]
+    assert in_flight.entries[1].deadline_ms == 2000.0
     assert owner.is_replicated(1)
     assert owner.updates(2.0, ["w"]) == []
     owner.attempt_started(1, "h2")
     owner.finish(1)
     [(_, update)] = owner.updates(3.0, ["w"])
     replicas.apply(3.0, "g1", update)
-    assert held.entries == {}
+    assert in_flight.entries == {}
     assert owner.body_bytes == 0
 
 
