--- a/cherrydoor/config/terms.py
+++ b/cherrydoor/config/constraints.py
@@ -31,11 +31,11 @@
     """Bytes, likewise."""
 
 
-class Atom:
+class Scalar:
     def __init__(self, kind, value, at, text):
         self.kind, self.value, self.at, self.text = kind, value, at, text
 
-    def same(self, other):
+    def equals(self, other):
         return self.value == other.value and (
             self.kind == other.kind or {self.kind, other.kind} == {"int", "number"}
         )
@@ -45,7 +45,7 @@
     def __init__(self, kind, at):
         self.kind, self.at, self.text = kind, at, kind
 
-    def takes(self, atom):
+    def accepts(self, atom):
         return atom.kind == self.kind or self.kind == "number" and atom.kind == "int"
 
 
@@ -53,17 +53,17 @@
     def __init__(self, op, limit, at):
         self.op, self.limit, self.at, self.text = op, limit, at, op + limit.text
 
-    def takes(self, atom):
+    def accepts(self, atom):
         a, b, op = atom.value, self.limit.value, self.op
         if op == "!=":
-            return not atom.same(self.limit)
+            return not atom.equals(self.limit)
         alike = atom.kind == self.limit.kind or {atom.kind, self.limit.kind} == {"int", "number"}
         if not alike or isinstance(a, bool) or a is None:
             return False
         return {">": a > b, ">=": a >= b, "<": a < b, "<=": a <= b}[op]
 
 
-class Part:
+class StructLiteral:
     """A struct literal as one conjunct of a place."""
 
     def __init__(self, tree, env, closed, at):
@@ -84,7 +84,7 @@
         return not self.closed or self.open or name in self.fields or bool(self.patterns)
 
 
-class Row:
+class ListLiteral:
     """A list literal as one conjunct of a place."""
 
     def __init__(self, tree, env, at):
@@ -94,7 +94,7 @@
         self.more = more[0].children[0] if more else None
 
 
-class Either:
+class Disjunction:
     def __init__(self, options, env, at):
         self.options, self.env, self.at = options, env, at
         self.text = "one of several"
@@ -103,8 +103,8 @@
 class Env:
     """Where names are looked up: a place and what encloses it; closed within a definition."""
 
-    def __init__(self, place, outer, closed):
-        self.place, self.outer, self.closed = place, outer, closed
+    def __init__(self, node, outer, closed):
+        self.node, self.outer, self.closed = node, outer, closed
 
 
 def label(tree):
@@ -112,20 +112,20 @@
     return json.loads(token) if token.type == "STRING" else str(token)
 
 
-def atom_of(token):
+def scalar_of(token):
     text, at = str(token), (token.line, token.column)
     if token.type == "STRING":
-        return Atom("string", json.loads(text), at, text)
+        return Scalar("string", json.loads(text), at, text)
     if token.type == "QUANTITY":
         number = text.rstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ%")
         kind, factor = UNITS[text[len(number) :]]
         value = float(number) * factor
-        return Atom(kind, round(value, 9) if kind != "size" else int(value), at, text)
+        return Scalar(kind, round(value, 9) if kind != "size" else int(value), at, text)
     if token.type == "NUMBER":
         whole = all(c in "-0123456789" for c in text)
-        return Atom(
+        return Scalar(
             "int" if whole else "number", int(text[:400]) if whole else float(text), at, text[:40]
         )
-    return {"TRUE": Atom("bool", True, at, text), "FALSE": Atom("bool", False, at, text)}.get(
-        token.type, Atom("null", None, at, text)
+    return {"TRUE": Scalar("bool", True, at, text), "FALSE": Scalar("bool", False, at, text)}.get(
+        token.type, Scalar("null", None, at, text)
     )
--- a/cherrydoor/config/figures.py
+++ b/cherrydoor/config/figures.py
@@ -14,7 +14,7 @@
     return resources.files("cherrydoor.config").joinpath(name).read_text()
 
 
-def read_file(path, top="#Lease", name="lease.schema", places=None):
+def read_file(path, top="#Lease", name="lease.schema", positions=None):
     """The plain value of a file of records; Problems also for a file that cannot be read at all."""
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -22,7 +22,7 @@
         raise Problems(
             [Problem(str(path), 1, 1, "", "a readable file of UTF-8 text", str(error))]
         ) from None
-    return read(text, str(path), schema(name), top, name, places)
+    return read(text, str(path), schema(name), top, name, positions)
 
 
 def bare(value):
@@ -163,14 +163,14 @@
         )
 
 
-def problems_of(said, file, places=None):
+def problems_of(said, file, positions=None):
     """What no single field shows: addresses that are none, doubled names, a number beyond the count."""
-    found, places = [], places or {}
+    found, positions = [], positions or {}
 
     def check(good, path, expected, value):
         if not good:  # where it is said, else where what holds it is
             parts = path.split(".")
-            above = (places.get(".".join(parts[:n])) for n in range(len(parts), 0, -1))
+            above = (positions.get(".".join(parts[:n])) for n in range(len(parts), 0, -1))
             line, column = next((at for at in above if at), (1, 1))
             found.append(Problem(file, line, column, path, expected, str(value)))
 
@@ -260,12 +260,12 @@
             "'all' for an event type that is not keyed: no host drops its repeats",
             repr(clause["group"]),
         )
-    mixed(said, check)
-    fellows(said, check)
+    check_deployment_shape(said, check)
+    check_peers(said, check)
     return found
 
 
-def mixed(said, check):
+def check_deployment_shape(said, check):
     """Statements of two shapes of deployment that cannot both hold (docs/migration.md says why)."""
     order, tells = said["may"]["order"], said["tells"]
     check(
@@ -293,7 +293,7 @@
     return bool(host) and port.isdigit() and int(port) < 65536
 
 
-def fellows(said, check):
+def check_peers(said, check):
     """What is said of peers and tenures, where a gateway has any."""
     peers, tenures = said["peers"], said["tenures"]
     if not peers["door"]:
@@ -348,8 +348,8 @@
 
 def read_config(path: "str | PathLike[str]") -> "GatewayConfig":
     """The figures of a lease file; Problems names everything that is wrong with it."""
-    places: dict = {}
-    said = read_file(path, places=places)
-    if found := problems_of(said, str(path), places):
+    positions: dict = {}
+    said = read_file(path, positions=positions)
+    if found := problems_of(said, str(path), positions):
         raise Problems(found)
     return GatewayConfig(said)
--- a/cherrydoor/config/text.py
+++ b/cherrydoor/config/parsing.py
@@ -7,11 +7,12 @@
 from lark import Lark, Token
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput
 
-LARGEST = 128 * 1024  # characters of a file
-MARKS = 8000  # separators, colons, brackets and operators in it, which is what reading it takes
-DEEPEST = 40  # brackets within brackets
-MOST = 25  # problems told
-SCHEMA = 10**6  # lines of the schema are counted from here on, to tell them from the file's own
+MAX_CHARACTERS = 128 * 1024  # characters of a file
+MAX_MARKS = 8000  # separators, colons, brackets and operators in it, which is what reading it takes
+MAX_DEPTH = 40  # brackets within brackets
+MAX_PROBLEMS = 25  # problems told
+# lines of the schema are counted from here on, to tell them from the file's own
+SCHEMA_LINE_OFFSET = 10**6
 
 
 @dataclass(frozen=True)
@@ -35,7 +36,7 @@
 
     def __init__(self, problems):
         self.problems = sorted(set(problems), key=lambda p: (p.file, p.line, p.column, p.path))[
-            :MOST
+            :MAX_PROBLEMS
         ]
         super().__init__("\n".join(map(str, self.problems)))
 
@@ -48,29 +49,36 @@
 
 def parse(text, file):
     """The tree of a file; Problems for what is too long, too deep or not of the grammar."""
-    if len(text) > LARGEST:
-        raise Problems([Problem(file, 1, 1, "", f"at most {LARGEST} characters", f"{len(text)}")])
+    if len(text) > MAX_CHARACTERS:
+        raise Problems(
+            [Problem(file, 1, 1, "", f"at most {MAX_CHARACTERS} characters", f"{len(text)}")]
+        )
     marks = sum(map(text.count, ":,\n{}[]|&*"))
-    if marks > MARKS:
+    if marks > MAX_MARKS:
         raise Problems(
-            [Problem(file, 1, 1, "", f"at most {MARKS} marks and line ends", f"{marks}")]
+            [Problem(file, 1, 1, "", f"at most {MAX_MARKS} marks and line ends", f"{marks}")]
         )
     depth, line = 0, 0
     for line, one in enumerate(text.split("\n"), 1):
         for column, char in enumerate(one, 1):
             depth += (char in "{[(") - (char in "}])")
-            if depth > DEEPEST:
+            if depth > MAX_DEPTH:
                 raise Problems(
                     [
                         Problem(
-                            file, line, column, "", f"at most {DEEPEST} levels of brackets", "more"
+                            file,
+                            line,
+                            column,
+                            "",
+                            f"at most {MAX_DEPTH} levels of brackets",
+                            "more",
                         )
                     ]
                 )
     found = []
 
     def note(error):
-        if len(found) >= MOST:
+        if len(found) >= MAX_PROBLEMS:
             return False
         if isinstance(error, UnexpectedCharacters):
             what = f"the character {error.char!r}"
@@ -111,8 +119,8 @@
     tree = parse(text, file)
     for below in tree.iter_subtrees():
         if not below.meta.empty:
-            below.meta.line += SCHEMA
+            below.meta.line += SCHEMA_LINE_OFFSET
         for token in below.children:
             if isinstance(token, Token):
-                token.line = (token.line or 0) + SCHEMA
+                token.line = (token.line or 0) + SCHEMA_LINE_OFFSET
     return tree
--- a/cherrydoor/config/records.py
+++ b/cherrydoor/config/records.py
@@ -8,44 +8,46 @@
 
 from lark import Token, Tree
 
-from cherrydoor.config.place import STEPS, Place, Run, TooMuch
-from cherrydoor.config.terms import Duration as Duration
-from cherrydoor.config.terms import Env, Part
-from cherrydoor.config.terms import Size as Size
-from cherrydoor.config.text import Problem, Problems, parse, schema_tree
+from cherrydoor.config.constraints import Duration as Duration
+from cherrydoor.config.constraints import Env, StructLiteral
+from cherrydoor.config.constraints import Size as Size
+from cherrydoor.config.node import MAX_STEPS, Evaluation, EvaluationLimitError, Node
+from cherrydoor.config.parsing import Problem, Problems, parse, schema_tree
 
 
-def read(text, file="lease", schema="", top="", schema_file="schema", places=None):
+def read(text, file="lease", schema="", top="", schema_file="schema", positions=None):
     """The plain value of a file's records.
 
     schema: text of definitions that the file may refer to; top: the definition that the whole file must meet, such as
-    '#Lease'; places: a dict that is given the line and column of each dotted path that the file says. Raises Problems
-    with everything wrong, each with file, line, column and path.
+    '#Lease'; positions: a dict that is given the line and column of each dotted path that the file says. Raises
+    Problems with everything wrong, each with file, line, column and path.
     """
-    run, trees = Run(file, schema_file), []
+    run, trees = Evaluation(file, schema_file), []
     body = parse(text, file)
     if schema:
         trees.append(schema_tree(schema, schema_file))
     try:
-        base = Place(run, (), [], (1, 1))
+        base = Node(run, (), [], (1, 1))
         base.state = "done"
-        base.record([Part(tree, None, False, (1, 1)) for tree in trees])
+        base.build_record([StructLiteral(tree, None, False, (1, 1)) for tree in trees])
         outer = Env(base, None, False)
         struct = Tree("struct", body.children, body.meta)
         written = [(struct, outer)]
         if top:
             written.insert(0, (Tree("ref", [Token("DEF", top)]), outer))
-        whole = Place(run, (), written, (1, 1))
-        value = whole.plain()
-    except (TooMuch, RecursionError):
+        whole = Node(run, (), written, (1, 1))
+        value = whole.to_plain()
+    except (EvaluationLimitError, RecursionError):
         raise Problems(
             [
                 *run.problems,
-                Problem(file, 1, 1, "", f"a file that can be evaluated in {STEPS} steps", "more"),
+                Problem(
+                    file, 1, 1, "", f"a file that can be evaluated in {MAX_STEPS} steps", "more"
+                ),
             ]
         ) from None
     if run.problems:
         raise Problems(run.problems)
-    if places is not None:
-        places.update(run.places)
+    if positions is not None:
+        positions.update(run.positions)
     return value
