--- a/bench/admission.py
+++ b/bench/admission.py
@@ -109,7 +109,7 @@
     from cherrydoor.gateway.service import GatewayService
     from cherrydoor.routing import Router
 
-    config = GatewayConfig(read(settings, "f", schema("lease.schema"), "#Lease"))
+    config = GatewayConfig(read(settings, "f", schema("gateway.schema"), "#Lease"))
     service = GatewayService(config, Router)
     await service.start()
     return service.port
--- a/bench/drains.py
+++ b/bench/drains.py
@@ -25,8 +25,8 @@
 from cherrydoor.cli import logs
 from cherrydoor.emulator.play import emulate
 from cherrydoor.rehearsal.audit import Audit
-from cherrydoor.rehearsal.conduct import rehearse
 from cherrydoor.rehearsal.day import read_day
+from cherrydoor.rehearsal.scenario_runner import rehearse
 from cherrydoor.zone_drain import reported_loads, session_groups, wave_plan
 
 DRAIN_AT_S = 8
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -56,7 +56,7 @@
 def module_alone(count, open_at_once=64, changing=False):
     """CPU seconds for `count` events, each with its launch and its outcome, and the module's tables at the end."""
     gate, at = (
-        Router(GatewayConfig(read(LEASE % 1, "f", schema("lease.schema"), "#Lease")).lease),
+        Router(GatewayConfig(read(LEASE % 1, "f", schema("gateway.schema"), "#Lease")).lease),
         1e6,
     )
     gate.start(at)
@@ -323,7 +323,8 @@
             port = await Relay().start(hosts)
         else:
             service = GatewayService(
-                GatewayConfig(read(LEASE % list_at, "f", schema("lease.schema"), "#Lease")), Router
+                GatewayConfig(read(LEASE % list_at, "f", schema("gateway.schema"), "#Lease")),
+                Router,
             )
             await service.start()
             while not service.dispatcher.hosts:
--- a/bench/links.py
+++ b/bench/links.py
@@ -68,7 +68,7 @@
     def sent(self) -> dict[int, Sent]:
         """Returns what each gateway has sent so far, by its number."""
         found = {}
-        for number, service in self.shells.items():
+        for number, service in self.services.items():
             peers = service.peer_services.peers
             found[number] = Sent(peers.frames_sent, peers.bytes_sent, len(peers.connections))
         return found
@@ -92,7 +92,7 @@
         return emulation
 
     real_clocks = Clocks.steady, Clocks.wall
-    Clocks.steady, Clocks.wall = world.time, world.wall
+    Clocks.steady, Clocks.wall = world.time, world.wall_time
     asyncio.set_event_loop(world)
     try:
         return world.run_until_complete(run())
--- a/bench/mistakes.py
+++ b/bench/mistakes.py
@@ -12,13 +12,13 @@
 TESTS = Path(__file__).resolve().parent.parent / "tests"
 sys.path[:0] = [str(TESTS / "peers"), str(TESTS / "custody")]
 
-from fleet_and_hosts import Town  # noqa: E402
+from fleet_and_hosts import FailoverPlatform  # noqa: E402
 
 
 async def play(loss, seconds):
     with tempfile.TemporaryDirectory() as folder:
-        async with Town(Path(folder), gates=8, hosts=4, work=150.0) as town:
-            town.relay.set("g*", "g*", drop=loss)
+        async with FailoverPlatform(Path(folder), gates=8, hosts=4, work=150.0) as town:
+            town.proxy.set("g*", "g*", drop=loss)
             sent, careful = 0, set()
             for turn in range(int(seconds * 50)):
                 gate = town.gates[turn % 8]
@@ -35,7 +35,7 @@
                 "loss": loss,
                 "s": seconds,
                 "events": sent,
-                "frames lost": town.relay.counts.get("dropped", 0),
+                "frames lost": town.proxy.counts.get("dropped", 0),
                 "estates taken over": estates,
                 "lives over": over,
                 "effects twice": len(effects) - len(set(effects)),
--- a/bench/replication_cost.py
+++ b/bench/replication_cost.py
@@ -21,7 +21,7 @@
 from bench.gateway import Answering, Listed
 from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
-from cherrydoor.rehearsal.parts import Ports
+from cherrydoor.rehearsal.processes import Ports
 
 REQUESTS_PER_SECOND = 500
 MEASURED_S = 8
--- a/cherrydoor/cli/commands.py
+++ b/cherrydoor/cli/commands.py
@@ -6,7 +6,7 @@
 
 import click
 
-from cherrydoor.cli import fellows, keys, rehearsing, releases, standins
+from cherrydoor.cli import fakes, fleet, keys, rehearsals, releases
 from cherrydoor.cli.group import main, problems
 
 
@@ -30,9 +30,9 @@
     from cherrydoor.peer_services import join
 
     if baseline:
-        from cherrydoor.rehearsal.baselines import MAKERS
+        from cherrydoor.rehearsal.baselines import ROUTER_FACTORIES
 
-        make = MAKERS[baseline]
+        make = ROUTER_FACTORIES[baseline]
     else:
         from cherrydoor.routing import Router as make
 
@@ -168,4 +168,4 @@
     sys.exit(0 if all(one["fate"] == "handled" for one in answers) else 1)
 
 
-__all__ = ["fellows", "keys", "main", "rehearsing", "releases", "standins"]
+__all__ = ["fakes", "fleet", "keys", "main", "rehearsals", "releases"]
--- a/cherrydoor/cli/standins.py
+++ b/cherrydoor/cli/fakes.py
@@ -82,9 +82,9 @@
     elif kind == "between":
         import uvloop
 
-        from cherrydoor.rehearsal.fault_injecting_proxy import play as relay
+        from cherrydoor.rehearsal.fault_injecting_proxy import play as proxy
 
-        uvloop.run(relay(said))
+        uvloop.run(proxy(said))
     else:
         from cherrydoor.fakes.command import main as run
 
--- a/cherrydoor/cli/fellows.py
+++ b/cherrydoor/cli/fleet.py
@@ -4,7 +4,7 @@
 
 import click
 
-from cherrydoor.cli.group import main, spoken
+from cherrydoor.cli.group import main, send_command
 
 CONTROL = click.option(
     "--control",
@@ -33,7 +33,7 @@
 @JSON
 def show_tenures(control, as_json):
     """What this gateway holds and asks for, and what it has promised where it is a keeper."""
-    said = spoken(control, do="tenures")
+    said = send_command(control, do="tenures")
     if as_json:
         return print(json.dumps(said, indent=1))
     print(f"{said['gateway']}, life {said['life']}; keepers: {' '.join(said['keepers']) or 'none'}")
@@ -72,7 +72,7 @@
 @click.argument("task")
 def yield_task(control, as_json, task):
     """Hand TASK over at once; another gateway that asks for it gets it under a higher number."""
-    said = spoken(control, do="yield", task=task)
+    said = send_command(control, do="yield", task=task)
     print(json.dumps(said, indent=1) if as_json else f"{task} is handed over")
 
 
@@ -81,7 +81,7 @@
 @JSON
 def show_peers(control, as_json):
     """Who is there as this gateway sees it, and which others are told what it has in hand."""
-    said = spoken(control, do="peers")
+    said = send_command(control, do="peers")
     if as_json:
         return print(json.dumps(said, indent=1))
     print(
@@ -119,7 +119,7 @@
 @JSON
 def show_custody(control, as_json):
     """What is entrusted and to whom, what is kept for others, what was taken over and what became of it."""
-    said = spoken(control, do="custody")
+    said = send_command(control, do="custody")
     if as_json:
         return print(json.dumps(said, indent=1))
     print(
@@ -164,7 +164,7 @@
     @JSON
     @click.argument("site")
     def act(control, as_json, site, dry_run=False, even=False, within=0.0):
-        said = spoken(
+        said = send_command(
             control,
             do="site",
             what="plan" if dry_run else name,
--- a/cherrydoor/cli/group.py
+++ b/cherrydoor/cli/group.py
@@ -36,7 +36,7 @@
     sys.exit(BAD_FILE)
 
 
-def spoken(control, **said):
+def send_command(control, **said):
     import socket as sockets
 
     try:
--- a/cherrydoor/cli/rehearsing.py
+++ b/cherrydoor/cli/rehearsals.py
@@ -47,9 +47,9 @@
     Exits with 0 where every rule was kept, 1 where one was broken, 2 where the run could not be made.
     """
     from cherrydoor.config import Problems
-    from cherrydoor.rehearsal.conduct import CannotRun
-    from cherrydoor.rehearsal.conduct import rehearse as play
     from cherrydoor.rehearsal.day import read_day
+    from cherrydoor.rehearsal.scenario_runner import RunFailedError
+    from cherrydoor.rehearsal.scenario_runner import rehearse as play
 
     if (day is None) == (bench_day is None):
         raise click.UsageError("DAY or --bench-day FILE, one of them")
@@ -84,7 +84,7 @@
             if quiet
             else (lambda text: print(text, file=sys.stderr, flush=True)),
         )
-    except (CannotRun, OSError) as error:
+    except (RunFailedError, OSError) as error:
         print(f"the run could not be made: {error}", file=sys.stderr)
         sys.exit(NOT_MADE)
     except KeyboardInterrupt:
@@ -142,8 +142,8 @@
     from cherrydoor.cli import logs
     from cherrydoor.config import Problems
     from cherrydoor.emulator.play import emulate as play
-    from cherrydoor.rehearsal.conduct import CannotRun
     from cherrydoor.rehearsal.day import read_day
+    from cherrydoor.rehearsal.scenario_runner import RunFailedError
 
     logs.set_up("error")
     try:
@@ -157,7 +157,7 @@
     folder = Path(out or f"found/{said['name']}-{said['seed']}-emulated-{int(time.time())}")
     try:
         play(said, folder)
-    except (CannotRun, OSError) as error:
+    except (RunFailedError, OSError) as error:
         print(f"the run could not be made: {error}", file=sys.stderr)
         sys.exit(NOT_MADE)
     judge(folder, as_json)
--- a/cherrydoor/cli/releases.py
+++ b/cherrydoor/cli/releases.py
@@ -4,7 +4,7 @@
 
 import click
 
-from cherrydoor.cli.group import main, spoken
+from cherrydoor.cli.group import main, send_command
 
 
 @main.group()
@@ -14,7 +14,9 @@
 
 def spoken_command(name, what, about, version=False):
     def act(control, function, as_json=False, **more):
-        answer = spoken(control, do=what, **({"function": function} if function else {}), **more)
+        answer = send_command(
+            control, do=what, **({"function": function} if function else {}), **more
+        )
         if as_json:
             return print(json.dumps(answer, indent=1))
         print(
--- a/cherrydoor/config/figures.py
+++ b/cherrydoor/config/figures.py
@@ -14,7 +14,7 @@
     return resources.files("cherrydoor.config").joinpath(name).read_text()
 
 
-def read_file(path, top="#Lease", name="lease.schema", positions=None):
+def read_file(path, top="#Lease", name="gateway.schema", positions=None):
     """The plain value of a file of records; Problems also for a file that cannot be read at all."""
     try:
         text = Path(path).read_text(encoding="utf-8")
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -17,13 +17,13 @@
     """A gateway's clock on the world's time."""
 
     def __init__(self, world):
-        self.world, self.ahead = world, world.wall() * 1000 - world.time() * 1000
+        self.world, self.ahead = world, world.wall_time() * 1000 - world.time() * 1000
 
     def now(self):
         return self.world.time() * 1000 + self.ahead
 
 
-class Uses:
+class UnlimitedResources:
     """Nothing is short here."""
 
     def measure(self):
@@ -39,7 +39,7 @@
         pass
 
 
-class Arrival:
+class PipeConnection:
     """A connection on its way in, on a pipe in place of a socket."""
 
     def __init__(self, service, make, pipe):
@@ -50,7 +50,9 @@
 
     def start_handshake(self):
         self.pipe.world.call_soon(
-            lambda: self.pipe.closing or self.pipe.world.attach(self.pipe, self.make(self))
+            lambda: (
+                self.pipe.closing or self.pipe.world.connect_protocol(self.pipe, self.make(self))
+            )
         )
 
     def admit(self, largest):
@@ -70,7 +72,7 @@
         self.end.resume()
 
 
-class Promises:
+class MemoryVoteStore:
     """A keeper's file, in the world's memory: what was synced outlives the gateway."""
 
     def __init__(self, disk, path, name):
@@ -88,20 +90,20 @@
         pass
 
 
-class Standing:
+class PausableLoop:
     """The world's loop as one gateway has it: what would be called while it stands still is called as it goes on."""
 
-    def __init__(self, door, world):
-        self.door, self.world, self.late = door, world, []
+    def __init__(self, gateway, world):
+        self.gateway, self.world, self.delayed = gateway, world, []
 
     def __getattr__(self, name):
         return getattr(self.world, name)
 
     def guarded(self, what, args):
-        if self.door.dead:
+        if self.gateway.dead:
             return
-        if self.door.stands:
-            self.late.append((what, args))
+        if self.gateway.paused:
+            self.delayed.append((what, args))
         else:
             what(*args)
 
@@ -111,9 +113,9 @@
     def call_soon(self, what, *args):
         return self.world.call_soon(self.guarded, what, args)
 
-    def go_on(self):
-        late, self.late = self.late, []
-        for what, args in late:
+    def run_delayed(self):
+        delayed, self.delayed = self.delayed, []
+        for what, args in delayed:
             self.world.call_soon(what, *args)
 
 
@@ -122,7 +124,7 @@
 
     def __init__(self, world, config, gate, disk=None):
         """disk: what keepers have synced, by path; None leaves the gateway alone."""
-        self.world, self.dead, self.stands, self.late, self.listener = (
+        self.world, self.dead, self.paused, self.late, self.listener = (
             world,
             False,
             False,
@@ -132,25 +134,27 @@
         super().__init__(
             config,
             gate,
-            Uses(),
+            UnlimitedResources(),
             None,
             Clock(world),
             None
             if disk is None
             else lambda service, incarnation=0: (
-                PeerServices(service, incarnation, lambda path, name: Promises(disk, path, name))
+                PeerServices(
+                    service, incarnation, lambda path, name: MemoryVoteStore(disk, path, name)
+                )
                 if service.config.peers["door"]
                 else None
             ),
         )
-        self.loop: Any = Standing(self, world)
+        self.loop: Any = PausableLoop(self, world)
 
     def listen(self, where, make, context):
         host, port = where
 
         def accept(pipe):
-            pipe.frozen = self.stands
-            self.listeners.post(ConnectionAccepted(Arrival(self, make, pipe).connection))
+            pipe.frozen = self.paused
+            self.listeners.post(ConnectionAccepted(PipeConnection(self, make, pipe).connection))
 
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
@@ -162,7 +166,7 @@
     def tick(self):
         if self.dead:
             return
-        if self.stands:
+        if self.paused:
             self.late = True
             return
         super().tick()
@@ -171,7 +175,7 @@
         if not self.dead:
             super().set_timer()
 
-    def wires(self):
+    def transports(self):
         """All its transports."""
         found = [end.transport for end in self.client_listener.ends]
         found += [
@@ -206,19 +210,19 @@
             task.cancel()
         if self.timer:
             self.timer.cancel()
-        for wire in self.wires():
+        for wire in self.transports():
             wire.abort()
         if self.peer_services:
             self.peer_services.abort()
 
-    def stand(self, still):
-        self.stands = still
-        for wire in self.wires():
+    def set_paused(self, still):
+        self.paused = still
+        for wire in self.transports():
             wire.frozen = still
             if not still:
                 self.world.call_soon(wire.release)
         if not still:
-            self.loop.go_on()
+            self.loop.run_delayed()
         if not still and self.late:
             self.late = False
             self.world.call_soon(self.tick)
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -14,41 +14,41 @@
 from cherrydoor.emulator.world import World
 from cherrydoor.fakes.catalogue import Catalogue
 from cherrydoor.fakes.command import HostCommands
-from cherrydoor.fakes.copies import Build
+from cherrydoor.fakes.copies import HostSpec
+from cherrydoor.fakes.endpoint_list import EndpointListServer
 from cherrydoor.fakes.feed import Feed
-from cherrydoor.fakes.host_pool import Farm
+from cherrydoor.fakes.host_pool import HostPool
 from cherrydoor.fakes.record import Clocks, Record, now
-from cherrydoor.fakes.roll import Roll
 from cherrydoor.fakes.store import Store
 from cherrydoor.protocol import messages as protocol
-from cherrydoor.rehearsal.baselines import MAKERS
+from cherrydoor.rehearsal.baselines import ROUTER_FACTORIES
 from cherrydoor.rehearsal.clients import Clients
-from cherrydoor.rehearsal.conduct import CannotRun, Conductor, in_processes
-from cherrydoor.rehearsal.day import builds, lease_values, terms
+from cherrydoor.rehearsal.day import host_specs, lease_values, terms
+from cherrydoor.rehearsal.scenario_runner import RunFailedError, ScenarioRunner, in_processes
 from cherrydoor.routing import Router
 
 # they are of sockets, descriptors and TLS, or of a relay between fellows
 LEFT_OUT = ("flood", "reconnect", "key-change", "cut-off", "noise")
 
 
-class Spoken:
+class InProcessCommands:
     """What a rehearsal's conductor takes for a process: a command is obeyed at once."""
 
     returncode = None
 
-    def __init__(self, name, obey):
-        self.name, self.obey, self.process = name, obey, self
+    def __init__(self, name, handle_command):
+        self.name, self.handle_command, self.process = name, handle_command, self
 
-    def tell(self, do, **values):
+    def command(self, do, **values):
         future = asyncio.get_running_loop().create_future()
-        result = self.obey(do, values)
+        result = self.handle_command(do, values)
         if asyncio.iscoroutine(result):
             return asyncio.ensure_future(result)
         future.set_result(result)
         return future
 
 
-class Emulation(Conductor):
+class Emulation(ScenarioRunner):
     """A day's conductor whose parts are all here."""
 
     def __init__(self, day, folder, tell=lambda text: None):
@@ -58,14 +58,14 @@
             day = day | {"fellows": day["fellows"] | {"between": False}}
         super().__init__(day | {"without": [*day.get("without", ()), *LEFT_OUT]}, folder, tell)
         self.world: Any = asyncio.get_running_loop()
-        self.records, self.shells, self.disk = [self.record], {}, {}
+        self.records, self.services, self.disk = [self.record], {}, {}
         self.ports: Any = self  # ports are the world's
 
     def take(self):
         """A free port as an address; ids of hosts go up with time, as in rehearsals."""
         return f"127.0.0.1:{self.world.take_port()}"
 
-    def kept(self, end, who):
+    def open_record(self, end, who):
         record = Record(self.traffic, end, who)
         self.records.append(record)
         return record
@@ -88,8 +88,8 @@
         catalogue = Catalogue(
             **{k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")}
         )
-        store = await Store(self.kept("store", "store"), catalogue, **day["store"]).start()
-        self.store = Spoken(
+        store = await Store(self.open_record("store", "store"), catalogue, **day["store"]).start()
+        self.store = InProcessCommands(
             "store",
             lambda name, values: (
                 store.set(**values)
@@ -97,133 +97,146 @@
                 else store.releases.update(dict.fromkeys(values["functions"], values["release"]))
             ),
         )
-        farm = Farm(self.kept("host", "farm"), catalogue, day["seed"])
-        farm.scopes = {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}
+        host_pool = HostPool(self.open_record("host", "farm"), catalogue, day["seed"])
+        host_pool.scopes = {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}
         await self.world.create_connection(
             lambda: FramedConnection(
-                farm.store,
+                host_pool.store,
                 protocol.FROM_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
             ),
             "127.0.0.1",
             store.port,
         )
-        self.farm, self.builds = Spoken("hosts", HostCommands(farm)), builds(day)
-        for number, build in enumerate(self.builds):
-            self.ids[number] = (await farm.add(self.take(), Build(**build))).id
-        farm.sweep()
-        roll = await Roll(
-            self.kept("list", "list"),
+        self.host_pool, self.host_specs = (
+            InProcessCommands("hosts", HostCommands(host_pool)),
+            host_specs(day),
+        )
+        for number, build in enumerate(self.host_specs):
+            self.ids[number] = (await host_pool.add(self.take(), HostSpec(**build))).id
+        host_pool.sweep()
+        endpoint_list = await EndpointListServer(
+            self.open_record("list", "list"),
             [1000 * n for n in day["list"]["notice"]],
             day["list"]["stale"],
             day["seed"],
         ).start()
         self.list, self.list_at = (
-            Spoken("list", lambda name, values: self.obey_list(roll, name, values)),
-            (f"127.0.0.1:{roll.port}"),
+            InProcessCommands(
+                "list", lambda name, values: self.handle_list_command(endpoint_list, name, values)
+            ),
+            (f"127.0.0.1:{endpoint_list.port}"),
         )
         for number, host in self.ids.items():
-            await self.row(number, host, "ready", 0.0, self.builds[number])
+            await self.set_endpoint(number, host, "ready", 0.0, self.host_specs[number])
         if day["feed"]["gradual"]:
             feed = await Feed(
-                self.kept("feed", "feed"),
+                self.open_record("feed", "feed"),
                 [1000 * n for n in day["feed"]["notice"]],
                 day["feed"]["misses"],
                 day["seed"],
             ).start()
-            self.feed = Spoken("feed", lambda name, values: feed.release(**values))
+            self.feed = InProcessCommands("feed", lambda name, values: feed.release(**values))
             self.feed_at = f"127.0.0.1:{feed.port}"
-        await self.meet()
+        await self.assign_peer_addresses()
         count = day["gateways"]["count"]
         for group in in_processes(
             count, day["gateways"]["in_a_process"], len(day["fleet"]["floors"])
         ):
             await self.start_gateways(group)
         clients = Clients(
-            day, [self.doors[g] for g in range(count)], self.kept("client", "clients"), self.comes()
+            day,
+            [self.addresses[g] for g in range(count)],
+            self.open_record("client", "clients"),
+            self.client_sources(),
         )
-        for door in clients.doors:
+        for door in clients.connections:
             for one in door:
                 self.tasks.add(self.world.create_task(one.keep()))
-        while any(one.end is None for door in clients.doors for one in door):
+        while any(one.end is None for door in clients.connections for one in door):
             await asyncio.sleep(0.02)
-        self.clients, self.over = Spoken("clients", None), clients.ends
+        self.clients, self.over = InProcessCommands("clients", None), clients.ends
         self.begun = now() + 500
         clients.go(self.begun)
         self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
 
-    def obey_list(self, roll, name, values):
+    def handle_list_command(self, endpoint_list, name, values):
         if name == "deaf":
-            roll.deaf = values["on"]
+            endpoint_list.muted = values["on"]
         else:
-            roll.set(msgspec.convert(values, protocol.Endpoint))
+            endpoint_list.set(msgspec.convert(values, protocol.Endpoint))
 
     async def start_gateways(self, group):
         decides = self.day["gateways"]["decides"]
         for number in group:
-            door = self.doors.get(number) or self.take()
+            door = self.addresses.get(number) or self.take()
             said = lease_values(
-                self.day, number, door, self.list_at, self.folder, self.feed_at, self.meets
+                self.day, number, door, self.list_at, self.folder, self.feed_at, self.peer_addresses
             )
             for part in ("releases", "peers"):
                 said.get(part, {}).pop("control", None)
             text = show(said)
-            config = GatewayConfig(read(text, f"g{number}.lease", schema("lease.schema"), "#Lease"))
-            service = self.shells[number] = EmulatedGateway(
-                self.world, config, MAKERS.get(decides, Router), self.disk
+            config = GatewayConfig(
+                read(text, f"g{number}.lease", schema("gateway.schema"), "#Lease")
+            )
+            service = self.services[number] = EmulatedGateway(
+                self.world, config, ROUTER_FACTORIES.get(decides, Router), self.disk
             )
             await service.start()
-            self.doors[number], self.gateways[number] = door, (Spoken(f"g{number}", None), group)
+            self.addresses[number], self.gateways[number] = (
+                door,
+                (InProcessCommands(f"g{number}", None), group),
+            )
             self.record.add("gateway up", f"g{number}")
 
-    async def ask(self, said):
+    async def ask_gateway(self, said):
         """As an operator's socket answers, by the first gateway that runs."""
-        for _, service in sorted(self.shells.items()):
-            if not service.dead and not service.stands and service.peer_services:
+        for _, service in sorted(self.services.items()):
+            if not service.dead and not service.paused and service.peer_services:
                 return service.peer_services.run_command(said)
         return None
 
     async def do_kill_gateway(self, gateway):
         for one in self.gateways[gateway][1]:
-            if not self.shells[one].dead:
+            if not self.services[one].dead:
                 self.record.add("gateway killed", f"g{one}")
-                self.shells[one].kill()
+                self.services[one].kill()
 
     async def do_start_gateway(self, gateway):
         group = self.gateways[gateway][1]
-        if self.shells[gateway].dead:
+        if self.services[gateway].dead:
             await asyncio.sleep(0.8)  # as long as a process takes
-            if self.shells[gateway].dead:
+            if self.services[gateway].dead:
                 await self.start_gateways(group)
 
     async def do_stop_gateway(self, gateway):
         for one in self.gateways[gateway][1]:
             self.record.add("gateway stopped", f"g{one}")
-            self.shells[one].stand(True)
+            self.services[one].set_paused(True)
 
     async def do_continue_gateway(self, gateway):
         for one in self.gateways[gateway][1]:
-            self.shells[one].stand(False)
+            self.services[one].set_paused(False)
             self.record.add("gateway continued", f"g{one}")
 
     async def finish(self):
         await asyncio.wait_for(self.over, 600.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
-        for service in self.shells.values():
+        for service in self.services.values():
             service.drain("the gateway is leaving")
         codes = await asyncio.gather(
-            *(service.done for service in self.shells.values() if not service.dead)
+            *(service.done for service in self.services.values() if not service.dead)
         )
         if any(codes):
-            raise CannotRun(f"gateways ended with {sorted(set(codes))}")
+            raise RunFailedError(f"gateways ended with {sorted(set(codes))}")
 
 
 def emulate(day, folder, tell=lambda text: None):
-    """Plays the day into the folder, its traffic then in folder/traffic; CannotRun where it cannot be played."""
+    """Plays the day into the folder, its traffic then in folder/traffic; RunFailedError where it cannot be played."""
     world = World(day["seed"])
     before = Clocks.steady, Clocks.wall
-    Clocks.steady, Clocks.wall = world.time, world.wall
+    Clocks.steady, Clocks.wall = world.time, world.wall_time
     asyncio.set_event_loop(world)
     try:
 
--- a/cherrydoor/emulator/world.py
+++ b/cherrydoor/emulator/world.py
@@ -13,7 +13,7 @@
 START = 1.8e9  # s since 1970 at which every emulation begins
 
 
-class Jump(selectors.BaseSelector):
+class VirtualTimeSelector(selectors.BaseSelector):
     """Where the loop would wait, the clock moves on."""
 
     def __init__(self):
@@ -164,7 +164,7 @@
     """delay(a, b) in s between two places, near: within one, far: between two, each with up to half more by chance."""
 
     def __init__(self, seed=1, near=0.0001, far=0.0005):
-        selector = Jump()
+        selector = VirtualTimeSelector()
         super().__init__(selector)
         selector.world = self
         self.moment, self.seed, self.drawn, self.near, self.far = 0.0, seed, 0, near, far
@@ -187,7 +187,7 @@
     def time(self):
         return getattr(self, "moment", 0.0)
 
-    def wall(self):
+    def wall_time(self):
         return START + self.moment
 
     def delay(self, a, b):
@@ -201,7 +201,9 @@
 
     # ---- what asyncio asks of a network
     async def create_server(self, protocol_factory, host=None, port=None, *, place=None, **_):
-        return self.listen(host, port, lambda pipe: self.attach(pipe, protocol_factory()), place)
+        return self.listen(
+            host, port, lambda pipe: self.connect_protocol(pipe, protocol_factory()), place
+        )
 
     def listen(self, host, port, accept, place=None):
         key = (host or "127.0.0.1", port or self.take_port())
@@ -212,7 +214,7 @@
         )
         return server
 
-    def attach(self, pipe, protocol):
+    def connect_protocol(self, pipe, protocol):
         pipe.protocol, pipe.reading = protocol, True
         self.pipes.add(pipe)
         protocol.connection_made(pipe)
@@ -231,6 +233,6 @@
         theirs = Pipe(self, server.place, None, host)
         ours.other, theirs.other = theirs, ours
         protocol = protocol_factory()
-        self.attach(ours, protocol)
+        self.connect_protocol(ours, protocol)
         server.accept(theirs)
         return ours, protocol
--- a/cherrydoor/fakes/capacity.py
+++ b/cherrydoor/fakes/capacity.py
@@ -11,12 +11,12 @@
     id: str
     up: bool
     started: float
-    build: Any
+    spec: Any
     record: Any
     loop: Any
     cores: Any
     work: Any
-    jobs: dict
+    running_attempts: dict
     functions: dict
     reports: Any
     chance: Any
@@ -28,45 +28,45 @@
 
     def level(self):
         """The share of its capacity that a host has by its age."""
-        if not self.started or not self.build.cold:
+        if not self.started or not self.spec.cold:
             return 1.0
         return min(
             1.0,
-            self.build.cold_from
-            + (1 - self.build.cold_from) * (now() - self.started) / self.build.cold,
+            self.spec.cold_from
+            + (1 - self.spec.cold_from) * (now() - self.started) / self.spec.cold,
         )
 
     def speed(self):
-        return 0.0 if self.paused_until > now() else self.build.speed * self.level() / self.slow
+        return 0.0 if self.paused_until > now() else self.spec.speed * self.level() / self.slow
 
-    def falls(self, work):
+    def is_overloaded_by(self, work):
         """Rule 4 as the host suffers it: more work in `fall` ms than `multiple` times what it can do now."""
-        if self.level() >= 1.0 or not self.build.fall or self.fell:
+        if self.level() >= 1.0 or not self.spec.fall or self.fell:
             return self.fell
         t = now()
         self.work.append((t, work))
-        while self.work[0][0] < t - self.build.fall:
+        while self.work[0][0] < t - self.spec.fall:
             self.work.popleft()
-        can = self.build.cores * self.build.speed * self.level() * self.build.fall
+        can = self.spec.cores * self.spec.speed * self.level() * self.spec.fall
         sent = sum(w for _, w in self.work)
-        if sent > self.build.multiple * can + 2 * sent / len(
+        if sent > self.spec.multiple * can + 2 * sent / len(
             self.work
         ):  # two events are left to chance
             self.fell = True
-            self.record.add("fell", self.id, a=sent, b=self.build.multiple * can)
+            self.record.add("fell", self.id, a=sent, b=self.spec.multiple * can)
             self.kill("fell over")
         return self.fell
 
-    def told_held(self):
+    def reported_in_flight(self):
         """How many events it holds, as of its last report, late and a little wrong."""
         t = now()
-        while len(self.reports) > 1 and self.reports[1][0] <= t - self.build.late:
+        while len(self.reports) > 1 and self.reports[1][0] <= t - self.spec.late:
             self.reports.popleft()
-        if not self.reports or t - self.reports[-1][0] > self.build.report:
-            self.reports.append((t, len(self.jobs)))
-        return max(0.0, self.reports[0][1] * (1 + self.build.noise * (2 * self.chance() - 1)))
+        if not self.reports or t - self.reports[-1][0] > self.spec.report:
+            self.reports.append((t, len(self.running_attempts)))
+        return max(0.0, self.reports[0][1] * (1 + self.spec.noise * (2 * self.chance() - 1)))
 
-    def kick(self):
+    def reschedule(self):
         """Ends what is done and waits for the next."""
         if self.alarm:
             self.alarm.cancel()
@@ -77,13 +77,15 @@
             job()
         wait = self.cores.next()
         if self.alarm is None and wait is not None:
-            self.alarm = self.loop.call_later(wait / 1000 + 0.0001, self.kick)
+            self.alarm = self.loop.call_later(wait / 1000 + 0.0001, self.reschedule)
         elif self.alarm is None and self.cores.heap:
-            self.alarm = self.loop.call_later(max(1.0, self.paused_until - now()) / 1000, self.kick)
+            self.alarm = self.loop.call_later(
+                max(1.0, self.paused_until - now()) / 1000, self.reschedule
+            )
 
-    def stand_still(self, ms):
+    def pause_work(self, ms):
         self.paused_until = now() + ms
-        self.kick()
+        self.reschedule()
 
     def waiting(self):
         return float(sum(len(copies.waiting) for copies in self.functions.values()))
@@ -95,4 +97,4 @@
             for copies in self.functions.values()
             if copies.facts
         )
-        return min(10.0, max(0.0, used / self.build.memory))
+        return min(10.0, max(0.0, used / self.spec.memory))
--- a/cherrydoor/fakes/command.py
+++ b/cherrydoor/fakes/command.py
@@ -10,20 +10,20 @@
 import uvloop
 
 from cherrydoor.fakes.catalogue import Catalogue
-from cherrydoor.fakes.copies import Build
-from cherrydoor.fakes.host_pool import Farm
+from cherrydoor.fakes.copies import HostSpec
+from cherrydoor.fakes.endpoint_list import EndpointListServer
+from cherrydoor.fakes.host_pool import HostPool
 from cherrydoor.fakes.record import Record
-from cherrydoor.fakes.roll import Roll
 from cherrydoor.fakes.store import Store
 from cherrydoor.protocol import messages as protocol
 
 
-def say(what, **more):
+def emit(what, **more):
     print(json.dumps({"is": what, **more}), flush=True)
 
 
-async def commands(obey):
-    """Feeds each command to obey(name, values); returns when standard input ends or a signal comes."""
+async def serve_commands(handle_command):
+    """Feeds each command to handle_command(name, values); returns when standard input ends or a signal comes."""
     loop, lines = asyncio.get_running_loop(), asyncio.StreamReader(limit=2**22)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -32,12 +32,12 @@
         try:
             values = json.loads(line)
             tag = values.pop("tag", None)
-            result = obey(values.pop("do"), values)
+            result = handle_command(values.pop("do"), values)
             if asyncio.iscoroutine(result):
                 result = await result
-            say("done", of=tag, result=result)
+            emit("done", of=tag, result=result)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            say(
+            emit(
                 "wrong",
                 line=line.decode(errors="replace").strip(),
                 error=f"{type(error).__name__}: {error}",
@@ -45,17 +45,17 @@
 
 
 class HostCommands:
-    def __init__(self, farm):
-        self.farm = farm
+    def __init__(self, host_pool):
+        self.host_pool = host_pool
 
     def __call__(self, name, values):
         return getattr(self, name.replace(" ", "_"))(**values)
 
     def each(self, hosts):
         found = (
-            [self.farm.hosts[h] for h in hosts]
+            [self.host_pool.hosts[h] for h in hosts]
             if hosts is not None
-            else list(self.farm.hosts.values())
+            else list(self.host_pool.hosts.values())
         )
         return [h for h in found if h.up]
 
@@ -63,9 +63,9 @@
         """Starts hosts; gives their ids."""
         return [
             (
-                await self.farm.add(
+                await self.host_pool.add(
                     names[i] if names else "127.0.0.1:0",
-                    Build(**build),
+                    HostSpec(**build),
                     cold,
                     binds[i] if binds else "",
                 )
@@ -84,13 +84,13 @@
     async def restart(self, hosts, cold=True):
         """Up again on the same port, empty and cold; gives when each started, ms since 1970."""
         for name in hosts:
-            if not self.farm.hosts[name].up:
-                await self.farm.hosts[name].start(cold=cold)
-        return [self.farm.hosts[name].since for name in hosts]
+            if not self.host_pool.hosts[name].up:
+                await self.host_pool.hosts[name].start(cold=cold)
+        return [self.host_pool.hosts[name].since for name in hosts]
 
     def silent(self, hosts=None, on=True):
         for host in self.each(hosts):
-            host.quiet = on
+            host.silenced = on
 
     def refuse(self, hosts=None, on=True):
         for host in self.each(hosts):
@@ -99,11 +99,11 @@
     def slow(self, hosts=None, times=1.0):
         for host in self.each(hosts):
             host.slow = times
-            host.kick()
+            host.reschedule()
 
     def deaf(self, hosts=None, clause="", share=0.0):
         for host in self.each(hosts):
-            host.deaf = {clause: share} if share else {}
+            host.unanswered_shares = {clause: share} if share else {}
 
     def lose(self, hosts=None, share=0.0):
         for host in self.each(hosts):
@@ -117,63 +117,69 @@
 
     def again(self, host, pause):
         if pause and host.pause is pause and host.up:
-            host.stand_still(pause[0])
-            self.farm.loop.call_later(
+            host.pause_work(pause[0])
+            self.host_pool.loop.call_later(
                 (pause[0] + pause[1] * (0.5 + host.chance())) / 1000, self.again, host, pause
             )
 
     def late(self, hosts=None, ms=0.0):
         for host in self.each(hosts):
-            host.build.late = ms
+            host.spec.late = ms
 
     def change(self, hosts=None, **figures):
         for host in self.each(hosts):
-            host.build.__dict__.update(figures)
+            host.spec.__dict__.update(figures)
 
     def flush(self, functions, release):
         """Released anew: copies and images go void."""
         for function in functions:
-            self.farm.releases[function] = release
+            self.host_pool.releases[function] = release
             for host in self.each(None):
-                host.void(function)
+                host.unload_outdated(function)
 
     def fail(self, functions, on=True):
-        (self.farm.failing.update if on else self.farm.failing.difference_update)(functions)
+        (
+            self.host_pool.failing_functions.update
+            if on
+            else self.host_pool.failing_functions.difference_update
+        )(functions)
 
     def bad(self, functions, **what):
         """What is wrong with these versions: parts `fail`, `crash`, `load_fail`, times `slow`; nothing mends them."""
         for function in functions:
-            self.farm.bad[function] = what
+            self.host_pool.faulty_versions[function] = what
 
     def who(self):
         return {
-            h.id: {"up": h.up, "held": len(h.jobs) if h.up else 0, "started": h.since}
-            for h in self.farm.hosts.values()
+            h.id: {"up": h.up, "held": len(h.running_attempts) if h.up else 0, "started": h.since}
+            for h in self.host_pool.hosts.values()
         }
 
 
 async def hosts(said):
     record = Record(said.get("record"), "host", said.get("name", "farm"))
-    farm = Farm(record, Catalogue(**said.get("catalogue", {})), said.get("seed", 1))
-    farm.scopes = said.get("scopes", {})
+    host_pool = HostPool(record, Catalogue(**said.get("catalogue", {})), said.get("seed", 1))
+    host_pool.scopes = said.get("scopes", {})
     if said.get("store"):
         host, _, port = said["store"].rpartition(":")
         from cherrydoor.connection import FramedConnection
 
-        await farm.loop.create_connection(
+        await host_pool.loop.create_connection(
             lambda: FramedConnection(
-                farm.store,
+                host_pool.store,
                 protocol.FROM_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
             ),
             host,
             int(port),
         )
-    obey = HostCommands(farm)
-    ids = await obey.add(said.get("builds", []), said.get("names"), binds=said.get("binds"))
-    farm.sweep()
-    say("ready", hosts=ids)
-    await commands(obey)
+    handle_command = HostCommands(host_pool)
+    ids = await handle_command.add(
+        said.get("builds", []), said.get("names"), binds=said.get("binds")
+    )
+    host_pool.sweep()
+    emit("ready", hosts=ids)
+    await serve_commands(handle_command)
     record.close()
 
 
@@ -183,7 +189,7 @@
         record, Catalogue(**said.get("catalogue", {})), **said.get("figures", {})
     ).start(port=said.get("port", 0))
 
-    def obey(name, values):
+    def handle_command(name, values):
         if name == "release":
             one.releases.update(dict.fromkeys(values["functions"], values["release"]))
         elif name == "set":
@@ -191,27 +197,29 @@
         else:
             raise ValueError(f"unknown: {name}")
 
-    say("ready", port=one.port)
-    await commands(obey)
+    emit("ready", port=one.port)
+    await serve_commands(handle_command)
     record.close()
 
 
-async def roll(said):
+async def endpoint_list(said):
     record = Record(said.get("record"), "list", "list")
-    one = await Roll(record, **said.get("figures", {})).start(port=said.get("port", 0))
+    one = await EndpointListServer(record, **said.get("figures", {})).start(
+        port=said.get("port", 0)
+    )
     for host in said.get("hosts", ()):
         one.set(protocol.Endpoint(host, "ready"))
 
-    def obey(name, values):
+    def handle_command(name, values):
         if name == "row":
             one.set(msgspec.convert(values, protocol.Endpoint))
         elif name == "deaf":
-            one.deaf = values["on"]
+            one.muted = values["on"]
         else:
             raise ValueError(f"unknown: {name}")
 
-    say("ready", port=one.port)
-    await commands(obey)
+    emit("ready", port=one.port)
+    await serve_commands(handle_command)
     record.close()
 
 
@@ -221,7 +229,7 @@
     record = Record(said.get("record"), "feed", "feed")
     one = await Feed(record, **said.get("figures", {})).start(port=said.get("port", 0))
 
-    def obey(name, values):
+    def handle_command(name, values):
         if name == "release":
             one.release(**values)
         elif name == "misses":
@@ -229,18 +237,24 @@
         else:
             raise ValueError(f"unknown: {name}")
 
-    say("ready", port=one.port)
-    await commands(obey)
+    emit("ready", port=one.port)
+    await serve_commands(handle_command)
     record.close()
 
 
-async def crowd(said):
-    from cherrydoor.fakes.crowd import crowd as play
+async def connection_flood(said):
+    from cherrydoor.fakes.connection_flood import serve
 
-    await play(said, say, commands)
+    await serve(said, emit, serve_commands)
 
 
-KINDS = {"hosts": hosts, "store": store, "roll": roll, "crowd": crowd, "feed": feed}
+KINDS = {
+    "hosts": hosts,
+    "store": store,
+    "roll": endpoint_list,
+    "crowd": connection_flood,
+    "feed": feed,
+}
 
 
 def main(kind, said):
--- a/cherrydoor/fakes/crowd.py
+++ b/cherrydoor/fakes/connection_flood.py
@@ -17,7 +17,7 @@
 STANDS, TICK = 3000.0, 0.01
 
 
-def greeting(tls):
+def client_greeting(tls):
     """The first bytes of a client."""
     if not tls:
         return codec.encode(protocol.Hello(protocol.VERSION, "client", "crowd", now()))
@@ -31,7 +31,7 @@
     return out.read()
 
 
-def context_of(said):
+def client_tls_context(said):
     """The TLS of a client by the files it is given, or None."""
     if not said:
         return None
@@ -40,17 +40,17 @@
     return context
 
 
-class Comer:
+class ReconnectingClient:
     """A known client's connection that comes with many others, and goes after a while."""
 
-    def __init__(self, crowd, begun, gateway, office):
-        self.crowd, self.begun, self.gateway, self.office = crowd, begun, gateway, office
+    def __init__(self, flood, begun, gateway, office):
+        self.flood, self.begun, self.gateway, self.office = flood, begun, gateway, office
         self.end, self.told, self.took = None, False, 0.0
 
     def hello_received(self, end, hello):
         self.end, self.took = end, now() - self.begun
-        self.crowd.loop.call_later(0.5, self.tell, "let in", "")
-        self.crowd.loop.call_later(2.0, end.close)
+        self.flood.loop.call_later(0.5, self.tell, "let in", "")
+        self.flood.loop.call_later(2.0, end.close)
 
     def message_received(self, end, message):
         pass
@@ -62,7 +62,7 @@
         """Let in is who is still there after half a second."""
         if not self.told:
             self.told = True
-            self.crowd.record.add(
+            self.flood.record.add(
                 "came back",
                 peer=self.gateway,
                 party=self.office,
@@ -72,7 +72,7 @@
             )
 
 
-class Crowd:
+class ConnectionFlood:
     def __init__(self, record):
         self.record, self.loop, self.rate, self.doors = record, asyncio.get_running_loop(), 0.0, []
         self.open, self.fresh, self.serial, self.owed, self.task = deque(), [], 0, 0.0, None
@@ -84,7 +84,7 @@
             [(d.rpartition(":")[0], int(d.rpartition(":")[2])) for d in doors],
             per_second,
         )
-        first = greeting(tls)
+        first = client_greeting(tls)
         self.says = (b"", first[: len(first) // 2], first, first + b"\0\0\1\0")
         if per_second and self.task is None:
             self.task = self.loop.create_task(self.pour())
@@ -160,10 +160,10 @@
 
     async def come_back(self, doors, offices, count, wait=15.0):
         """Each office opens `count` connections to each door, all of them at once."""
-        contexts = {name: context_of(said["keys"]) for name, said in offices.items()}
+        contexts = {name: client_tls_context(said["keys"]) for name, said in offices.items()}
 
         async def one(gateway, door, office):
-            comer = Comer(self, now(), gateway, office)
+            comer = ReconnectingClient(self, now(), gateway, office)
             host, _, port = door.rpartition(":")
             try:
                 async with asyncio.timeout(wait):
@@ -191,11 +191,11 @@
         )
 
 
-async def crowd(said, say, commands):
+async def serve(said, emit, serve_commands):
     record = Record(said.get("record"), "crowd", "crowd")
-    one, tasks = Crowd(record), set()
+    one, tasks = ConnectionFlood(record), set()
 
-    def obey(name, values):
+    def handle_command(name, values):
         if name == "flood":
             one.flood(**values)
         elif name == "come back":
@@ -205,6 +205,6 @@
         else:
             raise ValueError(f"unknown: {name}")
 
-    say("ready")
-    await commands(obey)
+    emit("ready")
+    await serve_commands(handle_command)
     record.close()
--- a/cherrydoor/fakes/copies.py
+++ b/cherrydoor/fakes/copies.py
@@ -5,7 +5,7 @@
 from cherrydoor.fakes.record import now
 
 
-class Build:
+class HostSpec:
     """What a host is: figures that its commands may change while it runs. Times in ms, memory in MB."""
 
     def __init__(
@@ -55,11 +55,11 @@
         return self.standing - -(-self.running // lanes)
 
 
-class Job:
+class RunningAttempt:
     """An event at a host."""
 
     def __init__(self, end, launch, copies, origin=("", 0), number=0):
         """origin: the gateway that took the event, and its life; number: the host's own for this job."""
         self.origin, self.number = origin, number
-        self.end, self.launch, self.copies, self.copy, self.crowd = end, launch, copies, 1, 0
-        self.serial, self.over, self.at = None, False, now()
+        self.end, self.launch, self.copies, self.copy, self.concurrent = end, launch, copies, 1, 0
+        self.serial, self.ended, self.at = None, False, now()
--- a/cherrydoor/fakes/estates.py
+++ b/cherrydoor/fakes/ended_attempts.py
@@ -38,34 +38,34 @@
         self.body = body
 
 
-class Estates:
+class EndedAttempts:
     """Attempts by owner at one host; the table of running ones is the host's.
 
     `ended_incarnations` is bounded by the names of gateways that were lost.
     """
 
     id: str
-    jobs: dict
-    ends: Any
+    running_attempts: dict
+    connections: Any
     record: Any
-    say: Any
-    let_go: Any
-    answer: Any
+    send: Any
+    drop_attempt: Any
+    respond: Any
 
-    def begin_estates(self):
+    def forget_ended_attempts(self):
         """Begin with nothing remembered."""
         self.ended_incarnations = {}  # gateway -> its highest incarnation that is over
         self.ended_attempts = deque()
         self.ended_bytes = 0
-        self.numbers = 0
+        self.attempts_started = 0
         # (gateway, incarnation) -> the highest fencing token of its takeover, and when that came
         self.fencing_tokens = {}
 
-    def origin(self, end, launch):
+    def origin_of(self, end, launch):
         """Return owner and incarnation that an attempt belongs to."""
         return (launch.owner, launch.incarnation) if launch.owner else (end.name, end.incarnation)
 
-    def refused(self, end, launch=None):
+    def is_refused(self, end, launch=None):
         """Return whether this is of an ended incarnation, or under a superseded fencing token."""
         if 0 < end.incarnation <= self.ended_incarnations.get(end.name, 0):
             return True
@@ -77,7 +77,7 @@
         fencing_token, _ = self.fencing_tokens.get(origin, (0, 0.0))
         return fencing_token
 
-    def remember(self, job, outcome, body):
+    def remember_ended(self, job, outcome, body):
         """Keep an ended attempt for a successor; only of gateways that may have one."""
         if not job.origin[1]:
             return
@@ -91,7 +91,7 @@
         ):
             self.ended_bytes -= len(self.ended_attempts.popleft().body)
 
-    def over(self, end, message):
+    def end_incarnation(self, end, message):
         """Accept nothing more of an ended incarnation, and report its attempts to its successor."""
         origin = message.owner, message.incarnation
         highest_fencing_token = self._fencing_token(origin)
@@ -106,7 +106,7 @@
             fate="refused" if highest_fencing_token > message.fencing_token else "",
         )
         if highest_fencing_token > message.fencing_token:
-            self.say(end, AttemptsReport(message.id, highest_fencing_token))
+            self.send(end, AttemptsReport(message.id, highest_fencing_token))
             return
         oldest_ms = now() - FENCING_TOKEN_RETENTION_MS
         self.fencing_tokens = {
@@ -118,14 +118,14 @@
         self.ended_incarnations[message.owner] = max(
             message.incarnation, self.ended_incarnations.get(message.owner, 0)
         )
-        self.say(end, AttemptsReport(message.id, message.fencing_token, self._attempts_of(origin)))
-        for other in [other for other in self.ends if self.refused(other)]:
+        self.send(end, AttemptsReport(message.id, message.fencing_token, self._attempts_of(origin)))
+        for other in [other for other in self.connections if self.is_refused(other)]:
             other.close(INCARNATION_ENDED)
 
     def _attempts_of(self, origin):
         running = [
             HostAttempt(job.number, job.launch.client, job.launch.request_id, job.launch.attempt)
-            for job in self.jobs.values()
+            for job in self.running_attempts.values()
             if job.origin == origin
         ]
         ended = [
@@ -142,50 +142,60 @@
         ]
         return running + ended
 
-    def count(self, end, message):
+    def report_in_flight(self, end, message):
         """Report how many attempts run here, of whomever, and how many ever arrived."""
-        owners = dict.fromkeys(job.origin[0] or job.end.name for job in self.jobs.values())
+        owners = dict.fromkeys(
+            job.origin[0] or job.end.name for job in self.running_attempts.values()
+        )
         owners |= dict.fromkeys(
             one.origin[0] for one in self.ended_attempts if one.at_ms > now() - OWNER_RETENTION_MS
         )
-        self.say(
+        self.send(
             end,
             InFlightCount(
-                message.id, len(self.jobs), self.numbers, list(owners)[:MAX_OWNERS_REPORTED]
+                message.id,
+                len(self.running_attempts),
+                self.attempts_started,
+                list(owners)[:MAX_OWNERS_REPORTED],
             ),
         )
 
-    def adopt(self, end, message):
+    def adopt_attempt(self, end, message):
         """Send the attempt's outcome to the successor; it may have ended meanwhile."""
         found = next(
-            ((key, job) for key, job in self.jobs.items() if job.number == message.attempt_id), None
+            (
+                (key, job)
+                for key, job in self.running_attempts.items()
+                if job.number == message.attempt_id
+            ),
+            None,
         )
         self.record.add(
             "adopt", self.id, end.name, message.id, found[1].launch.request_id if found else 0
         )
         if found is not None:
             key, job = found
-            del self.jobs[key]
+            del self.running_attempts[key]
             job.end, job.launch.id = end, message.id
-            self.jobs[end, message.id] = job
+            self.running_attempts[end, message.id] = job
             return
         ended = next((one for one in self.ended_attempts if one.number == message.attempt_id), None)
         self._report_ended(end, message.id, ended)
 
     def _report_ended(self, end, message_id, ended):
         if ended is None:
-            self.say(end, protocol.AttemptResult(message_id, "error"))
+            self.send(end, protocol.AttemptResult(message_id, "error"))
             return
-        self.say(end, protocol.AttemptResult(message_id, ended.outcome, 1, body=ended.body))
+        self.send(end, protocol.AttemptResult(message_id, ended.outcome, 1, body=ended.body))
 
-    def recalled(self, end, message):
+    def cancellable_attempt(self, end, message):
         """Return the attempt that a connection, or another one of its incarnation, may cancel."""
-        job = self.jobs.get((end, message.id))
+        job = self.running_attempts.get((end, message.id))
         if job is None and end.incarnation:
             job = next(
                 (
                     one
-                    for one in self.jobs.values()
+                    for one in self.running_attempts.values()
                     if one.launch.id == message.id
                     and one.end.name == end.name
                     and one.end.incarnation == end.incarnation
--- a/cherrydoor/fakes/roll.py
+++ b/cherrydoor/fakes/endpoint_list.py
@@ -8,7 +8,7 @@
 from cherrydoor.protocol import messages as protocol
 
 
-class Roll:
+class EndpointListServer:
     """rows: the truth. A follower is told of a change `notice` ms later, between the two ends, in order.
 
     stale: asks are answered with what was so that long ago;  deaf: nobody is told anything while it is set.
@@ -17,7 +17,7 @@
     def __init__(self, record, notice=(50.0, 200.0), stale=0.0, seed=1):
         self.record, self.notice, self.stale, self.seed, self.drawn = record, notice, stale, seed, 0
         self.loop, self.rows, self.revision, self.past = asyncio.get_running_loop(), {}, 0, []
-        self.followers, self.ends, self.deaf = {}, OrderedSet(), False
+        self.followers, self.ends, self.muted = {}, OrderedSet(), False
 
     async def start(self, where="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
@@ -56,7 +56,7 @@
             self.record.add("heard", peer=name, id=message.revision)
 
     def tell(self, end, how, rows):
-        if self.deaf or end not in self.ends:
+        if self.muted or end not in self.ends:
             return
         self.revision += 1
         name = end.reader.hello.name
--- a/cherrydoor/fakes/host_pool.py
+++ b/cherrydoor/fakes/host_pool.py
@@ -2,22 +2,22 @@
 
 import asyncio
 
-from cherrydoor.fakes.copies import Build
+from cherrydoor.fakes.copies import HostSpec
 from cherrydoor.fakes.host import Host
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import messages as protocol
 
 
-class Store:
+class StoreConnection:
     """The farm's connection to the program store; what is asked for twice at once is fetched twice, as by hosts."""
 
-    def __init__(self, farm):
-        self.farm, self.end, self.calls, self.ids = farm, None, {}, 0
+    def __init__(self, host_pool):
+        self.host_pool, self.end, self.calls, self.ids = host_pool, None, {}, 0
 
     def fetch(self, function, then):
         self.ids += 1
         if self.end is None:
-            self.farm.loop.call_later(0.05, then, protocol.FetchResult(0, "error"))
+            self.host_pool.loop.call_later(0.05, then, protocol.FetchResult(0, "error"))
             return
         self.calls[self.ids] = then
         self.end.write(protocol.FetchFunction(self.ids, function))
@@ -36,7 +36,7 @@
             then(protocol.FetchResult(0, "error"))
 
 
-class Farm:
+class HostPool:
     """All hosts of one process, and what they share only as a model: marks of keyed events by group, and releases."""
 
     def __init__(self, record, catalogue, seed=1):
@@ -46,12 +46,17 @@
             seed,
             asyncio.get_running_loop(),
         )
-        self.hosts, self.store, self.marks, self.failing = {}, Store(self), {}, set()
+        self.hosts, self.store, self.idempotency_keys, self.failing_functions = (
+            {},
+            StoreConnection(self),
+            {},
+            set(),
+        )
         self.releases = {}
-        self.bad = {}  # version -> what is wrong with it: parts fail, crash, load_fail; times slow
+        self.faulty_versions = {}  # version -> what is wrong with it: parts fail, crash, load_fail; times slow
 
-    async def add(self, name="127.0.0.1:0", build=None, cold=False, bind=""):
-        host = Host(self, name, build or Build(), f"{self.seed}/{len(self.hosts)}", bind)
+    async def add(self, name="127.0.0.1:0", spec=None, cold=False, bind=""):
+        host = Host(self, name, spec or HostSpec(), f"{self.seed}/{len(self.hosts)}", bind)
         await host.start(cold=cold)
         self.hosts[host.id] = host
         return host
@@ -61,7 +66,7 @@
             if host.up:
                 host.sweep()
         old = now() - 60000
-        self.marks = {k: v for k, v in self.marks.items() if v > old}
+        self.idempotency_keys = {k: v for k, v in self.idempotency_keys.items() if v > old}
         self.loop.call_later(1.0, self.sweep)
 
     def facts(self, function):
@@ -76,24 +81,24 @@
             scope
             and {
                 "all": "",
-                "zone": host.build.zone,
-                "cell": f"{host.build.zone}/{host.build.cell}",
+                "zone": host.spec.zone,
+                "cell": f"{host.spec.zone}/{host.spec.cell}",
             }[scope]
         )
 
     scopes: dict = {}  # keyed clause -> all, zone or cell
 
-    def first(self, host, launch):
+    def is_new(self, host, launch):
         """False where the group remembers the mark: then no effect happens."""
         group = self.group(host, launch)
         if group is None:
             return True
-        at = self.marks.get((group, launch.idempotency_key))
-        return at is None or now() - at > host.build.remember
+        at = self.idempotency_keys.get((group, launch.idempotency_key))
+        return at is None or now() - at > host.spec.remember
 
-    def effect(self, host, launch):
+    def record_effect(self, host, launch):
         """Notes the mark; True if this run has an effect."""
-        first, group = self.first(host, launch), self.group(host, launch)
+        first, group = self.is_new(host, launch), self.group(host, launch)
         if first and group is not None:
-            self.marks[group, launch.idempotency_key] = now()
+            self.idempotency_keys[group, launch.idempotency_key] = now()
         return first
--- a/cherrydoor/fakes/store.py
+++ b/cherrydoor/fakes/store.py
@@ -60,7 +60,7 @@
             self.catalogue.fetch_time(fetch.function),
             lambda: self.fetched(end, fetch),
         )
-        self.kick()
+        self.reschedule()
 
     def fetched(self, end, fetch):
         self.in_hand -= 1
@@ -76,9 +76,9 @@
         self.cores.advance(now(), self.speed())
         self.slow = self.slow if slow is None else slow
         self.stopped = self.stopped if stopped is None else stopped
-        self.kick()
+        self.reschedule()
 
-    def kick(self):
+    def reschedule(self):
         if self.alarm:
             self.alarm.cancel()
             self.alarm = None
@@ -86,4 +86,4 @@
             job()
         wait = self.cores.next()
         if self.alarm is None and wait is not None:
-            self.alarm = self.loop.call_later(wait / 1000 + 0.0001, self.kick)
+            self.alarm = self.loop.call_later(wait / 1000 + 0.0001, self.reschedule)
--- a/cherrydoor/rehearsal/answers.py
+++ b/cherrydoor/rehearsal/answers.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from cherrydoor.rehearsal.seen import SLACK, Break
+from cherrydoor.rehearsal.seen import SLACK, Violation
 
 NEAR = (
     150.0  # ms around the end of a client's time in which what a process waited for a core counts
@@ -13,7 +13,7 @@
 )
 
 
-class Answers:
+class AnswerAudit:
     """Events as clients had them answered; what was seen is the audit's."""
 
     sent: dict
@@ -25,9 +25,9 @@
     cut_off: Any
     waits: Any
     within: Any
-    broke: Any
+    add_violation: Any
     excused: Any
-    crowded: list
+    starved_of_cpu: list
 
     def rule_1(self):
         for number, sent in self.sent.items():
@@ -37,7 +37,7 @@
             others = [r for r in rows if r["what"] not in ("answer", "started")]
             streams = any(r["what"] == "started" for r in rows)
             for extra in answers[1:]:
-                self.broke(1, extra["t"], "a second final answer", gateway, number)
+                self.add_violation(1, extra["t"], "a second final answer", gateway, number)
             if not answers:
                 self.unanswered(number, gateway, until, others)
             elif answers[0]["t"] > until and not streams:
@@ -48,12 +48,12 @@
                     if self.within(self.stopped, gateway, over, SLACK):
                         self.excused["launched as its gateway woke"] += 1
                     else:
-                        self.broke(
+                        self.add_violation(
                             1, launch["t"], "a launch after the final answer", gateway, number
                         )
         for number, rows in self.ends.items():
             if number not in self.sent:
-                self.broke(
+                self.add_violation(
                     1, rows[0]["t"], "an answer to what was never sent", rows[0]["peer"], number
                 )
 
@@ -70,7 +70,7 @@
             ):
                 self.excused["held by a gateway whose life was over"] += 1
             else:
-                self.broke(
+                self.add_violation(
                     1, end["t"], "a connection closed on an event not answered", gateway, number
                 )
         elif self.within(self.stopped, gateway, until, SLACK):
@@ -90,12 +90,12 @@
 
     def timed(self, t, what, gateway, number, until, late=0.0):
         """A break of rule 1 by time alone."""
-        if self.terms.get("spare") and self.too_crowded(gateway, until, late):
-            self.crowded.append(Break(1, t, what, gateway, number))
+        if self.terms.get("spare") and self.was_starved_of_cpu(gateway, until, late):
+            self.starved_of_cpu.append(Violation(1, t, what, gateway, number))
         else:
-            self.broke(1, t, what, gateway, number)
+            self.add_violation(1, t, what, gateway, number)
 
-    def too_crowded(self, gateway, until, late):
+    def was_starved_of_cpu(self, gateway, until, late):
         """Whether the spare of a client's time, and what the answer was late beyond it, was spent without a core by
         its gateway, the clients or the hosts: then this machine broke the rule, and nothing is shown of the gateway."""
         spent = sum(
--- a/cherrydoor/rehearsal/audit.py
+++ b/cherrydoor/rehearsal/audit.py
@@ -10,15 +10,15 @@
 
 import numpy as np
 
-from cherrydoor.rehearsal.answers import Answers
-from cherrydoor.rehearsal.effects import Effects
-from cherrydoor.rehearsal.estates import Estates
-from cherrydoor.rehearsal.seen import SLACK, Break, Seen, key
+from cherrydoor.rehearsal.answers import AnswerAudit
+from cherrydoor.rehearsal.effects import EffectAudit
+from cherrydoor.rehearsal.seen import SLACK, Seen, Violation, key
 from cherrydoor.rehearsal.seen import Unreadable as Unreadable
-from cherrydoor.rehearsal.service import Service
+from cherrydoor.rehearsal.service import ServiceLevels
+from cherrydoor.rehearsal.takeover_audit import TakeoverAudit
 
 
-class Audit(Answers, Effects, Estates, Service):
+class Audit(AnswerAudit, EffectAudit, TakeoverAudit, ServiceLevels):
     def __init__(self, folder):
         self.seen = seen = Seen(
             Path(folder) / "traffic" if (Path(folder) / "traffic").exists() else folder
@@ -29,7 +29,7 @@
             raise Unreadable("no terms or no beginning among the conductor's rows")
         self.terms, self.begun = json.loads(said[0]["text"]), begun[0]["t"]
         self.warm = begun[0]["a"]
-        self.breaks, self.excused, self.crowded = [], Counter(), []
+        self.violations, self.excused, self.starved_of_cpu = [], Counter(), []
         self.sent = {row["id"]: row for row in seen.of("client", "sent")}
         self.ends = defaultdict(list)  # event -> what the client saw of its end, in order
         for what in ("answer", "gave up", "withdrew", "cut", "started", "not known"):
@@ -69,8 +69,8 @@
     def within(self, spans, gateway, t, after=0.0):
         return any(a - SLACK <= t <= b + after for a, b in spans.get(gateway, ()))
 
-    def broke(self, rule, t, what, gateway="", event=0):
-        self.breaks.append(Break(rule, t, what, gateway, event))
+    def add_violation(self, rule, t, what, gateway="", event=0):
+        self.violations.append(Violation(rule, t, what, gateway, event))
 
     # ---- rule 3: drains are kept
     def rule_3(self):
@@ -93,7 +93,7 @@
                     if t <= row["t"]:
                         since = None if state == "ready" else since if since is not None else t
                 if since is not None and row["t"] > since + grace + SLACK and not self.woke(row):
-                    self.broke(
+                    self.add_violation(
                         3,
                         row["t"],
                         f"{what} to {row['who']}, {row['t'] - since:.0f} ms after the news",
@@ -155,7 +155,7 @@
                     share = Counter()
                     for one in window[first:]:
                         share[one["peer"]] += one["b"]
-                    self.broke(
+                    self.add_violation(
                         4,
                         row["t"],
                         f"{host} was sent {total:.0f} ms of work in {cold['fall']:.0f} ms, where "
@@ -185,7 +185,7 @@
                     events, t - within - SLACK
                 )
                 if before > ration["free"] + ration["share"] * least:
-                    self.broke(
+                    self.add_violation(
                         5, t, f"{before} orders in {within:.0f} ms with {least} events", gateway
                     )
 
@@ -206,11 +206,11 @@
             self.rule_3,
             self.rule_4,
             self.rule_5,
-            self.estates,
-            self.emptied,
+            self.check_takeovers,
+            self.check_drained_zones,
         ):
             rule()
-        served, seconds = self.service()
+        served, seconds = self.service_levels()
         seen, reasons = self.seen, Counter()
         answers = Counter(r["fate"] for r in seen.of("client", "answer"))
         for row in seen.of("client", "answer"):
@@ -240,13 +240,13 @@
             {"what": r["text"], "at": r["t"] - self.begun, "begins": r["fate"] == "begins"}
             for r in seen.of("conductor", "trouble")
         ]
-        self.breaks.sort(key=lambda b: (b.t, b.rule))
+        self.violations.sort(key=lambda b: (b.t, b.rule))
         return {
             "day": self.terms["name"],
             "seed": self.terms["seed"],
             "decides": self.terms["decides"],
-            "broken": [self.shown(b) for b in self.breaks],
-            "crowded": [self.shown(b) for b in self.crowded],
+            "broken": [self.shown(b) for b in self.violations],
+            "crowded": [self.shown(b) for b in self.starved_of_cpu],
             "excused": dict(self.excused),
             "service": served,
             "answers": dict(answers),
@@ -260,19 +260,19 @@
             "lag_ms": {f"p{p:g}": float(np.percentile(lag, p)) for p in (50, 99, 99.9, 100)}
             if len(lag)
             else {},
-            "releases": self.releases(),
+            "releases": self.release_figures(),
             "store": {
                 "fetches": len(seen.of("store", "fetch")),
                 "refused": len(seen.of("store", "fetch refused")),
                 "most at once": int(max((r["a"] for r in seen.of("store", "fetch")), default=0.0)),
             },
-            "doors": self.doors(),
+            "doors": self.admission_figures(),
             "during": {
                 kind: one
                 for kind in sorted({t["what"] for t in troubles})
-                if (one := self.during(kind))
+                if (one := self.figures_during(kind))
             },
-            "taken over": self.taken_over(),
+            "taken over": self.takeover_figures(),
             "line": line,
             "troubles": troubles,
             "warm": self.warm,
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -56,4 +56,4 @@
     return Router(settings, chooser=LeastInFlight)
 
 
-MAKERS = {"module": Router, "random": random_choice, "least-out": least_out}
+ROUTER_FACTORIES = {"module": Router, "random": random_choice, "least-out": least_out}
--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -9,15 +9,15 @@
 from heapq import heappop, heappush
 from zlib import crc32
 
-from cherrydoor.fakes.command import commands, say
+from cherrydoor.fakes.command import emit, serve_commands
 from cherrydoor.fakes.record import Record, now
 from cherrydoor.protocol import failover as custody
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.connection import Connection
-from cherrydoor.rehearsal.traffic import draw, function_name
+from cherrydoor.rehearsal.traffic import draw_arrivals, function_name
 
 
-class Try:
+class SentRequest:
     """One event as sent: the first try of it, or a repeat."""
 
     __slots__ = (
@@ -43,15 +43,17 @@
 
 
 class Clients:
-    def __init__(self, day, doors, record, comes=None):
+    def __init__(self, day, doors, record, sources=None):
         self.day, self.record, self.loop = day, record, asyncio.get_running_loop()
-        self.arrivals, self.events = draw(day), day["events"]
+        self.arrivals, self.events = draw_arrivals(day), day["events"]
         self.offices = [o["name"] for o in day["offices"]] or [""]
-        comes = comes or {}
-        self.doors = [
+        sources = sources or {}
+        self.connections = [
             [
-                Connection(self, i, address, office, comes.get(office, {"address": "", "keys": {}}))
-                for office in (self.offices if comes else [""])
+                Connection(
+                    self, i, address, office, sources.get(office, {"address": "", "keys": {}})
+                )
+                for office in (self.offices if sources else [""])
             ]
             for i, address in enumerate(doors)
         ]
@@ -101,7 +103,9 @@
 
     def first(self, i, due):
         event = self.events[self.arrivals.clause[i]]
-        one = Try(self.new_id(), i, 0, due, due + event["max_age"], self.arrivals.gateway[i])
+        one = SentRequest(
+            self.new_id(), i, 0, due, due + event["max_age"], self.arrivals.gateway[i]
+        )
         self.send(one)
 
     def new_id(self):
@@ -111,7 +115,7 @@
     def send(self, one):
         i, a = one.first, self.arrivals
         event, t = self.events[a.clause[i]], now()
-        there = self.doors[int(one.turn) % len(self.doors)]
+        there = self.connections[int(one.turn) % len(self.connections)]
         conn = there[a.party[i]] if len(there) > 1 else there[0]
         lasts = min(event["max_age"] * a.patience[i], one.deadline - t)
         if lasts <= 1:
@@ -221,7 +225,7 @@
 
     def reclaim(self, one):
         """Claims the answer at another gateway, where work in hand outlives its own; False where nobody is there."""
-        t, doors = now(), [door[0] for door in self.doors]
+        t, doors = now(), [door[0] for door in self.connections]
         there = [
             conn
             for conn in doors
@@ -281,7 +285,7 @@
             self.later(
                 t + wait,
                 self.send,
-                Try(self.new_id(), one.first, one.index + 1, one.due, one.deadline, turn),
+                SentRequest(self.new_id(), one.first, one.index + 1, one.due, one.deadline, turn),
             )
 
 
@@ -289,15 +293,17 @@
     record = Record(said["record"], "client", "clients")
     clients = Clients(said["day"], said["doors"], record, said.get("comes"))
     tasks = [
-        asyncio.get_running_loop().create_task(one.keep()) for door in clients.doors for one in door
+        asyncio.get_running_loop().create_task(one.keep())
+        for door in clients.connections
+        for one in door
     ]
-    while any(one.end is None for door in clients.doors for one in door):
+    while any(one.end is None for door in clients.connections for one in door):
         await asyncio.sleep(0.02)
     gc.collect()
     gc.freeze()
-    say("ready", events=clients.arrivals.count)
+    emit("ready", events=clients.arrivals.count)
 
-    def obey(name, values):
+    def handle_command(name, values):
         if name == "go":
             clients.go(values["at"])
         elif name == "count":
@@ -307,10 +313,10 @@
 
     def over(_):
         record.flush()
-        say("over", sent=clients.ids)
+        emit("over", sent=clients.ids)
 
     clients.ends.add_done_callback(over)
-    await commands(obey)
+    await serve_commands(handle_command)
     for task in tasks:
         task.cancel()
     record.close()
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from cherrydoor.connection import FramedConnection
-from cherrydoor.fakes.crowd import context_of
+from cherrydoor.fakes.connection_flood import client_tls_context
 from cherrydoor.fakes.record import now
 from cherrydoor.protocol import failover as custody
 from cherrydoor.protocol import messages as protocol
@@ -12,8 +12,8 @@
 class Connection:
     """To one gateway; tried again and again while it is down."""
 
-    def __init__(self, clients, number, address, office, comes):
-        """comes: the address that it comes from ("" for any), and the keys of its TLS ({} for none)."""
+    def __init__(self, clients, number, address, office, source):
+        """source: the address that it comes from ("" for any), and the keys of its TLS ({} for none)."""
         self.clients, self.number, self.end, self.open, self.office = (
             clients,
             number,
@@ -23,9 +23,9 @@
         )
         self.host, _, port = address.rpartition(":")
         self.port, self.leaving, self.name, self.incarnation = int(port), False, "", 0
-        self.more = {"ssl": context_of(comes["keys"])}
-        if comes["address"]:
-            self.more["local_addr"] = (comes["address"], 0)
+        self.more = {"ssl": client_tls_context(source["keys"])}
+        if source["address"]:
+            self.more["local_addr"] = (source["address"], 0)
 
     async def keep(self):
         while True:
--- a/cherrydoor/rehearsal/crowding.py
+++ b/cherrydoor/rehearsal/cpu_starvation.py
@@ -23,7 +23,7 @@
     return max(found, default=None)
 
 
-class Crowding:
+class CpuStarvationMonitor:
     """Samples the processes of a rehearsal and notes in its record what they had to wait for a core."""
 
     def __init__(self, record, now, processes):
--- a/cherrydoor/rehearsal/day.py
+++ b/cherrydoor/rehearsal/day.py
@@ -17,7 +17,7 @@
 def read_day(name, **changes):
     """The plain values of a day file. `changes` replace top values, such as seed; Problems where it is wrong."""
     path = find(name)
-    said = bare(read_file(path, "#Day", "day.schema"))
+    said = bare(read_file(path, "#Day", "scenario.schema"))
     said.update({key: value for key, value in changes.items() if value is not None})
     found = [
         Problem(
@@ -56,7 +56,7 @@
     return said
 
 
-def builds(day):
+def host_specs(day):
     """One build a host, in the order of their numbers: kinds by share, floors in turn."""
     if "builds" in day:  # a day drawn elsewhere says each
         return day["builds"]
@@ -105,18 +105,20 @@
     return found
 
 
-def fellows(day, number, folder, meets):
-    """What the lease says of peers and tenures; {} where each gateway is alone. meets: gateway number -> (where its
-    door for peers is, where others reach it)."""
+def peer_settings(day, number, folder, peer_addresses):
+    """What the lease says of peers and tenures; {} where each gateway is alone. peer_addresses: gateway number ->
+    (where its door for peers is, where others reach it)."""
     said = day.get("fellows") or {}
     if not said.get("keepers"):
         return {}
     return {
         "peers": {
-            "door": meets[number][0],
-            "at": meets[number][1],
+            "door": peer_addresses[number][0],
+            "at": peer_addresses[number][1],
             "next": said["next"],
-            "keepers": [{"name": f"g{i}", "at": meets[i][1]} for i in range(said["keepers"])],
+            "keepers": [
+                {"name": f"g{i}", "at": peer_addresses[i][1]} for i in range(said["keepers"])
+            ],
             "beat": ms(min(200.0, said["silent"] / 4)),
             "silent": ms(said["silent"]),
             "control": str(folder / f"g{number}.control"),
@@ -130,7 +132,7 @@
     }
 
 
-def lease_values(day, number, door, listing, folder, feed="", meets=None):
+def lease_values(day, number, door, listing, folder, feed="", peer_addresses=None):
     """The lease of one gateway of the day, as plain values."""
     may, floors = day["may"], day["fleet"]["floors"]
     return {
@@ -181,7 +183,7 @@
             if feed
             else {}
         ),
-        **fellows(day, number, folder, meets),
+        **peer_settings(day, number, folder, peer_addresses),
         "tells": {
             "copy": day["fleet"].get("tells_copy", True),
             "crowd": day["fleet"].get("tells_crowd", True),
--- a/cherrydoor/rehearsal/effects.py
+++ b/cherrydoor/rehearsal/effects.py
@@ -6,7 +6,7 @@
 from cherrydoor.rehearsal.seen import NEVER_RAN, SLACK, key
 
 
-class Effects:
+class EffectAudit:
     """Effects and launches as hosts had them; what was seen is the audit's."""
 
     seen: Any
@@ -14,7 +14,7 @@
     ends: Any
     launches: Any
     outcomes: dict
-    broke: Any
+    add_violation: Any
 
     def rule_2(self):
         effects, kinds = defaultdict(list), self.terms["events"]
@@ -22,7 +22,7 @@
             effects[row["clause"], row["mark"]].append(row)
         for (clause, mark), rows in effects.items():
             if kinds[clause]["kind"] != "redeliverable" and len(rows) > 1:
-                self.broke(
+                self.add_violation(
                     2,
                     rows[1]["t"],
                     f"an effect twice ({kinds[clause]['kind']}, {mark})",
@@ -38,9 +38,11 @@
                     min(ends[key(before)], ends[key(after)]) - after["t"]
                 )  # 0 where one came dead on arrival
                 if not self.terms["twice"] and both > SLACK:
-                    self.broke(2, after["t"], "two launches out at once", after["peer"], number)
+                    self.add_violation(
+                        2, after["t"], "two launches out at once", after["peer"], number
+                    )
                 if kind["kind"] == "at-most-once" and not self.never_ran(before):
-                    self.broke(
+                    self.add_violation(
                         2,
                         after["t"],
                         "a further launch of what may have run",
@@ -52,7 +54,7 @@
                     and not self.never_ran(before)
                     and (after["t"] - before["t"] > kind["memory"] + SLACK)
                 ):
-                    self.broke(
+                    self.add_violation(
                         2,
                         after["t"],
                         "a further launch past what hosts remember",
@@ -67,7 +69,7 @@
                 and kind["group"] == "all"
             )
             if answer and answer["fate"] == "deferred" and ran and not harmless:
-                self.broke(
+                self.add_violation(
                     2, answer["t"], "a deferral of what may have run", answer["peer"], number
                 )
 
--- a/cherrydoor/rehearsal/fault_injecting_proxy.py
+++ b/cherrydoor/rehearsal/fault_injecting_proxy.py
@@ -26,29 +26,29 @@
 }
 
 
-class Way:
+class OneWayLink:
     """Frames of one connection in one direction."""
 
-    def __init__(self, relay, origin, to, writer):
-        self.relay, self.origin, self.to, self.writer = relay, origin, to, writer
+    def __init__(self, proxy, origin, to, writer):
+        self.proxy, self.origin, self.to, self.writer = proxy, origin, to, writer
         self.held, self.last, self.loop = [], 0.0, asyncio.get_running_loop()
 
     def pass_on(self, frame):
-        rule, rng = self.relay.rule(self.origin, self.to), self.relay.rng
+        rule, rng = self.proxy.rule(self.origin, self.to), self.proxy.rng
         if rule["cut"]:
-            return self.relay.count("cut")
+            return self.proxy.count("cut")
         if rule["drop"] and rng.random() < rule["drop"]:
-            return self.relay.count("dropped")
+            return self.proxy.count("dropped")
         if rule["hold"]:
-            self.relay.count("held")
+            self.proxy.count("held")
             return self.held.append(frame)
         times = 1 + (rng.random() < rule["double"])
-        self.relay.counts["doubled"] = self.relay.counts.get("doubled", 0) + times - 1
+        self.proxy.counts["doubled"] = self.proxy.counts.get("doubled", 0) + times - 1
         for _ in range(times):
             late = (rule["delay"] + rule["spread"] * rng.random()) / 1000
             at = self.loop.time() + late
             if rule["reorder"] and rng.random() < rule["reorder"]:
-                self.relay.count("reordered")
+                self.proxy.count("reordered")
                 self.loop.call_at(at + 0.05 * rng.random(), self.write, frame)
             elif late or self.last > self.loop.time():
                 self.last = max(self.last + 1e-6, at)
@@ -56,7 +56,7 @@
             else:
                 self.write(frame)
 
-    def let_go(self):
+    def release_held(self):
         held, self.held = self.held, []
         for frame in held:
             self.pass_on(frame)
@@ -66,7 +66,7 @@
             self.writer.write(frame)
 
 
-class Relay:
+class FaultInjectingProxy:
     def __init__(self, seed=1):
         self.rng, self.rules, self.pairs, self.counts, self.servers = (
             random.Random(seed),
@@ -89,12 +89,12 @@
         """Opens a port in front of a target; its address."""
         host, _, port = (at or "127.0.0.1:0").rpartition(":")
         server = await asyncio.start_server(
-            lambda r, w: self.came(r, w, to, target), host, int(port), limit=2**26
+            lambda r, w: self.accept(r, w, to, target), host, int(port), limit=2**26
         )
         self.servers.append(server)
         return f"{host}:{server.sockets[0].getsockname()[1]}"
 
-    async def came(self, reader, writer, to, target):
+    async def accept(self, reader, writer, to, target):
         other = None
         try:
             first = await frame_of(reader)
@@ -103,7 +103,7 @@
                 return await asyncio.sleep(3600)  # nothing comes up, and nothing is said
             host, _, port = target.rpartition(":")
             other_reader, other = await asyncio.open_connection(host, int(port), limit=2**26)
-            there, back = Way(self, origin, to, other), Way(self, to, origin, writer)
+            there, back = OneWayLink(self, origin, to, other), OneWayLink(self, to, origin, writer)
             pair = (origin, to, writer, other, there, back)
             self.pairs.append(pair)
             other.write(first)
@@ -131,7 +131,7 @@
         for *_, there, back in list(self.pairs):
             for way in (there, back):
                 if way.held and not self.rule(way.origin, way.to)["hold"]:
-                    way.let_go()
+                    way.release_held()
 
     def calm(self):
         """No rule any more."""
@@ -162,13 +162,13 @@
     try:
         while True:
             frame = await frame_of(reader)
-            if hello and not way.relay.rule(way.origin, way.to)["cut"]:
+            if hello and not way.proxy.rule(way.origin, way.to)["cut"]:
                 way.write(frame)
                 hello = False
             else:
                 way.pass_on(frame)
     finally:
-        while way.relay.rule(way.origin, way.to)[
+        while way.proxy.rule(way.origin, way.to)[
             "cut"
         ]:  # an end is not heard of through a cut either
             await asyncio.sleep(0.05)
@@ -177,21 +177,21 @@
 
 async def play(said):
     """As a process of a rehearsal."""
-    from cherrydoor.fakes.command import commands, say
+    from cherrydoor.fakes.command import emit, serve_commands
 
     record = Record(said.get("record"), "between", "between")
-    relay = Relay(said.get("seed", 1))
+    proxy = FaultInjectingProxy(said.get("seed", 1))
 
-    async def obey(name, values):
+    async def handle_command(name, values):
         if name == "port":
-            return await relay.port(**values)
+            return await proxy.port(**values)
         if name not in ("set", "calm", "cut", "reset", "counts"):
             raise ValueError(f"unknown: {name}")
         if name == "counts":
-            return relay.counts
+            return proxy.counts
         record.add("rule", text=f"{name} {values}", a=now())
-        getattr(relay, name)(**values)
+        getattr(proxy, name)(**values)
 
-    say("ready")
-    await commands(obey)
+    emit("ready")
+    await serve_commands(handle_command)
     record.close()
--- a/cherrydoor/rehearsal/acts.py
+++ b/cherrydoor/rehearsal/fault_steps.py
@@ -8,12 +8,12 @@
 from cherrydoor.fakes.record import wall
 
 
-class Acts:
+class FaultSteps:
     """Steps by name, do_kill_gateway and so on; the parts are the conductor's."""
 
     day: dict
     record: Any
-    farm: Any
+    host_pool: Any
     store: Any
     list: Any
     feed: Any
@@ -21,67 +21,71 @@
     keys: Any
     folder: Any
     ids: dict
-    rows: dict
-    row: Any
-    doors: dict
+    endpoints: dict
+    set_endpoint: Any
+    addresses: dict
     gateways: dict
-    comes: Any
-    builds: Any
-    like: dict
+    client_sources: Any
+    host_specs: Any
+    replaces: dict
     ports: Any
     replaced: set
     start_gateways: Any
-    between: Any
-    relayed: Any
+    proxy: Any
+    proxied: Any
 
     async def do_trouble(self, name, on):
         self.record.add("trouble", fate="begins" if on else "ends", text=name)
 
     async def do_hosts(self, do, hosts, values):
         names = {} if hosts is None else {"hosts": [self.ids[h] for h in hosts if h in self.ids]}
-        await self.farm.tell(do, **names, **values)
+        await self.host_pool.command(do, **names, **values)
 
     async def do_crash(self, host):
-        await self.farm.tell("crash", hosts=[self.ids[host]])
+        await self.host_pool.command("crash", hosts=[self.ids[host]])
         await asyncio.sleep(self.day["list"]["miss"] / 1000)
-        state, since, build = self.rows[self.ids[host]]
-        if (await self.farm.tell("who"))[self.ids[host]]["up"] is False:
-            await self.row(host, self.ids[host], "gone", since, build)
+        state, since, build = self.endpoints[self.ids[host]]
+        if (await self.host_pool.command("who"))[self.ids[host]]["up"] is False:
+            await self.set_endpoint(host, self.ids[host], "gone", since, build)
 
     async def do_return(self, host):
         if host not in self.ids:
             return
-        [since] = await self.farm.tell("restart", hosts=[self.ids[host]])
-        await self.row(host, self.ids[host], "ready", since, self.rows[self.ids[host]][2])
+        [since] = await self.host_pool.command("restart", hosts=[self.ids[host]])
+        await self.set_endpoint(
+            host, self.ids[host], "ready", since, self.endpoints[self.ids[host]][2]
+        )
 
     async def do_drain(self, host):
-        _, since, build = self.rows[self.ids[host]]
-        await self.row(host, self.ids[host], "draining", since, build)
-        await self.farm.tell("drain", hosts=[self.ids[host]])
+        _, since, build = self.endpoints[self.ids[host]]
+        await self.set_endpoint(host, self.ids[host], "draining", since, build)
+        await self.host_pool.command("drain", hosts=[self.ids[host]])
 
     async def do_leave(self, host):
-        _, since, build = self.rows[self.ids[host]]
-        await self.farm.tell("crash", hosts=[self.ids[host]])
-        await self.row(host, self.ids[host], "gone", since, build)
+        _, since, build = self.endpoints[self.ids[host]]
+        await self.host_pool.command("crash", hosts=[self.ids[host]])
+        await self.set_endpoint(host, self.ids[host], "gone", since, build)
 
-    async def do_join(self, host, like):
-        build = self.builds[self.like[host]]
+    async def do_join(self, host, replaces):
+        build = self.host_specs[self.replaces[host]]
         name = self.ports.take()
-        binds = [await self.relayed(name)] if self.between else None
-        [name] = await self.farm.tell("add", builds=[build], names=[name], cold=True, binds=binds)
+        binds = [await self.proxied(name)] if self.proxy else None
+        [name] = await self.host_pool.command(
+            "add", builds=[build], names=[name], cold=True, binds=binds
+        )
         self.ids[host] = name
-        await self.row(host, name, "ready", wall(), build)
+        await self.set_endpoint(host, name, "ready", wall(), build)
 
     async def do_store(self, **values):
-        await self.store.tell("set", **values)
+        await self.store.command("set", **values)
 
     async def do_cut(self, gateways, on):
         """From all peers and hosts, both ways; the record says of whom, for the judge."""
         for gateway in gateways:
             self.record.add("gateway cut off" if on else "gateway reached", f"g{gateway}")
-            await self.between.tell("set", origin=f"g{gateway}", to="*", both=True, cut=on)
+            await self.proxy.command("set", origin=f"g{gateway}", to="*", both=True, cut=on)
 
-    async def ask(self, said):
+    async def ask_gateway(self, said):
         """The answer of the first gateway that runs and gives one; None where there is none."""
         for number, (part, _) in sorted(self.gateways.items()):
             if part.process.returncode is not None:
@@ -102,12 +106,13 @@
 
     async def do_site(self, site, word):
         """An operator's word; what becomes of the drain is noted as gateways tell it."""
-        answer = await self.ask({"do": "site", "what": word, "site": site, "even": True})
+        answer = await self.ask_gateway({"do": "site", "what": word, "site": site, "even": True})
         self.record.add("site", fate=word, text=site, function=str((answer or {}).get("error", "")))
         last = None
         while (
             word == "drain"
-            and (said := await self.ask({"do": "site", "what": "show", "site": site})) is not None
+            and (said := await self.ask_gateway({"do": "site", "what": "show", "site": site}))
+            is not None
         ):
             state = said.get("state", ""), said.get("wave", 0), said.get("conductor", "")
             if state != last:
@@ -120,7 +125,7 @@
     async def do_kill_conductor(self, back):
         """Whoever conducts a drain, and nobody else; it comes back later."""
         for site in self.day["fleet"]["floors"]:
-            name = (await self.ask({"do": "site", "what": "show", "site": site}) or {}).get(
+            name = (await self.ask_gateway({"do": "site", "what": "show", "site": site}) or {}).get(
                 "conductor"
             )
             if name:
@@ -129,19 +134,19 @@
                 return await self.do_start_gateway(int(name[1:]))
 
     async def do_noise(self, values):
-        await self.between.tell("set", origin="g*", to="g*", **values)
+        await self.proxy.command("set", origin="g*", to="g*", **values)
 
     async def do_list(self, on):
-        await self.list.tell("deaf", on=on)
+        await self.list.command("deaf", on=on)
 
     async def do_flush(self, functions, release):
-        await self.store.tell("release", functions=functions, release=release)
-        await self.farm.tell("flush", functions=functions, release=release)
+        await self.store.command("release", functions=functions, release=release)
+        await self.host_pool.command("flush", functions=functions, release=release)
 
     async def do_flood(self, per_second):
-        await self.crowd.tell(
+        await self.crowd.command(
             "flood",
-            doors=list(self.doors.values()),
+            doors=list(self.addresses.values()),
             per_second=per_second,
             tls=self.day["doors"]["tls"],
         )
@@ -149,10 +154,10 @@
     async def do_reconnect(self, count):
         """At the gateways that run, an office's connections beside those that it has."""
         up = [g for g, (part, _) in self.gateways.items() if part.process.returncode is None]
-        await self.crowd.tell(
+        await self.crowd.command(
             "come back",
-            doors={f"g{g}": self.doors[g] for g in sorted(up)},
-            offices=self.comes(),
+            doors={f"g{g}": self.addresses[g] for g in sorted(up)},
+            offices=self.client_sources(),
             count=count,
         )
 
@@ -173,17 +178,17 @@
         if not self.day["feed"]["gradual"]:
             return await self.do_flush(functions, version)
         if bad:
-            await self.farm.tell(
+            await self.host_pool.command(
                 "bad", functions=[f"{name}@{version}" for name in functions], **bad
             )
-        await self.feed.tell("release", functions=functions, version=version)
+        await self.feed.command("release", functions=functions, version=version)
 
-    def mates(self, gateway):
+    def process_and_gateways(self, gateway):
         part, group = self.gateways[gateway]
         return part, group
 
     async def do_kill_gateway(self, gateway):
-        part, group = self.mates(gateway)
+        part, group = self.process_and_gateways(gateway)
         if part.process.returncode is None:
             for one in group:
                 self.record.add("gateway killed", f"g{one}")
@@ -191,7 +196,7 @@
             await part.process.wait()
 
     async def do_start_gateway(self, gateway):
-        part, group = self.mates(gateway)
+        part, group = self.process_and_gateways(gateway)
         if part.process.returncode is not None and part not in self.replaced:
             self.replaced.add(
                 part
@@ -199,13 +204,13 @@
             await self.start_gateways(group)
 
     async def do_stop_gateway(self, gateway):
-        part, group = self.mates(gateway)
+        part, group = self.process_and_gateways(gateway)
         for one in group:
             self.record.add("gateway stopped", f"g{one}")
         part.signal(signal.SIGSTOP)
 
     async def do_continue_gateway(self, gateway):
-        part, group = self.mates(gateway)
+        part, group = self.process_and_gateways(gateway)
         part.signal(signal.SIGCONT)
         for one in group:
             self.record.add("gateway continued", f"g{one}")
--- a/cherrydoor/rehearsal/troubles.py
+++ b/cherrydoor/rehearsal/faults.py
@@ -5,16 +5,16 @@
 from cherrydoor.rehearsal.traffic import function_name
 
 
-class Steps:
+class FaultPlan:
     """The steps of one day, each (at in ms from the start, what, values), in order of time.
 
     Hosts and gateways go by number; a host that takes another's place gets the next number.
     """
 
     def __init__(self, day):
-        self.day, self.found, self.drawn = day, [], 0
+        self.day, self.steps, self.drawn = day, [], 0
         self.hosts, self.next_host = list(range(day["fleet"]["hosts"])), day["fleet"]["hosts"]
-        self.like = {}  # number of a successor -> the host whose build it takes
+        self.replaces = {}  # number of a successor -> the host whose build it takes
         for trouble in sorted(day["troubles"], key=lambda t: t["at"]):
             plan = getattr(self, trouble["what"].replace("-", "_"), None)
             self.add(trouble["at"] + day["warm"], "trouble", name=trouble["what"], on=True)
@@ -30,26 +30,26 @@
                     trouble["at"] + day["warm"],
                     trouble["at"] + day["warm"] + trouble["lasts"],
                 )
-        self.found.sort(key=lambda step: step[0])
+        self.steps.sort(key=lambda step: step[0])
 
     def add(self, at, what, **values):
-        self.found.append((at, what, values))
+        self.steps.append((at, what, values))
 
     def chance(self):
         self.drawn += 1
         return crc32(f"troubles/{self.day['seed']}/{self.drawn}".encode()) / 2.0**32
 
-    def struck(self, trouble, of=None):
+    def targets(self, trouble, of=None):
         """Those that the trouble names, where it names any; else a part chosen by the seed."""
         if trouble.get("on"):
-            return [self.present(n) if of is None else n for n in trouble["on"]]
-        return self.some(trouble["part"], of)
+            return [self.present_host(n) if of is None else n for n in trouble["on"]]
+        return self.sample(trouble["part"], of)
 
-    def present(self, host):
+    def present_host(self, host):
         """Who stands in that host's place by now."""
-        return next((new for new in reversed(self.hosts) if self.root(new) == host), host)
+        return next((new for new in reversed(self.hosts) if self.original(new) == host), host)
 
-    def some(self, part, of=None):
+    def sample(self, part, of=None):
         """At least one of them, chosen by the seed."""
         of = list(self.hosts if of is None else of)
         ranked = sorted(of, key=lambda one: (self.chance(), one))
@@ -57,31 +57,31 @@
 
     def successor(self, host):
         new, self.next_host = self.next_host, self.next_host + 1
-        self.like[new] = host
+        self.replaces[new] = host
         self.hosts[self.hosts.index(host)] = new
         return new
 
-    def told(self, trouble, at, end, do, on, off):
-        hosts = self.struck(trouble)
+    def add_host_command(self, trouble, at, end, do, on, off):
+        hosts = self.targets(trouble)
         self.add(at, "hosts", do=do, hosts=hosts, values=on)
         self.add(end, "hosts", do=do, hosts=hosts, values=off)
 
     # ---- each trouble of the table
     def crash(self, trouble, at, end):
-        for host in self.struck(trouble):
+        for host in self.targets(trouble):
             self.add(at + 200 * self.chance(), "crash", host=host)
             self.add(end + 500 * self.chance(), "return", host=host)
 
     def rack_restart(self, trouble, at, end):
-        for host in self.struck(trouble):
+        for host in self.targets(trouble):
             self.add(at, "crash", host=host)
             self.add(end, "return", host=host)
 
     def slow(self, trouble, at, end):
-        self.told(trouble, at, end, "slow", {"times": trouble["size"]}, {"times": 1.0})
+        self.add_host_command(trouble, at, end, "slow", {"times": trouble["size"]}, {"times": 1.0})
 
     def ageing(self, trouble, at, end):
-        hosts = self.struck(trouble)
+        hosts = self.targets(trouble)
         for i in range(1, 9):
             self.add(
                 at + (end - at) * i / 9,
@@ -93,12 +93,12 @@
         self.add(end, "hosts", do="slow", hosts=hosts, values={"times": 1.0})
 
     def pauses(self, trouble, at, end):
-        self.told(
+        self.add_host_command(
             trouble, at, end, "pause", {"ms": 150.0 * trouble["size"], "every": 1500.0}, {"ms": 0}
         )
 
     def late_reports(self, trouble, at, end):
-        self.told(
+        self.add_host_command(
             trouble | {"part": 1.0, "on": None},
             at,
             end,
@@ -108,13 +108,15 @@
         )
 
     def lost_answers(self, trouble, at, end):
-        self.told(trouble, at, end, "lose", {"share": min(1.0, trouble["size"])}, {"share": 0.0})
+        self.add_host_command(
+            trouble, at, end, "lose", {"share": min(1.0, trouble["size"])}, {"share": 0.0}
+        )
 
     def deaf(self, trouble, at, end):
         """One event type is left unanswered, mostly; the others are served."""
         names = [event["name"] for event in self.day["events"]]
         name = trouble.get("event") or names[0]
-        self.told(
+        self.add_host_command(
             trouble,
             at,
             end,
@@ -124,15 +126,15 @@
         )
 
     def silent(self, trouble, at, end):
-        self.told(trouble, at, end, "silent", {"on": True}, {"on": False})
+        self.add_host_command(trouble, at, end, "silent", {"on": True}, {"on": False})
 
     def refuse(self, trouble, at, end):
-        self.told(trouble, at, end, "refuse", {"on": True}, {"on": False})
+        self.add_host_command(trouble, at, end, "refuse", {"on": True}, {"on": False})
 
     def floor_loss(self, trouble, at, end):
         """All hosts of a floor, at times with its gateways; silent ones come back as they were, dead ones cold."""
         floors = len(self.day["fleet"]["floors"])
-        on_floor = [h for h in self.hosts if self.root(h) % floors == trouble["floor"]]
+        on_floor = [h for h in self.hosts if self.original(h) % floors == trouble["floor"]]
         if trouble["silent"]:
             self.add(at, "hosts", do="silent", hosts=on_floor, values={"on": True})
             self.add(end, "hosts", do="silent", hosts=on_floor, values={"on": False})
@@ -145,14 +147,14 @@
                 self.add(at, "kill gateway", gateway=gateway)
                 self.add(end, "start gateway", gateway=gateway)
 
-    def root(self, host):
-        while host in self.like:
-            host = self.like[host]
+    def original(self, host):
+        while host in self.replaces:
+            host = self.replaces[host]
         return host
 
     def deploy(self, trouble, at, end):
         """In batches: drain, leave, and a cold successor on another port."""
-        hosts = self.struck(trouble)
+        hosts = self.targets(trouble)
         size = max(1, round(len(hosts) * 0.2))
         batches = [hosts[i : i + size] for i in range(0, len(hosts), size)]
         gap, drain = (end - at) / len(batches), 1000.0 * trouble["size"]
@@ -160,32 +162,37 @@
             for host in batch:
                 self.add(at + i * gap, "drain", host=host)
                 self.add(at + i * gap + drain, "leave", host=host)
-                self.add(at + i * gap + drain + 100, "join", host=self.successor(host), like=host)
+                self.add(
+                    at + i * gap + drain + 100, "join", host=self.successor(host), replaces=host
+                )
 
     def take_away(self, trouble, at, end):
         """Hosts are taken with short notice, in waves; others come in their place later."""
-        hosts = self.struck(trouble)
+        hosts = self.targets(trouble)
         for i, host in enumerate(hosts):
             when = at + (end - at) * (i // max(1, len(hosts) // 3)) / 3
             self.add(when, "drain", host=host)
             self.add(when + 1000.0 * trouble["size"], "leave", host=host)
             self.add(
-                when + 1000.0 * trouble["size"] + 4000, "join", host=self.successor(host), like=host
+                when + 1000.0 * trouble["size"] + 4000,
+                "join",
+                host=self.successor(host),
+                replaces=host,
             )
 
     def gateway_crash(self, trouble, at, end):
-        for gateway in self.struck(trouble, range(self.day["gateways"]["count"])):
+        for gateway in self.targets(trouble, range(self.day["gateways"]["count"])):
             self.add(at, "kill gateway", gateway=gateway)
             self.add(end, "start gateway", gateway=gateway)
 
     def gateway_stall(self, trouble, at, end):
-        for gateway in self.struck(trouble, range(self.day["gateways"]["count"])):
+        for gateway in self.targets(trouble, range(self.day["gateways"]["count"])):
             self.add(at, "stop gateway", gateway=gateway)
             self.add(end, "continue gateway", gateway=gateway)
 
     def cut_off(self, trouble, at, end):
         """Gateways that hear nobody and are heard by nobody: no peer, no host; clients reach them."""
-        gateways = self.struck(trouble, range(self.day["gateways"]["count"]))
+        gateways = self.targets(trouble, range(self.day["gateways"]["count"]))
         self.add(at, "cut", gateways=gateways, on=True)
         self.add(end, "cut", gateways=gateways, on=False)
 
@@ -195,7 +202,9 @@
         floors = self.day["fleet"]["floors"]
         site = floors[trouble["floor"]]
         if trouble["size"] < 1:
-            for host in [h for h in self.hosts if self.root(h) % len(floors) == trouble["floor"]]:
+            for host in [
+                h for h in self.hosts if self.original(h) % len(floors) == trouble["floor"]
+            ]:
                 self.add(at, "drain", host=host)
             return
         self.add(at, "site", site=site, word="drain")
@@ -233,7 +242,9 @@
 
     def release(self, trouble, at, end):
         """A good version of `part` of the functions, the most-called first."""
-        self.add(at, "release", functions=self.foremost(trouble["part"]), version=int(at), bad={})
+        self.add(
+            at, "release", functions=self.most_called(trouble["part"]), version=int(at), bad={}
+        )
 
     mass_release = release
 
@@ -243,12 +254,12 @@
         self.add(
             at,
             "release",
-            functions=self.foremost(trouble["part"]),
+            functions=self.most_called(trouble["part"]),
             version=int(at),
             bad={"fail": size} if size <= 1 else {"slow": size},
         )
 
-    def foremost(self, part):
+    def most_called(self, part):
         count = self.day["functions"]["count"]
         return [function_name(f) for f in range(max(1, round(part * count)))]
 
@@ -264,18 +275,18 @@
             at,
             "key change",
             times=max(1, int(trouble["size"])),
-            gateways=self.some(trouble["part"], range(self.day["gateways"]["count"])),
+            gateways=self.sample(trouble["part"], range(self.day["gateways"]["count"])),
         )
 
     def flush(self, trouble, at, end):
         count = self.day["functions"]["count"]
-        functions = [function_name(f) for f in self.some(trouble["part"], range(count))]
+        functions = [function_name(f) for f in self.sample(trouble["part"], range(count))]
         self.add(at, "flush", functions=functions, release=int(at))
 
     def failing(self, trouble, at, end):
         functions = [
             function_name(f)
-            for f in self.some(trouble["part"], range(self.day["functions"]["count"]))
+            for f in self.sample(trouble["part"], range(self.day["functions"]["count"]))
         ]
         self.add(at, "hosts", do="fail", hosts=None, values={"functions": functions, "on": True})
         self.add(end, "hosts", do="fail", hosts=None, values={"functions": functions, "on": False})
--- a/cherrydoor/rehearsal/parts.py
+++ b/cherrydoor/rehearsal/processes.py
@@ -11,11 +11,11 @@
 from functools import partial
 
 
-class CannotRun(RuntimeError):
+class RunFailedError(RuntimeError):
     """The run could not be made; says why."""
 
 
-class Part:
+class ManagedProcess:
     """One process, in a group of its own. Its standard input is held open: when we die, it ends."""
 
     def __init__(self, name, log_file):
@@ -60,21 +60,21 @@
         code = await self.process.wait()
         self.said.put_nowait({"is": "ended", "code": code})
         for future in self.waiting.values():
-            future.set_exception(CannotRun(f"{self.name} ended with {code}"))
+            future.set_exception(RunFailedError(f"{self.name} ended with {code}"))
 
     async def until(self, what, wait=60.0):
-        """The next thing of that kind that it says; CannotRun where it says none in time or ends."""
+        """The next thing of that kind that it says; RunFailedError where it says none in time or ends."""
         try:
             while True:
                 said = await asyncio.wait_for(self.said.get(), wait)
                 if said["is"] == what:
                     return said
                 if said["is"] in ("ended", "wrong"):
-                    raise CannotRun(f"{self.name}: {said}; see {self.log_file.name}")
+                    raise RunFailedError(f"{self.name}: {said}; see {self.log_file.name}")
         except TimeoutError:
-            raise CannotRun(f"{self.name} says no {what!r} within {wait:g} s") from None
+            raise RunFailedError(f"{self.name} says no {what!r} within {wait:g} s") from None
 
-    def tell(self, do, **values):
+    def command(self, do, **values):
         """A command; the future gives its result."""
         self.tags += 1
         future = self.waiting[self.tags] = asyncio.get_running_loop().create_future()
@@ -107,7 +107,7 @@
         self.next = 12000 + (os.getpid() * 97 + seed) % 15000
 
     def take(self):
-        """A free one as an address; CannotRun where there is none."""
+        """A free one as an address; RunFailedError where there is none."""
         for _ in range(18000):
             self.next = 12000 + (self.next - 11999) % 18000
             with socket.socket() as one:
@@ -116,4 +116,4 @@
                 except OSError:
                     continue
             return f"127.0.0.1:{self.next}"
-        raise CannotRun("no port from 12000 to 30000 is free")
+        raise RunFailedError("no port from 12000 to 30000 is free")
--- a/cherrydoor/rehearsal/conduct.py
+++ b/cherrydoor/rehearsal/scenario_runner.py
@@ -7,11 +7,11 @@
 
 from cherrydoor.config import show
 from cherrydoor.fakes.record import Record, now
-from cherrydoor.rehearsal.acts import Acts
-from cherrydoor.rehearsal.crowding import Crowding
-from cherrydoor.rehearsal.day import address_of, builds, client_keys, lease_values, terms
-from cherrydoor.rehearsal.parts import CannotRun, Part, Ports
-from cherrydoor.rehearsal.troubles import Steps
+from cherrydoor.rehearsal.cpu_starvation import CpuStarvationMonitor
+from cherrydoor.rehearsal.day import address_of, client_keys, host_specs, lease_values, terms
+from cherrydoor.rehearsal.fault_steps import FaultSteps
+from cherrydoor.rehearsal.faults import FaultPlan
+from cherrydoor.rehearsal.processes import ManagedProcess, Ports, RunFailedError
 from cherrydoor.tls.local_authority import LocalAuthority
 
 
@@ -28,26 +28,26 @@
     return found
 
 
-class Conductor(Acts):
+class ScenarioRunner(FaultSteps):
     def __init__(self, day, folder, tell=lambda text: None):
-        self.day, self.folder, self.tell = day, Path(folder), tell
+        self.day, self.folder, self.report_progress = day, Path(folder), tell
         self.folder.mkdir(parents=True, exist_ok=True)
         self.traffic = self.folder / "traffic"
         if self.traffic.exists() and any(self.traffic.iterdir()):
-            raise CannotRun(f"{self.traffic} holds traffic of another run")
+            raise RunFailedError(f"{self.traffic} holds traffic of another run")
         self.log_file = (self.folder / "parts.log").open("ab")
         self.record = Record(self.traffic, "conductor", "conductor")
-        self.parts, self.gateways, self.doors, self.ids = [], {}, {}, {}
-        self.rows, self.codes, self.tasks, self.ports = {}, [], set(), Ports(day["seed"])
-        self.replaced, self.feed_at, self.between, self.meets = set(), "", None, {}
+        self.started, self.gateways, self.addresses, self.ids = [], {}, {}, {}
+        self.endpoints, self.codes, self.tasks, self.ports = {}, [], set(), Ports(day["seed"])
+        self.replaced, self.feed_at, self.proxy, self.peer_addresses = set(), "", None, {}
 
-    def part(self, name):
-        part = Part(name, self.log_file)
-        self.parts.append(part)
+    def new_process(self, name):
+        part = ManagedProcess(name, self.log_file)
+        self.started.append(part)
         return part
 
     async def play(self):
-        """The whole day; raises CannotRun where it could not be played."""
+        """The whole day; raises RunFailedError where it could not be played."""
         try:
             await self.begin()
             await self.follow()
@@ -55,12 +55,12 @@
         finally:
             for task in self.tasks:
                 task.cancel()
-            for part in self.parts:
+            for part in self.started:
                 part.signal(signal.SIGCONT)
                 part.signal(
                     signal.SIGTERM if part.process and part.process.returncode is None else 0
                 )
-            for part in self.parts:
+            for part in self.started:
                 await part.end(3.0)
             self.record.close()
             self.log_file.close()
@@ -71,16 +71,16 @@
         catalogue = {
             k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")
         }
-        self.store = await self.part("store").start(
+        self.store = await self.new_process("store").start(
             "stand-in",
             "store",
             given={"record": traffic, "catalogue": catalogue, "figures": day["store"]},
         )
         at = (await self.store.until("ready"))["port"]
-        self.builds, names = builds(day), [self.ports.take() for _ in builds(day)]
-        await self.stand_between()
-        binds = [await self.relayed(name) for name in names] if self.between else None
-        self.farm = await self.part("hosts").start(
+        self.host_specs, names = host_specs(day), [self.ports.take() for _ in host_specs(day)]
+        await self.start_proxy()
+        binds = [await self.proxied(name) for name in names] if self.proxy else None
+        self.host_pool = await self.new_process("hosts").start(
             "stand-in",
             "hosts",
             given={
@@ -88,13 +88,13 @@
                 "catalogue": catalogue,
                 "store": f"127.0.0.1:{at}",
                 "seed": day["seed"],
-                "builds": self.builds,
+                "builds": self.host_specs,
                 "names": names,
                 "binds": binds,
                 "scopes": {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"},
             },
         )
-        self.list = await self.part("list").start(
+        self.list = await self.new_process("list").start(
             "stand-in",
             "roll",
             given={
@@ -106,15 +106,15 @@
                 },
             },
         )
-        self.ids = dict(enumerate((await self.farm.until("ready"))["hosts"]))
+        self.ids = dict(enumerate((await self.host_pool.until("ready"))["hosts"]))
         self.list_at = f"127.0.0.1:{(await self.list.until('ready'))['port']}"
         for number, host in self.ids.items():
-            build = self.builds[number]
-            await self.row(number, host, "ready", 0.0, build)
+            build = self.host_specs[number]
+            await self.set_endpoint(number, host, "ready", 0.0, build)
         self.make_keys()
-        await self.meet()
+        await self.assign_peer_addresses()
         if day["feed"]["gradual"]:
-            self.feed = await self.part("feed").start(
+            self.feed = await self.new_process("feed").start(
                 "stand-in",
                 "feed",
                 given={
@@ -131,53 +131,53 @@
         groups = in_processes(count, together, len(day["fleet"]["floors"]))
         for i in range(0, len(groups), 8):
             await asyncio.gather(*(self.start_gateways(group) for group in groups[i : i + 8]))
-        self.clients = await self.part("clients").start(
+        self.clients = await self.new_process("clients").start(
             "stand-in",
             "clients",
             given={
                 "record": traffic,
                 "day": day,
-                "doors": [self.doors[g] for g in range(count)],
-                "comes": self.comes(),
+                "doors": [self.addresses[g] for g in range(count)],
+                "comes": self.client_sources(),
             },
         )
         if any(t["what"] in ("flood", "reconnect") for t in day["troubles"]):
-            self.crowd = await self.part("crowd").start(
+            self.crowd = await self.new_process("crowd").start(
                 "stand-in", "crowd", given={"record": traffic}
             )
             await self.crowd.until("ready")
         self.count = (await self.clients.until("ready", 120.0))["events"]
         self.begun = now() + 500
-        self.clients.tell("go", at=self.begun)
+        self.clients.command("go", at=self.begun)
         self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
         self.tasks.add(
             asyncio.get_running_loop().create_task(
-                Crowding(self.record, now, self.processes).watch()
+                CpuStarvationMonitor(self.record, now, self.monitored_processes).watch()
             )
         )
 
-    async def stand_between(self):
+    async def start_proxy(self):
         """A relay, on days on which gateways have fellows and links that trouble may strike."""
         fellows = self.day.get("fellows") or {}
         if fellows.get("keepers") and fellows["between"]:
-            self.between = await self.part("between").start(
+            self.proxy = await self.new_process("between").start(
                 "stand-in", "between", given={"record": str(self.traffic), "seed": self.day["seed"]}
             )
-            await self.between.until("ready")
+            await self.proxy.until("ready")
 
-    async def relayed(self, at, label=""):
+    async def proxied(self, at, label=""):
         """Where the one must listen that is to be reached at this address through the relay."""
         real = self.ports.take()
-        await self.between.tell("port", to=label or at, target=real, at=at)
+        await self.proxy.command("port", to=label or at, target=real, at=at)
         return real
 
-    async def meet(self):
+    async def assign_peer_addresses(self):
         """Doors for peers."""
         if (self.day.get("fellows") or {}).get("keepers"):
             for number in range(self.day["gateways"]["count"]):
                 at = self.ports.take()
-                self.meets[number] = (
-                    await self.relayed(at, f"g{number}") if self.between else at,
+                self.peer_addresses[number] = (
+                    await self.proxied(at, f"g{number}") if self.proxy else at,
                     at,
                 )
 
@@ -192,7 +192,7 @@
         for office in self.day["offices"]:
             self.keys.issue("client", office["name"])
 
-    def comes(self):
+    def client_sources(self):
         """Office -> where it comes from and the keys it has; {} where nobody is known."""
         if not self.day["doors"]["known"]:
             return {}
@@ -206,14 +206,20 @@
 
     async def start_gateways(self, group):
         """One process for a group of gateways; after a crash on the same ports."""
-        part, words = self.part("gateways " + " ".join(map(str, group))), []
+        part, words = self.new_process("gateways " + " ".join(map(str, group))), []
         for number in group:
-            door = self.doors.get(number) or self.ports.take()
+            door = self.addresses.get(number) or self.ports.take()
             path = self.folder / f"g{number}.lease"
             path.write_text(
                 show(
                     lease_values(
-                        self.day, number, door, self.list_at, self.folder, self.feed_at, self.meets
+                        self.day,
+                        number,
+                        door,
+                        self.list_at,
+                        self.folder,
+                        self.feed_at,
+                        self.peer_addresses,
                     )
                 )
                 + "\n"
@@ -231,14 +237,17 @@
         for _ in group:
             said = await part.until("door")
             number = int(said["gateway"][1:])
-            self.doors[number], self.gateways[number] = f"127.0.0.1:{said['port']}", (part, group)
+            self.addresses[number], self.gateways[number] = (
+                f"127.0.0.1:{said['port']}",
+                (part, group),
+            )
             self.record.add("gateway up", f"g{number}")
 
-    def processes(self):
+    def monitored_processes(self):
         """(names, process id) of the parts whose time counts: those that judge, and the gateways by their names."""
         found: list = [
             (("clients",), self.clients),
-            (("hosts",), self.farm),
+            (("hosts",), self.host_pool),
             (("list",), self.list),
         ]
         found += [
@@ -251,22 +260,22 @@
             (names, part.process.pid) for names, part in found if part.process.returncode is None
         ]
 
-    async def row(self, number, host, state, since, build):
-        self.rows[host] = (state, since, build)
-        await self.list.tell(
+    async def set_endpoint(self, number, host, state, since, build):
+        self.endpoints[host] = (state, since, build)
+        await self.list.command(
             "row", host=host, state=state, since=since, zone=build["zone"], cell=build["cell"]
         )
 
     # ---- the steps
     async def follow(self):
-        steps = Steps(self.day)
-        for new, old in steps.like.items():
-            while old in steps.like:
-                old = steps.like[old]
-            steps.like[new] = old
-        self.like = steps.like
+        plan = FaultPlan(self.day)
+        for new, old in plan.replaces.items():
+            while old in plan.replaces:
+                old = plan.replaces[old]
+            plan.replaces[new] = old
+        self.replaces = plan.replaces
         whole, last = self.day["warm"] + self.day["length"], 0.0
-        pending = list(steps.found)
+        pending = list(plan.steps)
         while True:
             t = now() - self.begun
             while pending and pending[0][0] <= t:
@@ -280,14 +289,14 @@
                 task.result()
             if t >= whole:
                 break
-            for part in (self.farm, self.store, self.list, self.clients):
+            for part in (self.host_pool, self.store, self.list, self.clients):
                 if part.process.returncode is not None:
-                    raise CannotRun(
+                    raise RunFailedError(
                         f"{part.name} ended with {part.process.returncode}; see {self.log_file.name}"
                     )
             if t - last > 5000:
                 last = t
-                self.tell(f"{t / 1000:5.0f} of {whole / 1000:.0f} s")
+                self.report_progress(f"{t / 1000:5.0f} of {whole / 1000:.0f} s")
             await asyncio.sleep(
                 min(0.05, max(0.001, (pending[0][0] - t) / 1000)) if pending else 0.05
             )
@@ -305,11 +314,11 @@
             self.codes.append(code)
             self.record.add("gateway ended", part.name, number=code)
         if any(self.codes):
-            raise CannotRun(
+            raise RunFailedError(
                 f"gateways ended with {sorted(set(self.codes))}; see {self.log_file.name}"
             )
 
 
 def rehearse(day, folder, tell=lambda text: None):
     """Plays the day into the folder; the traffic is then in folder/traffic."""
-    asyncio.run(Conductor(day, folder, tell).play())
+    asyncio.run(ScenarioRunner(day, folder, tell).play())
--- a/cherrydoor/rehearsal/seen.py
+++ b/cherrydoor/rehearsal/seen.py
@@ -39,7 +39,7 @@
     )
 
 
-class Break:
+class Violation:
     """One rule broken: which, when, and by what."""
 
     def __init__(self, rule, t, what, gateway="", event=0):
--- a/cherrydoor/rehearsal/service.py
+++ b/cherrydoor/rehearsal/service.py
@@ -11,7 +11,7 @@
 WINDOW = 10000.0  # of the worst ten seconds
 
 
-class Service:
+class ServiceLevels:
     """Figures of service; what was seen is the audit's."""
 
     seen: Any
@@ -24,7 +24,7 @@
     down: Any
     stopped: Any
 
-    def service(self):
+    def service_levels(self):
         kinds, firsts = self.terms["events"], {}
         for what in ("sent", "unreachable"):
             for row in self.seen.of("client", what):
@@ -93,7 +93,7 @@
         }
         return served, seconds
 
-    def doors(self):
+    def admission_figures(self):
         """How known clients came in, and what the flood got; {} on days without either.
 
         A connect to a gateway that was down, stopped, or about to be, is nobody's refusal."""
@@ -139,7 +139,7 @@
             )
         )
 
-    def during(self, kind):
+    def figures_during(self, kind):
         """(share within target, p99 in ms, events) of what was due while that trouble lasted; None without it."""
         times = [r["t"] for r in self.seen.of("conductor", "trouble") if r["text"] == kind]
         spans = list(zip(times[::2], times[1::2], strict=False))
@@ -168,7 +168,7 @@
             "p99": found[int(len(found) * 0.99)] if found else 0.0,
         }
 
-    def releases(self):
+    def release_figures(self):
         """Version -> launches, errors and, in s of the run, from when until when it was launched, over all gateways;
         those with most errors first, twenty at most."""
         found = {}
--- a/cherrydoor/rehearsal/estates.py
+++ b/cherrydoor/rehearsal/takeover_audit.py
@@ -6,7 +6,7 @@
 from cherrydoor.rehearsal.seen import SLACK
 
 
-class Estates:
+class TakeoverAudit:
     """Lives that are over, as hosts were told; what was seen is the audit's."""
 
     seen: Any
@@ -14,9 +14,9 @@
     terms: dict
     ends: Any
     launches: Any
-    broke: Any
+    add_violation: Any
 
-    def estates(self):
+    def check_takeovers(self):
         """Nothing acts for a life that is over, or under a number that has been passed, at a host that knows; and
         nobody, whoever it is, launches what its client has an answer of."""
         told = defaultdict(list)  # (host, gateway) -> (when, life, number), as accepted there
@@ -28,7 +28,7 @@
                 incarnation == row["a"] and number > row["number"]
                 for _, incarnation, number in before
             ):
-                self.broke(
+                self.add_violation(
                     2, row["t"], f"{row['who']} took a lower number for {row['text']}", row["peer"]
                 )
             before.append((row["t"], row["a"], row["number"]))
@@ -40,13 +40,15 @@
                     t < row["t"] and 0 < incarnation <= over
                     for t, over, _ in told.get((row["who"], row["peer"]), ())
                 ):
-                    self.broke(2, row["t"], "a launch of a life that is over", row["peer"], number)
+                    self.add_violation(
+                        2, row["t"], "a launch of a life that is over", row["peer"], number
+                    )
                 taker = self.sent[number]["peer"] if number in self.sent else row["peer"]
                 if row["peer"] != taker and any(
-                    t < row["t"] and row["c"] < passed and over == self.life_of(number)
+                    t < row["t"] and row["c"] < passed and over == self.incarnation_of(number)
                     for t, over, passed in told.get((row["who"], taker), ())
                 ):
-                    self.broke(
+                    self.add_violation(
                         2,
                         row["t"],
                         "a launch under a number that has been passed",
@@ -54,7 +56,7 @@
                         number,
                     )
                 if answer is not None and row["peer"] != taker and row["t"] > answer["t"] + SLACK:
-                    self.broke(
+                    self.add_violation(
                         1,
                         row["t"],
                         "a launch elsewhere after the final answer",
@@ -62,14 +64,14 @@
                         number,
                     )
 
-    def life_of(self, number):
+    def incarnation_of(self, number):
         """The life that took an event, by the first launch of its own gateway; None where none came."""
         taker = self.sent[number]["peer"] if number in self.sent else None
         return next(
             (float(r["text"] or 0) for r in self.launches[number] if r["peer"] == taker), None
         )
 
-    def emptied(self):
+    def check_drained_zones(self):
         """Nothing is steered to a site from when its drain says that it is empty until it is undone."""
         zones = {row["who"]: row["text"].split("/")[0] for row in self.seen.of("host", "host up")}
         spans, since = [], {}
@@ -83,7 +85,7 @@
             for row in launches:
                 for site, begun, end in spans:
                     if zones.get(row["who"]) == site and begun + SLACK < row["t"] < end:
-                        self.broke(
+                        self.add_violation(
                             3,
                             row["t"],
                             f"a launch at {site}, which is said to be empty",
@@ -91,7 +93,7 @@
                             number,
                         )
 
-    def taken_over(self):
+    def takeover_figures(self):
         """What became of events whose connection ended without an answer; {} where nothing could be claimed."""
         claims = {row["event"] for row in self.seen.of("client", "claims")}
         found: Counter = Counter()
--- a/cherrydoor/rehearsal/traffic.py
+++ b/cherrydoor/rehearsal/traffic.py
@@ -81,7 +81,7 @@
     return np.concatenate(at), np.concatenate(function), np.concatenate(gateway)
 
 
-def draw(day):
+def draw_arrivals(day):
     """All arrivals of a day. Each part has a random stream of its own, so that a trouble added moves no other."""
     streams = dict(
         zip(
--- a/docs/conftest.py
+++ b/docs/conftest.py
@@ -137,7 +137,7 @@
     text = (
         example.parsed if "clauses:" in example.parsed else BASE_CONFIGURATION % 9 + example.parsed
     )
-    problems = problems_of(read(text, example.path, schema("lease.schema"), "#Lease"), example.path)
+    problems = problems_of(read(text, example.path, schema("gateway.schema"), "#Lease"), example.path)
     assert not problems, "\n".join(map(str, problems))
 
 
--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -9,7 +9,7 @@
 import sys
 from contextlib import suppress
 
-from stack import Host, environment, now, story
+from stack import Host, environment, now, run_with_stack
 from test_process import Daemon, Ended, given, with_folder
 
 from cherrydoor.admission.messages import UsageMeasured
@@ -223,7 +223,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_a_hello_sent_byte_by_byte_and_a_frame_that_is_never_completed_time_out(stack):
     short_timeouts = "bounds: {}\nadmission: {hello: 300ms, unfinished: 300ms}"
     client = await stack.start(Host("handled"), bounds=short_timeouts)
@@ -250,7 +250,7 @@
     assert not stack.service.listeners.controller.pending.unidentified
 
 
-@story
+@run_with_stack
 async def test_a_flood_of_requests_on_one_connection_does_not_delay_other_clients(stack):
     from stack import Client
 
@@ -278,7 +278,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_five_hundred_connections_of_a_known_client_reconnect_at_once(stack):
     known_part = (
         "bounds: {connections: 700}\n"
@@ -314,7 +314,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_a_known_client_with_too_many_connections_does_not_affect_another(stack):
     two_known_clients = (
         "bounds: {connections: 60}\n"
--- a/tests/emulator/test_drains.py
+++ b/tests/emulator/test_drains.py
@@ -115,9 +115,9 @@
     async def do_site(self, site, word):
         await super().do_site(site, word)
         if word == "drain":  # that one is over now
-            await self.ask({"do": "site", "what": "drain", "site": site, "even": True})
+            await self.ask_gateway({"do": "site", "what": "drain", "site": site, "even": True})
             await asyncio.sleep(6.0)
-            said = await self.ask({"do": "site", "what": "show", "site": site})
+            said = await self.ask_gateway({"do": "site", "what": "show", "site": site})
             self.record.add("site", fate=f"then {said['state']}", text=site, number=said["number"])
 
 
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -6,10 +6,10 @@
 
 from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.catalogue import Catalogue
-from cherrydoor.fakes.copies import Build
-from cherrydoor.fakes.host_pool import Farm
+from cherrydoor.fakes.copies import HostSpec
+from cherrydoor.fakes.endpoint_list import EndpointListServer
+from cherrydoor.fakes.host_pool import HostPool
 from cherrydoor.fakes.record import now
-from cherrydoor.fakes.roll import Roll
 from cherrydoor.fakes.store import Store
 from cherrydoor.protocol import failover
 from cherrydoor.protocol import messages as protocol
@@ -144,11 +144,11 @@
     async def __aenter__(self):
         catalogue = Catalogue(load=(20, 40), work=(self.work_ms, self.work_ms), memory=(100, 100))
         store = await Store(self.rows, catalogue).start()
-        self.farm = Farm(self.rows, catalogue)
-        self.endpoint_watch = await Roll(self.rows, (1.0, 2.0)).start()
+        self.host_pool = HostPool(self.rows, catalogue)
+        self.endpoint_watch = await EndpointListServer(self.rows, (1.0, 2.0)).start()
         await asyncio.get_running_loop().create_connection(
             lambda: FramedConnection(
-                self.farm.store,
+                self.host_pool.store,
                 protocol.FROM_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "host", "farm"),
             ),
@@ -167,8 +167,8 @@
 
     async def add_host(self):
         address = self.ports.take()
-        name = await self.relay.port("h", address)
-        host = await self.farm.add(name, Build(eager=False), bind=address)
+        name = await self.proxy.port("h", address)
+        host = await self.host_pool.add(name, HostSpec(eager=False), bind=address)
         host.draw = lambda mean: mean
         zone = f"floor-{len(self.hosts) % self.zone_count}"
         self.hosts.append(host)
@@ -200,7 +200,7 @@
     def _set_slowness(self, factor):
         for host in self.hosts:
             host.slow = factor
-            host.kick()
+            host.reschedule()
 
     async def until_running(self, request_id):
         """Until an attempt of this request runs at a host."""
@@ -209,7 +209,7 @@
             lambda: any(
                 job.launch.request_id == request_id and job.serial is not None
                 for host in self.hosts
-                for job in host.jobs.values()
+                for job in host.running_attempts.values()
             )
         )
 
@@ -231,8 +231,3 @@
         assert loop.time() < deadline, "never came"
         await asyncio.sleep(POLL_INTERVAL_S)
     return found
-
-
-# Names that tests of other packages use.
-Town = FailoverPlatform
-come = eventually
--- a/tests/failover/test_hosts.py
+++ b/tests/failover/test_hosts.py
@@ -2,7 +2,7 @@
 
 from fleet_and_hosts import RecordedRows
 
-from cherrydoor.fakes.estates import Estates
+from cherrydoor.fakes.ended_attempts import EndedAttempts
 from cherrydoor.protocol import failover
 from cherrydoor.protocol import messages as protocol
 
@@ -26,27 +26,29 @@
         self.serial = 1
 
 
-class HostUnderTest(Estates):
+class HostUnderTest(EndedAttempts):
     def __init__(self):
         self.id = "h"
         self.record = RecordedRows()
-        self.jobs = {}
-        self.ends = {}
+        self.running_attempts = {}
+        self.connections = {}
         self.sent = []
-        self.begin_estates()
+        self.forget_ended_attempts()
 
-    def say(self, end, message):
+    def send(self, end, message):
         self.sent.append((end.name, message))
 
     def start(self, end, request_id):
         launch = protocol.Attempt(request_id, request_id, "c", "file", "f", 1000.0)
-        self.numbers += 1
-        self.ends[end] = None
-        self.jobs[end, launch.id] = RunningJob(end, launch, self.numbers, self.origin(end, launch))
-        return self.jobs[end, launch.id]
+        self.attempts_started += 1
+        self.connections[end] = None
+        self.running_attempts[end, launch.id] = RunningJob(
+            end, launch, self.attempts_started, self.origin_of(end, launch)
+        )
+        return self.running_attempts[end, launch.id]
 
-    def over(self, name, incarnation, fencing_token, successor="successor"):
-        super().over(
+    def end_incarnation(self, name, incarnation, fencing_token, successor="successor"):
+        super().end_incarnation(
             Connection(successor, 1), failover.EndIncarnation(1, name, incarnation, fencing_token)
         )
         return self.sent[-1][1]
@@ -58,8 +60,8 @@
     host = HostUnderTest()
     host.start(Connection("g", 5), 1)
     host.start(Connection("g", 6), 2)
-    assert [attempt.request_id for attempt in host.over("g", 6, 1).attempts] == [2]
-    report = host.over("g", 5, 1)
+    assert [attempt.request_id for attempt in host.end_incarnation("g", 6, 1).attempts] == [2]
+    report = host.end_incarnation("g", 5, 1)
     assert [attempt.request_id for attempt in report.attempts] == [1]
     assert report.highest_fencing_token == 1
 
@@ -67,42 +69,47 @@
 def test_a_lower_fencing_token_for_an_incarnation_is_refused_and_the_same_answered_again():
     host = HostUnderTest()
     host.start(Connection("g", 5), 1)
-    host.over("g", 5, 4)
-    assert host.over("g", 5, 3).highest_fencing_token == 4 and not host.over("g", 5, 3).attempts
-    assert [attempt.request_id for attempt in host.over("g", 5, 4).attempts] == [1]
+    host.end_incarnation("g", 5, 4)
+    assert (
+        host.end_incarnation("g", 5, 3).highest_fencing_token == 4
+        and not host.end_incarnation("g", 5, 3).attempts
+    )
+    assert [attempt.request_id for attempt in host.end_incarnation("g", 5, 4).attempts] == [1]
 
 
 def test_an_ended_incarnation_is_refused_and_a_later_one_is_not():
     host, old, new = HostUnderTest(), Connection("g", 5), Connection("g", 6)
     host.start(old, 1)
     host.start(new, 2)
-    host.over("g", 5, 1)
+    host.end_incarnation("g", 5, 1)
     assert old.closed == failover.INCARNATION_ENDED and not new.closed
-    assert host.refused(Connection("g", 4))
-    assert host.refused(Connection("g", 5))
-    assert not host.refused(Connection("g", 6))
+    assert host.is_refused(Connection("g", 4))
+    assert host.is_refused(Connection("g", 5))
+    assert not host.is_refused(Connection("g", 6))
 
 
 def test_an_attempt_for_another_gateway_needs_the_fencing_token_that_stands():
     host = HostUnderTest()
-    host.over("g", 5, 2)
+    host.end_incarnation("g", 5, 2)
 
     def attempt(fencing_token):
         return protocol.Attempt(
             1, 1, "c", "file", "f", 9.0, owner="g", incarnation=5, fencing_token=fencing_token
         )
 
-    assert host.refused(Connection("successor", 1), attempt(1))
-    assert not host.refused(Connection("successor", 1), attempt(2))
+    assert host.is_refused(Connection("successor", 1), attempt(1))
+    assert not host.is_refused(Connection("successor", 1), attempt(2))
 
 
 def test_an_ended_attempt_is_reported_with_its_response_and_a_running_one_is_adopted():
     host, end = HostUnderTest(), Connection("g", 5)
     job = host.start(end, 1)
-    host.remember(host.start(end, 2), "handled", b"x")
-    del host.jobs[end, 2]
-    reported = {one.request_id: (one.outcome, one.body) for one in host.over("g", 5, 1).attempts}
+    host.remember_ended(host.start(end, 2), "handled", b"x")
+    del host.running_attempts[end, 2]
+    reported = {
+        one.request_id: (one.outcome, one.body) for one in host.end_incarnation("g", 5, 1).attempts
+    }
     assert reported == {1: ("", b""), 2: ("handled", b"x")}
     successor = Connection("successor", 1)
-    host.adopt(successor, failover.AdoptAttempt(77, job.number))
-    assert host.jobs[successor, 77] is job and job.end is successor
+    host.adopt_attempt(successor, failover.AdoptAttempt(77, job.number))
+    assert host.running_attempts[successor, 77] is job and job.end is successor
--- a/tests/failover/test_taken_over_once.py
+++ b/tests/failover/test_taken_over_once.py
@@ -5,7 +5,7 @@
 
 import signal
 
-from fleet import story, until
+from fleet import async_test, until
 from fleet_and_hosts import FailoverPlatform, eventually
 
 from cherrydoor.config.records import Duration
@@ -17,7 +17,7 @@
     return len(platform.rows.of("effect", request_id))
 
 
-@story
+@async_test
 async def test_an_attempt_running_when_its_gateway_is_killed_is_adopted_and_its_response_claimed(
     tmp_path,
 ):
@@ -45,7 +45,7 @@
         assert len(platform.takeovers_of(owner)) == 1
 
 
-@story
+@async_test
 async def test_a_response_is_given_to_nobody_without_its_claim_key(tmp_path):
     async with FailoverPlatform(tmp_path) as platform:
         owner, other = platform.gates[3], platform.gates[4]
@@ -64,7 +64,7 @@
         ).outcome == "handled"
 
 
-@story
+@async_test
 async def test_an_attempt_whose_outcome_the_owner_never_read_is_answered_and_not_run_again(
     tmp_path,
 ):
@@ -92,7 +92,7 @@
         ).outcome == "handled"
 
 
-@story
+@async_test
 async def test_a_second_successor_starts_from_host_reports_under_a_higher_fencing_token(tmp_path):
     async with FailoverPlatform(tmp_path, gates=6) as platform:
         owner = platform.gates[5]
@@ -123,25 +123,25 @@
         assert len(fencing_tokens) == 2 and fencing_tokens[0] < fencing_tokens[1]
 
 
-@story
+@async_test
 async def test_a_request_that_never_reached_a_host_is_retried(tmp_path):
     """Its attempt is held on its way to the hosts, which refuse it when it comes later."""
     async with FailoverPlatform(tmp_path, work=50.0) as platform:
         owner, other = platform.gates[3], platform.gates[4]
-        platform.relay.set(owner.name, "h", hold=True)
+        platform.proxy.set(owner.name, "h", hold=True)
         request_id = platform.caller.send(owner, "file")
         await until(
             lambda: owner.ask(do="custody"),
             lambda table: table and table["in hand"] and not table["untold ms"],
         )
-        await eventually(lambda: platform.relay.counts.get("held"))
+        await eventually(lambda: platform.proxy.counts.get("held"))
         await owner.kill()
         response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
         assert response.outcome == "handled" and effects_of(platform, request_id) == 1
         assert platform.rows.of("launch", request_id)[0]["peer"] != owner.name
 
 
-@story
+@async_test
 async def test_an_at_most_once_request_is_not_retried_while_a_host_does_not_report(
     tmp_path,
 ):
@@ -156,7 +156,7 @@
         await platform.until_replicated(owner)
         for gate in platform.gates:
             if gate is not owner:
-                platform.relay.set(gate.name, "h", hold=True)  # no query comes through
+                platform.proxy.set(gate.name, "h", hold=True)  # no query comes through
         await owner.kill()
         response = await platform.caller.answer(
             platform.caller.claim(other, owner, request_ids["file"])
@@ -168,7 +168,7 @@
         )
 
 
-@story
+@async_test
 async def test_a_repeat_of_a_request_being_taken_over_waits_for_its_response(tmp_path):
     async with FailoverPlatform(tmp_path) as platform:
         owner, other = platform.gates[3], platform.gates[4]
@@ -201,7 +201,7 @@
         )
 
 
-@story
+@async_test
 async def test_a_gateway_that_alone_lost_its_connection_to_a_peer_takes_nothing_over(tmp_path):
     """Voters hear that one: they grant nobody its takeover."""
     async with FailoverPlatform(
@@ -214,7 +214,7 @@
         await platform.until_replicated(owner)
         cut_off = [gate for gate in platform.gates if gate.name in ("g0", "g3")]
         for gate in cut_off:
-            platform.relay.cut([owner.name], [gate.name])
+            platform.proxy.cut([owner.name], [gate.name])
         for gate in cut_off:
             await until(
                 lambda gate=gate: gate.ask(do="peers"),
@@ -234,7 +234,7 @@
         )
 
 
-@story
+@async_test
 async def test_a_gateway_cut_off_ends_its_incarnation_and_answers_what_no_replica_knows(
     tmp_path,
 ):
@@ -243,14 +243,14 @@
         request_id = platform.caller.send(owner, "file")
         await platform.until_running(request_id)
         await platform.until_replicated(owner)
-        platform.relay.set(owner.name, "*", True, cut=True)
+        platform.proxy.set(owner.name, "*", True, cut=True)
         platform.caller.ends[owner.name].close()  # a client claims once it has disconnected
         response = await platform.caller.answer(platform.caller.claim(other, owner, request_id))
         assert response.outcome == "handled" and effects_of(platform, request_id) == 1
         await until(lambda: owner.ask(do="custody"), lambda table: not table["witnesses"])
         await platform.caller.connect(owner)
         unreplicated = platform.caller.send(owner, "draft")  # accepted by a gateway that is cut off
-        platform.relay.calm()
+        platform.proxy.calm()
         assert (await platform.caller.answer(unreplicated)).outcome in ("deferred", "handled")
         await eventually(lambda: owner.logged("incarnation ended"))
         assert request_id not in platform.caller.answers and effects_of(platform, request_id) == 1
--- a/tests/gateway/gateway_process.py
+++ b/tests/gateway/gateway_process.py
@@ -5,7 +5,7 @@
 import sys
 from functools import wraps
 
-from stack import LEASE, Listing, environment, story
+from stack import LEASE, Listing, environment, run_with_stack
 
 from cherrydoor.protocol import messages as protocol
 
@@ -90,11 +90,11 @@
 
 
 def with_folder(test):
-    """Runs an async test of a stack and a temporary folder (see `stack.story`)."""
+    """Runs an async test of a stack and a temporary folder (see `stack.run_with_stack`)."""
 
     @wraps(test)
     def run(tmp_path):
-        story(lambda stack: test(stack, tmp_path))()
+        run_with_stack(lambda stack: test(stack, tmp_path))()
 
     del run.__wrapped__  # so that pytest looks for the fixture tmp_path alone
     return run
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -37,7 +37,7 @@
     return time.monotonic() * 1000
 
 
-def story(test):
+def run_with_stack(test):
     """Runs an async test of a stack on uvloop, and closes what the stack has opened."""
 
     @wraps(test)
@@ -294,7 +294,7 @@
         if saved:
             text += f'\nsaved: "{saved}"'
         self.service = GatewayService(
-            GatewayConfig(read(text, "f", schema("lease.schema"), "#Lease")), Router
+            GatewayConfig(read(text, "f", schema("gateway.schema"), "#Lease")), Router
         )
         await self.service.start()
         await self.list.got(protocol.UpdateAcknowledged)
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -2,13 +2,13 @@
 
 import asyncio
 
-from stack import MAY, Client, Host, now, story
+from stack import MAY, Client, Host, now, run_with_stack
 
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.routing import messages as routing
 
 
-@story
+@run_with_stack
 async def test_a_host_that_accepts_and_goes_silent_costs_no_answer(stack):
     silent = Host()
     client = await stack.start(silent, bounds="bounds: {spare: 2s}")
@@ -21,7 +21,7 @@
     assert stack.service.dispatcher.requests == {} and len(client.answers(number)) == 1
 
 
-@story
+@run_with_stack
 async def test_an_attempt_without_response_is_retried_at_another_host_while_there_is_time(stack):
     one, other = Host(), Host()
     client = await stack.start(one, other)
@@ -45,7 +45,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_a_draining_host_completes_its_attempts_and_gets_no_new_ones(stack):
     leaving, staying = Host(), Host("handled")
     client = await stack.start(leaving)
@@ -60,7 +60,7 @@
     assert len(leaving.all(protocol.Attempt)) == 3 and len(staying.all(protocol.Attempt)) == 1
 
 
-@story
+@run_with_stack
 async def test_a_host_that_answers_after_its_launch_was_recalled(stack):
     host = Host()
     client = await stack.start(host)
@@ -76,7 +76,7 @@
     await client.answer(after)
 
 
-@story
+@run_with_stack
 async def test_a_response_from_a_host_without_the_attempt_is_ignored(stack):
     asked, other = Host(), Host()
     client = await stack.start(asked, other)
@@ -92,7 +92,7 @@
     assert (await client.answer(attempt.request_id)).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_a_connection_reset_with_fifty_launches_on_it(stack):
     first, second = Host(), Host()
     client = await stack.start(first, second, bounds="bounds: {launches_on_a_link: 1000}")
@@ -136,7 +136,7 @@
     assert all(len(client.answers(n)) == 1 for n in class_by_number)
 
 
-@story
+@run_with_stack
 async def test_requests_of_a_client_that_disconnects_are_cancelled_at_their_host(stack):
     host = Host()
     client = await stack.start(host)
@@ -151,7 +151,7 @@
     assert not stack.service.dispatcher.clients and not stack.service.client_listener.ends
 
 
-@story
+@run_with_stack
 async def test_a_cancelled_request_is_finished_and_a_second_cancellation_is_ignored(stack):
     host = Host()
     client = await stack.start(host)
@@ -164,7 +164,7 @@
     assert client.all(protocol.Response) == [] and not stack.service.dispatcher.requests
 
 
-@story
+@run_with_stack
 async def test_an_attempt_of_a_cancelled_request_is_cancelled_at_the_clients_deadline(stack):
     host = Host()
     client = await stack.start(host)
@@ -178,7 +178,7 @@
     await stack.settled(lambda: not stack.service.dispatcher.requests)
 
 
-@story
+@run_with_stack
 async def test_requests_are_rejected_while_the_endpoint_list_is_empty(stack):
     host = Host("handled")
     client = await stack.start(host)
@@ -190,7 +190,7 @@
     assert (await client.answer(client.send())).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_the_last_endpoint_list_is_used_after_its_connection_is_lost(stack):
     host = Host("handled")
     client = await stack.start(host)
@@ -200,7 +200,7 @@
     await stack.list.until(lambda: len(stack.list.ends) > 1)
 
 
-@story
+@run_with_stack
 async def test_an_endpoint_list_older_than_the_one_before_is_ignored(stack):
     host = Host("handled")
     client = await stack.start(host)
@@ -214,7 +214,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_an_endpoint_list_that_is_polled_is_polled_again_after_a_failure(stack):
     host = Host("handled")
     client = await stack.start(host, cold="asks: true, cold: {}")
@@ -225,7 +225,7 @@
     assert (await client.answer(client.send())).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_a_request_with_an_idempotency_key_is_retried_only_where_repeats_are_dropped(stack):
     near, twin, far = Host(), Host("handled"), Host("handled")
     client = await stack.start(near)
@@ -246,7 +246,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_load_orders_stop_at_their_quota(stack):
     hosts = [Host("handled") for _ in range(3)]
     client = await stack.start(
@@ -264,7 +264,7 @@
     assert len(orders) == 2
 
 
-@story
+@run_with_stack
 async def test_large_requests_and_responses_pass_whole(stack):
     host = Host("handled")
     client = await stack.start(host)
@@ -274,7 +274,7 @@
         assert answer.outcome == "handled" and answer.body == body
 
 
-@story
+@run_with_stack
 async def test_a_request_larger_than_its_host_takes_is_rejected(stack):
     host = Host("handled")
     host.largest = 1000
@@ -284,7 +284,7 @@
     assert answer.outcome == "deferred" and len(host.all(protocol.Attempt)) == 1
 
 
-@story
+@run_with_stack
 async def test_a_client_that_reads_nothing_is_the_casualty_and_no_other(stack):
     host = Host("handled")
     client = await stack.start(host, bounds="bounds: {client_bytes: 64kB}")
@@ -297,7 +297,7 @@
     assert (await client.answer(client.send())).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_duplicate_ids_and_late_requests_are_ignored_and_unknown_classes_fail(stack):
     host = Host()
     client = await stack.start(host)
@@ -312,7 +312,7 @@
     assert (await client.answer(number)).outcome == "handled" and client.answers(900) == []
 
 
-@story
+@run_with_stack
 async def test_a_request_without_time_for_its_response_is_rejected_at_once(stack):
     host = Host("handled")
     client = await stack.start(host, bounds="bounds: {spare: 10s}")
@@ -324,7 +324,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_requests_beyond_the_bound_of_pending_ones_are_rejected(stack):
     host = Host()
     client = await stack.start(host, bounds="bounds: {open_events: 3}")
@@ -336,7 +336,7 @@
     assert {(await client.answer(n)).outcome for n in numbers[:3]} == {"handled"}
 
 
-@story
+@run_with_stack
 async def test_a_connection_beyond_the_bound_is_closed_with_the_reason(stack):
     first = await stack.start(Host("handled"), bounds="bounds: {connections: 1}")
     second = await Client().connect(stack.service.port)
@@ -345,7 +345,7 @@
     assert (await first.answer(first.send())).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_a_malformed_frame_closes_only_its_own_connection(stack):
     host = Host("handled")
     client = await stack.start(host)
@@ -356,7 +356,7 @@
     assert (await client.answer(client.send())).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_requests_succeed_elsewhere_when_a_host_refuses_connections(stack):
     dead, well = Host(), Host("handled")
     client = await stack.start(dead, well)
@@ -365,7 +365,7 @@
     assert {a.outcome for a in answers} == {"handled"} and not dead.all(protocol.Attempt)
 
 
-@story
+@run_with_stack
 async def test_a_restart_is_learned_from_the_hosts_own_start_time(stack):
     host = Host("handled")
     client = await stack.start(host, cold="cold: {from: 25%, time: 10s, multiple: 3, fall: 2s}")
@@ -382,7 +382,7 @@
     assert stack.service.dispatcher.router.hosts[again.id].started_at_ms == begun
 
 
-@story
+@run_with_stack
 async def test_a_started_stream_has_no_deadline_and_fails_when_it_breaks(stack):
     host = Host()
     client = await stack.start(host)
@@ -402,7 +402,7 @@
     )
 
 
-@story
+@run_with_stack
 async def test_answer_and_time_out_in_the_same_turn(stack):
     host = Host()
     client = await stack.start(host, may=MAY)
@@ -418,7 +418,7 @@
     assert dispatcher.requests == {} and len(client.answers(number)) == 1
 
 
-@story
+@run_with_stack
 async def test_a_fault_in_the_router_restarts_the_gateway(stack):
     host = Host("handled")
     client = await stack.start(host)
@@ -429,7 +429,7 @@
     assert (await again.answer(again.send())).outcome == "handled"
 
 
-@story
+@run_with_stack
 async def test_what_hosts_are_configured_not_to_report_reaches_the_router_as_none(stack):
     host = Host()
     client = await stack.start(host, tells="tells: {copy: false, crowd: false}")
--- a/tests/leader_election/test_leases_of_processes.py
+++ b/tests/leader_election/test_leases_of_processes.py
@@ -5,7 +5,7 @@
 import signal
 
 import pytest
-from fleet import Fleet, story, until
+from fleet import Fleet, async_test, until
 
 from cherrydoor.leader_election.messages import Vote, Votes
 from cherrydoor.leader_election.vote_store import (
@@ -39,7 +39,7 @@
         await gate.ask(do="hold", task=TASK)
 
 
-@story
+@async_test
 async def test_a_killed_leaseholder_is_followed_under_a_higher_token(tmp_path):
     async with Fleet(tmp_path, 6) as fleet:
         await fleet.together()
@@ -53,7 +53,7 @@
         assert_no_token_twice(fleet)
 
 
-@story
+@async_test
 async def test_a_leaseholder_stopped_past_its_term_holds_nothing_when_it_goes_on(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.together()
@@ -68,7 +68,7 @@
         assert (await successor.held(TASK) or higher_token) >= higher_token > token
 
 
-@story
+@async_test
 async def test_a_part_without_a_majority_of_voters_holds_nothing_and_the_other_goes_on(tmp_path):
     async with Fleet(tmp_path, 6) as fleet:
         await fleet.together()
@@ -77,18 +77,18 @@
         await ask_for_lease(minority)
         leaseholder, token = await fleet.holder(TASK)
         assert leaseholder is fleet.gates[0]
-        fleet.relay.cut([gate.name for gate in minority], [gate.name for gate in majority])
+        fleet.proxy.cut([gate.name for gate in minority], [gate.name for gate in majority])
         await ask_for_lease(majority)
         successor, higher_token = await fleet.holder(TASK, token, majority)
         assert successor is not leaseholder
         assert higher_token > token
         assert await leaseholder.held(TASK) is None
-        fleet.relay.calm()
+        fleet.proxy.calm()
         await fleet.together()
         assert await leaseholder.held(TASK) is None
 
 
-@story
+@async_test
 async def test_a_graceful_shutdown_releases_the_lease_at_once(tmp_path):
     """The next leaseholder does not wait for the term of the one that left."""
     async with Fleet(tmp_path, 5) as fleet:
@@ -117,7 +117,7 @@
         )
 
 
-@story
+@async_test
 async def test_voters_that_restart_with_and_without_their_votes_keep_the_tokens_rising(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.together()
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -9,13 +9,13 @@
 
 from cherrydoor.config import show
 from cherrydoor.config.records import Duration
-from cherrydoor.rehearsal.fault_injecting_proxy import Relay
-from cherrydoor.rehearsal.parts import Ports
+from cherrydoor.rehearsal.fault_injecting_proxy import FaultInjectingProxy
+from cherrydoor.rehearsal.processes import Ports
 
 LONGEST = 20.0  # s that any test waits for what must come
 ASK_TIMEOUT_S = 1.0  # for an answer over a control socket
 POLL_INTERVAL_S = 0.03
-RELAY_SEED = 5
+PROXY_SEED = 5
 FIRST_GATEWAY_SEED = 7
 ZONES = 3
 
@@ -37,7 +37,7 @@
 ]
 
 
-class Gate:
+class FleetGateway:
     """One gateway: its configuration, its process, what it logs."""
 
     def __init__(self, fleet, number, settings):
@@ -167,12 +167,12 @@
         self.list_at = list_at
         self.peers = peers or {}
         self.ports = Ports(os.getpid())
-        self.relay = Relay(RELAY_SEED)
-        self.gates = [Gate(self, number, more or {}) for number in range(count)]
+        self.proxy = FaultInjectingProxy(PROXY_SEED)
+        self.gates = [FleetGateway(self, number, more or {}) for number in range(count)]
 
     async def __aenter__(self):
         for gate in self.gates:
-            gate.at = await self.relay.port(gate.name, gate.real)
+            gate.at = await self.proxy.port(gate.name, gate.real)
         await asyncio.gather(*(gate.start() for gate in self.gates))
         return self
 
@@ -182,7 +182,7 @@
                 gate.signal(signal.SIGCONT)
                 gate.signal(signal.SIGKILL)
                 await gate.process.wait()
-        for server in self.relay.servers:
+        for server in self.proxy.servers:
             server.close()
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
@@ -224,7 +224,7 @@
     raise AssertionError(f"never came: {answer}")
 
 
-def story(test):
+def async_test(test):
     """Runs a test that is a coroutine, given a folder."""
 
     def run(tmp_path):
--- a/tests/membership/test_membership_of_processes.py
+++ b/tests/membership/test_membership_of_processes.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-from fleet import Fleet, story, until
+from fleet import Fleet, async_test, until
 
 from cherrydoor.membership.member_table import ALIVE, DISCONNECTED, LEFT, SUSPECTED
 from cherrydoor.tls.local_authority import LocalAuthority
@@ -23,7 +23,7 @@
     return (await gate.ask(do="peers"))["life"]
 
 
-@story
+@async_test
 async def test_a_killed_gateway_is_disconnected_for_all_and_returns_as_another_incarnation(
     tmp_path,
 ):
@@ -37,7 +37,7 @@
         assert await incarnation_of(first) > incarnation
 
 
-@story
+@async_test
 async def test_a_stopped_gateway_is_suspected_until_it_refutes_that_in_the_same_incarnation(
     tmp_path,
 ):
@@ -52,7 +52,7 @@
         assert await incarnation_of(first) == incarnation
 
 
-@story
+@async_test
 async def test_a_gateway_that_shuts_down_gracefully_is_seen_to_have_left(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
         first, *others = reversed(await fleet.together())
@@ -61,21 +61,21 @@
         await until_seen(others, first.name, LEFT)
 
 
-@story
+@async_test
 async def test_a_reset_link_alone_makes_nobody_suspected(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
         gates = await fleet.together()
         for _ in range(5):
-            fleet.relay.reset("*", "*")
+            fleet.proxy.reset("*", "*")
             await fleet.together()
         answers = [await gate.ask(do="peers") for gate in gates]
         assert all(row["state"] == ALIVE for answer in answers for row in answer["members"])
 
 
-@story
+@async_test
 async def test_frames_that_come_late_twice_and_out_of_order_change_nothing(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
-        fleet.relay.set("*", "*", delay=5.0, spread=60.0, double=0.3, reorder=0.3)
+        fleet.proxy.set("*", "*", delay=5.0, spread=60.0, double=0.3, reorder=0.3)
         first, *others = reversed(await fleet.together())
         for _ in range(2):
             await first.kill()
@@ -84,12 +84,12 @@
             await until_seen(others, first.name, ALIVE)
 
 
-@story
+@async_test
 async def test_two_processes_of_one_name_are_logged(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
         gates = await fleet.together()
         clone = type(gates[3])(fleet, 3, {})
-        clone.at = await fleet.relay.port("g3", clone.real)
+        clone.at = await fleet.proxy.port("g3", clone.real)
         clone.control += "2"
         fleet.gates.append(clone)
         await clone.start()
@@ -121,7 +121,7 @@
     return {row["name"] for row in answer["members"] if row["linked"]} if answer else set()
 
 
-@story
+@async_test
 async def test_a_peer_is_linked_only_under_the_name_of_its_certificate(tmp_path):
     fleet = fleet_with_certificates(tmp_path)
     await asyncio.gather(*(gate.start() for gate in fleet.gates))
--- a/tests/rehearsal/test_bench_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -6,8 +6,8 @@
 
 from cherrydoor.config import Problems
 from cherrydoor.rehearsal.bench_day import KINDS, bench_day
-from cherrydoor.rehearsal.traffic import draw
-from cherrydoor.rehearsal.troubles import Steps
+from cherrydoor.rehearsal.faults import FaultPlan
+from cherrydoor.rehearsal.traffic import draw_arrivals
 
 
 def drawn(troubles):
@@ -128,11 +128,11 @@
 def test_every_trouble_it_names_becomes_one_of_ours_and_can_be_played(tmp_path):
     day, left = bench_day(written(tmp_path, *KINDS))
     assert {t["what"] for t in day["troubles"]} == set(KINDS.values())
-    steps = Steps(day).found
+    steps = FaultPlan(day).steps
     assert {1, 5} <= {v["host"] for _, what, v in steps if what == "drain"}, (
         "the very hosts that it names"
     )
-    assert 0.8 < len(draw(day).at) / (day["clients"]["per_second"] * 28) < 1.6 and left
+    assert 0.8 < len(draw_arrivals(day).at) / (day["clients"]["per_second"] * 28) < 1.6 and left
 
 
 def test_scaled_in_size_and_time(tmp_path):
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -12,10 +12,10 @@
 import pytest
 
 from cherrydoor.config import Problems
-from cherrydoor.rehearsal.conduct import CannotRun, Conductor
 from cherrydoor.rehearsal.day import SHIPPED, read_day
-from cherrydoor.rehearsal.traffic import draw
-from cherrydoor.rehearsal.troubles import Steps
+from cherrydoor.rehearsal.faults import FaultPlan
+from cherrydoor.rehearsal.scenario_runner import RunFailedError, ScenarioRunner
+from cherrydoor.rehearsal.traffic import draw_arrivals
 
 LITTLE = """
 name: "little"
@@ -136,8 +136,8 @@
     day.write_text(LITTLE)
     (tmp_path / "out" / "traffic").mkdir(parents=True)
     (tmp_path / "out" / "traffic" / "x").touch()
-    with pytest.raises(CannotRun):
-        Conductor(read_day(day), tmp_path / "out")
+    with pytest.raises(RunFailedError):
+        ScenarioRunner(read_day(day), tmp_path / "out")
 
 
 def test_interrupted_it_leaves_nothing_running(tmp_path):
@@ -171,9 +171,15 @@
     day = tmp_path / "little.day"
     day.write_text(LITTLE)
     one, same, other = read_day(day), read_day(day), read_day(day, seed=2)
-    assert draw(one).at == draw(same).at and draw(one).function == draw(same).function
-    assert Steps(one).found == Steps(same).found
-    assert draw(one).at != draw(other).at and Steps(one).found != Steps(other).found
+    assert (
+        draw_arrivals(one).at == draw_arrivals(same).at
+        and draw_arrivals(one).function == draw_arrivals(same).function
+    )
+    assert FaultPlan(one).steps == FaultPlan(same).steps
+    assert (
+        draw_arrivals(one).at != draw_arrivals(other).at
+        and FaultPlan(one).steps != FaultPlan(other).steps
+    )
 
 
 def test_a_trouble_added_moves_no_other_arrival(tmp_path):
@@ -181,11 +187,14 @@
     calm = day | {"troubles": [t for t in day["troubles"] if t["what"] != "burst"]}
     struck = {"what": "hot", "at": 1000.0, "lasts": 5000.0, "part": 0.2, "size": 2.0}
     hot = calm | {"troubles": [*calm["troubles"], struck]}
-    assert draw(calm).at == draw(hot).at and draw(calm).function != draw(hot).function
+    assert (
+        draw_arrivals(calm).at == draw_arrivals(hot).at
+        and draw_arrivals(calm).function != draw_arrivals(hot).function
+    )
 
 
 def test_every_trouble_can_be_scripted(tmp_path):
-    schema = (SHIPPED.parent.parent / "config" / "day.schema").read_text()
+    schema = (SHIPPED.parent.parent / "config" / "scenario.schema").read_text()
     names = schema.split("what: ")[1].splitlines()[0].replace('"', "").split(" | ")
     text = (
         LITTLE.split("troubles:")[0]
@@ -196,11 +205,13 @@
     day = tmp_path / "all.day"
     day.write_text(text)
     said = read_day(day)
-    steps = Steps(said)
-    does = {what for _, what, _ in steps.found}
-    handled = {name[3:].replace("_", " ") for name in dir(Conductor) if name.startswith("do_")}
+    plan = FaultPlan(said)
+    does = {what for _, what, _ in plan.steps}
+    handled = {name[3:].replace("_", " ") for name in dir(ScenarioRunner) if name.startswith("do_")}
     assert does <= handled and len(names) == 34
-    assert {t["what"] for t in said["troubles"]} - {n.replace("_", "-") for n in dir(Steps)} == {
+    assert {t["what"] for t in said["troubles"]} - {
+        n.replace("_", "-") for n in dir(FaultPlan)
+    } == {
         "burst",
         "hot",
         "scan",
--- a/tests/releases/test_release_service.py
+++ b/tests/releases/test_release_service.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from stack import Host, now, story
+from stack import Host, now, run_with_stack
 from test_process import with_folder
 
 from cherrydoor.fakes.feed import Feed
@@ -191,7 +191,7 @@
     assert {attempt.function for attempt in attempts(host)} == {FUNCTION}
 
 
-@story
+@run_with_stack
 async def test_without_a_feed_no_version_is_added_to_function_names(stack):
     host = VersionedHost()
     client = await stack.start(host)
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -15,7 +15,7 @@
     make_local_authority,
 )
 
-from cherrydoor.fakes.crowd import greeting
+from cherrydoor.fakes.connection_flood import client_greeting
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls.credential_files import read_pair, read_token_keys
 from cherrydoor.tls.credential_manager import CredentialManager
@@ -271,7 +271,7 @@
             "places: 8}]", 'places: 8, addresses: ["127.0.0.1/32"]}]'
         ),
     )
-    first = greeting(True)
+    first = client_greeting(True)
     idle = []
     for i in range(300):
         reader, writer = await asyncio.open_connection(
--- a/tests/zone_drain/test_drain_of_a_fleet.py
+++ b/tests/zone_drain/test_drain_of_a_fleet.py
@@ -6,8 +6,8 @@
 import asyncio
 import itertools
 
-from fleet import story, until
-from fleet_and_hosts import Town, come
+from fleet import async_test, until
+from fleet_and_hosts import FailoverPlatform, eventually
 
 from cherrydoor.protocol import messages as protocol
 
@@ -72,13 +72,13 @@
 async def attempts_reach_zone(platform):
     """Until an attempt from now on goes to the zone."""
     since = len(platform.rows.rows)
-    await come(lambda: set(hosts_attempted(platform, since)) & hosts_in_zone(platform))
+    await eventually(lambda: set(hosts_attempted(platform, since)) & hosts_in_zone(platform))
 
 
 async def assert_zone_is_avoided(platform, attempts):
     """None of the next attempts goes to the zone."""
     since = len(platform.rows.rows)
-    await come(lambda: len(hosts_attempted(platform, since)) > attempts)
+    await eventually(lambda: len(hosts_attempted(platform, since)) > attempts)
     reached = set(hosts_attempted(platform, since)) & hosts_in_zone(platform)
     assert not reached, "steered there once it was empty"
 
@@ -112,15 +112,15 @@
 
 
 def platform_of(folder, **more):
-    return Town(folder, gates=6, hosts=9, work=8.0, sites=ZONES, **more)
+    return FailoverPlatform(folder, gates=6, hosts=9, work=8.0, sites=ZONES, **more)
 
 
 async def until_functions_are_known(load):
     """Until each function has been called often enough to be known at every gateway."""
-    await come(lambda: len(load.outcomes()) > 150)
+    await eventually(lambda: len(load.outcomes()) > 150)
 
 
-@story
+@async_test
 async def test_a_zone_is_emptied_while_sessions_go_on_and_is_given_back(tmp_path):
     async with platform_of(tmp_path) as platform:
         gateway = platform.gates[4]
@@ -145,7 +145,7 @@
         assert all(len(answers) == 1 for answers in platform.caller.answers.values())
 
 
-@story
+@async_test
 async def test_the_coordinator_is_killed_and_the_next_goes_on_from_the_highest_wave(tmp_path):
     async with platform_of(tmp_path) as platform:
         with Load(platform, platform.gates[:4]) as load:
@@ -165,7 +165,7 @@
             await assert_zone_is_avoided(platform, 60)
 
 
-@story
+@async_test
 async def test_a_partition_without_a_majority_stays_at_its_wave_and_serves(tmp_path):
     async with platform_of(tmp_path) as platform:
         with Load(platform, platform.gates) as load:
@@ -174,7 +174,7 @@
             await until_shown(platform.gates[3], lambda shown: shown and shown.get("away"))
             isolated = platform.gates[5]
             others = platform.gates[:5]
-            platform.relay.cut([isolated.name], [gateway.name for gateway in others])
+            platform.proxy.cut([isolated.name], [gateway.name for gateway in others])
             before = await command(isolated, "show")
             # not empty while it still sends there, as its hosts report
             await coordinator_in_state(others, "emptying", "empty")
@@ -184,12 +184,12 @@
             await platform.caller.connect(isolated)
             number = platform.caller.send(isolated, "draft", function="deed-1", document="doc-1")
             assert (await platform.caller.answer(number)).outcome == "handled"
-            platform.relay.calm()
+            platform.proxy.calm()
             await until_shown(isolated, lambda shown: shown["state"] == "empty")
             await assert_zone_is_avoided(platform, 60)
 
 
-@story
+@async_test
 async def test_a_neighbour_lost_in_the_middle_delays_the_next_wave_until_it_is_back(tmp_path):
     async with platform_of(tmp_path) as platform:
         with Load(platform, platform.gates) as load:
@@ -215,7 +215,7 @@
                 ),
             )
             sent = len(load.outcomes())
-            await come(lambda: len(load.outcomes()) > sent + 200)
+            await eventually(lambda: len(load.outcomes()) > sent + 200)
             after = await coordinator_status()
             assert after["wave"] == before["wave"]
             assert after["why"] == before["why"]
@@ -227,9 +227,9 @@
         assert all(len(answers) == 1 for answers in platform.caller.answers.values())
 
 
-@story
+@async_test
 async def test_a_drain_that_cannot_be_done_is_refused_with_the_reason(tmp_path):
-    async with Town(tmp_path, gates=3, hosts=2, work=8.0, sites=1) as platform:
+    async with FailoverPlatform(tmp_path, gates=3, hosts=2, work=8.0, sites=1) as platform:
         gateway = platform.gates[0]
         unknown = await command(gateway, "drain", site="nowhere")
         assert "there are floor-0" in unknown["error"]
