--- a/cherrydoor/leader_election/__init__.py
+++ b/cherrydoor/leader_election/__init__.py
@@ -1,5 +1,5 @@
-"""Leases of fleet-wide tasks: one leaseholder a task, under a fencing token that only rises.
+"""Leases of fleet-wide tasks: one leaseholder per task, with a fencing token that only increases.
 
-Begin with `candidate.py` and `voter.py`, the pure state machines; `service.py` runs both over the
+Start with `candidate.py` and `voter.py`, the pure state machines; `service.py` runs both over the
 links to peers.
 """
--- a/cherrydoor/leader_election/messages.py
+++ b/cherrydoor/leader_election/messages.py
@@ -1,4 +1,4 @@
-"""What voters and candidates exchange with the service: lease terms, votes, and actions."""
+"""The lease terms, the stored votes, and the actions of voters and candidates."""
 
 from typing import TypeAlias
 
@@ -12,13 +12,14 @@
 
 
 class LeaseTerms(Struct, frozen=True):
-    """How long leases run, and how far clocks are trusted.
+    """How long leases run, and how much clocks may drift.
 
     Attributes:
-        term_ms: Length of a lease.
-        clock_drift: The share by which two clocks of the fleet may differ in speed.
-        margin_ms: Taken off by the leaseholder, for what it does last under the lease.
-        longest_term_ms: No lease of the fleet has a longer term.
+        term_ms: The length of a lease.
+        clock_drift: The fraction by which the speeds of two clocks of the fleet may differ.
+        margin_ms: How much earlier the leaseholder stops, so that its last act under the lease
+            completes before the lease expires at the voters.
+        longest_term_ms: The upper bound of the term of any lease in the fleet.
     """
 
     term_ms: float = 3000.0
@@ -26,23 +27,23 @@
     margin_ms: float = 100.0
     longest_term_ms: float = 10000.0
 
-    def held_until_ms(self, asked_ms: float) -> float:
-        """Returns when a candidate that asked at `asked_ms` has to stop acting."""
-        return asked_ms + self.term_ms * (1 - self.clock_drift) - self.margin_ms
+    def held_until_ms(self, requested_ms: float) -> float:
+        """Returns when a leaseholder that sent its requests at `requested_ms` must stop acting."""
+        return requested_ms + self.term_ms * (1 - self.clock_drift) - self.margin_ms
 
     def voted_until_ms(self, now_ms: float, term_ms: float) -> float:
-        """Returns until when a vote given now for `term_ms` binds its voter, by its own clock."""
+        """Returns when a vote given now for `term_ms` expires, by the voter's own clock."""
         return now_ms + term_ms * (1 + self.clock_drift)
 
 
 class Vote(Struct):
-    """The highest fencing token granted for one task, and to whom; stored under older field names.
+    """The highest fencing token granted for one task; the stored field names differ.
 
     Attributes:
-        fencing_token: The highest token this voter has granted for the task.
-        leaseholder: The candidate it was granted to, "" once it was released.
-        until_ms: When the vote expires by this voter's clock; 0 where nobody holds it.
-        term_ms: The term that was granted.
+        fencing_token: The highest token that this voter has granted for the task.
+        leaseholder: The candidate to which it was granted, "" once it was released.
+        until_ms: When the vote expires by this voter's clock; 0 where there is no leaseholder.
+        term_ms: The granted term.
     """
 
     fencing_token: int = field(name="number")
@@ -52,12 +53,12 @@
 
 
 class Votes(Struct):
-    """All that a voter must not forget; stored under older field names.
+    """The state that a voter must not lose; the stored field names differ.
 
     Attributes:
-        highest_forgotten_token: No task that is missing from `tasks` is granted at this token or
-            below.
-        tasks: The vote of each task that is remembered by name.
+        highest_forgotten_token: The highest token of the tasks that were dropped from `tasks`. A
+            task that is not in `tasks` is granted only under a higher token.
+        tasks: The vote of each remembered task, by the task's name.
     """
 
     highest_forgotten_token: int = field(default=0, name="floor")
@@ -65,20 +66,20 @@
 
 
 class SaveVotes(Struct, frozen=True):
-    """The votes as they now stand: synced to disk before the answers that follow it leave."""
+    """Save the current votes: they are synced to disk before any action after this one."""
 
     votes: Votes
 
 
 class SendMessage(Struct, frozen=True):
-    """A message to the gateway of that name, which may be this one."""
+    """Send a message to the gateway with that name, which may be this one."""
 
     to: str
     message: ElectionMessage
 
 
 class LeaseAcquired(Struct, frozen=True):
-    """This gateway holds the lease until `until_ms`; repeated with each renewal."""
+    """This gateway holds the lease until `until_ms`; returned again for each renewal."""
 
     task: str
     fencing_token: int
@@ -86,7 +87,7 @@
 
 
 class LeaseEnded(Struct, frozen=True):
-    """This gateway holds the lease no longer, and does nothing more under it."""
+    """This gateway no longer holds the lease and must stop acting under it."""
 
     task: str
     fencing_token: int
--- a/cherrydoor/leader_election/service.py
+++ b/cherrydoor/leader_election/service.py
@@ -1,4 +1,7 @@
-"""Leader election of one gateway over its links: its voter, if any, and its candidates."""
+"""Runs leader election for one gateway over its links: its candidates, and its voter if it has one.
+
+The state machines are in `candidate.py` and `voter.py`.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -26,15 +29,14 @@
 from cherrydoor.protocol.peers import LeaseGranted, LeaseRefused, LeaseRelease, LeaseRequest
 
 log = structlog.get_logger()
-TICK_INTERVAL_S = (
-    0.02  # between two ticks of the candidates, while there are any; a fifth of the lease margin
-)
+# Interval between ticks while there are candidates; a fifth of the default lease margin (100 ms).
+TICK_INTERVAL_S = 0.02
 
 TokenCallback = Callable[[int], None]
 
 
 class WantedLease(NamedTuple):
-    """A lease that this gateway asks for or holds, and whom to call with its fencing token."""
+    """A lease that this gateway requests or holds, and its callbacks, which get the token."""
 
     candidate: Candidate
     on_acquired: TokenCallback
@@ -44,10 +46,10 @@
 class LeaseService:
     """The leases of one gateway.
 
-    `hold` asks for a task's lease until `release`; the two callbacks of a lease come in
-    alternation.
+    `hold` requests a task's lease, and keeps renewing it, until `release`. The callbacks of a
+    lease alternate: `on_acquired`, then `on_ended`, and so on.
 
-    Invariant: every task in `holding` is in `wanted`, except while its end is being reported.
+    Invariant: every task in `holding` is also in `wanted`, except while its end is being reported.
     """
 
     def __init__(
@@ -56,12 +58,12 @@
         settings: Any,
         vote_storage: Callable[[str, str], VoteStorage] = VoteStore,
     ) -> None:
-        """Starts the voter, where this gateway is one.
+        """Subscribes to lease messages, and starts the voter if this gateway is one.
 
         Args:
             peers: The gateway's links to peers.
-            settings: The configuration's record of leases.
-            vote_storage: Makes what keeps the voter's votes, of a path and the voter's name.
+            settings: The configuration's section on leases.
+            vote_storage: Creates the storage of the votes from a path and the voter's name.
         """
         self.peers = peers
         self.loop = peers.loop
@@ -70,7 +72,7 @@
         self.terms = LeaseTerms(
             settings["term"], settings["drift"], settings["margin"], settings["longest"]
         )
-        self.voters: list[str] = [one["name"] for one in peers.settings["keepers"]]
+        self.voters: list[str] = [voter["name"] for voter in peers.settings["keepers"]]
         self.wanted: dict[str, WantedLease] = {}
         self.holding: dict[str, HeldLease] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -80,22 +82,25 @@
         self.voter: Voter | None = None
         if self.gateway in self.voters:
             self.storage = vote_storage(settings["promises"], self.gateway)
-            self.voter = Voter(self.terms, self.now_ms(), self.storage.read(), self.veto)
+            self.voter = Voter(self.terms, self.now_ms(), self.storage.read(), self.check_grant)
         peers.subscribe(LeaseRequest, self.on_voter_message)
         peers.subscribe(LeaseRelease, self.on_voter_message)
         peers.subscribe(LeaseGranted, self.on_candidate_message)
         peers.subscribe(LeaseRefused, self.on_candidate_message)
 
-    def veto(self, task: str) -> str:
-        """Returns the first reason of `vetoes` not to grant the task now, "" for none."""
-        for veto in self.vetoes:
-            if reason := veto(task):
+    def check_grant(self, task: str) -> str:
+        """Returns the first reason in `vetoes` not to grant the task now, "" if there is none."""
+        for check_grant in self.vetoes:
+            if reason := check_grant(task):
                 return reason
         return ""
 
     # ---- messages
     def send(self, to: str, message: ElectionMessage) -> None:
-        """Sends to a peer; to this gateway itself by way of the event loop."""
+        """Sends a message to a peer, or to this gateway itself.
+
+        A message to itself is delivered in a later iteration of the event loop.
+        """
         if to != self.gateway:
             self.peers.send(to, message)
         elif isinstance(message, LeaseRequest | LeaseRelease):
@@ -104,7 +109,7 @@
             self.loop.call_soon(self.on_candidate_message, self.gateway, message)
 
     def on_voter_message(self, sender: str, message: VoterMessage) -> None:
-        """Takes a candidate's message to the voter; its answers leave once the votes are stored."""
+        """Passes a candidate's message to the voter; answers are sent once the votes are stored."""
         if self.voter is None or self.storage is None or self.is_closed:
             return
         actions = self.voter.receive(self.now_ms(), sender, message)
@@ -117,13 +122,13 @@
             self.send_answers(actions)
 
     def send_answers(self, actions: list[VoterAction]) -> None:
-        """Sends a voter's answers."""
+        """Sends the answers of the voter, unless the service has been closed meanwhile."""
         for action in actions:
             if isinstance(action, SendMessage) and not self.is_closed:
                 self.send(action.to, action.message)
 
     def on_candidate_message(self, sender: str, message: CandidateMessage) -> None:
-        """Takes a voter's answer to the candidate; a grant that is no longer wanted is released."""
+        """Passes a voter's answer to the candidate; releases a grant that is no longer wanted."""
         wanted = self.wanted.get(message.task)
         if wanted is not None:
             self.carry_out(wanted.candidate.receive(self.now_ms(), sender, message))
@@ -138,13 +143,13 @@
         on_ended: TokenCallback,
         delay_ms: float = 0.0,
     ) -> None:
-        """Asks for the lease of a task, and renews it, until `release`.
+        """Requests the lease of a task, and keeps renewing it, until `release`.
 
         Args:
-            task: The task; nothing happens where its lease is wanted already.
-            on_acquired: Called with the fencing token once the lease is held.
-            on_ended: Called with that token once it is held no longer.
-            delay_ms: Before the first request.
+            task: The task; the call has no effect if its lease is already requested or held.
+            on_acquired: Called with the fencing token when the lease is acquired.
+            on_ended: Called with the same token when the lease has ended.
+            delay_ms: The delay before the first request.
         """
         if task in self.wanted or self.is_closed:
             return
@@ -162,26 +167,34 @@
         self.tick()
 
     def release(self, task: str) -> None:
-        """Releases the lease of a task at once, or stops asking for it."""
+        """Releases the lease of a task immediately, or stops requesting it."""
         if task in self.wanted:
             self.carry_out(self.wanted[task].candidate.leave(self.now_ms()))
             self.wanted.pop(task, None)
 
     def on_higher_token(self, task: str, highest_token: int) -> None:
-        """Ends a lease whose token was refused by what was acted on, for a higher one."""
+        """Ends the lease of a task if its token is lower than one that a resource has seen.
+
+        Args:
+            task: The task of the lease.
+            highest_token: The highest token that the resource has seen.
+        """
         if task in self.wanted:
             candidate = self.wanted[task].candidate
             self.carry_out(candidate.on_higher_token(self.now_ms(), highest_token))
 
     def fencing_token(self, task: str) -> int | None:
-        """Returns the token of a lease held now, None otherwise; asked before each act."""
+        """Returns the token of the task's lease, None if this gateway does not hold it now.
+
+        To be checked before each act under the lease.
+        """
         held = self.holding.get(task)
         if held is None or self.now_ms() >= held.until_ms:
             return None
         return held.fencing_token
 
     def tick(self) -> None:
-        """Lets every candidate see the time, and sets the timer for the next tick."""
+        """Runs the timers of every candidate, and schedules the next tick."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -194,7 +207,7 @@
             self.timer = self.loop.call_later(TICK_INTERVAL_S, self.tick)
 
     def carry_out(self, actions: list[CandidateAction]) -> None:
-        """Carries out what a candidate decided, in its order."""
+        """Executes the actions of a candidate in order."""
         for action in actions:
             if isinstance(action, SendMessage):
                 self.send(action.to, action.message)
@@ -204,7 +217,7 @@
                 self.on_ended(action)
 
     def on_acquired(self, action: LeaseAcquired) -> None:
-        """Notes a lease acquired or renewed; its owner is called where it is acquired."""
+        """Records an acquired or renewed lease; calls its callback only on acquisition."""
         is_new = action.task not in self.holding
         self.holding[action.task] = HeldLease(action.fencing_token, action.until_ms)
         if is_new:
@@ -217,7 +230,7 @@
             self.wanted[action.task].on_acquired(action.fencing_token)
 
     def on_ended(self, action: LeaseEnded) -> None:
-        """Notes the end of a lease, and calls its owner."""
+        """Records the end of a lease and calls its callback."""
         self.holding.pop(action.task, None)
         log.info(
             "lease ended",
@@ -229,22 +242,22 @@
         self.wanted[action.task].on_ended(action.fencing_token)
 
     def close(self) -> None:
-        """Releases all leases and ends."""
+        """Releases all leases and stops the service."""
         for task in list(self.wanted):
             self.release(task)
         self.abort()
 
     def abort(self) -> None:
-        """Ends without a release, as the loss of the process would."""
+        """Stops the service without releasing leases, as a crash of the process would."""
         self.is_closed = True
         if self.timer:
             self.timer.cancel()
         if self.storage:
             self.storage.close()
 
-    # ---- for operators
+    # ---- control socket
     def table(self) -> dict[str, Any]:
-        """Returns, for the control socket, the leases held here and the votes of this voter."""
+        """Returns the leases held or requested here, and the votes of this voter."""
         now_ms = self.now_ms()
         return {
             "gateway": self.gateway,
--- a/cherrydoor/leader_election/status.py
+++ b/cherrydoor/leader_election/status.py
@@ -1,4 +1,7 @@
-"""What the control socket shows of leases and votes; its keys are older than the names here."""
+"""What the control socket shows of leases and votes.
+
+The JSON keys are kept for operators' tools and differ from the names in the code.
+"""
 
 from typing import Any, NamedTuple
 
@@ -6,14 +9,14 @@
 
 
 class HeldLease(NamedTuple):
-    """The fencing token of a lease held here, and until when (ms)."""
+    """The fencing token of a lease that is held here, and when the lease expires (ms)."""
 
     fencing_token: int
     until_ms: float
 
 
 def held_rows(holding: dict[str, HeldLease], now_ms: float) -> list[dict[str, Any]]:
-    """Returns the leases held here, with what is left of each in ms."""
+    """Returns the leases held here, with the remaining time of each in ms."""
     return [
         {
             "task": task,
@@ -25,7 +28,7 @@
 
 
 def voter_table(voter: Voter, now_ms: float) -> dict[str, Any]:
-    """Returns, for the control socket, what a voter has granted."""
+    """Returns the votes and counters of a voter; times are remaining ms."""
     votes = voter.votes
     rows = [
         {
--- a/cherrydoor/leader_election/vote_store.py
+++ b/cherrydoor/leader_election/vote_store.py
@@ -1,4 +1,4 @@
-"""A voter's votes on disk: one small file with a checksum, synced before an answer leaves."""
+"""Stores a voter's votes: one small file with a checksum, synced before an answer is sent."""
 
 import asyncio
 import contextlib
@@ -15,27 +15,28 @@
 from cherrydoor.leader_election.messages import Votes
 
 log = structlog.get_logger()
-FORMAT_LINE = b"cherrydoor promises 1\n"  # the first line of a file; stored, so its words stay
-# Bytes; a file with the most tasks that a voter remembers is far smaller, a longer one not ours.
-MAX_FILE_BYTES = 16 * 2**20
+FORMAT_LINE = b"cherrydoor promises 1\n"  # first line of the file; part of the stored format
+# A file with the maximum number of remembered tasks is far smaller, so a larger file was not
+# written by a voter.
+MAX_VOTE_FILE_BYTES = 16 * 2**20
 DIGEST_BYTES = 16
 
 
 class ElectionError(Exception):
-    """What goes wrong in a leader election of this gateway."""
+    """Base class of the errors of leader election."""
 
 
 class InvalidVoteFileError(ElectionError, ValueError):
-    """The file is not what this voter had written; the text says why."""
+    """A vote file is not as this voter wrote it; the message says why."""
 
 
 def checksum(body: bytes) -> bytes:
-    """Returns the hexadecimal checksum of a file's body."""
+    """Returns the checksum of a file's body, in hexadecimal digits."""
     return blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
 
 
 def encode_votes(voter: str, votes: Votes) -> bytes:
-    """Returns the bytes of a file: the format line, a line with the body's checksum, then the body.
+    """Returns the content of a vote file: the format line, the body's checksum, then the body.
 
     >>> decode_votes("k1", encode_votes("k1", Votes(7))).highest_forgotten_token
     7
@@ -45,31 +46,33 @@
 
 
 def decode_votes(voter: str, data: bytes) -> Votes:
-    """Returns the votes of a file.
+    """Returns the votes in the content of a vote file.
 
     Raises:
-        InvalidVoteFileError: Where bytes have changed, or where the votes are another voter's.
+        InvalidVoteFileError: The content was altered or truncated, has an unknown format, or
+            belongs to another voter.
     """
     format_line, _, rest = data.partition(b"\n")
     digest, _, body = rest.partition(b"\n")
     if format_line + b"\n" != FORMAT_LINE:
-        raise InvalidVoteFileError("its format is not known here")
+        raise InvalidVoteFileError("the first line is not that of a known format")
     if checksum(body) != digest:
-        raise InvalidVoteFileError("its checksum does not match")
+        raise InvalidVoteFileError("the checksum does not match the content")
     try:
         stored = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
         if msgspec.json.decode(stored["keeper"]) != voter:
-            raise InvalidVoteFileError("it is another voter's")
+            raise InvalidVoteFileError("it holds the votes of another voter")
         return msgspec.json.decode(stored["promises"], type=Votes)
     except (msgspec.MsgspecError, KeyError) as error:
         raise InvalidVoteFileError(str(error)) from None
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Writes a file whole or not at all; it is on the disk when this returns.
+    """Replaces a file atomically; it has been synced to disk when this returns.
 
     Raises:
-        OSError: Where it cannot be written; the file of before then stands.
+        OSError: The file cannot be written. Its previous content remains, unless only the sync of
+            the folder failed.
     """
     new_path = path.with_name(path.name + ".new")
     with new_path.open("wb") as file:
@@ -85,38 +88,38 @@
 
 
 class PendingSave(NamedTuple):
-    """The bytes of votes to be written, and what to call once they are on disk."""
+    """The encoded votes to be written, and the callback for when they are on disk."""
 
     data: bytes
     on_saved: Callable[[], None]
 
 
 class VoteStorage(Protocol):
-    """What keeps a voter's votes: a `VoteStore`, or a stand-in of it."""
+    """Where a voter stores its votes: a `VoteStore`, or a fake in tests."""
 
     def read(self) -> Votes | None:
-        """Returns the stored votes, None where they are lost."""
+        """Returns the stored votes, None if they are lost."""
 
     def save(self, votes: Votes, on_saved: Callable[[], None], /) -> None:
-        """Calls `on_saved` once the votes are stored."""
+        """Stores the votes, and calls `on_saved` once that is done."""
 
     def close(self) -> None:
-        """Ends the storage."""
+        """Closes the storage."""
 
 
 class VoteStore:
-    """The file of one voter, read once and then written on a thread of its own.
+    """The vote file of one voter, read at the start and then written by a separate thread.
 
-    Invariant: at most one write is under way; what is asked for meanwhile is written together,
-        next, as the last of it. The event loop owns all fields.
+    Invariant: at most one write is in progress. Saves requested meanwhile are served together by
+        the next write, which writes the latest votes. All fields are used on the event loop only.
     """
 
     def __init__(self, path: str | Path, voter: str) -> None:
-        """Opens nothing yet; called on a running event loop.
+        """Prepares the store without opening the file; needs a running event loop.
 
         Args:
-            path: Of the file.
-            voter: The name of the voter whose votes are in it.
+            path: The path of the vote file.
+            voter: The name of the voter whose votes are in the file.
         """
         self.path = Path(path)
         self.voter = voter
@@ -127,13 +130,13 @@
         self.last_write_failed = False
 
     def read(self) -> Votes | None:
-        """Returns the votes, None where there are none or none that can be trusted.
+        """Returns the stored votes, None if there are none or the file is unreadable or invalid.
 
-        The reason is logged, and an invalid file is set aside for whoever looks into it.
+        The reason is logged, and an invalid file is set aside for later inspection.
         """
         try:
-            if self.path.stat().st_size > MAX_FILE_BYTES:
-                raise InvalidVoteFileError(f"it is longer than {MAX_FILE_BYTES} bytes")
+            if self.path.stat().st_size > MAX_VOTE_FILE_BYTES:
+                raise InvalidVoteFileError(f"the file is longer than {MAX_VOTE_FILE_BYTES} bytes")
             return decode_votes(self.voter, self.path.read_bytes())
         except FileNotFoundError:
             log.warning("no stored votes: silent for the longest term", file=str(self.path))
@@ -148,7 +151,7 @@
         return None
 
     def set_aside(self, error: InvalidVoteFileError) -> None:
-        """Renames an invalid file, so that the next write does not destroy it."""
+        """Renames an invalid file, so that the next write does not overwrite it."""
         aside = self.path.with_name(self.path.name + ".unsound")
         log.error(
             "stored votes are invalid and set aside: silent for the longest term",
@@ -159,13 +162,16 @@
             self.path.replace(aside)
 
     def save(self, votes: Votes, on_saved: Callable[[], None]) -> None:
-        """Calls `on_saved` once these votes, or later ones, are on disk; never on a failure."""
+        """Stores the votes, and calls `on_saved` once these votes or later ones are on disk.
+
+        If the write fails, `on_saved` is never called.
+        """
         self.pending.append(PendingSave(encode_votes(self.voter, votes), on_saved))
         if not self.is_writing:
             self.write_pending()
 
     def write_pending(self) -> None:
-        """Starts the write of the latest votes, for all saves that wait."""
+        """Starts a write of the latest votes, which serves all pending saves."""
         batch = self.pending
         self.pending = []
         self.is_writing = True
@@ -173,7 +179,7 @@
         future.add_done_callback(lambda done: self.on_written(done, batch))
 
     def on_written(self, done: asyncio.Future[None], batch: list[PendingSave]) -> None:
-        """Reports a finished write to those who wait for it, and starts the next."""
+        """Calls the callbacks of a completed write, or logs its failure; starts the next write."""
         self.is_writing = False
         if done.cancelled():
             return
@@ -194,5 +200,5 @@
             self.write_pending()
 
     def close(self) -> None:
-        """Ends the thread, after the write that is under way."""
+        """Stops the thread once the write in progress has completed."""
         self.thread.shutdown(wait=False)
--- a/cherrydoor/leader_election/voter.py
+++ b/cherrydoor/leader_election/voter.py
@@ -1,16 +1,18 @@
 """A voter of the quorum: grants each task to one candidate at a time.
 
-Pure: (now, message) in, actions out.
+A pure state machine: it takes the current time and a message, and returns actions. It does no I/O.
 
-After a grant of a task under a fencing token, a voter grants that task to nobody else until the
-term is over by its own clock, lengthened by the clock drift, and never again under a token as low.
+After it has granted a task under a fencing token, a voter grants that task to no other candidate
+until the term, extended by the clock drift, has expired by its own clock. It never grants the task
+again under the same or a lower token, except that the leaseholder may renew its lease.
 
-A vote counts once it is on disk: answers leave after the `SaveVotes` that stands before them. A
-voter that starts with its votes lets each run its term anew; one that starts without them is silent
-for the longest term first, for it may have granted anything. If most voters lose theirs, tokens may
-begin low again: whatever is acted on remembers the highest token and refuses lower ones.
+A vote counts once it is on disk: answers are sent after the `SaveVotes` action that precedes them.
+A voter that starts with its stored votes restarts the term of each. A voter that starts without
+them answers nothing for the longest term, because it may have granted any lease before. If a
+majority of voters lose their votes, tokens may start low again; each resource guarded by a lease
+therefore remembers the highest token it has seen and rejects lower ones.
 
-Times are ms of any steady clock of the process.
+Times are in ms of any monotonic clock of the process.
 """
 
 from collections import Counter
@@ -27,23 +29,24 @@
 )
 from cherrydoor.protocol.peers import LeaseGranted, LeaseRefused, LeaseRelease, LeaseRequest
 
-# Tasks a voter remembers by name, so that the stored file stays small; beyond it those that nobody
-# holds are folded into `Votes.highest_forgotten_token`, the lowest tokens first.
+# The number of tasks that a voter remembers by name, so that the stored file stays small. Beyond
+# it, tasks without a leaseholder are dropped, lowest token first, and only
+# `Votes.highest_forgotten_token` is kept of them.
 MAX_REMEMBERED_TASKS = 4096
-# Tasks forgotten beyond the bound at once, so that not every grant has to sort.
-FORGOTTEN_AT_ONCE = MAX_REMEMBERED_TASKS // 8
+# How many more tasks than necessary are dropped each time, so that not every grant needs a sort.
+FORGET_BATCH_SIZE = MAX_REMEMBERED_TASKS // 8
 
 
-def no_veto(task: str) -> str:
-    """The default veto: any task may be granted."""
+def allow_any_grant(task: str) -> str:
+    """Returns "", so that any task may be granted; the default for `check_grant`."""
     return ""
 
 
 class Voter:
     """One voter and its votes.
 
-    Invariant: the fencing token of a task never falls, in `votes.tasks` or by way of
-        `highest_forgotten_token`.
+    Invariant: the fencing token of a task never decreases, whether the task is in `votes.tasks` or
+        is covered by `highest_forgotten_token`.
     """
 
     def __init__(
@@ -51,31 +54,33 @@
         terms: LeaseTerms,
         now_ms: float,
         votes: Votes | None = None,
-        veto: Callable[[str], str] = no_veto,
+        check_grant: Callable[[str], str] = allow_any_grant,
     ) -> None:
         """Starts a voter.
 
         Args:
             terms: The lease terms of the fleet.
-            now_ms: The time now.
-            votes: What was stored, None where it is lost: the voter is then silent for the longest
-                term. That guards against a second grant of a lease that still runs; it harms when
-                most voters start at once without their files, as nothing can be granted meanwhile.
-            veto: Of a task, the reason not to grant it to a new leaseholder now; "" for none.
+            now_ms: The current time.
+            votes: The stored votes, None if they are lost. Without them the voter answers nothing
+                for the longest term, so that it does not grant a lease that still runs a second
+                time. The cost is that no lease can be granted during that time if a majority of
+                voters start without their files.
+            check_grant: Returns the reason why a task must not be granted to a new leaseholder now,
+                or "" if it may be.
         """
         self.terms = terms
-        self.veto = veto
+        self.check_grant = check_grant
         self.counters: Counter[str] = Counter()
         silent_until_ms = now_ms + terms.voted_until_ms(0.0, terms.longest_term_ms)
         self.silent_until_ms = now_ms if votes else silent_until_ms
         self.votes = votes or Votes()
         for vote in self.votes.tasks.values():
-            # Its term runs anew: nobody knows how long this process was away.
+            # The term restarts: it is not known how long this process was down.
             restarted = terms.voted_until_ms(now_ms, vote.term_ms)
             vote.until_ms = restarted if vote.leaseholder else 0.0
 
     def receive(self, now_ms: float, sender: str, message: VoterMessage) -> list[VoterAction]:
-        """Returns the actions for one message; a `SaveVotes` precedes what depends on it."""
+        """Returns the actions for one message; `SaveVotes` precedes the answers that need it."""
         if now_ms < self.silent_until_ms:
             self.counters["not answered in the silence after a loss"] += 1
             return []
@@ -84,13 +89,13 @@
         return self.on_request(now_ms, sender, message)
 
     def on_request(self, now_ms: float, sender: str, request: LeaseRequest) -> list[VoterAction]:
-        """Grants or renews a lease, or refuses it with the highest token granted so far."""
+        """Grants or renews a lease, or refuses it and returns the highest token granted so far."""
         vote = self.votes.tasks.get(request.task)
         if vote is None:
             vote = Vote(self.votes.highest_forgotten_token)
         is_renewal = vote.leaseholder == sender and vote.fencing_token == request.fencing_token
-        veto_reason = "" if is_renewal else self.veto(request.task)
-        if veto_reason or not self.is_grantable(now_ms, vote, request, is_renewal):
+        refusal_reason = "" if is_renewal else self.check_grant(request.task)
+        if refusal_reason or not self.is_grantable(now_ms, vote, request, is_renewal):
             self.counters["refused"] += 1
             wait_ms = max(0.0, vote.until_ms - now_ms) if vote.leaseholder else 0.0
             refusal = LeaseRefused(
@@ -98,7 +103,7 @@
                 request.fencing_token,
                 vote.fencing_token,
                 wait_ms,
-                veto_reason,
+                refusal_reason,
                 request.round,
             )
             return [SendMessage(sender, refusal)]
@@ -112,14 +117,18 @@
         self.forget_free_tasks(now_ms)
         grant = LeaseGranted(request.task, request.fencing_token, request.round)
         if is_renewal:
-            # On disk already: after a loss of the process its term runs anew in any case.
+            # The vote is already on disk, and its term restarts anyway if this process restarts.
             return [SendMessage(sender, grant)]
         return [SaveVotes(self.votes), SendMessage(sender, grant)]
 
     def is_grantable(
         self, now_ms: float, vote: Vote, request: LeaseRequest, is_renewal: bool
     ) -> bool:
-        """Returns whether the term is allowed, and the task free for this token or renewed."""
+        """Returns whether a request may be granted.
+
+        Its term must be allowed. A request that is no renewal also needs a free task and a token
+        above the highest granted one.
+        """
         if request.term_ms > self.terms.longest_term_ms:
             return False
         if is_renewal:
@@ -128,7 +137,7 @@
         return is_free and request.fencing_token > vote.fencing_token
 
     def on_release(self, sender: str, release: LeaseRelease) -> list[VoterAction]:
-        """Frees the task of this very lease, not of a later one; its token stays."""
+        """Frees a task if the release names its current lease; the token is still remembered."""
         vote = self.votes.tasks.get(release.task)
         if vote is None:
             return []
@@ -139,7 +148,7 @@
         return [SaveVotes(self.votes)]
 
     def forget_free_tasks(self, now_ms: float) -> None:
-        """Forgets tasks that nobody holds, beyond the bound, lowest tokens first."""
+        """Drops tasks without a leaseholder beyond the limit, lowest tokens first."""
         excess = len(self.votes.tasks) - MAX_REMEMBERED_TASKS
         if excess <= 0:
             return
@@ -149,6 +158,6 @@
             if not vote.leaseholder or vote.until_ms <= now_ms
         )
         votes = self.votes
-        for fencing_token, task in free[: excess + FORGOTTEN_AT_ONCE]:
+        for fencing_token, task in free[: excess + FORGET_BATCH_SIZE]:
             votes.highest_forgotten_token = max(votes.highest_forgotten_token, fencing_token)
             del votes.tasks[task]
--- a/tests/leader_election/election_simulation.py
+++ b/tests/leader_election/election_simulation.py
@@ -174,7 +174,7 @@
             candidate.fencing_token,
             candidate.highest_token,
             candidate.round,
-            self.from_now(candidate.asked_ms),
+            self.from_now(candidate.requested_ms),
             self.from_now(candidate.until_ms) if is_holding else 0,
             self.from_now(candidate.next_ms),
             tuple(sorted(candidate.grants)),
--- a/tests/leader_election/test_candidates_and_voters.py
+++ b/tests/leader_election/test_candidates_and_voters.py
@@ -199,7 +199,7 @@
     """Counts its term from the answer, not from when it asked."""
 
     def on_granted(self, now_ms, sender):
-        self.asked_ms = now_ms
+        self.requested_ms = now_ms
         return super().on_granted(now_ms, sender)
 
 
