--- a/cherrydoor/leader_election/service.py
+++ b/cherrydoor/leader_election/service.py
@@ -72,7 +72,7 @@
         self.terms = LeaseTerms(
             settings["term"], settings["drift"], settings["margin"], settings["longest"]
         )
-        self.voters: list[str] = [voter["name"] for voter in peers.settings["keepers"]]
+        self.voters: list[str] = [entry["name"] for entry in peers.settings["keepers"]]
         self.wanted: dict[str, WantedLease] = {}
         self.holding: dict[str, HeldLease] = {}
         self.timer: asyncio.TimerHandle | None = None
--- a/cherrydoor/membership/__init__.py
+++ b/cherrydoor/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Gossip membership of the fleet, and links to a few peers; off where the configuration names none.
+"""Gossip membership of the fleet, and links to a few peers; off if none are configured.
 
-Begin with `member_table.py` (the rule by which statements are merged), then `peer_links.py` and
-`service.py`.
+Start with `member_table.py` (the rule by which statements are merged), then read `peer_links.py`
+and `service.py`.
 """
--- a/cherrydoor/membership/bootstrap.py
+++ b/cherrydoor/membership/bootstrap.py
@@ -7,13 +7,13 @@
 
 
 def configured_table(config: Any, settings: Any, incarnation: int, now_ms: float) -> MemberTable:
-    """Returns a table of this gateway and the other voters, of whom no incarnation is known yet.
+    """Returns a table of this gateway and the other voters, whose incarnations are not known yet.
 
     Args:
-        config: The gateway's configuration: its name and zone.
-        settings: The configuration's record of peers.
-        incarnation: Of this gateway.
-        now_ms: The time now.
+        config: The gateway's configuration, which holds its name and zone.
+        settings: The configuration's section on peers.
+        incarnation: The incarnation of this gateway.
+        now_ms: The current time.
     """
     voters = {voter["name"]: voter["at"] for voter in settings["keepers"]}
     local = LocalMember(
--- a/cherrydoor/membership/handshake.py
+++ b/cherrydoor/membership/handshake.py
@@ -1,4 +1,4 @@
-"""Whether a connection of a peer that has sent its hello may be the link to it."""
+"""Checks whether a connection whose peer has sent its hello may become the link to that peer."""
 
 from typing import Any
 
@@ -13,16 +13,18 @@
 
 
 def rejection_reason(connection: PeerConnection, hello: Hello, own_name: str, tls: Any) -> str:
-    """Returns why a connection is rejected, "" where it may be a link.
+    """Returns why a connection is rejected, "" if it may become the link.
 
-    The certificate guards against a gateway, or anybody, who speaks under another's name. It harms
-    where certificates and names are not changed together: links then stay down.
+    The check of the certificate prevents a gateway or anyone else from impersonating another
+    gateway. The cost is that links stay down if a gateway's name and its certificate are not
+    changed together.
 
     Args:
-        connection: Whose hello it is.
-        hello: What the peer says of itself.
+        connection: The connection on which the hello was received.
+        hello: The peer's hello.
         own_name: The name of this gateway.
-        tls: The gateway's keys; where they are in use, the peer's certificate has to bear its name.
+        tls: The gateway's TLS keys; if they are in use, the peer's certificate must be for the
+            name in its hello.
     """
     if hello.role != "peer" or not hello.incarnation:
         return f"a peer is expected here, not a {hello.role}"
@@ -39,7 +41,7 @@
 
 
 def has_certificate_of(connection: PeerConnection, name: str, tls: Any) -> bool:
-    """Returns whether the peer's certificate, of authorities trusted here, bears that name."""
+    """Returns whether the peer has a certificate for that name from a trusted authority."""
     try:
         identity = tls.identify(connection.transport, "")
     except PeerAuthenticationError:
--- a/cherrydoor/membership/link_state.py
+++ b/cherrydoor/membership/link_state.py
@@ -1,4 +1,4 @@
-"""The state of a link to one peer, and what the link policy asks the service to do."""
+"""The state of the link to one peer, and the actions that the link policy returns."""
 
 from typing import NamedTuple, TypeAlias
 
@@ -8,21 +8,21 @@
 
 
 class Dial(Struct, frozen=True):
-    """A connection to that gateway is to be made."""
+    """Open a connection to the gateway with that name."""
 
     name: str
     address: str
 
 
 class CloseLink(Struct, frozen=True):
-    """The link to that gateway is to be closed."""
+    """Close the link to the gateway with that name."""
 
     name: str
     reason: str
 
 
 class SendMessage(Struct, frozen=True):
-    """A message to the gateway of that name."""
+    """Send a message to the gateway with that name."""
 
     to: str
     message: Heartbeat | MembershipUpdate
@@ -32,14 +32,14 @@
 
 
 class LinkAdmission(NamedTuple):
-    """Whether a link that has come up stays, and what follows."""
+    """Whether a link that has come up is kept, and the actions that follow."""
 
     is_kept: bool
     actions: list[LinkAction]
 
 
 class LinkState:
-    """What is known of the link to one name; dropped when down, unwanted and not dialled."""
+    """The state of the link to one peer; dropped when down, unwanted and not being dialled."""
 
     __slots__ = (
         "dials_without_message",
@@ -48,19 +48,19 @@
         "is_dialling",
         "is_up",
         "next_dial_ms",
-        "received_ms",
-        "sent_ms",
-        "used_ms",
+        "last_received_ms",
+        "last_sent_ms",
+        "last_used_ms",
     )
 
     def __init__(self, now_ms: float) -> None:
-        """A link that is down, and may be dialled now."""
+        """Creates the state of a link that is down and may be dialled immediately."""
         self.is_up = False
         self.is_dialled_by_us = False
         self.is_dialling = False
         self.incarnation = 0
-        self.received_ms = now_ms
-        self.sent_ms = now_ms
-        self.used_ms = now_ms
+        self.last_received_ms = now_ms
+        self.last_sent_ms = now_ms
+        self.last_used_ms = now_ms
         self.next_dial_ms = now_ms
         self.dials_without_message = 0
--- a/cherrydoor/membership/member_table.py
+++ b/cherrydoor/membership/member_table.py
@@ -2,14 +2,19 @@
 
 Pure: statements in, statements out; no sockets, no clock.
 
-Each start of a gateway is an incarnation of its name, a number that only rises. What is held of an
-incarnation is a statement, and statements are merged by one rule, so that late, doubled or
-reordered ones change nothing: a higher incarnation wins; of one incarnation `over` and `left` are
-final, else the higher refutation wins, and of one refutation the worse state. A gateway that
-receives a suspicion of itself refutes it with the next number, so suspicion heals. This is SWIM's
-gossip, whose "incarnation" is our refutation.
-
-Times are ms of the caller's own clock.
+Each start of a gateway is an incarnation of its name, a number that only increases. A statement
+describes the state of one incarnation. Statements are merged by one rule, so that delayed,
+duplicated or reordered ones have no effect:
+
+* The higher incarnation wins.
+* Within an incarnation, `over` and `left` are final. Otherwise the higher refutation wins.
+* With equal refutations, the worse state wins.
+
+A gateway that learns that it is suspected refutes this with the next higher refutation number, so a
+wrong suspicion is corrected. This is the gossip of SWIM; what SWIM calls "incarnation" is called
+refutation here.
+
+Times are in ms of the caller's clock.
 """
 
 from collections import Counter
@@ -21,7 +26,7 @@
 
 from cherrydoor.protocol.peers import Member, MemberState
 
-# The states, by their values on the wire.
+# The member states and their values on the wire.
 ALIVE: Final = "here"
 SUSPECTED: Final = "silent"
 DISCONNECTED: Final = "vanished"
@@ -29,16 +34,16 @@
 OVER: Final = "over"
 FINAL_STATES = (LEFT, OVER)
 
-# A name that is gone is remembered for 10 min: longer than any failover of it takes.
+# How long a member that is not alive is remembered: 10 min, longer than any failover of it takes.
 FORGET_AFTER_MS = 600_000.0
-# Names in the table; further ones are not taken, so that a faulty peer cannot exhaust our memory.
-# It harms in a fleet of more gateways than that, which would not see each other.
+# Names beyond this number are not added, so that a faulty peer cannot exhaust the memory. The cost
+# is that in a fleet of more gateways than this, not all of them see each other.
 MAX_MEMBERS = 4000
 HASH_POSITION_BYTES = 8
 
 
 def merged(one: Member | None, other: Member | None) -> Member | None:
-    """Returns the one of two statements about a name that stands; None for none at all.
+    """Returns the statement about a name that outranks the other; None if both are None.
 
     >>> merged(Member("a", 1, state=SUSPECTED), Member("a", 1, refutation=1)).state
     'here'
@@ -51,7 +56,7 @@
 
 
 def hash_position(name: str) -> bytes:
-    """Returns where a name stands on the hash ring.
+    """Returns the position of a name on the hash ring.
 
     >>> hash_position("g1") == hash_position("g1") != hash_position("g2")
     True
@@ -60,19 +65,19 @@
 
 
 class LocalMember:
-    """This gateway as it describes itself."""
+    """This gateway's description of itself."""
 
     def __init__(
         self, name: str, incarnation: int, address: str, zone: str = "", is_voter: bool = False
     ) -> None:
-        """Describes an incarnation that has refuted nothing yet.
+        """Describes an incarnation that has not refuted anything yet.
 
         Args:
             name: The gateway's name.
-            incarnation: Of this process.
-            address: The address at which peers reach it.
-            zone: Where it is.
-            is_voter: Whether it is a voter of leader elections.
+            incarnation: The incarnation of this process.
+            address: The address at which peers reach the gateway.
+            zone: The zone of the gateway.
+            is_voter: Whether the gateway is a voter of leader elections.
         """
         self.name = name
         self.incarnation = incarnation
@@ -82,7 +87,7 @@
         self.refutation = 0
 
     def statement(self, state: MemberState = ALIVE) -> Member:
-        """Returns what this gateway states of itself."""
+        """Returns the statement of this gateway about itself."""
         return Member(
             self.name,
             self.incarnation,
@@ -95,27 +100,29 @@
 
 
 class MemberTable:
-    """The view of one gateway.
+    """The view that one gateway has of the fleet.
 
-    Invariant: `rows` holds one statement a name, the highest by rank of all that were merged, and
-        `changed_ms` when it was last changed here. `updates` holds the rows changed since the last
-        `take_updates`. Emptied of who has been gone for `FORGET_AFTER_MS`, and bounded by
-        `MAX_MEMBERS`.
+    Invariant: `rows` holds for each name the statement with the highest rank of all that were
+        merged, and `changed_ms` the time at which that row last changed here. `updates` holds the
+        rows changed since the last `take_updates`. Members that have not been alive for
+        `FORGET_AFTER_MS` are removed, and there are at most `MAX_MEMBERS` rows.
     """
 
     def __init__(self, local: LocalMember, now_ms: float) -> None:
-        """Starts with this gateway alone."""
+        """Creates a table that holds only this gateway."""
         self.local = local
         self.now_ms = now_ms
         self.rows: dict[str, Member] = {local.name: local.statement()}
         self.changed_ms: dict[str, float] = {local.name: now_ms}
         self.updates: dict[str, Member] = {}
         self.counters: Counter[str] = Counter()
-        self.is_duplicated = False  # another process claims this name and incarnation
+        self.is_duplicated = (
+            False  # another process has this name and a later or the same incarnation
+        )
 
     # ---- statements
     def merge_all(self, now_ms: float, statements: Iterable[Member]) -> list[str]:
-        """Merges a peer's statements, in any order; returns the names whose row changed."""
+        """Merges statements of a peer in any order; returns the names whose rows changed."""
         self.now_ms = now_ms
         changed = []
         for statement in statements:
@@ -125,10 +132,10 @@
         return changed
 
     def merge_own(self, statement: Member) -> bool:
-        """Merges what others state of this gateway; returns whether that is new.
+        """Merges a statement of others about this gateway; returns whether its row changed.
 
-        A later incarnation is another process of this name; an end of this incarnation is final;
-        any suspicion is refuted.
+        A later incarnation belongs to another process of the same name. A statement that this
+        incarnation has ended is final. Any suspicion is refuted.
         """
         local = self.local
         is_same_or_later = statement.incarnation >= local.incarnation
@@ -148,7 +155,7 @@
         return False
 
     def merge(self, statement: Member) -> bool:
-        """Merges one statement; returns whether it stands and is new."""
+        """Merges one statement; returns whether it replaced the row of its name, or added one."""
         name = statement.name
         before = self.rows.get(name)
         if before is None and len(self.rows) >= MAX_MEMBERS:
@@ -163,7 +170,11 @@
         return True
 
     def observe(self, now_ms: float, name: str, incarnation: int, state: MemberState) -> bool:
-        """Merges what this gateway's own links show; returns whether it is new."""
+        """Merges a state that this gateway's own links show; returns whether the row changed.
+
+        An observation of the gateway itself, of an unknown name, of another incarnation than the
+        known one, or of an incarnation that has ended is ignored.
+        """
         self.now_ms = now_ms
         row = self.rows.get(name)
         if row is None or row.incarnation != incarnation or row.state in FINAL_STATES:
@@ -173,10 +184,10 @@
         return self.merge(structs.replace(row, state=state))
 
     def mark_over(self, now_ms: float, name: str, incarnation: int) -> bool:
-        """Ends an incarnation for good, as it has been taken over or was followed by another.
+        """Marks an incarnation as over: it was taken over, or a later incarnation followed it.
 
         Returns:
-            Whether that is new; False too where another incarnation is held of the name.
+            Whether the row changed; False also if the table holds another incarnation of the name.
         """
         self.now_ms = now_ms
         row = self.rows.get(name) or Member(name, incarnation)
@@ -184,17 +195,17 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether this incarnation is held to be over, by whomever, or another one has begun."""
+        """Whether this incarnation has left or is over, or a later one has begun."""
         own = self.rows[self.local.name]
         return own.incarnation > self.local.incarnation or own.state in FINAL_STATES
 
     def leave(self) -> None:
-        """States that this gateway leaves."""
+        """Records that this gateway is leaving, so that the next update announces it."""
         self.merge(self.local.statement(LEFT))
 
     # ---- gossip
     def take_updates(self, now_ms: float) -> list[Member]:
-        """Returns the rows changed since the last call, and forgets who is long gone."""
+        """Returns the rows changed since the last call; forgets members that are long gone."""
         self.now_ms = now_ms
         updates = list(self.updates.values())
         self.updates = {}
@@ -209,19 +220,19 @@
         return updates
 
     def all_rows(self) -> list[Member]:
-        """Returns the whole table, for a link that has just come up."""
+        """Returns all rows, which are sent on a link that has just come up."""
         return list(self.rows.values())
 
-    # ---- who is linked to whom
+    # ---- choice of peers
     def alive_names(self) -> list[str]:
-        """Returns the names of who is held to be alive, this gateway among them."""
+        """Returns the names of all members believed to be alive, including this gateway."""
         return [name for name, row in self.rows.items() if row.state == ALIVE]
 
     def choose_replicas(self, count: int) -> list[str]:
-        """Returns the next alive members after this one on the hash ring, other zones first.
+        """Returns the alive members that follow this one on the hash ring, other zones first.
 
-        Each zone comes once before any comes again, so that the loss of a zone leaves a replica.
-        Gateways with the same view choose alike.
+        Each zone is chosen once before any is chosen again, so that a replica survives the loss of
+        a zone. The choice depends only on the table: the same table gives the same replicas.
         """
         own_position = hash_position(self.local.name)
         positions = {
@@ -237,14 +248,14 @@
             )
         ]
         chosen_in_zone = Counter([self.local.zone])
-        found: list[str] = []
-        while ring and len(found) < count:
-            least = min(chosen_in_zone[row.zone] for row in ring)
-            chosen = next(row for row in ring if chosen_in_zone[row.zone] == least)
+        replicas: list[str] = []
+        while ring and len(replicas) < count:
+            fewest_in_zone = min(chosen_in_zone[row.zone] for row in ring)
+            chosen = next(row for row in ring if chosen_in_zone[row.zone] == fewest_in_zone)
             ring.remove(chosen)
             chosen_in_zone[chosen.zone] += 1
-            found.append(chosen.name)
-        return found
+            replicas.append(chosen.name)
+        return replicas
 
     def voters(self) -> list[str]:
         """Returns the names of the other gateways that are voters of leader elections."""
--- a/cherrydoor/membership/peer_links.py
+++ b/cherrydoor/membership/peer_links.py
@@ -1,14 +1,14 @@
-"""Which peers a gateway is linked to, and what its links show of them.
+"""Decides which peers a gateway is linked to, and what its links show about them.
 
-Pure: what happens to links in, actions out.
+Pure: link events in, actions out; no sockets, no clock.
 
-Links are few: to the voters, to the replicas, and for a while to whom something is asked. One link
-a pair: of two that cross, the one dialled by the lesser name stays. A link that is reset shows no
-more than that; only a dial that is then refused shows a gateway as disconnected, and only a link
-without a message for `suspect_after_ms` as suspected. Both are suspicions, which the suspect
-refutes by itself.
+A gateway has few links: to the voters, to its replicas, and for a while to each peer that it has a
+question for. A pair of gateways has one link: if both dial at the same time, the link dialled by
+the gateway whose name sorts first is kept. A reset link alone says nothing about the peer. Only if
+the next dial is refused is the peer considered disconnected, and only if no message has come for
+`suspect_after_ms` is it suspected. Either can be wrong; the peer then refutes it.
 
-All times are ms of the caller's own clock.
+All times are in ms of the caller's clock.
 """
 
 from zlib import crc32
@@ -30,22 +30,28 @@
 )
 from cherrydoor.protocol.peers import Heartbeat, Member, MembershipUpdate, MemberState
 
-FIRST_REDIAL_MS = 100.0  # before a dial is tried again, doubled up to the longest
-LONGEST_REDIAL_MS = 2000.0  # so that a gateway that is back is linked within seconds
-MAX_REDIAL_DOUBLINGS = 8  # 100 ms doubled eight times is beyond the longest
-IDLE_CLOSE_MS = 10_000.0  # without use, after which a link dialled for a question is closed
-# Gateways beyond which heartbeats on links of voters come less often, as a voter has all of them.
-FEW_GATEWAYS = 64
-# Heartbeats within the time of suspicion: two may be late before a gateway is suspected.
-HEARTBEATS_UNTIL_SUSPECTED = 3
-VALUES_OF_CRC32 = 2.0**32
+INITIAL_REDIAL_MS = 100.0  # backoff before a failed dial is retried, doubled up to the maximum
+MAX_REDIAL_MS = 2000.0  # so that a gateway that returns is linked within seconds
+MAX_REDIAL_DOUBLINGS = 8  # 100 ms doubled eight times exceeds the maximum
+IDLE_CLOSE_MS = 10_000.0  # idle time after which a link dialled for a question is closed
+# Fleet size beyond which heartbeats on links of voters are sent less often, as each voter is linked
+# to every gateway.
+LARGE_FLEET_GATEWAYS = 64
+# Number of heartbeats within `suspect_after_ms`: two may be late before a gateway is suspected.
+HEARTBEATS_PER_SUSPECT_TIME = 3
+CRC32_RANGE = 2.0**32
 
 
 class PeerLinks:
     """The link policy of one gateway.
 
-    Owns `links` (name -> state) and `wanted_until_ms` (name -> when a question's link is no longer
-    wanted); both empty by themselves in `tick`. Tells the member table what links show.
+    Records in the member table what the links show about their peers.
+
+    Attributes:
+        links: The state of each link by the peer's name.
+        wanted_until_ms: By the peer's name, the time until which a link is wanted although the peer
+            is neither voter nor replica: for a question, or to find out why the link ended. `tick`
+            removes expired entries here, and unused ones in `links`.
     """
 
     def __init__(
@@ -57,17 +63,17 @@
         replica_count: int = 2,
         seed: int = 1,
     ) -> None:
-        """Starts without links.
+        """Creates a policy that has no links yet.
 
         Args:
             table: The member table of this gateway.
-            now_ms: The time now.
-            heartbeat_ms: A link without anything else to send sends a heartbeat this often.
-            suspect_after_ms: Without a message for so long a peer is suspected. That guards against
-                a peer that hangs while its connection stands; it harms where it is shorter than a
-                pause of a healthy process.
+            now_ms: The current time.
+            heartbeat_ms: The interval of heartbeats on a link that has nothing else to send.
+            suspect_after_ms: The time without a message after which a peer is suspected. Detects a
+                peer that hangs while its connection stays open. If it is shorter than the pauses of
+                a healthy process, healthy peers are suspected.
             replica_count: How many replicas this gateway links to.
-            seed: Of the pseudo-random jitter.
+            seed: The seed of the pseudo-random jitter.
         """
         self.table = table
         self.heartbeat_ms = heartbeat_ms
@@ -75,22 +81,25 @@
         self.replica_count = replica_count
         self.seed = seed
         self.now_ms = now_ms
-        self.draws = 0
+        self.draw_count = 0
         self.links: dict[str, LinkState] = {}
         self.wanted_until_ms: dict[str, float] = {}
         self.replicas: list[str] = []
 
     def draw(self) -> float:
-        """Returns the next pseudo-random number in [0, 1), of the seed alone."""
-        self.draws += 1
-        key = f"{self.seed}/{self.table.local.name}/{self.draws}"
-        return crc32(key.encode()) / VALUES_OF_CRC32
+        """Returns the next pseudo-random number in [0, 1).
+
+        The sequence depends only on the seed and this gateway's name.
+        """
+        self.draw_count += 1
+        key = f"{self.seed}/{self.table.local.name}/{self.draw_count}"
+        return crc32(key.encode()) / CRC32_RANGE
 
     def link(self, name: str) -> LinkState:
-        """Returns the state of the link to that name, a new one where there is none."""
+        """Returns the state of the link to a peer; creates it if there is none."""
         return self.links.setdefault(name, LinkState(self.now_ms))
 
-    # ---- time
+    # ---- timers
     def tick(self, now_ms: float) -> list[LinkAction]:
         """Dials, sends heartbeats, suspects silent peers, closes idle links, and gossips."""
         self.now_ms = now_ms
@@ -103,61 +112,63 @@
         for name in wanted:
             actions += self.dial(name)
         for name, link in list(self.links.items()):
-            actions += self.check(name, link)
+            actions += self.check_timeouts(name, link)
             if name not in wanted:
-                actions += self.drop_unwanted(name, link)
+                actions += self.close_unwanted(name, link)
         return [*actions, *self.gossip()]
 
-    def check(self, name: str, link: LinkState) -> list[LinkAction]:
-        """Suspects the peer of a silent link, or sends a heartbeat where one is due."""
+    def check_timeouts(self, name: str, link: LinkState) -> list[LinkAction]:
+        """Suspects a peer that has been silent too long, or sends a heartbeat if one is due."""
         if not link.is_up:
             return []
-        if self.now_ms - link.received_ms > self.suspect_after_ms:
+        if self.now_ms - link.last_received_ms > self.suspect_after_ms:
             return self.suspect(name, link, SUSPECTED)
-        if self.now_ms - link.sent_ms >= self.heartbeat_interval_ms(name):
-            link.sent_ms = self.now_ms
+        if self.now_ms - link.last_sent_ms >= self.heartbeat_interval_ms(name):
+            link.last_sent_ms = self.now_ms
             return [SendMessage(name, Heartbeat())]
         return []
 
-    def drop_unwanted(self, name: str, link: LinkState) -> list[LinkAction]:
-        """Closes an idle link that we dialled; forgets one that has been down for a while."""
+    def close_unwanted(self, name: str, link: LinkState) -> list[LinkAction]:
+        """Closes an idle link that we dialled; drops the state of one that is long down."""
         actions: list[LinkAction] = []
-        is_idle = self.now_ms - link.used_ms > IDLE_CLOSE_MS
+        is_idle = self.now_ms - link.last_used_ms > IDLE_CLOSE_MS
         if link.is_up and link.is_dialled_by_us and is_idle:
             link.is_up = False
             actions.append(CloseLink(name, "no longer needed"))
         is_down = not link.is_up and not link.is_dialling
-        if is_down and self.now_ms > link.next_dial_ms + LONGEST_REDIAL_MS:
+        if is_down and self.now_ms > link.next_dial_ms + MAX_REDIAL_MS:
             del self.links[name]
         return actions
 
     def heartbeat_interval_ms(self, name: str) -> float:
-        """Returns after how long without anything to send a heartbeat goes there.
+        """Returns the interval of heartbeats on a link without other messages, in ms.
 
-        Longer on links of voters in a large fleet, but never so long that a gateway would be
-        suspected.
+        It is longer on the links of voters in a large fleet, but short enough that the peer does
+        not suspect this gateway.
         """
         rows = self.table.rows
         row = rows.get(name)
         has_voter = self.table.local.is_voter or (row is not None and row.is_voter)
         if not has_voter:
             return self.heartbeat_ms
-        longest_ms = self.suspect_after_ms / HEARTBEATS_UNTIL_SUSPECTED
-        return max(self.heartbeat_ms, min(longest_ms, self.heartbeat_ms * len(rows) / FEW_GATEWAYS))
+        longest_ms = self.suspect_after_ms / HEARTBEATS_PER_SUSPECT_TIME
+        return max(
+            self.heartbeat_ms, min(longest_ms, self.heartbeat_ms * len(rows) / LARGE_FLEET_GATEWAYS)
+        )
 
     def gossip(self) -> list[LinkAction]:
-        """Returns what is new in the table, for everybody linked."""
+        """Returns actions that send the rows changed since the last call to every linked peer."""
         rows = self.table.take_updates(self.now_ms)
         if not rows:
             return []
         linked = [name for name, link in self.links.items() if link.is_up]
         for name in linked:
-            self.links[name].sent_ms = self.now_ms
+            self.links[name].last_sent_ms = self.now_ms
         return [SendMessage(name, MembershipUpdate(rows)) for name in linked]
 
     # ---- links
     def dial(self, name: str) -> list[LinkAction]:
-        """Returns a dial of that name, where one is due and its address known."""
+        """Returns a dial of a peer if one is due and the peer's address is known."""
         row = self.table.rows.get(name)
         link = self.link(name)
         if row is None or not row.address or row.state in FINAL_STATES:
@@ -167,110 +178,110 @@
         link.is_dialling = True
         return [Dial(name, row.address)]
 
-    def on_up(
+    def on_link_up(
         self, now_ms: float, name: str, incarnation: int, is_dialled_by_us: bool
     ) -> LinkAdmission:
-        """A link has exchanged hellos. A second one of the pair is not kept.
+        """Handles a connection on which hellos were exchanged; only one link per pair is kept.
 
         Args:
-            now_ms: The time now.
-            name: Of the peer.
-            incarnation: Of the peer.
-            is_dialled_by_us: Whether this end dialled.
+            now_ms: The current time.
+            name: The name of the peer.
+            incarnation: The incarnation of the peer.
+            is_dialled_by_us: Whether this gateway dialled.
         """
         self.now_ms = now_ms
         link = self.link(name)
-        ours_stays = self.table.local.name < name
+        own_dial_is_kept = self.table.local.name < name
         if link.is_up and link.incarnation == incarnation:
-            is_right_one = link.is_dialled_by_us == ours_stays
-            if is_right_one and is_dialled_by_us != ours_stays:
+            is_current_link_preferred = link.is_dialled_by_us == own_dial_is_kept
+            if is_current_link_preferred and is_dialled_by_us != own_dial_is_kept:
                 return LinkAdmission(False, [])
         link.is_up = True
         link.is_dialled_by_us = is_dialled_by_us
         link.is_dialling = False
         link.incarnation = incarnation
         link.dials_without_message += 1
-        link.received_ms = now_ms
-        link.sent_ms = now_ms
-        link.used_ms = now_ms
+        link.last_received_ms = now_ms
+        link.last_sent_ms = now_ms
+        link.last_used_ms = now_ms
         return LinkAdmission(True, [SendMessage(name, MembershipUpdate(self.table.all_rows()))])
 
     def on_message(self, now_ms: float, name: str) -> None:
-        """Any message of that peer has been received."""
+        """Records that a message of the peer was received."""
         self.now_ms = now_ms
         link = self.links.get(name)
         if link is not None:
-            link.received_ms = now_ms
+            link.last_received_ms = now_ms
             link.dials_without_message = 0
 
     def on_membership_update(self, now_ms: float, rows: list[Member]) -> list[LinkAction]:
-        """Merges a peer's statements, and passes on what is new."""
+        """Merges a peer's statements, and sends the rows that changed to all linked peers."""
         self.now_ms = now_ms
         self.table.merge_all(now_ms, rows)
         return self.gossip()
 
-    def on_down(self, now_ms: float, name: str) -> list[LinkAction]:
-        """The link has ended; a dial at once shows whether there is still somebody.
+    def on_link_down(self, now_ms: float, name: str) -> list[LinkAction]:
+        """Handles the end of a link: dials immediately to find out whether the peer still runs.
 
-        Not at once where the peer sent nothing but its hello, as it turns us away: each further
-        dial would cost both a handshake, some hundred a second.
+        If the peer sent nothing after its hello, it probably rejects us. The next dial then waits
+        for the backoff; otherwise each gateway would spend some hundred handshakes a second on it.
         """
         self.now_ms = now_ms
         link = self.links.get(name)
         if link is None or not link.is_up:
             return []
         link.is_up = False
-        link.next_dial_ms = self.backoff_until_ms(link) if link.dials_without_message else now_ms
+        link.next_dial_ms = self.next_redial_ms(link) if link.dials_without_message else now_ms
         self.wanted_until_ms.setdefault(name, now_ms + self.suspect_after_ms)
         return self.dial(name)
 
-    def backoff_until_ms(self, link: LinkState) -> float:
-        """Returns when a link is dialled again, with jitter."""
+    def next_redial_ms(self, link: LinkState) -> float:
+        """Returns the time of the next dial: exponential backoff with jitter."""
         doublings = min(link.dials_without_message, MAX_REDIAL_DOUBLINGS)
-        pause_ms: float = min(LONGEST_REDIAL_MS, FIRST_REDIAL_MS * 2**doublings)
+        backoff_ms: float = min(MAX_REDIAL_MS, INITIAL_REDIAL_MS * 2**doublings)
         jitter = 0.5 + self.draw()
-        return self.now_ms + pause_ms * jitter
+        return self.now_ms + backoff_ms * jitter
 
     def on_dial_failed(self, now_ms: float, name: str, is_refused: bool) -> list[LinkAction]:
-        """A dial came to nothing: refused, or no hello in time."""
+        """Handles a dial that failed: it was refused, or no hello came in time."""
         self.now_ms = now_ms
         link = self.link(name)
         link.is_dialling = False
         link.dials_without_message += 1
-        link.next_dial_ms = self.backoff_until_ms(link)
+        link.next_dial_ms = self.next_redial_ms(link)
         if is_refused:
             return self.suspect(name, link, DISCONNECTED)
-        if now_ms - link.received_ms > self.suspect_after_ms:
+        if now_ms - link.last_received_ms > self.suspect_after_ms:
             return self.suspect(name, link, SUSPECTED)
         return []
 
     def suspect(self, name: str, link: LinkState, state: MemberState) -> list[LinkAction]:
-        """States what the link shows of its peer, closes it and puts off its next dial."""
+        """Records a suspicion of the peer, closes the link and delays its next dial."""
         row = self.table.rows.get(name)
         closes = [CloseLink(name, state)] if link.is_up else []
         link.is_up = False
-        earliest_ms = self.now_ms + FIRST_REDIAL_MS * (0.5 + self.draw())
+        earliest_ms = self.now_ms + INITIAL_REDIAL_MS * (0.5 + self.draw())
         link.next_dial_ms = max(link.next_dial_ms, earliest_ms)
         if row is not None and row.state in (ALIVE, SUSPECTED):
             self.table.observe(self.now_ms, name, row.incarnation, state)
         return [*closes, *self.gossip()]
 
     def want(self, now_ms: float, name: str) -> list[LinkAction]:
-        """A link to this name is wanted for a while, for a question."""
+        """Dials a peer that this gateway has a question for; the link is wanted for a while."""
         self.now_ms = now_ms
         self.wanted_until_ms[name] = now_ms + IDLE_CLOSE_MS
-        self.link(name).used_ms = now_ms
+        self.link(name).last_used_ms = now_ms
         return self.dial(name)
 
-    # ---- for others
+    # ---- queries
     def is_up(self, name: str) -> bool:
-        """Returns whether the link to that name is up."""
+        """Returns whether the link to the peer is up."""
         link = self.links.get(name)
         return link is not None and link.is_up
 
     def is_recent(self, name: str, incarnation: int) -> bool:
-        """Returns whether that incarnation sent a message lately, on a link that is up."""
+        """Returns whether the link to that incarnation is up and not silent too long."""
         link = self.links.get(name)
         if link is None or not link.is_up or link.incarnation != incarnation:
             return False
-        return self.now_ms - link.received_ms <= self.suspect_after_ms
+        return self.now_ms - link.last_received_ms <= self.suspect_after_ms
--- a/cherrydoor/membership/service.py
+++ b/cherrydoor/membership/service.py
@@ -1,6 +1,6 @@
-"""Links to peers on sockets: bytes to messages, and actions to bytes.
+"""Runs the links to peers on sockets: passes messages to handlers, and executes link actions.
 
-Who is linked to whom is decided in `peer_links.py`.
+`peer_links.py` decides which peers are linked.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from cherrydoor.protocol.peers import MembershipUpdate
 
 log = structlog.get_logger()
-TICK_INTERVAL_S = 0.1  # between two ticks of all links; well below the shortest heartbeat
-CONNECT_TIMEOUT_S = 1.0  # for a connection to come up, and as long again for its hello
+TICK_INTERVAL_S = 0.1  # timer resolution of all links; well below the shortest heartbeat interval
+CONNECT_TIMEOUT_S = 1.0  # limit for opening a connection, and again for the peer's hello
 NO_HELLO_REASON = "no hello in time"
 
 MessageHandler = Callable[[str, Any], None]
@@ -29,19 +29,19 @@
 class MembershipService:
     """The links of one gateway.
 
-    Others subscribe to kinds of messages, and are called by `change_listeners` after each tick and
-    by `link_listeners` with the name of each peer that has just been linked.
+    Other services subscribe to message types. Each of `change_listeners` is called after every
+    tick, and each of `link_listeners` with the name of a peer that has just been linked.
 
-    Invariant: `connections` holds, by name, the one kept connection to each peer that is linked.
+    Invariant: `connections` holds, by the peer's name, the one kept connection to each linked peer.
     """
 
     def __init__(self, service: Any, settings: Any, incarnation: int | None = None) -> None:
-        """Prepares the links; `start` begins.
+        """Prepares the links; `start` opens them.
 
         Args:
-            service: The gateway's service: clock, loop, configuration and TLS.
-            settings: The configuration's record of peers.
-            incarnation: Of this gateway; the time now where it is not given.
+            service: The gateway's service, which holds the clock, loop, configuration and TLS.
+            settings: The configuration's section on peers.
+            incarnation: The incarnation of this gateway; by default the current time in ms.
         """
         self.service = service
         self.settings = settings
@@ -66,17 +66,17 @@
         self.dial_tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.is_closed = False
-        self.duplicate_was_logged = False
+        self.is_duplicate_logged = False
         self.frames_sent = 0
         self.bytes_sent = 0
 
     def now(self) -> float:
-        """Returns the time in ms, of the gateway's clock."""
+        """Returns the current time of the gateway's clock in ms."""
         now_ms: float = self.service.clock.now()
         return now_ms
 
     def hello(self) -> Hello:
-        """Returns the hello of this gateway to a peer."""
+        """Returns the hello that this gateway sends to peers."""
         return Hello(
             VERSION,
             "peer",
@@ -86,10 +86,11 @@
         )
 
     async def start(self) -> None:
-        """Listens for peers, and begins to tick.
+        """Listens for peers, and starts the timer.
 
         Raises:
-            OSError: Where the address cannot be listened on.
+            OSError: The address cannot be listened on.
+            InvalidAddressError: The configured address is not host:port.
         """
         host, port = parse_address(self.settings["door"])
         self.server = await self.loop.create_server(
@@ -98,7 +99,7 @@
         self.tick()
 
     def close(self) -> None:
-        """Leaves: everybody linked is notified, and suspects nobody."""
+        """Leaves the fleet: notifies all linked peers, so that none of them suspects us."""
         if self.is_closed:
             return
         self.members.leave()
@@ -108,13 +109,13 @@
             connection.close()
 
     def abort(self) -> None:
-        """Cuts all links without a message, as the loss of the process would."""
+        """Aborts all links without a message, as a crash of the process would."""
         self.stop()
         for connection in list(self.connections.values()):
             connection.abort()
 
     def stop(self) -> None:
-        """Ends the timer, the listening socket and the dials."""
+        """Stops the timer, the listening socket and the dials in progress."""
         self.is_closed = True
         if self.timer:
             self.timer.cancel()
@@ -125,13 +126,13 @@
 
     # ---- decisions
     def tick(self) -> None:
-        """Lets the link policy see the time, and calls the change listeners."""
+        """Runs the timers of the link policy, and calls the change listeners."""
         if self.is_closed:
             return
         self.timer = self.loop.call_later(TICK_INTERVAL_S, self.tick)
         self.carry_out(self.links.tick(self.now()))
-        if self.members.is_duplicated and not self.duplicate_was_logged:
-            self.duplicate_was_logged = True
+        if self.members.is_duplicated and not self.is_duplicate_logged:
+            self.is_duplicate_logged = True
             log.error(
                 "another process has this gateway's name and incarnation", gateway=self.local.name
             )
@@ -139,7 +140,7 @@
             on_change()
 
     def carry_out(self, actions: list[LinkAction]) -> None:
-        """Carries out what the link policy decided, in its order."""
+        """Executes the actions of the link policy in order."""
         for action in actions:
             if isinstance(action, Dial):
                 task = self.loop.create_task(self.dial(action))
@@ -154,7 +155,7 @@
                 self.send(action.to, action.message)
 
     def send(self, to: str, message: Any) -> bool:
-        """Sends to a peer that is linked; returns whether it is, the message is lost where not."""
+        """Sends a message if the peer is linked, else drops it; returns whether it is linked."""
         connection = self.connections.get(to)
         if connection is None:
             return False
@@ -162,23 +163,23 @@
         return True
 
     def send_to_all(self, names: Iterable[str], message: Any) -> None:
-        """Sends the same to several peers, encoded once; lost for those that are not linked."""
+        """Sends a message, encoded once, to those of the named peers that are linked."""
         data = codec.encode(message)
         for name in names:
             if name in self.connections:
                 self.connections[name].write_bytes(data)
 
     def want_link(self, name: str) -> None:
-        """Asks for a link to this name for a while."""
+        """Requests a link to the peer for a while."""
         self.carry_out(self.links.want(self.now(), name))
 
     def subscribe(self, message_type: type, handler: MessageHandler) -> None:
-        """Calls `handler(name, message)` for each message of that type."""
+        """Registers `handler(peer_name, message)` for all messages of one type."""
         self.handlers[message_type] = handler
 
     # ---- sockets
     async def dial(self, action: Dial) -> None:
-        """Connects to a peer; its hello is waited for once the connection is up."""
+        """Connects to a peer, and starts the timeout for its hello."""
         is_refused = False
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -196,12 +197,12 @@
         self.carry_out(self.links.on_dial_failed(self.now(), action.name, is_refused))
 
     def on_hello_timeout(self, connection: PeerConnection) -> None:
-        """Cuts a connection whose peer has not sent its hello."""
+        """Aborts a connection whose peer has not sent its hello."""
         if connection.reader.hello is None and not self.is_closed:
             connection.abort(NO_HELLO_REASON)
 
     def hello_received(self, connection: PeerConnection, hello: Hello) -> None:
-        """Takes a peer's hello; called by `FramedConnection`."""
+        """Handles a peer's hello; called by `FramedConnection`."""
         reason = rejection_reason(connection, hello, self.local.name, self.service.tls)
         if reason:
             connection.close(reason)
@@ -213,7 +214,7 @@
             return
         connection.name = hello.name
         is_dialled_by_us = bool(connection.dialled_name)
-        is_kept, actions = self.links.on_up(
+        is_kept, actions = self.links.on_link_up(
             self.now(), hello.name, hello.incarnation, is_dialled_by_us
         )
         if not is_kept:
@@ -230,7 +231,7 @@
             on_linked(hello.name)
 
     def message_received(self, connection: PeerConnection, message: Any) -> None:
-        """Takes a peer's message; called by `FramedConnection`."""
+        """Handles a peer's message; called by `FramedConnection`."""
         if not connection.is_kept or self.is_closed:
             return
         self.links.on_message(self.now(), connection.name)
@@ -241,15 +242,16 @@
             self.handlers[message_type](connection.name, message)
 
     def connection_ended(self, connection: PeerConnection) -> None:
-        """Takes the end of a connection; called by `FramedConnection`."""
+        """Handles the end of a connection; called by `FramedConnection`."""
         if self.is_closed:
             return
         if connection.is_kept:
             del self.connections[connection.name]
-            self.carry_out(self.links.on_down(self.now(), connection.name))
+            self.carry_out(self.links.on_link_down(self.now(), connection.name))
         elif connection.dialled_name:
-            # Who closes before its hello is no gateway any more: a proxy in front of it has nobody
-            # to forward us to. That counts as refused, unless it was we who gave up.
+            # A peer that closes before its hello is not a running gateway: a proxy in front of it
+            # accepted the connection but has nothing to forward it to. This counts as refused,
+            # unless this gateway closed the connection because the hello timed out.
             is_refused = (
                 connection.reader.hello is None and connection.close_reason != NO_HELLO_REASON
             )
--- a/tests/membership/test_peer_links.py
+++ b/tests/membership/test_peer_links.py
@@ -42,18 +42,20 @@
 def test_of_two_links_that_cross_the_one_dialled_by_the_lesser_name_stays(name, is_dialled_by_us):
     links = links_of("a", "k", "z")
     links.tick(0.0)
-    assert links.on_up(1.0, name, 1, is_dialled_by_us).is_kept
-    assert not links.on_up(2.0, name, 1, not is_dialled_by_us).is_kept
-    assert links.on_up(3.0, name, 1, is_dialled_by_us).is_kept, "made anew, it replaces a dead one"
+    assert links.on_link_up(1.0, name, 1, is_dialled_by_us).is_kept
+    assert not links.on_link_up(2.0, name, 1, not is_dialled_by_us).is_kept
+    assert links.on_link_up(3.0, name, 1, is_dialled_by_us).is_kept, (
+        "made anew, it replaces a dead one"
+    )
 
 
 def test_a_reset_link_shows_nothing_and_a_refused_dial_shows_a_disconnected_peer():
     links = links_of("a", "k")
     rows = links.table.rows
     links.tick(0.0)
-    links.on_up(1.0, "k", 1, True)
+    links.on_link_up(1.0, "k", 1, True)
     links.on_message(1.5, "k")
-    assert [action.name for action in of_type(links.on_down(2.0, "k"), Dial)] == ["k"]
+    assert [action.name for action in of_type(links.on_link_down(2.0, "k"), Dial)] == ["k"]
     assert rows["k"].state == ALIVE
     links.on_dial_failed(3.0, "k", False)
     assert rows["k"].state == ALIVE
@@ -63,7 +65,7 @@
 
 def test_a_link_sends_heartbeats_and_a_silent_peer_is_suspected_and_its_link_closed():
     links = links_of("a", "k")
-    links.on_up(1.0, "k", 1, True)
+    links.on_link_up(1.0, "k", 1, True)
     assert of_type(links.tick(200.0), SendMessage)[0].message == Heartbeat()
     assert links.is_recent("k", 1)
     assert not links.is_recent("k", 2)
@@ -77,17 +79,17 @@
     dials = len(of_type(links.tick(0.0), Dial))
     for now_ms in range(1, 10000):
         if links.link("k").is_dialling:
-            links.on_up(float(now_ms), "k", 1, True)
-            dials += len(of_type(links.on_down(float(now_ms), "k"), Dial))
+            links.on_link_up(float(now_ms), "k", 1, True)
+            dials += len(of_type(links.on_link_down(float(now_ms), "k"), Dial))
         dials += len(of_type(links.tick(float(now_ms)), Dial))
     assert 5 <= dials <= 15
     assert links.table.rows["k"].state == ALIVE
     while not links.link("k").is_dialling:
         now_ms += 1
         links.tick(float(now_ms))
-    links.on_up(float(now_ms), "k", 1, True)
+    links.on_link_up(float(now_ms), "k", 1, True)
     links.on_message(float(now_ms), "k")
-    assert of_type(links.on_down(now_ms + 1.0, "k"), Dial)
+    assert of_type(links.on_link_down(now_ms + 1.0, "k"), Dial)
 
 
 def test_a_link_that_was_wanted_for_a_question_is_closed_once_it_is_idle():
@@ -95,7 +97,7 @@
     links.tick(0.0)
     name = next(one for one in "abc" if one not in links.replicas)
     assert of_type(links.want(1.0, name), Dial)
-    links.on_up(2.0, name, 1, True)
+    links.on_link_up(2.0, name, 1, True)
     for now_ms in range(200, 30000, 200):
         links.on_message(float(now_ms), name)
         if of_type(links.tick(float(now_ms)), CloseLink):
@@ -107,7 +109,7 @@
 def test_heartbeats_to_voters_of_a_large_fleet_are_rarer_but_never_so_that_one_is_suspected():
     links = links_of("a", "k")
     for name in ("a", "k"):
-        links.on_up(1.0, name, 1, True)
+        links.on_link_up(1.0, name, 1, True)
     assert links.heartbeat_interval_ms("k") == links.heartbeat_interval_ms("a") == HEARTBEAT_MS
     links.table.merge_all(2.0, [Member(f"g{i}", 1) for i in range(128)])
     assert links.heartbeat_interval_ms("a") == HEARTBEAT_MS
