--- a/tests/leader_election/election_simulation.py
+++ b/tests/leader_election/election_simulation.py
@@ -1,7 +1,7 @@
-"""A simulation of voters and candidates, with every message in flight; time moves in steps.
+"""Simulates voters and candidates and the messages in flight between them; time moves in steps.
 
-Leaseholders count by their own clock and voters by theirs; both clocks are the simulation's here,
-except that a process may be stopped, for which its clock goes on and its messages wait.
+In a fleet, leaseholders and voters each measure time by their own clock. Here all use the clock of
+the simulation. A test may stop a process: the clock runs on, and messages to it wait in flight.
 """
 
 import copy
@@ -22,11 +22,11 @@
 TERMS = LeaseTerms(term_ms=1000.0, clock_drift=0.01, margin_ms=50.0, longest_term_ms=1000.0)
 CANDIDATE_NAMES = ("a", "b", "c")
 SEED = 7
-TERMS_AWAY = 100  # times further away than so many terms are alike
+MAX_DISTANCE_TERMS = 100  # times further away than this many terms count as equal in a fingerprint
 
 
 class InFlight(NamedTuple):
-    """A message that was sent and not yet delivered."""
+    """A message that was sent but not yet delivered."""
 
     sender: str
     to: str
@@ -34,7 +34,11 @@
 
 
 class ElectionSimulation:
-    """Voters and candidates of one task; `violations` says what went against one leaseholder."""
+    """Voters and candidates of one task.
+
+    `violations` describes each time that there were two leaseholders, or an act under a token lower
+    than one acted under before.
+    """
 
     def __init__(
         self, voters=3, candidates=2, terms=TERMS, candidate_class=Candidate, voter_class=Voter
@@ -45,7 +49,7 @@
         self.in_flight = {}
         self.serials = count(1)
         self.voter_names = [f"k{number}" for number in range(voters)]
-        # Votes for nobody yet: all voters were there before, none is silent.
+        # No votes yet. The voters started long ago, so none of them is in its silence.
         self.disk = dict.fromkeys(self.voter_names)
         self.voters = {
             name: voter_class(terms, -10 * terms.longest_term_ms) for name in self.voter_names
@@ -59,7 +63,7 @@
         self.violations = []
         self.votes_were_lost = False
 
-    # ---- what a resource sees: acts under tokens, while the leaseholder believes in its lease
+    # ---- what a resource sees: acts under tokens, while a leaseholder takes its lease to be valid
     def leaseholders(self):
         return [
             (name, lease.fencing_token)
@@ -73,14 +77,15 @@
             self.violations.append(f"two leaseholders at {self.now_ms}: {leaseholders}")
 
     def act(self, name):
-        """The leaseholder acts: something that remembers the highest token would see it fall."""
+        """The leaseholder acts on a resource, which remembers the highest token it has seen."""
         if name not in dict(self.leaseholders()):
             return
         fencing_token = self.leases[name].fencing_token
         if fencing_token >= self.highest_token_acted_on:
             self.highest_token_acted_on = fencing_token
         elif self.votes_were_lost:
-            # A voter forgot what it had granted: what is acted on refuses, and says so.
+            # A voter lost its votes, so tokens may start low again. The resource refuses the act
+            # and reports the highest token that it has seen.
             candidate = self.candidates[name]
             self.carry_out(
                 name, candidate.on_higher_token(self.now_ms, self.highest_token_acted_on)
@@ -90,7 +95,7 @@
                 f"an act under {fencing_token} after {self.highest_token_acted_on}"
             )
 
-    # ---- what happens
+    # ---- events
     def carry_out(self, name, actions):
         for action in actions:
             match action:
@@ -107,7 +112,7 @@
         self.check()
 
     def deliver(self, serial, keep=False):
-        """Delivers a message; kept, it can be delivered again."""
+        """Delivers a message; with `keep`, it stays in flight and can be delivered again."""
         sender, to, message = self.in_flight[serial] if keep else self.in_flight.pop(serial)
         receiver = self.voters.get(to) or self.candidates.get(to)
         if receiver is not None:
@@ -124,16 +129,16 @@
         self.check()
 
     def restart_voter(self, name, with_votes=True):
-        """A voter starts again, with its votes as last synced or without."""
+        """Restarts a voter, with its votes as last synced or without them."""
         votes = copy.deepcopy(self.disk[name]) if with_votes else None
         if not with_votes:
             self.disk[name] = None
             self.votes_were_lost = True
         self.voters[name] = self.voter_class(self.terms, self.now_ms, votes)
 
-    # ---- for a search
+    # ---- comparing states in a search
     def fingerprint(self):
-        """What tells two states apart: all that decides what can follow."""
+        """Returns a hash of everything that determines what can happen next."""
         return hash(
             (
                 tuple(self.voter_state(voter) for voter in self.voters.values()),
@@ -144,14 +149,14 @@
                         for name, lease in self.leases.items()
                     )
                 ),
-                tuple(sorted(repr(tuple(one)) for one in self.in_flight.values())),
+                tuple(sorted(repr(tuple(sent)) for sent in self.in_flight.values())),
                 self.highest_token_acted_on,
                 self.votes_were_lost,
             )
         )
 
     def from_now(self, time_ms):
-        bound_ms = TERMS_AWAY * self.terms.term_ms
+        bound_ms = MAX_DISTANCE_TERMS * self.terms.term_ms
         return round(min(bound_ms, max(-bound_ms, time_ms - self.now_ms)), 1)
 
     def voter_state(self, voter):
--- a/tests/leader_election/test_candidates_and_voters.py
+++ b/tests/leader_election/test_candidates_and_voters.py
@@ -1,7 +1,7 @@
-"""Leader election in a small scope, every order; and seeded histories, longer than any search.
+"""Leader election: a bounded search of all event orders, and longer histories by random seed.
 
-What may happen: messages delivered, lost, doubled, late; voters that start again with and without
-their votes; time that passes between any two of these.
+Events: messages are delivered, lost, duplicated or delayed; voters restart with or without their
+votes; time passes between any two of these.
 """
 
 import copy
@@ -17,12 +17,12 @@
 from cherrydoor.leader_election.voter import Voter
 from cherrydoor.protocol.peers import LeaseGranted, LeaseRequest
 
-MAX_STATES = 4500  # looked at in the three searches, as docs/leader-election.md states
+MAX_STATES = 4500  # number of states in the three searches together; see docs/leader-election.md
 PAUSES_MS = (450.0, 1100.0)
 
 
 class Step(NamedTuple):
-    """One thing that may happen next, and how many faults are left after it."""
+    """One event that may happen next, and how many faults are allowed after it."""
 
     name: str
     apply: Callable[[ElectionSimulation], None]
@@ -30,10 +30,10 @@
 
 
 def fault_steps(simulation, faults_left):
-    """Losses and doublings of messages, and restarts of voters."""
+    """Losses and duplications of messages, and restarts of voters."""
     for serial in simulation.in_flight:
         yield Step(f"lose {serial}", lambda s, n=serial: s.lose(n), faults_left)
-        yield Step(f"double {serial}", lambda s, n=serial: s.deliver(n, True), faults_left)
+        yield Step(f"duplicate {serial}", lambda s, n=serial: s.deliver(n, True), faults_left)
     for name in simulation.voter_names:
         yield Step(f"{name} with its votes", lambda s, n=name: s.restart_voter(n), faults_left)
         yield Step(
@@ -49,7 +49,7 @@
 
 
 def next_steps(simulation, faults):
-    """All that may happen next; `faults` are how many losses, doublings and restarts are left."""
+    """All events that may happen next; `faults` is how many more faults may be injected."""
     for serial in simulation.in_flight:
         yield Step(f"deliver {serial}", lambda s, n=serial: s.deliver(n), faults)
     if faults:
@@ -68,7 +68,7 @@
 
 
 def first_violation(faults, max_states):
-    """Searches states that differ, breadth first; returns a history with a violation, or None."""
+    """Searches distinct states breadth first; returns a history with a violation, or None."""
     first = ElectionSimulation()
     seen = {first.fingerprint()}
     frontier = [(first, faults, ())]
@@ -102,13 +102,13 @@
 
 
 def run_history(seed, voter_class=Voter, candidate_class=Candidate, terms=TERMS, steps=400):
-    """One long history by a seed: everything at once, at every rate."""
+    """Runs one long history by a seed, with all kinds of faults at random rates."""
     rng = random.Random(seed)
     simulation = ElectionSimulation(
         candidates=3, terms=terms, voter_class=voter_class, candidate_class=candidate_class
     )
     loss = rng.random() * 0.3
-    doubling = rng.random() * 0.2
+    duplication = rng.random() * 0.2
     crash = rng.random() * 0.03
     stopped_until_ms = {}
     for _ in range(steps):
@@ -119,7 +119,7 @@
             if chance < loss:
                 simulation.lose(serial)
             elif stopped_until_ms.get(to, 0.0) <= simulation.now_ms:
-                simulation.deliver(serial, chance < loss + doubling)
+                simulation.deliver(serial, chance < loss + duplication)
         else:
             simulation.advance(rng.choice((1.0, 20.0, 60.0, 200.0)))
         run_candidates(simulation, rng, stopped_until_ms)
@@ -131,7 +131,7 @@
 
 
 def run_candidates(simulation, rng, stopped_until_ms):
-    """Each candidate that is not stopped acts and ticks; now and then one is stopped."""
+    """Each candidate that is not stopped acts and ticks; at random one is stopped for a while."""
     for name, candidate in simulation.candidates.items():
         if stopped_until_ms.get(name, 0.0) > simulation.now_ms:
             continue
@@ -143,7 +143,7 @@
 
 
 def restart_some_voter(simulation, rng):
-    """A majority keeps its votes: those of one voter at a time may be lost."""
+    """Restarts a voter; only one voter at a time may lose its votes, so a majority keeps theirs."""
     name = rng.choice(simulation.voter_names)
     lost = rng.random() < 0.5 and all(
         voter.silent_until_ms <= simulation.now_ms for voter in simulation.voters.values()
@@ -151,8 +151,11 @@
     simulation.restart_voter(name, not lost)
 
 
-def test_a_candidate_that_hears_of_a_higher_token_ends_its_lease_and_asks_above_it():
-    """Two of three voters that forgot can grant what one of them had granted before."""
+def test_a_candidate_that_learns_of_a_higher_token_ends_its_lease_and_asks_above_it():
+    """Of three voters, two that lost their votes can grant a token that one of them granted before.
+
+    The candidate learns of the higher token from the resource on which it acts.
+    """
     voter = Voter(TERMS, 0.0, Votes())
     granted = voter.receive(0.0, "a", LeaseRequest("t", 6, 100.0))
     assert granted[-1].message == LeaseGranted("t", 6)
@@ -176,9 +179,9 @@
     assert highest_token > 3, "nobody ever held the lease after another"
 
 
-# ---- each guard taken out
+# ---- each guard removed in turn
 class VoterWithoutSilence(Voter):
-    """Answers at once after its votes are lost."""
+    """Answers immediately after its votes are lost, without the silence."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
@@ -186,7 +189,7 @@
 
 
 class VoterWithoutRisingTokens(Voter):
-    """Takes any token for a task that nobody holds, the same one among them."""
+    """Grants a task without leaseholder under any token, even one that was granted before."""
 
     def on_request(self, now_ms, sender, request):
         vote = self.votes.tasks.get(request.task)
@@ -196,15 +199,15 @@
 
 
 class CandidateCountingFromTheAnswer(Candidate):
-    """Counts its term from the answer, not from when it asked."""
+    """Counts its term from the answer instead of from its request."""
 
     def on_granted(self, now_ms, sender):
         self.requested_ms = now_ms
         return super().on_granted(now_ms, sender)
 
 
-class CandidateTakingAnyRound(Candidate):
-    """Takes an answer to an earlier round for one to this."""
+class CandidateAcceptingAnyRound(Candidate):
+    """Accepts an answer to an earlier round as an answer to the current one."""
 
     def receive(self, now_ms, sender, message):
         if hasattr(message, "round"):
@@ -213,7 +216,7 @@
 
 
 class VoterForgettingRunningTerms(Voter):
-    """Forgets at a start that the terms of its votes are still running."""
+    """Treats the terms of its stored votes as expired at the start."""
 
     def __init__(self, terms, now_ms, votes=None, **options):
         super().__init__(terms, now_ms, votes, **options)
@@ -225,32 +228,32 @@
     "without_guard",
     [
         pytest.param({"voter_class": VoterWithoutSilence}, id="silence after a loss"),
-        pytest.param({"candidate_class": CandidateCountingFromTheAnswer}, id="time of asking"),
+        pytest.param({"candidate_class": CandidateCountingFromTheAnswer}, id="time of request"),
         pytest.param({"voter_class": VoterForgettingRunningTerms}, id="running terms at a start"),
         pytest.param({"voter_class": VoterWithoutRisingTokens}, id="rising tokens"),
     ],
 )
-def test_a_violation_is_found_once_a_guard_is_taken_out(without_guard):
+def test_a_violation_is_found_once_a_guard_is_removed(without_guard):
     assert any(run_history(seed, **without_guard).violation for seed in range(300)), (
-        "no history of these needs this guard"
+        "no history found a violation without this guard"
     )
 
 
-# ---- a renewal and its end, step by step
+# ---- renewal and expiry, step by step
 MARGIN_TOO_SMALL = LeaseTerms(
     term_ms=1000.0, clock_drift=0.01, margin_ms=-30.0, longest_term_ms=1000.0
 )
 
 
 def deliver_to(simulation, names):
-    """Delivers everything that is in flight to those."""
-    for serial, one in list(simulation.in_flight.items()):
-        if one.to in names:
+    """Delivers every message in flight to those names."""
+    for serial, sent in list(simulation.in_flight.items()):
+        if sent.to in names:
             simulation.deliver(serial)
 
 
 def simulation_with_leaseholder(**options):
-    """`a` holds the lease from 0 on; nothing is in flight."""
+    """Candidate `a` holds the lease from time 0; no message is in flight."""
     simulation = ElectionSimulation(**options)
     simulation.candidates["a"].next_ms = 0.0
     simulation.candidates["b"].next_ms = 1e9
@@ -272,13 +275,13 @@
 
 
 @pytest.mark.parametrize(
-    ("candidate_class", "is_violated"), [(Candidate, False), (CandidateTakingAnyRound, True)]
+    ("candidate_class", "is_violated"), [(Candidate, False), (CandidateAcceptingAnyRound, True)]
 )
 def test_an_answer_to_an_earlier_round_renews_nothing(candidate_class, is_violated):
     simulation = simulation_with_leaseholder(candidate_class=candidate_class)
     simulation.advance(simulation.candidates["a"].next_ms)
     simulation.tick("a")
-    # The voters' answers are long in flight, and the next round is lost.
+    # The voters' answers are delayed, and the requests of the next round are lost.
     deliver_to(simulation, simulation.voter_names)
     answers = list(simulation.in_flight)
     simulation.advance(simulation.candidates["a"].next_ms - simulation.now_ms)
--- a/tests/leader_election/test_leases_of_processes.py
+++ b/tests/leader_election/test_leases_of_processes.py
@@ -1,4 +1,4 @@
-"""Leases among gateways as processes, with faults between them: one leaseholder, rising tokens."""
+"""Leases among gateway processes with faults: one leaseholder at a time, and rising tokens."""
 
 import asyncio
 import re
@@ -18,7 +18,7 @@
 
 
 def tokens_acquired(fleet):
-    """Every fencing token under which a lease of the task was acquired by anybody, as logged."""
+    """The fencing tokens under which any gateway acquired the lease of the task, from the logs."""
     found = [
         int(re.search(r"fencing_token\W+(\d+)", line)[1])
         for gate in fleet.gates
@@ -43,7 +43,7 @@
 async def test_a_killed_leaseholder_is_followed_under_a_higher_token(tmp_path):
     async with Fleet(tmp_path, 6) as fleet:
         await fleet.together()
-        await ask_for_lease(fleet.gates[3:])  # none of them a voter: two kills leave a majority
+        await ask_for_lease(fleet.gates[3:])  # none is a voter, so two kills leave a majority
         leaseholder, token = await fleet.holder(TASK)
         for _ in range(2):
             await leaseholder.kill()
@@ -54,7 +54,7 @@
 
 
 @story
-async def test_a_leaseholder_stopped_past_its_term_holds_nothing_when_it_goes_on(tmp_path):
+async def test_a_leaseholder_stopped_past_its_term_holds_no_lease_when_it_continues(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.together()
         await ask_for_lease(fleet.gates[2:])
@@ -64,12 +64,14 @@
         successor, higher_token = await fleet.holder(TASK, token, others)
         leaseholder.signal(signal.SIGCONT)
         await until(lambda: asyncio.sleep(0, leaseholder.logged("lease ended")), bool)
-        assert await leaseholder.held(TASK) != token
-        assert (await successor.held(TASK) or higher_token) >= higher_token > token
+        assert await leaseholder.held_token(TASK) != token
+        assert (await successor.held_token(TASK) or higher_token) >= higher_token > token
 
 
 @story
-async def test_a_part_without_a_majority_of_voters_holds_nothing_and_the_other_goes_on(tmp_path):
+async def test_a_partition_without_a_majority_of_voters_loses_the_lease_and_the_other_gets_it(
+    tmp_path,
+):
     async with Fleet(tmp_path, 6) as fleet:
         await fleet.together()
         minority = fleet.gates[:1]
@@ -82,15 +84,15 @@
         successor, higher_token = await fleet.holder(TASK, token, majority)
         assert successor is not leaseholder
         assert higher_token > token
-        assert await leaseholder.held(TASK) is None
+        assert await leaseholder.held_token(TASK) is None
         fleet.relay.calm()
         await fleet.together()
-        assert await leaseholder.held(TASK) is None
+        assert await leaseholder.held_token(TASK) is None
 
 
 @story
 async def test_a_graceful_shutdown_releases_the_lease_at_once(tmp_path):
-    """The next leaseholder does not wait for the term of the one that left."""
+    """The next leaseholder does not have to wait until the term of the last one expires."""
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.together()
         await ask_for_lease(fleet.gates[3:])
@@ -103,10 +105,10 @@
 
 
 async def restart_voter(voter, vote_file=None):
-    """Kills a voter and starts it again; a vote file that is given is lost meanwhile."""
+    """Kills a voter and starts it again; deletes its vote file in between if one is given."""
     await voter.kill()
     if vote_file is not None:
-        voter.lease()
+        voter.write_configuration()
         vote_file.unlink()
     await voter.start()
     if vote_file is not None:
@@ -134,7 +136,7 @@
         assert_no_token_twice(fleet)
 
 
-# ---- the file of votes
+# ---- the vote file
 VOTES = Votes(7, {"a": Vote(9, "g1", 5.0, 800.0)})
 VOTE_FILE = encode_votes("g0", VOTES)
 
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of `cherrydoor gateway` processes, with a fault-injecting proxy on every link."""
+"""Runs a fleet of `cherrydoor gateway` processes with a fault-injecting proxy on every link."""
 
 import asyncio
 import json
@@ -12,8 +12,8 @@
 from cherrydoor.rehearsal.fault_injecting_proxy import Relay
 from cherrydoor.rehearsal.parts import Ports
 
-LONGEST = 20.0  # s that any test waits for what must come
-ASK_TIMEOUT_S = 1.0  # for an answer over a control socket
+LONGEST = 20.0  # seconds; limit for each wait of a test
+ASK_TIMEOUT_S = 1.0  # limit for connecting to a control socket, and again for the answer
 POLL_INTERVAL_S = 0.03
 RELAY_SEED = 5
 FIRST_GATEWAY_SEED = 7
@@ -38,23 +38,24 @@
 
 
 class Gate:
-    """One gateway: its configuration, its process, what it logs."""
+    """One gateway: its configuration, its process and its log lines."""
 
     def __init__(self, fleet, number, settings):
-        """settings: further ones of its configuration."""
+        """`settings` are added to the gateway's configuration."""
         self.fleet = fleet
         self.number = number
         self.name = f"g{number}"
-        self.more = settings
+        self.extra_settings = settings
         self.process = None
-        self.lines = []
+        self.log_lines = []
         self.folder = fleet.folder
         self.door = fleet.ports.take()
-        self.real = fleet.ports.take()  # the port for peers, behind the proxy's at `at`
+        # The address at which it listens for peers; `at` is that of the proxy in front of it.
+        self.peer_address = fleet.ports.take()
         self.control = str(fleet.folder / f"{self.name}.sock")
 
-    def lease(self):
-        """Writes its configuration file; returns its path."""
+    def write_configuration(self):
+        """Writes the gateway's configuration file; returns its path."""
         fleet = self.fleet
         settings = {
             "name": self.name,
@@ -76,7 +77,7 @@
                 "margin": Duration(50.0),
                 "longest": Duration(1000.0),
             },
-            **self.more,
+            **self.extra_settings,
         }
         path = self.folder / f"{self.name}.lease"
         path.write_text(show(settings) + "\n")
@@ -85,7 +86,7 @@
     def peer_settings(self):
         voters = self.fleet.gates[: self.fleet.keepers]
         return {
-            "door": self.real,
+            "door": self.peer_address,
             "at": self.at,
             "keepers": [{"name": voter.name, "at": voter.at} for voter in voters],
             "next": 2,
@@ -102,7 +103,7 @@
             "cherrydoor",
             "gateway",
             "--lease",
-            str(self.lease()),
+            str(self.write_configuration()),
             "--announce",
             "--tied",
             stdin=asyncio.subprocess.PIPE,
@@ -111,15 +112,15 @@
             env=os.environ | {"PYTHONPATH": os.getcwd()},
         )
         self.task = asyncio.ensure_future(self.read_log())
-        assert await asyncio.wait_for(self.process.stdout.readline(), LONGEST), self.lines
+        assert await asyncio.wait_for(self.process.stdout.readline(), LONGEST), self.log_lines
         return self
 
     async def read_log(self):
         async for line in self.process.stderr:
-            self.lines.append(line.decode())
+            self.log_lines.append(line.decode())
 
     def logged(self, text):
-        return [line for line in self.lines if text in line]
+        return [line for line in self.log_lines if text in line]
 
     def signal(self, number):
         self.process.send_signal(number)
@@ -129,7 +130,7 @@
         await self.process.wait()
 
     async def ask(self, **request):
-        """Returns an answer over its control socket; None where nobody answers."""
+        """Returns the answer of the gateway's control socket; None if it does not answer."""
         try:
             reader, writer = await asyncio.wait_for(
                 asyncio.open_unix_connection(self.control), ASK_TIMEOUT_S
@@ -141,13 +142,13 @@
         except (OSError, TimeoutError):
             return None
 
-    async def sees(self):
-        """Returns the state of each member by name, as this gateway holds it."""
+    async def member_states(self):
+        """Returns the state of each member by name, as this gateway sees it."""
         answer = await self.ask(do="peers")
         return {row["name"]: row["state"] for row in answer["members"]} if answer else {}
 
-    async def held(self, task):
-        """Returns the fencing token under which it holds the lease of the task, or None."""
+    async def held_token(self, task):
+        """Returns the fencing token under which this gateway holds the task's lease, or None."""
         answer = await self.ask(do="tenures")
         if not answer:
             return None
@@ -158,10 +159,10 @@
 
 
 class Fleet:
-    """Gateways, the first `keepers` of them voters; an async context starts and kills them."""
+    """Gateways, the first `keepers` of which are voters; an async context starts and kills them."""
 
     def __init__(self, folder, count, keepers=3, list_at="127.0.0.1:9", peers=None, more=None):
-        """peers, more: further settings of every gateway's peers, and of its configuration."""
+        """`peers` and `more` are added to each gateway's peer settings and configuration."""
         self.folder = folder
         self.keepers = keepers
         self.list_at = list_at
@@ -172,7 +173,7 @@
 
     async def __aenter__(self):
         for gate in self.gates:
-            gate.at = await self.relay.port(gate.name, gate.real)
+            gate.at = await self.relay.port(gate.name, gate.peer_address)
         await asyncio.gather(*(gate.start() for gate in self.gates))
         return self
 
@@ -191,20 +192,24 @@
         """Waits until each gateway sees all others alive; returns the gateways."""
         for gate in self.gates:
             await until(
-                lambda gate=gate: gate.sees(),
+                lambda gate=gate: gate.member_states(),
                 lambda seen: list(seen.values()) == ["here"] * len(self.gates),
             )
         return self.gates
 
     async def holder(self, task, above=0, among=None):
-        """Waits until one holds the lease under a token above that; returns (gateway, token)."""
+        """Waits until a gateway holds the lease under a token above `above`.
+
+        Returns:
+            The gateway and its token.
+        """
 
         async def leaseholders():
             found = []
             for gate in among or self.gates:
                 if gate.process.returncode is not None:
                     continue
-                token = await gate.held(task) or 0
+                token = await gate.held_token(task) or 0
                 if token > above:
                     found.append((gate, token))
             return found
@@ -213,19 +218,19 @@
 
 
 async def until(ask, is_good):
-    """Asks again and again; returns the first good answer, or fails with the last one."""
-    end = time.monotonic() + LONGEST
+    """Polls until `is_good` accepts an answer, and returns it; fails with the last answer."""
+    deadline_s = time.monotonic() + LONGEST
     answer = None
-    while time.monotonic() < end:
+    while time.monotonic() < deadline_s:
         answer = await ask()
         if is_good(answer):
             return answer
         await asyncio.sleep(POLL_INTERVAL_S)
-    raise AssertionError(f"never came: {answer}")
+    raise AssertionError(f"no expected answer in time; the last was: {answer}")
 
 
 def story(test):
-    """Runs a test that is a coroutine, given a folder."""
+    """Decorates a coroutine test so that pytest runs it, with `tmp_path` as its argument."""
 
     def run(tmp_path):
         asyncio.run(test(tmp_path))
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""Statements about members in any order: late, doubled, of earlier incarnations."""
+"""Statements about members: in any order, delayed, duplicated, of earlier incarnations."""
 
 from itertools import permutations
 
@@ -20,7 +20,7 @@
 )
 from cherrydoor.protocol.peers import Member
 
-ORDERS_TRIED = 24
+MAX_ORDERS = 24
 
 STATEMENTS = st.builds(
     Member,
@@ -40,9 +40,9 @@
 
 @given(st.lists(STATEMENTS, max_size=5))
 @settings(max_examples=200, deadline=None)
-def test_statements_in_any_order_and_doubled_come_to_the_same_table(statements):
+def test_statements_in_any_order_and_duplicated_give_the_same_table(statements):
     results = set()
-    for order in list(permutations(statements))[:ORDERS_TRIED]:
+    for order in list(permutations(statements))[:MAX_ORDERS]:
         table = table_of()
         for statement in [*order, *order[:2]]:
             table.merge_all(1.0, [statement])
@@ -62,7 +62,7 @@
     assert merged(None, None) is None
 
 
-def test_a_suspected_gateway_refutes_it_and_stays_alive_until_its_incarnation_is_over():
+def test_a_suspected_gateway_refutes_the_suspicion_and_stays_alive_until_its_incarnation_is_over():
     own = table_of("a")
     other = table_of("b")
     other.merge_all(1.0, own.all_rows())
@@ -94,7 +94,7 @@
     return table
 
 
-def test_replicas_are_of_other_zones_first(table_of_three_zones):
+def test_replicas_are_chosen_from_other_zones_first(table_of_three_zones):
     table = table_of_three_zones
     zones = {row.name: row.zone for row in table.all_rows()}
     assert sorted(zones[name] for name in table.choose_replicas(2)) == ["s1", "s2"]
@@ -102,7 +102,7 @@
     assert "g0" not in table.choose_replicas(8)
 
 
-def test_disconnected_members_are_no_replicas_and_not_alive(table_of_three_zones):
+def test_disconnected_members_are_neither_replicas_nor_alive(table_of_three_zones):
     table = table_of_three_zones
     for name in table.choose_replicas(8):
         table.observe(1.0, name, 1, DISCONNECTED)
--- a/tests/membership/test_membership_of_processes.py
+++ b/tests/membership/test_membership_of_processes.py
@@ -1,4 +1,4 @@
-"""Several gateways as processes: who sees whom alive, suspected, disconnected, or left."""
+"""Several gateway processes: which members each sees as alive, suspected, disconnected or left."""
 
 import asyncio
 import signal
@@ -10,12 +10,12 @@
 
 
 async def states_of(name, gates):
-    """What those gateways hold of one."""
-    return {(await gate.sees()).get(name) for gate in gates}
+    """Returns the set of states in which those gateways see one member."""
+    return {(await gate.member_states()).get(name) for gate in gates}
 
 
 async def until_seen(gates, name, state):
-    """Waits until all of those gateways hold that state of one."""
+    """Waits until all of those gateways see one member in that state."""
     await until(lambda: states_of(name, gates), lambda seen: seen == {state})
 
 
@@ -24,7 +24,7 @@
 
 
 @story
-async def test_a_killed_gateway_is_disconnected_for_all_and_returns_as_another_incarnation(
+async def test_a_killed_gateway_is_seen_as_disconnected_and_returns_as_another_incarnation(
     tmp_path,
 ):
     async with Fleet(tmp_path, 6) as fleet:
@@ -38,10 +38,10 @@
 
 
 @story
-async def test_a_stopped_gateway_is_suspected_until_it_refutes_that_in_the_same_incarnation(
+async def test_a_stopped_gateway_is_suspected_until_it_refutes_it_in_the_same_incarnation(
     tmp_path,
 ):
-    """Nobody has taken over anything from it, and it goes on."""
+    """No other gateway has taken over its requests, so it continues as the same incarnation."""
     async with Fleet(tmp_path, 5) as fleet:
         first, *others = reversed(await fleet.together())
         incarnation = await incarnation_of(first)
@@ -62,7 +62,7 @@
 
 
 @story
-async def test_a_reset_link_alone_makes_nobody_suspected(tmp_path):
+async def test_a_reset_link_alone_makes_no_gateway_suspected(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
         gates = await fleet.together()
         for _ in range(5):
@@ -73,7 +73,7 @@
 
 
 @story
-async def test_frames_that_come_late_twice_and_out_of_order_change_nothing(tmp_path):
+async def test_frames_that_are_delayed_duplicated_or_reordered_change_nothing(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
         fleet.relay.set("*", "*", delay=5.0, spread=60.0, double=0.3, reorder=0.3)
         first, *others = reversed(await fleet.together())
@@ -85,11 +85,11 @@
 
 
 @story
-async def test_two_processes_of_one_name_are_logged(tmp_path):
+async def test_a_second_process_of_the_same_name_is_logged(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
         gates = await fleet.together()
         clone = type(gates[3])(fleet, 3, {})
-        clone.at = await fleet.relay.port("g3", clone.real)
+        clone.at = await fleet.relay.port("g3", clone.peer_address)
         clone.control += "2"
         fleet.gates.append(clone)
         await clone.start()
@@ -97,22 +97,22 @@
 
 
 def fleet_with_certificates(folder):
-    """Three gateways with certificates, of which g2 shows the one of g1."""
+    """Creates three gateways with certificates; g2 presents the certificate of g1."""
     keys = LocalAuthority(folder / "keys")
     keys.authority()
     for name in ("g0", "g1", "g2"):
         keys.issue("gateway", name, addresses=["127.0.0.1"])
     fleet = Fleet(folder, 3)
     for gate in fleet.gates:
-        shown = "g1" if gate.name == "g2" else gate.name
-        gate.more = {
+        certificate_name = "g1" if gate.name == "g2" else gate.name
+        gate.extra_settings = {
             "keys": {
-                "certificate": str(keys.path / f"{shown}.pem"),
-                "key": str(keys.path / f"{shown}.key"),
+                "certificate": str(keys.path / f"{certificate_name}.pem"),
+                "key": str(keys.path / f"{certificate_name}.key"),
                 "authorities": str(keys.path / "authorities.pem"),
             }
         }
-        gate.at = gate.real  # a proxy cannot read what is encrypted
+        gate.at = gate.peer_address  # no proxy, as it cannot read encrypted frames
     return fleet
 
 
@@ -129,7 +129,7 @@
         first, second, _ = fleet.gates
         await until(lambda: linked_names(first), lambda seen: seen == {"g1"})
         await until(lambda: linked_names(second), lambda seen: seen == {"g0"})
-        # It greets others before they have rejected it, so it is they who log that.
+        # g2 sends its hello before the others have rejected it, so the others log the rejection.
         for gate in (first, second):
             await until(
                 lambda gate=gate: asyncio.sleep(0, gate.logged("certificate is not of that name")),
--- a/tests/membership/test_peer_links.py
+++ b/tests/membership/test_peer_links.py
@@ -1,4 +1,4 @@
-"""The link policy: who is dialled, which link stays, and what a link shows of its peer."""
+"""The link policy: which peers are dialled, which link is kept, what a link shows of its peer."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def links_of(*names, voter="k"):
-    """The links of `m`, with one replica, in a fleet of those names."""
+    """Returns the link policy of gateway `m`, with one replica, in a fleet of those names."""
     table = MemberTable(LocalMember("m", 5, "at-m", "s0"), 0.0)
     table.merge_all(0.0, [Member(name, 1, "at-" + name, is_voter=name == voter) for name in names])
     return PeerLinks(table, 0.0, HEARTBEAT_MS, SUSPECT_AFTER_MS, 1)
@@ -37,19 +37,24 @@
 
 @pytest.mark.parametrize(
     ("name", "is_dialled_by_us"),
-    [pytest.param("a", False, id="lesser peer"), pytest.param("z", True, id="greater peer")],
+    [
+        pytest.param("a", False, id="peer name sorts first"),
+        pytest.param("z", True, id="own name sorts first"),
+    ],
 )
-def test_of_two_links_that_cross_the_one_dialled_by_the_lesser_name_stays(name, is_dialled_by_us):
+def test_of_two_simultaneous_links_the_one_dialled_by_the_name_that_sorts_first_is_kept(
+    name, is_dialled_by_us
+):
     links = links_of("a", "k", "z")
     links.tick(0.0)
     assert links.on_link_up(1.0, name, 1, is_dialled_by_us).is_kept
     assert not links.on_link_up(2.0, name, 1, not is_dialled_by_us).is_kept
     assert links.on_link_up(3.0, name, 1, is_dialled_by_us).is_kept, (
-        "made anew, it replaces a dead one"
+        "a new link of the same direction replaces a dead one"
     )
 
 
-def test_a_reset_link_shows_nothing_and_a_refused_dial_shows_a_disconnected_peer():
+def test_a_reset_link_leaves_a_peer_alive_and_a_refused_dial_marks_it_disconnected():
     links = links_of("a", "k")
     rows = links.table.rows
     links.tick(0.0)
@@ -73,8 +78,8 @@
     assert links.table.rows["k"].state == SUSPECTED
 
 
-def test_a_peer_that_rejects_us_after_its_hello_is_redialled_seldom_and_a_lost_link_at_once():
-    """Seen: a gateway that showed another's certificate was dialled some hundred times a second."""
+def test_a_peer_that_rejects_us_after_its_hello_is_redialled_with_backoff_and_a_lost_link_at_once():
+    """A gateway with another's certificate was once dialled some hundred times a second."""
     links = links_of("k")
     dials = len(of_type(links.tick(0.0), Dial))
     for now_ms in range(1, 10000):
@@ -92,10 +97,10 @@
     assert of_type(links.on_link_down(now_ms + 1.0, "k"), Dial)
 
 
-def test_a_link_that_was_wanted_for_a_question_is_closed_once_it_is_idle():
+def test_a_link_that_was_dialled_for_a_question_is_closed_once_it_is_idle():
     links = links_of("a", "b", "c", voter="")
     links.tick(0.0)
-    name = next(one for one in "abc" if one not in links.replicas)
+    name = next(peer for peer in "abc" if peer not in links.replicas)
     assert of_type(links.want(1.0, name), Dial)
     links.on_link_up(2.0, name, 1, True)
     for now_ms in range(200, 30000, 200):
@@ -106,7 +111,7 @@
     assert now_ms > 10000
 
 
-def test_heartbeats_to_voters_of_a_large_fleet_are_rarer_but_never_so_that_one_is_suspected():
+def test_heartbeats_to_voters_of_a_large_fleet_are_rarer_but_frequent_enough_to_avoid_suspicion():
     links = links_of("a", "k")
     for name in ("a", "k"):
         links.on_link_up(1.0, name, 1, True)
