--- a/cherrydoor/leader_election/candidate.py
+++ b/cherrydoor/leader_election/candidate.py
@@ -112,7 +112,7 @@
         return crc32(key.encode()) / CRC32_RANGE
 
     def jittered(self, span_ms: float) -> float:
-        """Returns a span scaled up by the number of leases held here, times 0.5 to 1.5."""
+        """Returns a span times (1 + leases held here) and times a random factor of 0.5 to 1.5."""
         return span_ms * (1 + self.leases_held()) * (0.5 + self.draw())
 
     def tick(self, now_ms: float) -> list[CandidateAction]:
--- a/cherrydoor/leader_election/voter.py
+++ b/cherrydoor/leader_election/voter.py
@@ -8,9 +8,9 @@
 
 A vote counts once it is on disk: answers are sent after the `SaveVotes` action that precedes them.
 A voter that starts with its stored votes restarts the term of each. A voter that starts without
-them answers nothing for the longest term, because it may have granted any lease before. If a
-majority of voters lose their votes, tokens may start low again; each resource guarded by a lease
-therefore remembers the highest token it has seen and rejects lower ones.
+them answers nothing for the longest term, because it does not know which leases it has granted.
+If a majority of voters lose their votes, tokens may start low again; each resource guarded by a
+lease therefore remembers the highest token it has seen and rejects lower ones.
 
 Times are in ms of any monotonic clock of the process.
 """
@@ -62,9 +62,9 @@
             terms: The lease terms of the fleet.
             now_ms: The current time.
             votes: The stored votes, None if they are lost. Without them the voter answers nothing
-                for the longest term, so that it does not grant a lease that still runs a second
-                time. The cost is that no lease can be granted during that time if a majority of
-                voters start without their files.
+                for the longest term, so that it cannot grant a task whose lease still runs to a
+                second candidate. The cost is that no lease can be granted during that time if a
+                majority of voters start without their files.
             check_grant: Returns the reason why a task must not be granted to a new leaseholder now,
                 or "" if it may be.
         """
--- a/cherrydoor/membership/member_table.py
+++ b/cherrydoor/membership/member_table.py
@@ -116,9 +116,8 @@
         self.changed_ms: dict[str, float] = {local.name: now_ms}
         self.updates: dict[str, Member] = {}
         self.counters: Counter[str] = Counter()
-        self.is_duplicated = (
-            False  # another process has this name and a later or the same incarnation
-        )
+        # Whether another process has this gateway's name and the same or a later incarnation.
+        self.is_duplicated = False
 
     # ---- statements
     def merge_all(self, now_ms: float, statements: Iterable[Member]) -> list[str]:
@@ -195,7 +194,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether this incarnation has left or is over, or a later one has begun."""
+        """Whether the table shows this incarnation as left or over, or a later one of the name."""
         own = self.rows[self.local.name]
         return own.incarnation > self.local.incarnation or own.state in FINAL_STATES
 
