--- a/cherrydoor/rehearsal/soak/__init__.py
+++ b/cherrydoor/rehearsal/soak/__init__.py
@@ -1,4 +1,5 @@
-"""Seeded soaks of the platform's gateway: real processes between hosts, discovery and clients of ours.
+"""Seeded soaks of the platform's gateway: real processes, simulated hosts, discovery and clients.
 
-Begin with ``command.py`` and ``run.py``; ``plan.py`` has what a seed draws, ``verdict.py`` what is judged.
+Begin with ``command.py`` and ``run.py``. ``plan.py`` draws a run from its seed, and ``verdict.py``
+checks the rules on what was recorded.
 """
--- a/cherrydoor/rehearsal/soak/__main__.py
+++ b/cherrydoor/rehearsal/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cherrydoor.rehearsal.soak``: soaks by hand."""
+"""``python -m cherrydoor.rehearsal.soak``: runs soaks from the command line."""
 
 import sys
 
--- a/cherrydoor/rehearsal/soak/command.py
+++ b/cherrydoor/rehearsal/soak/command.py
@@ -1,9 +1,9 @@
-"""Soaks by hand and in tests: a seed's report, and many seeds beside each other.
+"""Runs soaks from the command line and from tests, one seed or several in parallel.
 
     python -m cherrydoor.rehearsal.soak --seed 7 --runs 1
 
-plays one by hand, several beside each other with ``--beside``; the exit code is 1 where a rule was
-broken.
+runs one soak; ``--beside`` sets how many run in parallel. The exit code is 1 if any run violated
+a rule.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 def report(run, verdict):
-    """The result as a dictionary for people and for the table of a long run."""
+    """Returns the result of one run as a dictionary; it is printed as one JSON line."""
     plan = run.plan
     return {
         "seed": plan.seed,
@@ -30,42 +30,48 @@
         "discovery": sorted({outage.fault.name for outage in plan.outages}),
         "drains": len(plan.drains),
         "signals": [fault.signal.name for fault in plan.process_faults],
-        "crowd": sum(crowd.connections for crowd in plan.crowds),
+        "crowd": sum(flood.connections for flood in plan.idle_floods),
         "requests": len(run.requests),
-        "served": verdict.shares,
+        "served": verdict.served_shares,
         "most_lag_s": round(max((lag for _, _, lag in run.lags), default=0.0), 3),
-        "breaks": [f"{b.rule} at {b.time_s}: {b.text}" for b in verdict.breaks],
+        "breaks": [
+            f"{violation.rule} at {violation.time_s}: {violation.text}"
+            for violation in verdict.violations
+        ],
     }
 
 
 def play_seed(seed, folder=None):
-    """Plays one seed and returns its report; logs and configurations stay in the folder."""
+    """Runs one seed and returns its report; logs and configurations are kept in the folder."""
 
-    async def whole(where):
-        run = Run(plan_module.draw(seed), where)
+    async def play_in(run_folder):
+        run = Run(plan_module.draw_plan(seed), run_folder)
         return report(run, await run.play())
 
     if folder is not None:
         Path(folder).mkdir(parents=True, exist_ok=True)
-        return asyncio.run(whole(folder))
-    with tempfile.TemporaryDirectory() as where:
-        return asyncio.run(whole(where))
+        return asyncio.run(play_in(folder))
+    with tempfile.TemporaryDirectory() as run_folder:
+        return asyncio.run(play_in(run_folder))
 
 
 def main():
-    parser = argparse.ArgumentParser(description="Plays soaks of gateways on loopback.")
+    parser = argparse.ArgumentParser(description="Runs soaks of gateways on loopback.")
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
-    parser.add_argument("--runs", type=int, default=1, help="how many seeds from there on")
-    parser.add_argument("--beside", type=int, default=1, help="runs at once")
-    parser.add_argument("--logs", help="a folder that keeps configurations and logs")
-    said = parser.parse_args()
-    seeds = range(said.seed, said.seed + said.runs)
-    folders = [f"{said.logs}/{seed}" if said.logs else None for seed in seeds]
-    broken = 0
-    began_s = time.monotonic()
-    with ProcessPoolExecutor(said.beside) as pool:
-        for found in pool.map(play_seed, seeds, folders):
-            print(json.dumps(found), flush=True)
-            broken += bool(found["breaks"])
-    print(f"{said.runs} runs, {broken} with a broken rule, {time.monotonic() - began_s:.0f} s")
-    return 1 if broken else 0
+    parser.add_argument("--runs", type=int, default=1, help="number of consecutive seeds")
+    parser.add_argument("--beside", type=int, default=1, help="number of runs in parallel")
+    parser.add_argument("--logs", help="folder for configurations and logs")
+    arguments = parser.parse_args()
+    seeds = range(arguments.seed, arguments.seed + arguments.runs)
+    folders = [f"{arguments.logs}/{seed}" if arguments.logs else None for seed in seeds]
+    failed_runs = 0
+    started_s = time.monotonic()
+    with ProcessPoolExecutor(arguments.beside) as pool:
+        for result in pool.map(play_seed, seeds, folders):
+            print(json.dumps(result), flush=True)
+            failed_runs += bool(result["breaks"])
+    print(
+        f"{arguments.runs} runs, {failed_runs} with a violated rule, "
+        f"{time.monotonic() - started_s:.0f} s"
+    )
+    return 1 if failed_runs else 0
--- a/cherrydoor/rehearsal/soak/endpoint_list.py
+++ b/cherrydoor/rehearsal/soak/endpoint_list.py
@@ -1,27 +1,28 @@
-"""The endpoint list of a soak: the changes so far, as each gateway's discovery server tells them."""
+"""The endpoint list of a soak: its changes, in the form that the discovery servers send them."""
 
 from dataclasses import dataclass
 
 from cherrydoor.rehearsal.soak.world import HOST_PORT
 
-STATES = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
+LIFECYCLES = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
 
 
 @dataclass(frozen=True)
 class Update:
-    """A change of the endpoint list."""
+    """A change of one host in the endpoint list; ``revision`` is the list's after the change."""
 
-    number: int
+    revision: int
     host: int
     state: str
     started_at_ms: int
 
 
 class SoakEndpointList:
-    """All changes so far; a gateway gets addresses of its own.
+    """All changes so far; each gateway sees different addresses for the same hosts.
 
     Attributes:
-        updates: The changes, oldest first; the first list is revision 1.
+        updates: The changes, oldest first. The initial list is revision 1, so that the first change
+            is revision 2.
     """
 
     def __init__(self, hosts):
@@ -36,15 +37,15 @@
             "zone": "east",
             "machineType": "std",
             "cell": 0,
-            "lifecycle": STATES[update.state],
+            "lifecycle": LIFECYCLES[update.state],
             "weight": 1,
             "startedAtMs": update.started_at_ms,
         }
 
-    def event(self, update, gateway):
-        roster = {"generation": update.number, "reset": False}
+    def update_event(self, update, gateway):
+        roster = {"generation": update.revision, "reset": False}
         roster["instances"] = [self.row(update, gateway)]
-        return {"no": update.number, "roster": roster}
+        return {"no": update.revision, "roster": roster}
 
     def snapshot(self, gateway):
         latest = {update.host: update for update in self.updates}
@@ -52,11 +53,11 @@
             self.row(latest.get(host.index, Update(0, host.index, "ready", 0)), gateway)
             for host in self.hosts
         ]
-        number = len(self.updates) + 1
-        roster = {"generation": number, "reset": True, "instances": rows}
-        return {"no": number, "items": [{"no": number, "roster": roster}]}
+        revision = len(self.updates) + 1
+        roster = {"generation": revision, "reset": True, "instances": rows}
+        return {"no": revision, "items": [{"no": revision, "roster": roster}]}
 
-    def change(self, host, state):
-        """Adds a change of one host."""
+    def record_change(self, host, state):
+        """Adds a state change of one host."""
         started_at_ms = self.hosts[host].started_at_ms
         self.updates.append(Update(len(self.updates) + 2, host, state, started_at_ms))
--- a/cherrydoor/rehearsal/soak/gateways.py
+++ b/cherrydoor/rehearsal/soak/gateways.py
@@ -10,14 +10,14 @@
 from cherrydoor.rehearsal.soak.settings import SETTINGS
 from cherrydoor.rehearsal.soak.world import DISCOVERY_PORT
 
-READY_S = 20.0
+READY_TIMEOUT_S = 20.0
 
 
 class GatewayProcesses:
     """Starts and ends the gateways of a run.
 
     Attributes:
-        processes: By the gateways' numbers.
+        processes: Gateway number -> its process.
     """
 
     def __init__(self, run):
@@ -25,7 +25,7 @@
         self.processes = {}
 
     def write_configuration(self, gateway):
-        """Writes a gateway's file as a whole; returns its path."""
+        """Writes a gateway's configuration file atomically and returns its path."""
         settings = SETTINGS | {
             "instances": self.run.plan.gateways,
             "me": gateway,
@@ -46,9 +46,9 @@
             "settings": settings,
         }
         path = self.run.folder / f"n{gateway}.json"
-        new = path.with_suffix(".new")
-        new.write_text(json.dumps(document))
-        new.replace(path)
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_text(json.dumps(document))
+        temporary_path.replace(path)
         return path
 
     def request_class(self, name, repeat):
@@ -66,10 +66,10 @@
                 stderr=log,
                 env=environment,
             )
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.is_ready(gateway):
                 await asyncio.sleep(0.02)
-        self.run.clients[gateway].accepts = True
+        self.run.clients[gateway].accepting = True
 
     async def is_ready(self, gateway):
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -81,7 +81,7 @@
         return False
 
     def kill(self):
-        """Ends all that still run."""
+        """Kills every gateway that is still running."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
--- a/cherrydoor/rehearsal/soak/settings.py
+++ b/cherrydoor/rehearsal/soak/settings.py
@@ -1,4 +1,4 @@
-"""A deployment's settings as the platform states them, for loopback."""
+"""A deployment's settings in the platform's format, for gateways on loopback."""
 
 from typing import Any
 
--- a/cherrydoor/rehearsal/soak/world.py
+++ b/cherrydoor/rehearsal/soak/world.py
@@ -1,4 +1,4 @@
-"""Hosts and discovery servers of a soak, as records of what each gateway sent them when."""
+"""Simulated hosts and discovery servers of a soak; hosts record what each gateway sent and when."""
 
 import asyncio
 import contextlib
@@ -9,19 +9,20 @@
 from cherrydoor.rehearsal.soak.plan import DiscoveryFault
 
 HOST_PORT, DISCOVERY_PORT = 10080, 2379
-SERVICE_S = 0.015  # that a host works on a request
-SERVES_ON_S = 0.4  # for which a host that drains still serves
-COMMENT_S = 1.0  # between two comments of the stream
-SLOW_ANSWER_S = 2.5  # until a slow server answers
-LONGEST_SILENCE_S = 120.0  # for which a silent server keeps a connection: longer than any run
-# How a connection of the test's own servers may end, the end of the run among them.
-CONNECTION_ENDS = (OSError, ValueError, asyncio.IncompleteReadError, asyncio.CancelledError)
+SERVICE_TIME_S = 0.015  # of one request at a host
+DRAIN_SERVICE_S = 0.4  # time after the start of its drain in which a host still serves
+COMMENT_INTERVAL_S = 1.0  # between two comments in the event stream
+SLOW_RESPONSE_DELAY_S = 2.5
+SILENT_CONNECTION_S = 120.0  # a silent server keeps a connection open: longer than any run
+# Errors with which a connection to a simulated server may end, including cancellation when the run
+# ends.
+CONNECTION_ERRORS = (OSError, ValueError, asyncio.IncompleteReadError, asyncio.CancelledError)
 ACCEPTED, SENT, ORDERED = "accepted", "sent", "ordered"
 
 
 @dataclass(frozen=True)
 class HostEvent:
-    """New work that arrived at a host; the time is the loop's."""
+    """A request or load order that reached a host; the time is of the event loop's clock."""
 
     time_s: float
     host: int
@@ -31,18 +32,18 @@
 
 
 async def listen(serve, host_address, port):
-    """Opens a listener; the address may just have been closed."""
+    """Opens a listener, also on an address that has just been closed."""
     return await asyncio.start_server(serve, host_address, port, reuse_address=True)
 
 
-def reply(number, word, fields=b"-", body=b""):
-    """A host's reply, as bytes."""
-    parts = (number, word, fields, body)
+def encode_reply(request_id, status, fields=b"-", body=b""):
+    """Encodes a host's reply."""
+    parts = (request_id, status, fields, body)
     return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
 class SoakHost:
-    """One host, at an address of its own for each gateway, so that a sender is known."""
+    """One host with a separate address for each gateway, which identifies the sender."""
 
     def __init__(self, run, index):
         self.run = run
@@ -50,12 +51,12 @@
         self.name = f"s-{index}"
         self.started_at_ms = 0
         self.draining_since_s = None
-        self.hangs = False
+        self.unresponsive = False
         self.servers = []
         self.writers = set()
 
     def address(self, gateway):
-        return f"127.{40 + self.index}.{self.run.block}.{gateway + 1}"
+        return f"127.{40 + self.index}.{self.run.address_block}.{gateway + 1}"
 
     async def open(self):
         for gateway in range(self.run.plan.gateways):
@@ -66,7 +67,7 @@
             self.servers.append(await listen(serve, self.address(gateway), HOST_PORT))
 
     def close(self):
-        """The process ends: its connections are reset and new ones refused."""
+        """Ends the host's process: resets its connections and refuses new ones."""
         for server in self.servers:
             server.close()
         self.servers = []
@@ -75,75 +76,83 @@
         self.writers = set()
 
     async def restart(self):
-        """A cold process begins at the same addresses."""
+        """Starts a cold process at the same addresses."""
         self.draining_since_s = None
         self.started_at_ms = round(time.time() * 1000)
         await self.open()
 
     async def serve(self, gateway, reader, writer):
         self.writers.add(writer)
-        with contextlib.suppress(*CONNECTION_ENDS):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
                 count = int((await reader.readline())[1:])
-                words = []
+                arguments = []
                 for _ in range(count):
                     size = int((await reader.readline())[1:])
-                    words.append((await reader.readexactly(size + 2))[:-2])
-                if not self.hangs:
-                    self.command(gateway, words, writer)
+                    arguments.append((await reader.readexactly(size + 2))[:-2])
+                if not self.unresponsive:
+                    self.handle_command(gateway, arguments, writer)
         self.writers.discard(writer)
         writer.close()
 
-    def command(self, gateway, words, writer):
-        kind = words[0]
+    def handle_command(self, gateway, arguments, writer):
+        kind = arguments[0]
         if kind == b"health":
             ready = self.draining_since_s is None
-            writer.write(reply(words[1], b"FIT" if ready else b"UNFIT"))
+            writer.write(encode_reply(arguments[1], b"FIT" if ready else b"UNFIT"))
         elif kind == b"exec":
-            self.execute(gateway, words, writer)
-        elif kind == b"ensure" and b"copies=0" not in words[2]:
-            self.record(gateway, ORDERED, "")
-            writer.write(reply(words[1], b"DONE" if self.serves() else b"WAIT", b"copies=1"))
+            self.handle_execute(gateway, arguments, writer)
+        elif kind == b"ensure" and b"copies=0" not in arguments[2]:
+            self.record_event(gateway, ORDERED, "")
+            writer.write(
+                encode_reply(arguments[1], b"DONE" if self.is_serving() else b"WAIT", b"copies=1")
+            )
 
-    def serves(self):
+    def is_serving(self):
         since_s = self.draining_since_s
-        return since_s is None or self.run.loop.time() - since_s < SERVES_ON_S
+        return since_s is None or self.run.loop.time() - since_s < DRAIN_SERVICE_S
 
-    def execute(self, gateway, words, writer):
-        request = words[1].decode()
-        self.record(gateway, SENT, request)
-        if not self.serves():
-            writer.write(reply(words[1], b"WAIT"))
+    def handle_execute(self, gateway, arguments, writer):
+        request = arguments[1].decode()
+        self.record_event(gateway, SENT, request)
+        if not self.is_serving():
+            writer.write(encode_reply(arguments[1], b"WAIT"))
             return
-        self.record(gateway, ACCEPTED, request)
-        done = reply(words[1], b"DONE", b"tell=hit", b"body of " + words[1])
-        self.run.loop.call_later(SERVICE_S, self.write, writer, done)
+        self.record_event(gateway, ACCEPTED, request)
+        response = encode_reply(arguments[1], b"DONE", b"tell=hit", b"body of " + arguments[1])
+        self.run.loop.call_later(SERVICE_TIME_S, self.write, writer, response)
 
     def write(self, writer, data):
-        if not self.hangs and not writer.is_closing():
+        if not self.unresponsive and not writer.is_closing():
             writer.write(data)
 
-    def record(self, gateway, kind, request):
+    def record_event(self, gateway, kind, request):
         event = HostEvent(self.run.loop.time(), self.index, gateway, kind, request)
         self.run.host_events.append(event)
 
 
 class SoakDiscovery:
-    """The discovery server of one gateway; the events are the run's."""
+    """The discovery server of one gateway; all serve the run's endpoint list.
+
+    Attributes:
+        fault: The fault in progress, or None.
+        streams: Writer -> revision of the last update written to it.
+        streaming: Writers on which the response head has been sent.
+    """
 
     def __init__(self, run, gateway, address_index=1):
         self.run = run
         self.gateway = gateway
-        self.address = f"127.{30 + gateway}.{run.block}.{address_index}"
+        self.address = f"127.{30 + gateway}.{run.address_block}.{address_index}"
         self.fault = None
         self.server = None
-        self.streams = {}  # writer -> number of the last event written to it
-        self.answered = set()  # writers whose request has its answer
+        self.streams = {}
+        self.streaming = set()
 
     async def open(self):
         self.server = await listen(self.serve, self.address, DISCOVERY_PORT)
 
-    def refuse(self):
+    def close(self):
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -151,20 +160,20 @@
             writer.transport.abort()
         self.streams = {}
 
-    def begin(self, fault):
-        """A fault begins; what is written later is not told."""
+    def start_fault(self, fault):
+        """Starts a fault, during which no update is sent unless the server is only slow."""
         self.fault = fault
         if fault is DiscoveryFault.TORN:
             for writer in self.streams:
                 writer.write(b'id: 999\ndata: {"no":999,"roster":{"gene')
         if fault in (DiscoveryFault.REFUSED, DiscoveryFault.TORN):
-            self.refuse()
+            self.close()
         elif fault is DiscoveryFault.SLOW:
             for writer in self.streams:
                 writer.transport.abort()
             self.streams = {}
 
-    async def end(self):
+    async def end_fault(self):
         self.fault = None
         for writer in self.streams:
             writer.transport.abort()
@@ -173,37 +182,37 @@
             await self.open()
 
     async def serve(self, reader, writer):
-        with contextlib.suppress(*CONNECTION_ENDS):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             head = await reader.readuntil(b"\r\n\r\n")
             fields = dict(
                 line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:] if b": " in line
             )
-            last = int(fields[b"last-event-id"])
-            self.streams[writer] = last
+            last_event_id = int(fields[b"last-event-id"])
+            self.streams[writer] = last_event_id
             if self.fault is DiscoveryFault.SLOW:
-                await asyncio.sleep(SLOW_ANSWER_S)
+                await asyncio.sleep(SLOW_RESPONSE_DELAY_S)
             if self.fault is DiscoveryFault.SILENT:
-                await asyncio.sleep(LONGEST_SILENCE_S)
+                await asyncio.sleep(SILENT_CONNECTION_S)
             writer.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
             )
-            self.answered.add(writer)
-            self.catch_up(writer)
+            self.streaming.add(writer)
+            self.send_pending_updates(writer)
             while writer in self.streams and not writer.is_closing():
-                await asyncio.sleep(COMMENT_S)
+                await asyncio.sleep(COMMENT_INTERVAL_S)
                 if self.fault is not DiscoveryFault.SILENT:
                     writer.write(b": still here\n\n")
         writer.close()
 
-    def catch_up(self, writer):
+    def send_pending_updates(self, writer):
         for update in self.run.endpoint_list.updates:
-            if update.number > self.streams.get(writer, update.number):
-                text = json.dumps(self.run.endpoint_list.event(update, self.gateway))
-                writer.write(f"id: {update.number}\ndata: {text}\n\n".encode())
-                self.streams[writer] = update.number
+            if update.revision > self.streams.get(writer, update.revision):
+                text = json.dumps(self.run.endpoint_list.update_event(update, self.gateway))
+                writer.write(f"id: {update.revision}\ndata: {text}\n\n".encode())
+                self.streams[writer] = update.revision
 
     def publish(self):
-        """Tells what is new, as far as anything is told."""
+        """Sends new updates, unless the current fault prevents it."""
         if self.fault in (None, DiscoveryFault.SLOW):
-            for writer in self.answered & self.streams.keys():
-                self.catch_up(writer)
+            for writer in self.streaming & self.streams.keys():
+                self.send_pending_updates(writer)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,6 +1,6 @@
-"""Short soaks with fixed seeds: discovery out of reach, drains, restarts, signals in series.
+"""Short soaks with fixed seeds: discovery outages, drains, restarts and series of signals.
 
-The long run is started by hand: ``make soak SEED=1 RUNS=50``.
+Longer series are started by hand: ``make soak SEED=1 RUNS=50``.
 """
 
 import pytest
@@ -11,6 +11,6 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_rule_is_broken_in_a_soak(seed, tmp_path):
-    found = play_seed(seed, tmp_path)
-    assert not found["breaks"], found
+def test_no_rule_is_violated_in_a_soak(seed, tmp_path):
+    report = play_seed(seed, tmp_path)
+    assert not report["breaks"], report
--- a/tests/soak/test_verdict.py
+++ b/tests/soak/test_verdict.py
@@ -1,4 +1,4 @@
-"""The soak's verdict on records that break one rule each."""
+"""The soak's verdict on recorded runs that violate one rule each."""
 
 from collections import defaultdict
 
@@ -10,20 +10,22 @@
 from cherrydoor.rehearsal.soak.verdict import Verdict
 from cherrydoor.rehearsal.soak.world import ACCEPTED, ORDERED, SENT, HostEvent
 
-BEGAN_S = 1000.0
+RUN_START_S = 1000.0
 OUTAGE = Outage(0, DiscoveryFault.REFUSED, 2.0, 12.0)
 
 
 class RecordedRun:
-    """A run with records of a test's own; times are s of the run."""
+    """A run with the records that a test makes; times are seconds since its start."""
 
     def __init__(self):
-        self.plan = Plan(1, 1, 2, grace_ms=1000, deadline_ms=1000, rate=20.0, outages=[OUTAGE])
-        self.began_s = BEGAN_S
+        self.plan = Plan(
+            1, 1, 2, grace_ms=1000, deadline_ms=1000, requests_per_s=20.0, outages=[OUTAGE]
+        )
+        self.started_s = RUN_START_S
         self.requests = []
         self.host_events = []
         self.drains = defaultdict(list)
-        self.excused = defaultdict(list)
+        self.interruptions = defaultdict(list)
 
     def drains_of(self, host):
         return self.drains[host]
@@ -31,11 +33,11 @@
     def lag_at(self, time_s):
         return 0.0
 
-    def request(self, sent_s, answered_s=None, request_class="draft", **changed):
+    def request(self, sent_s, responded_s=None, request_class="draft", **changed):
         request = ClientRequest(f"r{len(self.requests)}", 0, request_class, 1.0)
-        request.sent_s = BEGAN_S + sent_s
-        if answered_s is not None:
-            request.answered_s = BEGAN_S + answered_s
+        request.sent_s = RUN_START_S + sent_s
+        if responded_s is not None:
+            request.responded_s = RUN_START_S + responded_s
             request.status = 200
         for name, value in changed.items():
             setattr(request, name, value)
@@ -43,10 +45,10 @@
         return request
 
     def event(self, time_s, kind, request="", host=0):
-        self.host_events.append(HostEvent(BEGAN_S + time_s, host, 0, kind, request))
+        self.host_events.append(HostEvent(RUN_START_S + time_s, host, 0, kind, request))
 
     def rules(self):
-        return [found.rule for found in Verdict(self).breaks]
+        return [violation.rule for violation in Verdict(self).violations]
 
 
 @pytest.fixture
@@ -54,7 +56,7 @@
     return RecordedRun()
 
 
-def test_a_run_in_which_all_is_answered_keeps_the_rules(run):
+def test_a_run_in_which_every_request_is_answered_violates_no_rule(run):
     request = run.request(1.0, 1.1)
     run.event(1.05, SENT, request.id)
     run.event(1.05, ACCEPTED, request.id)
@@ -62,34 +64,36 @@
 
 
 @pytest.mark.parametrize(
-    ("begins_s", "sent_s", "broken"),
+    ("start_s", "sent_s", "violated"),
     [(1.0, 2.0, False), (1.0, 2.1, True), (3.0, 7.0, False), (3.0, 7.1, True), (8.0, 9.1, True)],
 )
 @pytest.mark.parametrize("kind", [SENT, ORDERED])
-def test_a_drain_counts_as_told_at_once_or_4_s_into_an_outage(run, begins_s, sent_s, broken, kind):
-    run.drains[0].append(PlayedDrain(begins_s))
+def test_a_gateway_counts_as_notified_of_a_drain_at_once_or_4_s_into_an_outage(
+    run, start_s, sent_s, violated, kind
+):
+    run.drains[0].append(PlayedDrain(start_s))
     run.event(sent_s, kind)
-    assert run.rules() == ["drain"] * broken
+    assert run.rules() == ["drain"] * violated
 
 
-def test_new_work_after_a_host_is_back_breaks_nothing(run):
-    run.drains[0].append(PlayedDrain(1.0, back_s=3.0))
+def test_new_work_after_a_host_has_restarted_violates_no_rule(run):
+    run.drains[0].append(PlayedDrain(1.0, restarted_s=3.0))
     run.event(3.1, SENT)
     assert run.rules() == []
 
 
-def test_a_request_without_an_answer_is_lost_unless_its_client_left_or_its_gateway_was_killed(run):
+def test_a_request_without_response_is_lost_unless_client_left_or_gateway_was_killed(run):
     run.request(1.0, 1.1)
     run.request(1.0)
-    run.request(1.0, left_s=BEGAN_S + 1.2)
+    run.request(1.0, disconnected_s=RUN_START_S + 1.2)
     run.request(5.0)
-    run.excused[0].append((BEGAN_S + 5.2, BEGAN_S + 5.3))
+    run.interruptions[0].append((RUN_START_S + 5.2, RUN_START_S + 5.3))
     assert run.rules() == ["lost"]
 
 
-def test_a_late_answer_and_another_body_are_lost(run):
+def test_a_late_response_and_a_wrong_body_count_as_lost(run):
     run.request(1.0, 2.6)
-    run.request(1.0, 1.1, right_body=False)
+    run.request(1.0, 1.1, body_matches=False)
     run.request(1.0, 2.4)
     assert run.rules() == ["lost", "lost"]
 
@@ -102,18 +106,19 @@
     assert run.rules() == ["duplicate"]
 
 
-def test_an_attempt_after_its_client_has_left_is_lost(run):
+def test_an_attempt_after_its_client_disconnected_counts_as_lost(run):
     run.request(1.0, 1.1)
-    request = run.request(1.0, left_s=BEGAN_S + 1.2)
+    request = run.request(1.0, disconnected_s=RUN_START_S + 1.2)
     run.event(1.34, SENT, request.id)
     assert run.rules() == []
     run.event(1.36, SENT, request.id)
     assert run.rules() == ["lost"]
 
 
-def test_a_restarted_host_gets_no_more_than_its_level_and_chance_allow(run):
-    run.drains[0].append(PlayedDrain(0.0, back_s=1.0))
-    # 10 a second use half of what a warm host can do: 3 x 0.44 x 20 x 3 s, 2 x its root and 2
+def test_a_restarted_host_gets_no_more_than_its_level_and_the_tolerance_allow(run):
+    run.drains[0].append(PlayedDrain(0.0, restarted_s=1.0))
+    # 10 requests/s are half of a warm host's capacity of 20/s, so 3 * 0.44 * 20/s * 3 s = 79.2 are
+    # allowed. The tolerance adds 2 * sqrt(79.2) + 2 = 19.8: 98 pass and 99 do not.
     for number in range(98):
         run.event(1.0 + number * 0.01, SENT)
     assert run.rules() == []
@@ -121,7 +126,7 @@
     assert run.rules() == ["failback"]
 
 
-def test_too_small_a_share_served_is_told_by_group(run):
+def test_too_small_a_served_share_is_reported_for_each_group(run):
     for _ in range(4):
         run.request(3.0, 3.1, status=503)
     run.request(3.0, 3.1)
