--- a/cherrydoor/rehearsal/soak/plan.py
+++ b/cherrydoor/rehearsal/soak/plan.py
@@ -46,7 +46,7 @@
     host: int
     start_s: float
     gone_s: float
-    restart_s: float
+    restarted_s: float
 
 
 @dataclass(frozen=True)
--- a/cherrydoor/rehearsal/soak/run.py
+++ b/cherrydoor/rehearsal/soak/run.py
@@ -137,7 +137,7 @@
         await self.wait_until(drain.gone_s)
         host.close()
         self.publish(drain.host, "gone")
-        await self.wait_until(drain.restart_s)
+        await self.wait_until(drain.restarted_s)
         await host.restart()
         played.restarted_s = self.now_s()
         self.publish(drain.host, "ready")
@@ -204,7 +204,7 @@
         self.gateways.write_configuration(gateway)
         self.gateways.processes[gateway].send_signal(signal.SIGHUP)
         await asyncio.sleep(OLD_DISCOVERY_CLOSE_DELAY_S)
-        old.close()
+        old.stop_serving()
 
     async def terminate(self, gateway):
         """Sends SIGTERM and later SIGKILL; until then clients use connections that are open."""
@@ -277,4 +277,4 @@
         for host in self.hosts:
             host.close()
         for server in self.discovery:
-            server.close()
+            server.stop_serving()
--- a/cherrydoor/rehearsal/soak/verdict.py
+++ b/cherrydoor/rehearsal/soak/verdict.py
@@ -118,8 +118,8 @@
 
     # ---- hosts in slow start
     def check_slow_start(self):
-        host_requests_per_s = self.plan.requests_per_s * self.plan.gateways / self.plan.hosts
-        capacity = host_requests_per_s / UTILIZATION
+        requests_per_s = self.plan.requests_per_s * self.plan.gateways / self.plan.hosts
+        capacity = requests_per_s / UTILIZATION
         for host in range(self.plan.hosts):
             sent_times_s = [
                 event.time_s - self.run.started_s
--- a/cherrydoor/rehearsal/soak/world.py
+++ b/cherrydoor/rehearsal/soak/world.py
@@ -152,7 +152,7 @@
     async def open(self):
         self.server = await listen(self.serve, self.address, DISCOVERY_PORT)
 
-    def close(self):
+    def stop_serving(self):
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -167,7 +167,7 @@
             for writer in self.streams:
                 writer.write(b'id: 999\ndata: {"no":999,"roster":{"gene')
         if fault in (DiscoveryFault.REFUSED, DiscoveryFault.TORN):
-            self.close()
+            self.stop_serving()
         elif fault is DiscoveryFault.SLOW:
             for writer in self.streams:
                 writer.transport.abort()
