--- a/tests/behaviour/canonical.py
+++ b/tests/behaviour/canonical.py
@@ -1,9 +1,9 @@
-"""A form of recorded decisions that no renaming changes, and its digest.
+"""A canonical form of recorded decisions, which does not depend on names, and its digest.
 
-It knows no class and no field name. A message becomes the number of its kind and its values in
-field order; constants of an enumeration become numbers; both by tables that the test states. So
-the same decisions give the same digest when classes, fields and constants get other names, or
-when a NamedTuple becomes a dataclass or a string an Enum.
+The form contains no class name and no field name. A message becomes the number of its kind and its
+values in field order, and a constant of an enumeration becomes a number. The tests provide the
+tables of both numbers. So the same decisions give the same digest when classes, fields and
+constants are renamed, when a NamedTuple becomes a dataclass, or when a string becomes an Enum.
 """
 
 import dataclasses
@@ -15,15 +15,15 @@
 
 
 class Kind(NamedTuple):
-    """The number of a kind of message, and the positions of special fields."""
+    """The number of a kind of message, and the positions of its special fields."""
 
     number: int
-    free_text: tuple = ()  # left out: reasons and log texts
-    tokens: tuple = ()  # timer tokens: a number as it is, another by order of first appearance
+    free_text: tuple = ()  # omitted: reasons and log texts
+    tokens: tuple = ()  # timer tokens: kept if numeric, else numbered by first appearance
 
 
 def values_of(message):
-    """The values of a message in field order, or None if it is no message."""
+    """The values of a message in field order, or None if it is not a message."""
     if isinstance(message, msgspec.Struct):
         return [getattr(message, name) for name in message.__struct_fields__]
     if dataclasses.is_dataclass(message):
@@ -34,7 +34,12 @@
 
 
 class Canonical:
-    """Digests one history. `kinds`: class -> Kind; `constants`: constant -> number."""
+    """Computes the digest of one history.
+
+    Args:
+        kinds: Message class -> its Kind.
+        constants: Constant -> its number.
+    """
 
     def __init__(self, kinds, constants):
         self.kinds = kinds
--- a/tests/behaviour/dispatcher_world.py
+++ b/tests/behaviour/dispatcher_world.py
@@ -1,6 +1,6 @@
-"""Clients and hosts in virtual time around the dispatcher, on wires that record.
+"""Simulated clients and hosts of a dispatcher, in virtual time; their connections record messages.
 
-The decision module behind the dispatcher is the real one.
+The dispatcher uses the real decision module.
 """
 
 import heapq
@@ -15,26 +15,27 @@
 
 
 class Story(NamedTuple):
-    """What a history consists of, apart from its seed. Chances are for each message."""
+    """The parameters of a history apart from its seed; probabilities are per message."""
 
     settings: tuple
     bounds: tuple
-    length: float = 20000.0  # ms; then everything that is open is answered
+    length: float = 20000.0  # ms; then every open request gets a response
     drains_at: float = 18000.0
-    per_second: float = 100.0  # requests
+    per_second: float = 100.0  # mean number of requests
     hosts: int = 6
     clients: int = 5
-    refused: float = 0.1  # chance that a dial is refused
-    never_up: float = 0.05  # chance that a dial is never answered
-    # a second: connections lost, hosts unresponsive, endpoints changed, clients disconnected
+    refused: float = 0.1  # probability that a connection attempt is refused
+    never_up: float = 0.05  # probability that a connection attempt gets no answer
+    # mean number per second; a fault loses a connection, makes a host unresponsive, disconnects a
+    # client or changes the endpoint list
     faults: float = 2.0
     unanswered: float = 0.02
-    failed: float = 0.005  # chance of an answer that is no success, each kind of it alike
-    doubled: float = 0.02  # chance that a message is sent twice
+    failed: float = 0.005  # probability of each kind of unsuccessful reply
+    doubled: float = 0.02  # probability that a message is sent twice
 
 
 class Writer:
-    """The dispatcher's end of a connection: records messages and hands them to `receive`."""
+    """The dispatcher's end of a connection; records each message and passes it to `receive`."""
 
     def __init__(self, world, name, receive):
         self.world, self.name, self.receive = world, name, receive
@@ -58,7 +59,7 @@
         self.sequence = 0
         self.canonical = Canonical(n.WIRE_KINDS, n.CONSTANTS)
         self.rows = {}
-        self.connections = {}  # wire name -> (link, writer)
+        self.connections = {}  # connection name -> (link, writer, host)
         self.unresponsive_until_ms = {}
         self.wires = 0
         self.requests = 0
@@ -307,7 +308,7 @@
                 self.enter(self.call.endpoints_updated, n.WHOLE, list(self.rows.values()))
 
     def announce(self):
-        """Functions expected, copies reported, and copies that may be unloaded."""
+        """Announces an expected function, a loaded copy, or a copy that may be unloaded."""
         function = f"f{self.random.randrange(25)}"
         host = self.random.choice(list(self.rows))
         what = self.random.choice(
--- a/tests/behaviour/module_world.py
+++ b/tests/behaviour/module_world.py
@@ -1,6 +1,7 @@
-"""A small fleet in virtual time around the decision module.
+"""A simulated fleet of hosts and clients around the decision module, in virtual time.
 
-It answers launches, probes, orders, recalls and timers.
+It carries out attempts, cancellations, health checks, load orders and timers, and reports how each
+ended.
 """
 
 import heapq
@@ -11,37 +12,37 @@
 from canonical import Canonical, values_of
 
 START = 100000.0  # ms
-LOAD = 300.0  # mean ms of a load
-ORDER_WAIT = 4000.0  # ms after which an order without an answer is given up
-PROBE_WAIT = 250.0  # ms after which a probe without an answer is given up
+LOAD = 300.0  # ms, mean duration of a load
+ORDER_WAIT = 4000.0  # ms, timeout of a load order
+PROBE_WAIT = 250.0  # ms, timeout of a health check
 
 
 class Story(NamedTuple):
-    """What a history consists of, apart from its seed and the module's settings."""
+    """The parameters of a history apart from its seed."""
 
     settings: tuple
     length: float = 20000.0  # ms
-    per_second: float = 60.0  # requests
+    per_second: float = 60.0  # mean number of requests
     hosts: int = 10
-    cold_hosts: float = 0.2  # share of hosts that have just started
+    cold_hosts: float = 0.2  # share of hosts that started 1 s before the history begins
     zones: int = 2
     functions: int = 30
     tenants: tuple = ("",)
-    capacity: int = 12  # requests that a host holds before it answers that it is full
-    work: float = 40.0  # mean ms of a request
-    faults: float = 0.5  # host faults a second
-    changes: float = 0.5  # changes of the list a second
-    whole_lists: float = 0.3  # chance that a change is told as a whole list
-    failed_lists: float = 0.0  # chance that a list that was asked for does not come
+    capacity: int = 12  # requests in flight at which a host replies that it is full
+    work: float = 40.0  # ms, mean duration of a request on an idle host
+    faults: float = 0.5  # mean number of host faults per second
+    changes: float = 0.5  # mean number of endpoint list changes per second
+    whole_lists: float = 0.3  # probability that a change is sent as a snapshot
+    failed_lists: float = 0.0  # probability that a poll of the list fails
     errors: float = 0.02
     unsent: float = 0.005
     unanswered: float = 0.01
     cancels: float = 0.03
-    streams: float = 0.5  # chance that a request of a stream class begins to stream
+    streams: float = 0.5  # probability that a request of a streaming class starts to stream
     misses: bool = False
-    told: bool = False  # answers tell of all requests held, of the queue and of tied memory
-    foreseen: float = 0.0  # functions foreseen a second
-    away: float = 0.0  # chance that a request has moved away from a zone
+    told: bool = False  # hosts also report in-flight and queued requests and unevictable memory
+    foreseen: float = 0.0  # mean number of expected functions per second
+    away: float = 0.0  # probability that a request's session was moved from a zone
 
 
 class FakeHost:
@@ -68,11 +69,11 @@
         self.stream = stream
         self.closed = False
         self.streaming = False
-        self.attempts = []  # [host id, time sent, ended]
+        self.attempts = []  # [host id, time sent, whether it has ended]
 
 
 class ModuleWorld:
-    """Plays one history; `canonical` then has its digest and counts."""
+    """Plays one history; `canonical` then holds its digest and message counts."""
 
     def __init__(self, seed, story):
         self.random = Random(seed)
@@ -244,7 +245,7 @@
             self.tell(n.stream_started(request.number, index, host.id))
 
     def end(self, request, index, fate, copy=None):
-        """An attempt ends once, and its end is told."""
+        """Ends an attempt, unless it has ended, and reports it to the module."""
         attempt = request.attempts[index]
         name, sent, ended = attempt
         if ended:
@@ -290,7 +291,7 @@
         if not request.streaming and not request.attempts[index][2]:
             self.later(0.0, self.end, request, index, n.RECALLED)
 
-    # ---- probes and orders
+    # ---- health checks and load orders
     def probe(self, name):
         host = self.hosts[name]
         if not host.alive:
@@ -323,7 +324,7 @@
             host.copies.add(function)
         self.tell(n.load_ended(function, host.id, fate, copies if fate == n.HANDLED else 0, took))
 
-    # ---- hosts and their list
+    # ---- hosts and the endpoint list
     def add_host(self, since):
         host = FakeHost(self.next_host, self.story.zones, since)
         self.next_host += 1
@@ -334,7 +335,7 @@
         return self.random.choice([host for host in self.hosts.values() if host.state != n.GONE])
 
     def fault(self):
-        """A host dies, falls silent, forgets its copies, or one that died starts anew."""
+        """Crashes a host, makes it unresponsive or unloads its copies; restarts a crashed host."""
         host = self.some_host()
         drawn = self.random.random()
         if not host.alive:
@@ -351,7 +352,10 @@
             host.copies.clear()
 
     def change(self):
-        """A host drains, goes and is replaced, comes back to ready, or nothing; told late, too."""
+        """Changes a host's state or leaves it, and sends the list after a random delay.
+
+        The host starts to drain, ends and is replaced, or becomes ready again.
+        """
         host = self.some_host()
         changed = [host]
         if host.state == n.DRAINING and self.chance(0.7):
--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -1,7 +1,12 @@
-"""The one place of these tests that knows the names of classes, fields, functions and constants.
+"""Imports, inputs and calls of the code under test, gathered in one place.
 
-A renaming of the code under test is followed here and nowhere else; the numbers and the digests
-stay as they are. All inputs are built and all calls are made here.
+When the code under test is renamed, only this module changes; the numbers and the digests stay as
+they are. Many names here are older terms than those of the code:
+
+* launch: attempt; recall: cancel an attempt; defer: reject; dead-letter: fail a request
+* ring: set a timer; probe: health check; order: load order; drop: unload; subscribe: poll endpoints
+* fate: outcome; crowd: concurrency; held: requests in flight at a host; tied: unevictable memory
+* target: latency objective; foreseen: function expected; away: drained zone; link: host connection
 """
 
 from types import SimpleNamespace
@@ -42,9 +47,10 @@
     routing.UpdateKind.CACHED,
     routing.UpdateKind.FAILED,
 )
-DEFERRED, DEAD_LETTERED = "deferred", "dead-lettered"  # final answers on the wire
+DEFERRED, DEAD_LETTERED = "deferred", "dead-lettered"  # final responses on the wire
 
-# Numbers are for good. Only what comes out is looked up here.
+# The digests depend on these numbers, so they must never change. Only constants that occur in the
+# output of the code under test need one.
 CONSTANTS = {
     HANDLED: 1,
     ERROR: 2,
@@ -59,7 +65,7 @@
     DEAD_LETTERED: 11,
 }
 
-# ---- kinds of messages that come out
+# ---- kinds of messages in the output
 LAUNCH, RECALL, DEFER, DEAD_LETTER, RING, PROBE, ORDER, SUBSCRIBE = range(1, 9)
 MODULE_KINDS = {
     routing.StartAttempt: Kind(LAUNCH),
@@ -94,7 +100,7 @@
 }
 
 
-# ---- the decision module: how it is made and called
+# ---- the decision module: construction and calls
 def request_class(name, target, max_age, kind=REDELIVERABLE, group="all", memory=0.0, stream=False):
     return routing.RequestClass(name, target, max_age, kind, group, memory, stream)
 
@@ -165,7 +171,7 @@
     return module.take(now, message)
 
 
-# ---- messages into the decision module
+# ---- inputs of the decision module
 def host_row(host, state, since, zone, cell):
     return routing.Endpoint(host, state, since, zone, cell)
 
@@ -210,7 +216,7 @@
     return routing.LoadOrderEnded(function, host, fate, copies, took)
 
 
-# ---- the dispatcher: how it is made and called; `call` names are those of its inputs
+# ---- the dispatcher: construction and inputs
 def make_dispatcher(lease, dial, now, hear, **bounds):
     return Dispatcher(make_module(lease), DispatcherLimits(**bounds), dial, now, hear)
 
@@ -303,7 +309,7 @@
     return wire.LoadOrderResult(number, fate, copies)
 
 
-# ---- the emulator's play, and the words of its recorded traffic, by column
+# ---- the emulator's runs, and numbers for the words in each column of the recorded traffic
 def play_day(path, seed, folder):
     emulate(read_day(path, seed=seed), folder)
 
@@ -363,7 +369,7 @@
     "error": 12,
     "missing": 13,
 }
-PLAY_WORDS = {1: PLAY_ENDS, 4: PLAY_EVENTS, 12: PLAY_FATES}  # by position of the column
+PLAY_WORDS = {1: PLAY_ENDS, 4: PLAY_EVENTS, 12: PLAY_FATES}  # position of the column -> its words
 PLAY_FREE_TEXT = 16
 PLAY_DAY = """
 name: "small"
--- a/tests/behaviour/plain.py
+++ b/tests/behaviour/plain.py
@@ -1,9 +1,7 @@
-"""A canonical form of actions and messages that contains no class name, no field name and no
-constant's text.
+"""A canonical form of actions and messages, without class names, field names or texts of constants.
 
 A digest over this form stays the same when classes, fields, functions or constants are renamed,
-when a tuple with names becomes a dataclass, or when a string constant becomes a member of an
-Enum.
+when a NamedTuple becomes a dataclass, or when a string constant becomes a member of an Enum.
 """
 
 import dataclasses
@@ -12,7 +10,7 @@
 
 
 def values_of(message):
-    """The values of a message in the order of its fields."""
+    """Returns the values of a message in the order of its fields."""
     if dataclasses.is_dataclass(message):
         return [getattr(message, field.name) for field in dataclasses.fields(message)]
     if hasattr(message, "__struct_fields__"):
@@ -21,15 +19,16 @@
 
 
 class Transcript:
-    """What a history's actions come to, as one digest.
+    """Computes one digest of all actions in a history.
 
-    kinds: class -> number, for every class of message that may occur.
-    constants: constant -> number, for strings that belong to an enumeration.
-    entities: classes whose objects are numbered in order of first appearance.
+    Texts that are not constants are numbered in order of first appearance, so that the digest
+    depends only on which of them are equal. A value of any other type raises TypeError, because the
+    form must never depend on a repr that contains a name.
 
-    Any other text is numbered in order of first appearance, so that only equal or not equal is
-    kept of it. A type that is not known here is an error: the form must never depend on a repr
-    that contains a name.
+    Args:
+        kinds: Message class -> number, for every class of message that may occur.
+        constants: Constant -> number, for strings that belong to an enumeration.
+        entities: Classes whose objects are numbered in order of first appearance.
     """
 
     def __init__(self, kinds, constants=None, entities=()):
@@ -43,14 +42,14 @@
         self.hash = sha256()
 
     def plain(self, value):
-        """The canonical text of one value."""
+        """Returns the canonical text of one value."""
         kind = self.kinds.get(type(value))
         if kind is not None:
             self.occurred[type(value)] += 1
             inner = ",".join(self.plain(one) for one in values_of(value))
             return f"{kind}({inner})"
         if self.entities and isinstance(value, self.entities):
-            # The object is kept beside its number, so that its id is not used again.
+            # The reference keeps the object alive, so that no later object gets the same id.
             number, _ = self.seen_entities.setdefault(id(value), (len(self.seen_entities), value))
             return f"object{number}"
         if value is None or isinstance(value, bool | bytes):
@@ -72,11 +71,11 @@
 
     @staticmethod
     def is_text(value):
-        """Text, or a member of any Enum."""
+        """Returns whether the value is a text or a member of an Enum."""
         return isinstance(value, str) or hasattr(type(value), "__members__")
 
     def add(self, now, *values):
-        """Appends what was decided at this time."""
+        """Adds the values that were decided at this time to the digest."""
         line = f"{now!r} " + " ".join(self.plain(value) for value in values) + "\n"
         self.hash.update(line.encode())
 
@@ -84,5 +83,5 @@
         return self.hash.hexdigest()
 
     def missing(self, classes):
-        """Those of these classes that have not occurred."""
+        """Returns those of the given classes that have not occurred."""
         return [one for one in classes if not self.occurred[one]]
--- a/tests/behaviour/test_decision_digests.py
+++ b/tests/behaviour/test_decision_digests.py
@@ -1,6 +1,6 @@
-"""Digests of decisions over seeded histories, whatever the names or structure of the code.
+"""Digests of the decisions in seeded histories, independent of the code's names and structure.
 
-A digest that changes means that a decision has changed. Names of the code are in names.py alone.
+A changed digest means that a decision has changed. Only names.py uses names of the code under test.
 """
 
 import names as n
@@ -255,7 +255,7 @@
 
 
 def counts_by_size(world):
-    """The values alone, as what is counted may get another name; zeros are left out."""
+    """Returns the sorted counter values without zeros; counter names may change."""
     return sorted(value for value in n.dispatcher_counts(world.dispatcher).values() if value)
 
 
@@ -287,7 +287,7 @@
 
 
 def traffic_in_order(folder):
-    """Rows as lists of values, in order of time, and at one time as the ends recorded them."""
+    """Returns rows as lists of values, by time, then by kind of recorder, then as recorded."""
     files = sorted(
         (folder / "traffic").glob("*.parquet"), key=lambda path: path.stem.rsplit("-", 1)[1]
     )
@@ -298,7 +298,7 @@
 
 
 def digest_of_traffic(rows):
-    """Words by their tables; other names by order of first appearance."""
+    """Digests the rows: words as numbers, other names numbered by first appearance."""
     canonical = Canonical({}, {})
     for row in rows:
         formed = []
--- a/tests/behaviour/test_state_machine_digests.py
+++ b/tests/behaviour/test_state_machine_digests.py
@@ -1,9 +1,9 @@
-"""Digests of what the pure state machines decide over seeded random histories.
+"""Digests of the decisions of the pure state machines in seeded random histories.
 
-Each history has its own random generator and its own virtual time. Actions are brought into the
-canonical form of plain.py, so that a digest changes when a decision changes, and not when
-something is renamed. A rename touches only the imports, the tables of kinds and constants, and
-the factories and accessors at the top of each section.
+Each history has its own random generator and virtual time. Actions are converted to the canonical
+form of plain.py, so a digest changes when a decision changes, but not when something is renamed.
+After a rename only the imports, the tables of kinds and constants, and the factories and accessors
+at the top of each section change.
 """
 
 from random import Random
@@ -61,7 +61,7 @@
     parts=(1 / 8, 1 / 4, 1 / 2),
     pending=0,
 ):
-    """What admission goes by; the positions are those of the class."""
+    """Builds ClientLimits, with the values in the order of its fields."""
     return ClientLimits(
         connection_slots,
         tuple(KnownClientSettings(*one) for one in known),
@@ -84,7 +84,11 @@
 
 
 def platform_client_limits(connection_slots, pending, seed):
-    """As platform/configuration.py has them: nobody is known, no rate binds, all come by one front."""
+    """Returns limits like platform/configuration.py's.
+
+    There are no known clients, rates are in effect unlimited, and all clients connect through one
+    front end.
+    """
     return new_client_limits(
         connection_slots,
         connection_rate=1e6,
@@ -114,7 +118,7 @@
 
 
 def hold_bytes(connection, size):
-    """Counts unfinished bytes as the listener does; True where the group now holds too many."""
+    """Counts bytes of unfinished frames as the listener does; True if the group exceeds its limit."""
     more = size - connection.held
     connection.held = size
     over = connection.group.add_held_bytes(more) if more else False
@@ -122,7 +126,10 @@
 
 
 def read_messages(connection, count):
-    """Counts messages read as the listener does; True where the group may be read no further in this window."""
+    """Counts messages read as the listener does.
+
+    Returns True if the group has used up its quota in this window.
+    """
     group = connection.group
     group.read += count
     return group.allowed is not None and group.read >= group.allowed and not group.paused
@@ -139,7 +146,7 @@
 
 
 class AdmissionPhase:
-    """What happens, and how often, while a phase lasts."""
+    """The kinds and rates of events in one phase of a history."""
 
     def __init__(self, steps, pause, accept, networks, handshake, silent, shortage, busy):
         self.steps = steps
@@ -152,8 +159,9 @@
         self.busy = busy
 
 
-# steps, mean ms between steps, share of new connections, networks (0: known clients alone),
-# TLS share, silent share, (descriptors, memory) in use, core in use
+# Steps, mean ms between steps, share of steps that open a connection, client networks (0: only known
+# clients), share of TLS connections, share of connections that stay silent, shares of (descriptors,
+# memory) in use, share of the core in use.
 ADMISSION_PHASES = (
     AdmissionPhase(400, 20.0, 0.30, 200, 0.3, 0.05, (0.3, 0.3), 0.4),
     AdmissionPhase(1500, 1.0, 0.80, 1, 0.2, 0.60, (0.4, 0.3), 0.7),
@@ -170,7 +178,7 @@
 
 
 class AdmissionHistory:
-    """Plays the part of the listener: makes connections, posts messages, and carries out the actions."""
+    """Simulates the listener: opens connections, posts messages, and carries out the actions."""
 
     def __init__(self, seed, client_limits):
         self.random = Random(seed)
@@ -388,7 +396,11 @@
 
 
 class VersionTraits:
-    """How one version of a function fares: shares of errors, of losses, of failed loads, and its slowness."""
+    """The faults of one version of a function.
+
+    It has shares of errors, lost attempts and failed loads, a factor on its durations, and possibly
+    one customer whose requests mostly fail.
+    """
 
     def __init__(self, random, good):
         self.errors = 0.01
@@ -412,7 +424,7 @@
 
 
 class VersionHistory:
-    """Functions that are called, released, and end well or badly at hosts that keep tallies."""
+    """Calls and releases of functions on hosts that count the outcomes of each version."""
 
     HOSTS = ("host-0", "host-1", "host-2", "host-3")
     CUSTOMERS = ("customer-0", "customer-1", "customer-2")
@@ -546,7 +558,7 @@
         return fate
 
     def tally(self, host, name, fate, failed, slow):
-        """What the host tells of this version; one host tells nothing, and a tally may begin anew."""
+        """Returns the host's tally of this version; one host reports none, others sometimes reset."""
         if host == self.HOSTS[0] or fate in ("lost", "deferred"):
             return None
         if self.random.random() < 0.002:
@@ -585,7 +597,10 @@
 
 
 def test_evidence_is_weighed_as_recorded():
-    """Bounds and verdicts for random counts; figures to nine digits, as logarithms differ in the last ones."""
+    """Bounds and verdicts for random counts.
+
+    Figures are rounded to nine decimals, because the last digits of logarithms may differ.
+    """
     random = Random(23)
     transcript = Transcript({})
     verdicts = set()
@@ -634,7 +649,7 @@
 
 
 class KeyHistory:
-    """Files that are offered, good and bad, and connections made on the keys in service."""
+    """Valid and invalid credential files, and connections that use the credentials in service."""
 
     def __init__(self, seed):
         self.random = Random(seed)
@@ -793,7 +808,7 @@
 
 
 def run_members(seed, steps):
-    """Some gateways that gossip rows, suspect each other, leave and start anew."""
+    """Plays gateways that gossip member rows, suspect each other, leave and restart."""
     random = Random(seed)
     transcript = Transcript(MEMBER_KINDS, MEMBER_CONSTANTS)
     now = 1000.0
@@ -814,7 +829,8 @@
         long = random.random() < 0.05
         now += 60000.0 if long else random.choice((50.0, 50.0, 200.0))
         if long:
-            # A life that is over ends its process; its own row must not be forgotten while it still runs.
+            # A gateway process exits when its incarnation has ended, so none runs long enough for
+            # its own row to be forgotten. Restart them before they take part again.
             for number, one in enumerate(views):
                 if one.has_ended:
                     views[number] = start(names[number], random.randint(2, 6))
@@ -874,7 +890,7 @@
 
 
 class ElectionHistory:
-    """Three voters and three candidates for two tasks; messages are late or lost, voters start anew."""
+    """Three voters and three candidates for two tasks, with late or lost messages and restarts."""
 
     VOTERS = ("keeper-0", "keeper-1", "keeper-2")
     TASKS = ("task-0", "task-1")
--- a/tests/compatibility/platform_bytes.py
+++ b/tests/compatibility/platform_bytes.py
@@ -1,4 +1,4 @@
-"""What goes out on the platform's wires for fixed inputs, and fixed bytes that come in."""
+"""Bytes that are sent on the platform's wires for fixed inputs, and fixed bytes to receive."""
 
 from cherrydoor.adapter import wire
 from cherrydoor.codecs import invoke, resp, sse
@@ -47,7 +47,7 @@
 
 
 def conversation_after(*pieces):
-    """A client's connection on which these bytes have come."""
+    """Returns a client's connection that has received these bytes."""
     conversation = invoke.Conversation()
     for piece in pieces:
         conversation.feed(piece)
@@ -55,7 +55,7 @@
 
 
 def answers_to_clients():
-    """Bytes of answers on each way that a call can have come, and of refusals."""
+    """Yields golden ids and bytes of responses for each form of a call, and of refusals."""
     for status in sorted(invoke.PHRASES):
         yield (
             f"http {status} plain",
@@ -75,7 +75,7 @@
 
 
 def commands_to_hosts():
-    """Bytes of each command that a host is sent."""
+    """Yields golden ids and bytes of each command that is sent to a host."""
     yield "resp exec", resp.execute("a1", "draft", "0123456789abcdef", 750.9, b"\x00body")
     yield "resp exec key", resp.execute("a2", "draft", "0123456789abcdef", 0.2, b"", "key-1")
     yield "resp drop", resp.drop("a3")
@@ -85,13 +85,13 @@
 
 
 def requests_for_the_host_list():
-    """Bytes by which the list of hosts is followed."""
+    """Yields golden ids and bytes of the requests that watch the endpoint list."""
     yield "sse request", sse.watch_request("bulletin:80", 0)
     yield "sse request again", sse.watch_request("bulletin:80", 41)
 
 
 def lines_of_the_adapter():
-    """Lines that the adapter writes for each kind of action."""
+    """Yields golden ids and the adapter's lines for each kind of action."""
     actions = (
         interface.StartAttempt(1, "h1", 750.5),
         interface.StartAttempt(1, "h1", 0.0),
@@ -109,7 +109,7 @@
 
 
 def all_bytes():
-    """Golden id -> bytes of everything that goes out on the platform's wires."""
+    """Returns golden id -> bytes, for everything that is sent on the platform's wires."""
     found = {}
     for part in (
         answers_to_clients,
@@ -122,6 +122,6 @@
 
 
 def host_answer(word, fields):
-    """One answer of a host as bytes."""
+    """Returns a host's reply as bytes."""
     frame = b"*4\r\n$2\r\na1\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$0\r\n\r\n"
     return frame % (len(word), word, len(fields), fields)
--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -1,7 +1,7 @@
-"""Commands and options keep working under the names that they had, with the same exit codes.
+"""Commands and options keep their names and exit codes.
 
-`commands.json` holds each command's options, a space between the words of a command. More of both
-may be added; none of them may go.
+`commands.json` lists the options of each command; the words of a command are separated by a space.
+Commands and options may be added, but none may be removed.
 """
 
 import json
@@ -47,17 +47,17 @@
 
 @pytest.fixture(autouse=True)
 def logging_left_alone(monkeypatch):
-    """A command sets up logging on the runner's own stream, which is closed when it returns."""
+    """Prevents a command from configuring logging on the runner's stream, which is then closed."""
     monkeypatch.setattr(structlog, "configure", lambda **settings: None)
 
 
 def run(words):
-    """The exit code of one command line."""
+    """Returns the exit code of one command line."""
     return CliRunner().invoke(main, words).exit_code
 
 
 def command_of(words):
-    """The command that these words reach, by the group's own look-up."""
+    """Returns the command that these words name, as the command group resolves them."""
     command = main
     context = click.Context(main)
     for word in words:
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -1,11 +1,11 @@
-"""What the program once wrote to disk stays readable.
+"""Files that earlier versions of the program wrote stay readable.
 
-`stored/` was written by the code before its names changed.
+The files in `stored/` were written before names in the code changed.
 
-Expected values are compared by position. Where the writer gives the same bytes for the same state,
-that is checked as well. Certificates carry random numbers and Parquet files name the library's
-version, so these are compared by content. The keys in `stored/keys` were made for this test alone;
-their certificates hold for a century.
+Expected values are compared by position. Where a writer is deterministic, the test also compares
+the bytes that it writes. Certificates contain random numbers and Parquet files contain the
+library's version, so these are compared by content. The keys in `stored/keys` were made only for
+this test; their certificates are valid for a century.
 """
 
 import json
@@ -119,7 +119,7 @@
 
 
 def leaves(value):
-    """The plain values within a value in order, without the names of fields."""
+    """Returns the plain values nested in a value, in order and without field names."""
     if isinstance(value, dict):
         value = value.values()
     elif not isinstance(value, list | tuple):
@@ -195,7 +195,7 @@
     assert state_file.seal(restored_versions(data).stored()) == data
 
 
-# ---- the list of hosts
+# ---- the endpoint list
 def test_stored_host_list_is_read():
     found = host_list(STORED / "hosts").read_saved()
     assert [msgspec.structs.astuple(row) for row in found] == [
@@ -304,7 +304,7 @@
 
 # ---- configuration
 def expected_settings():
-    """What the stored configuration says for the decision module, by position."""
+    """Returns the decision module's settings in the stored configuration, by position."""
     classes = (
         interface.RequestClass(
             "draft", 750.0, 2500.0, interface.RetrySafety.IDEMPOTENT, "all", 0.0, False
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -1,6 +1,6 @@
-"""Every message keeps its bytes.
+"""Every message keeps its encoding.
 
-`wire_bytes.json` was written by the code before its names were changed.
+`wire_bytes.json` was written before names in the code changed.
 """
 
 import importlib
@@ -36,7 +36,7 @@
 
 
 def all_structs():
-    """Every record of the wire that the package defines, messages and what they are made of."""
+    """Returns every wire record that the package defines: messages and the records within them."""
     found = []
     for module_info in pkgutil.iter_modules(frames.__path__):
         module = importlib.import_module(f"{frames.__name__}.{module_info.name}")
@@ -48,7 +48,7 @@
 
 
 def concrete_messages():
-    """Every message that can go out by itself: it has a tag."""
+    """Returns every message class that is sent on its own, which therefore has a tag."""
     return [
         one
         for one in all_structs()
@@ -57,12 +57,12 @@
 
 
 def values_of(record):
-    """The values of a record in the order of its fields."""
+    """Returns the values of a record in the order of its fields."""
     return [getattr(record, name) for name in record.__struct_fields__]
 
 
 def records_in(value):
-    """Every record within a value, itself included."""
+    """Yields every record in a value, including the value itself."""
     if isinstance(value, msgspec.Struct):
         yield value
         for inner in values_of(value):
@@ -73,21 +73,21 @@
 
 
 def default_of(field):
-    """What an optional field is when nothing is said."""
+    """Returns the default of an optional field."""
     if field.default_factory is not msgspec.NODEFAULT:
         return field.default_factory()
     return field.default
 
 
 def optional_values(record):
-    """(value, default) of each field that need not be given."""
+    """Yields (value, default) of each optional field."""
     for field in msgspec.structs.fields(type(record)):
         if not field.required:
             yield getattr(record, field.name), default_of(field)
 
 
 def shape_of(kind):
-    """A type as plain values, without any name but those on the wire."""
+    """Returns a description of a type in plain values, whose only names are those on the wire."""
     if isinstance(kind, inspect.StructType):
         fields = [
             [None if kind.array_like else field.encode_name, field.required, shape_of(field.type)]
@@ -126,12 +126,12 @@
 
 
 def all_shapes():
-    """Tag -> shape of every message."""
+    """Returns tag -> shape, for every message."""
     return {tag_of(one): shape_of_message(one) for one in concrete_messages()}
 
 
 def all_directions():
-    """The tags that each end takes from each other end, by position."""
+    """Returns the tags of the messages in each entry of DIRECTIONS."""
     return [[tag_of(one) for one in kinds] for kinds in DIRECTIONS]
 
 
--- a/tests/compatibility/wire_messages.py
+++ b/tests/compatibility/wire_messages.py
@@ -1,7 +1,8 @@
-"""One table of messages, built by position: golden id -> message.
+"""A table of messages, built from positional arguments: golden id -> message.
 
-A golden id is the tag that the message has on the wire, then `full` where every field that has a
-default differs from it, or `least` where only the required fields are given. No id names a class.
+A golden id begins with the message's tag on the wire. `full` follows if every optional field
+differs from its default, `least` if only the required fields are given, and another word for
+further variants. No id contains a class name.
 """
 
 from cherrydoor.protocol import basics, messages, peers
@@ -42,7 +43,7 @@
 LEAST_ZONE = site.ZoneLoad("zone-2", 0.5)
 
 MESSAGES = {
-    # every connection
+    # on every connection
     "hello full": basics.Hello(1, "gateway", "g0", 12.5, 1700000000000.5, 65536, 7, "token", 2**40),
     "hello least": basics.Hello(1, "client"),
     "hello host": basics.Hello(1, "host"),
@@ -114,7 +115,7 @@
     "fetch full": messages.FetchFunction(27, "deed-00001"),
     "fetched full": messages.FetchResult(28, "handled", 2, 512.5, 4, 50.25, 410.5, 0.375),
     "fetched least": messages.FetchResult(29, "missing"),
-    # gateway, list and release feed
+    # gateway, endpoint list and release feed
     "follow full": messages.Watch(),
     "ask full": messages.Poll(),
     "rows full": messages.EndpointUpdate(30, "changes", [FULL_ROW, LEAST_ROW, GONE_ROW]),
@@ -157,7 +158,7 @@
     "claim least": peers.ClaimRequest(59, "g1", 60, 61, "key-2"),
     "claimed full": peers.ClaimReply(62, True, "handled", 200.5, "busy", b"\x00body"),
     "claimed least": peers.ClaimReply(63),
-    # requests that outlive their gateway
+    # requests whose gateway has failed
     "reclaim full": custody.ClaimResponse(64, "g1", 65, 66, "key-1", 2500.5, 12.25),
     "unknown full": custody.ResponseUnknown(67, "never heard of"),
     "unknown least": custody.ResponseUnknown(68),
@@ -225,4 +226,4 @@
     peers.PEER_MESSAGES,
     site.ZONE_DRAIN_MESSAGES,
 )
-"""What each end takes from each other end, in the order of the golden file."""
+"""The messages that each end accepts from each other end, in the order of the golden file."""
