--- a/cherrydoor/rehearsal/soak/run.py
+++ b/cherrydoor/rehearsal/soak/run.py
@@ -207,7 +207,7 @@
         old.stop_serving()
 
     async def terminate(self, gateway):
-        """Sends SIGTERM and later SIGKILL; until then clients use connections that are open."""
+        """Sends SIGTERM and later SIGKILL; until then clients still use their open connections."""
         process = self.gateways.processes[gateway]
         process.send_signal(signal.SIGTERM)
         deadline_s = min(MAX_COUNTED_DEADLINE_S, self.plan.deadline_ms / 1000)
--- a/cherrydoor/rehearsal/soak/verdict.py
+++ b/cherrydoor/rehearsal/soak/verdict.py
@@ -21,7 +21,17 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One violation of a rule; ``time_s`` is in seconds since the start of the run."""
+    """One violation of a rule.
+
+    Attributes:
+        rule: ``drain`` for new work sent to a draining host after the grace period, ``lost`` for a
+            response that is missing, late or wrong and for an attempt after the client has
+            disconnected, ``duplicate`` for an at-most-once request that ran more than once,
+            ``failback`` for too many requests to a host in slow start, ``served`` for too small a
+            share of successful responses, ``crash`` for a gateway that exited unexpectedly.
+        time_s: Seconds since the start of the run.
+        text: What was found.
+    """
 
     rule: str
     time_s: float
@@ -86,7 +96,7 @@
                 self.add("lost", request.sent_s, f"{text}: response has the wrong body")
 
     def was_interrupted(self, request):
-        """Whether the gateway's process was killed without notice or paused during the request."""
+        """Returns whether the gateway's process was paused or killed without notice meanwhile."""
         until_s = request.responded_s or request.sent_s + request.deadline_s + 1.0
         return any(
             start_s - TIME_LIMIT_SLACK_S <= until_s and request.sent_s <= end_s
--- a/cherrydoor/rehearsal/soak/world.py
+++ b/cherrydoor/rehearsal/soak/world.py
@@ -22,7 +22,14 @@
 
 @dataclass(frozen=True)
 class HostEvent:
-    """A request or load order that reached a host; the time is of the event loop's clock."""
+    """A request or load order that reached a host.
+
+    Attributes:
+        time_s: Time on the event loop's clock.
+        kind: ``SENT`` when a request reaches the host, ``ACCEPTED`` when the host also runs it,
+            ``ORDERED`` for a load order.
+        request: Id of the request; empty for a load order.
+    """
 
     time_s: float
     host: int
--- a/tests/behaviour/names.py
+++ b/tests/behaviour/names.py
@@ -1,4 +1,4 @@
-"""Imports, inputs and calls of the code under test, gathered in one place.
+"""Imports, inputs and calls of the code under test, for test_decision_digests.py and its worlds.
 
 When the code under test is renamed, only this module changes; the numbers and the digests stay as
 they are. Many names here are older terms than those of the code:
