--- a/cherrydoor/admission/chunked_reading.py
+++ b/cherrydoor/admission/chunked_reading.py
@@ -12,19 +12,19 @@
 class ChunkedReading(asyncio.BaseProtocol):
     """Base class of the buffered protocols of client connections.
 
-    A subclass sets `arrival`, `chunk` and `transport`, defines data_received(data), and calls
-    holds() with the size of its unfinished frame.
+    A subclass sets `incoming`, `read_buffer` and `transport`, defines data_received(data), and
+    calls report_unfinished_bytes() with the size of its unfinished frame.
 
     Attributes:
-        arrival: The connection's I/O side in admission.
-        chunk: The buffer that the event loop reads into. Connections may share it, as the data is
-            copied out immediately.
+        incoming: The connection's I/O side in admission.
+        read_buffer: The buffer that the event loop reads into. Connections may share it, as the
+            data is copied out immediately.
         transport: The transport, from connection_made() on.
         reading_paused: Whether reading is paused.
     """
 
-    arrival: IncomingConnection
-    chunk: bytearray
+    incoming: IncomingConnection
+    read_buffer: bytearray
     transport: Any
     reading_paused = False
 
@@ -34,24 +34,24 @@
 
     def get_buffer(self, hint: int) -> memoryview:
         """Returns the buffer that the event loop reads into."""
-        return memoryview(self.chunk)
+        return memoryview(self.read_buffer)
 
     def buffer_updated(self, count: int) -> None:
         """Passes on the `count` bytes that the event loop has read into the buffer."""
-        connection = self.arrival.connection
-        self.data_received(bytes(memoryview(self.chunk)[:count]))
-        connection.used = self.arrival.listeners.clock.now()
+        connection = self.incoming.connection
+        self.data_received(bytes(memoryview(self.read_buffer)[:count]))
+        connection.used = self.incoming.listeners.clock.now()
 
-    def holds(self, size: int, finished: Any) -> None:
+    def report_unfinished_bytes(self, size: int, finished: Any) -> None:
         """Records the unfinished frame, and reports if its group is above its limit.
 
         Args:
             size: Bytes of the unfinished frame; 0 if there is none.
             finished: Truthy if a frame was completed since the last call.
         """
-        connection = self.arrival.connection
+        connection = self.incoming.connection
         if size and (finished or not connection.partial):
-            connection.partial = self.arrival.listeners.clock.now()
+            connection.partial = self.incoming.listeners.clock.now()
         elif not size:
             connection.partial = 0.0
         group = connection.group
@@ -60,7 +60,7 @@
         change = size - connection.held
         connection.held = size
         if change and group.add_held_bytes(change) and change > 0:
-            self.arrival.listeners.post(BufferLimitExceeded(connection))
+            self.incoming.listeners.post(BufferLimitExceeded(connection))
 
     def pause(self) -> None:
         """Stops reading until resume()."""
--- a/cherrydoor/admission/connections.py
+++ b/cherrydoor/admission/connections.py
@@ -140,7 +140,7 @@
         partial: Time at which its unfinished frame began, in ms; 0 if there is no such frame.
         held: Bytes of that frame.
         group: Its read group; None until it is admitted.
-        wire: Its I/O side.
+        handler: Its I/O side.
         pending_index: Its index in `PendingConnections.slots`.
         needs_handshake: Whether it starts with a TLS handshake.
     """
@@ -157,12 +157,12 @@
         "partial",
         "held",
         "group",
-        "wire",
+        "handler",
         "pending_index",
         "needs_handshake",
     )
 
-    def __init__(self, address: str, now: float, wire: ConnectionHandler | None = None) -> None:
+    def __init__(self, address: str, now: float, handler: ConnectionHandler | None = None) -> None:
         self.address = address
         self.networks: tuple[NetworkPrefix, ...] = ()
         self.known_client: KnownClient | None = None
@@ -174,6 +174,6 @@
         self.partial = 0.0
         self.held = 0
         self.group: ReadGroup | None = None
-        self.wire = wire
+        self.handler = handler
         self.pending_index = 0
         self.needs_handshake = False
--- a/cherrydoor/admission/incoming_connection.py
+++ b/cherrydoor/admission/incoming_connection.py
@@ -35,8 +35,8 @@
 
     Attributes:
         sock: The socket; None once the handshake starts or the connection is closed.
-        end: The protocol, which sets this itself in connection_made(); None until then.
-        task: The task that runs the handshake; None until it starts.
+        protocol: The protocol, which sets this itself in connection_made(); None until then.
+        handshake_task: The task that runs the handshake; None until it starts.
         waited_ms: Upper bound of the time that it waited to be accepted.
         connection: The connection in the controller's tables.
     """
@@ -52,14 +52,16 @@
         self.listeners = listeners
         self.listener = listener
         self.sock: socket.socket | None = sock
-        self.end: Any = None
-        self.task: asyncio.Task[None] | None = None
-        self.waited_ms = now - listener.since if listener.since is not None else 0.0
+        self.protocol: Any = None
+        self.handshake_task: asyncio.Task[None] | None = None
+        self.waited_ms = (
+            now - listener.backlog_since_ms if listener.backlog_since_ms is not None else 0.0
+        )
         self.connection = AdmittedConnection(address, now, self)
 
     def start_handshake(self) -> None:
         """Starts the TLS handshake, or makes the protocol directly if the listener has no TLS."""
-        self.task = asyncio.get_running_loop().create_task(self._connect())
+        self.handshake_task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
         """Makes the protocol on the socket; closes the socket if that fails."""
@@ -86,7 +88,7 @@
 
     def admit(self, longest_frame_bytes: int) -> None:
         """Tells the protocol that the connection is admitted."""
-        self.end.admitted(longest_frame_bytes)
+        self.protocol.admitted(longest_frame_bytes)
 
     def refuse(self, reason: str, retry_after_ms: float) -> None:
         """Sends the client the reason if possible, and closes the connection.
@@ -94,11 +96,11 @@
         What the client has sent is read before the close: if a socket is closed with unread input,
         the kernel sends a reset, and the client may lose the rejection.
         """
-        if self.end is not None:
-            self.end.close(reason, retry_after_ms)
+        if self.protocol is not None:
+            self.protocol.close(reason, retry_after_ms)
             return
-        if self.task is not None:
-            self.task.cancel()
+        if self.handshake_task is not None:
+            self.handshake_task.cancel()
         sock = self.sock
         self.sock = None
         if sock is None:
@@ -114,8 +116,8 @@
 
     def pause(self) -> None:
         """Stops reading from the connection."""
-        self.end.pause()
+        self.protocol.pause()
 
     def resume(self) -> None:
         """Resumes reading from the connection."""
-        self.end.resume()
+        self.protocol.resume()
--- a/cherrydoor/admission/listener.py
+++ b/cherrydoor/admission/listener.py
@@ -28,8 +28,8 @@
 )
 from cherrydoor.gateway.sockets import after_input, has_pending_connection
 
-NO_DESCRIPTORS = {errno.EMFILE, errno.ENFILE}
-RESOURCE_ERRNOS = NO_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM}
+DESCRIPTOR_ERRNOS = {errno.EMFILE, errno.ENFILE}
+RESOURCE_ERRNOS = DESCRIPTOR_ERRNOS | {errno.ENOBUFS, errno.ENOMEM}
 MAX_ACCEPTS_PER_PASS = 8  # per event loop pass, so that a flood does not delay due timers
 BACKLOG = 1024  # connections in the kernel's accept queue
 REJECTION_LOG_INTERVAL_MS = 10_000  # between log lines with the same reason
@@ -72,8 +72,8 @@
             time in ms.
         sock: The socket; None once it is closed.
         port: The port that it listens on.
-        since: Time in ms at which a pass first left connections waiting to be accepted; None once a
-            pass leaves none.
+        backlog_since_ms: Time in ms at which a pass first left connections waiting to be
+            accepted; None once a pass leaves none.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         make_protocol: Callable[[IncomingConnection], asyncio.BaseProtocol],
         tls_context: Callable[[], ssl.SSLContext] | None = None,
         backlog: int = BACKLOG,
-        word: Callable[[str, float], bytes] = rejection_bytes,
+        encode_rejection: Callable[[str, float], bytes] = rejection_bytes,
     ) -> None:
         """Binds the address and starts to listen.
 
@@ -93,7 +93,8 @@
             make_protocol: Makes the protocol of an IncomingConnection.
             tls_context: Returns the TLS context to use now; None for plain TCP.
             backlog: Length of the kernel's accept queue.
-            word: Returns the bytes of a rejection, given the reason and the retry-after time in ms.
+            encode_rejection: Returns the bytes of a rejection, given the reason and the
+                retry-after time in ms.
 
         Raises:
             OSError: The address cannot be bound.
@@ -101,8 +102,8 @@
         self.listeners = listeners
         self.make_protocol = make_protocol
         self.tls_context = tls_context
-        self.encode_rejection = word
-        self.since: float | None = None
+        self.encode_rejection = encode_rejection
+        self.backlog_since_ms: float | None = None
         self._resume_timer: asyncio.TimerHandle | None = None
         host, port = address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -126,12 +127,12 @@
             if self._resume_timer is not None:
                 return
             if not self._accept():
-                self.since = None
+                self.backlog_since_ms = None
                 return
         if not has_pending_connection(self.sock):
-            self.since = None
-        elif self.since is None:
-            self.since = self.listeners.clock.now()
+            self.backlog_since_ms = None
+        elif self.backlog_since_ms is None:
+            self.backlog_since_ms = self.listeners.clock.now()
 
     def _accept(self) -> bool:
         """Accepts one connection; returns False if there is none to accept."""
@@ -214,16 +215,16 @@
         """Dispatches an action to the connection or listeners that it is for."""
         match action:
             case StartHandshake():
-                action.connection.wire.start_handshake()
+                action.connection.handler.start_handshake()
             case Admit():
-                action.connection.wire.admit(action.longest_frame_bytes)
+                action.connection.handler.admit(action.longest_frame_bytes)
             case Reject():
                 self._log_rejection(action.reason, action.connection)
-                action.connection.wire.refuse(action.reason, action.retry_after_ms)
+                action.connection.handler.refuse(action.reason, action.retry_after_ms)
             case PauseReading():
-                action.connection.wire.pause()
+                action.connection.handler.pause()
             case ResumeReading():
-                action.connection.wire.resume()
+                action.connection.handler.resume()
             case PauseAccepting():
                 for listener in self.listeners:
                     listener.pause_accepting(action.duration_ms)
@@ -254,11 +255,11 @@
     def handshake_failed(self, incoming: IncomingConnection, error: Exception) -> None:
         """Handles a connection whose handshake failed."""
         self.controller.count("handshakes failed")
-        if getattr(error, "errno", None) in NO_DESCRIPTORS:
+        if getattr(error, "errno", None) in DESCRIPTOR_ERRNOS:
             self.post(DescriptorsExhausted(needed=False))
         self.post(ConnectionClosed(incoming.connection))
 
-    def needs_descriptor(self) -> None:
+    def free_descriptor(self) -> None:
         """Frees a descriptor for an upstream connection that found none."""
         self.usage.release_spare_descriptor()
         self.post(DescriptorsExhausted(needed=True))
--- a/cherrydoor/admission/usage.py
+++ b/cherrydoor/admission/usage.py
@@ -19,13 +19,13 @@
     descriptor and none is free.
 
     Attributes:
-        memory: Memory limit in bytes.
-        limit: Limit on open descriptors.
+        memory_limit_bytes: Memory limit in bytes.
+        descriptor_limit: Limit on open descriptors.
     """
 
-    def __init__(self, memory: float = DEFAULT_MEMORY_LIMIT_BYTES) -> None:
-        self.memory = memory
-        self.limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    def __init__(self, memory_limit_bytes: float = DEFAULT_MEMORY_LIMIT_BYTES) -> None:
+        self.memory_limit_bytes = memory_limit_bytes
+        self.descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self._page_bytes = os.sysconf("SC_PAGE_SIZE")
         self._spare_fd: int | None = os.open(os.devnull, os.O_RDONLY)
         self._schedstat_fd = _open_or_none("/proc/thread-self/schedstat")
@@ -36,12 +36,12 @@
         self._descriptors_counted_at_s = 0.0
         self._descriptor_count = 0
 
-    def used(self) -> int:
+    def count_descriptors(self) -> int:
         """Returns the number of open descriptors; the limit if they cannot be counted."""
         try:
             return len(os.listdir("/proc/self/fd")) - 1
         except OSError:
-            return self.limit
+            return self.descriptor_limit
 
     def _core_seconds(self) -> float:
         """Returns the seconds in which this thread ran or waited for a core, by the kernel."""
@@ -62,12 +62,14 @@
         self._last_core_s = core_s
         if now_s - self._descriptors_counted_at_s > DESCRIPTOR_COUNT_INTERVAL_S:
             self._descriptors_counted_at_s = now_s
-            self._descriptor_count = self.used()
-        descriptors = self._descriptor_count / self.limit
-        self._last_usage = UsageMeasured(descriptors, self.measure_held() / self.memory, busy)
+            self._descriptor_count = self.count_descriptors()
+        descriptors = self._descriptor_count / self.descriptor_limit
+        self._last_usage = UsageMeasured(
+            descriptors, self.resident_bytes() / self.memory_limit_bytes, busy
+        )
         return self._last_usage
 
-    def measure_held(self) -> int:
+    def resident_bytes(self) -> int:
         """Returns the bytes of resident memory; 0 where /proc is not available."""
         if self._statm_fd is None:
             return 0
--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -43,7 +43,7 @@
     """A connection on its way in, on a pipe in place of a socket."""
 
     def __init__(self, service, make, pipe):
-        self.listeners, self.make, self.pipe, self.end = service.listeners, make, pipe, None
+        self.listeners, self.make, self.pipe, self.protocol = service.listeners, make, pipe, None
         self.connection = AdmittedConnection(
             pipe.other.address, service.listeners.clock.now(), self
         )
@@ -54,20 +54,20 @@
         )
 
     def admit(self, largest):
-        self.end.admitted(largest)
+        self.protocol.admitted(largest)
 
     def refuse(self, word, retry_after_ms):
-        if self.end is not None:
-            return self.end.close(word, retry_after_ms)
+        if self.protocol is not None:
+            return self.protocol.close(word, retry_after_ms)
         self.pipe.protocol = asyncio.BaseProtocol()
         self.pipe.write(rejection_bytes(word, -(-retry_after_ms // 10) * 10.0))
         self.pipe.close()
 
     def pause(self):
-        self.end.pause()
+        self.protocol.pause()
 
     def resume(self):
-        self.end.resume()
+        self.protocol.resume()
 
 
 class Promises:
@@ -175,9 +175,9 @@
         """All its transports."""
         found = [end.transport for end in self.client_listener.connections]
         found += [
-            caller.wire.end.transport
+            caller.handler.protocol.transport
             for caller in list(self.listeners.controller.pending.unidentified)
-            if caller.wire.end
+            if caller.handler.protocol
         ]
         found += [
             link.wire.transport
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -40,14 +40,14 @@
     """The connection of one client; only a short hello is read from it until it is admitted.
 
     Attributes:
-        arrival: Admission control's record of the connection.
+        incoming: Admission control's record of the connection.
         client: The dispatcher's record of the client.
         credential_facts: What the client's certificate or token proves; set on its hello.
         retry_after_ms: Set once the incarnation that admitted the client has ended; its requests
             are then rejected with this retry-after.
     """
 
-    def __init__(self, service: "GatewayService", arrival: Any) -> None:
+    def __init__(self, service: "GatewayService", incoming: Any) -> None:
         """Prepares a connection that admission control has accepted."""
         super().__init__(
             service.client_listener,
@@ -57,16 +57,16 @@
             MAX_HELLO_BYTES,
         )
         self.reader.halts = True
-        self.arrival = arrival
-        self.chunk = bytearray(CHUNK_BYTES)
+        self.incoming = incoming
+        self.read_buffer = bytearray(CHUNK_BYTES)
         self.client = ClientConnection(self, has_closed=self.has_closed)
         self.credential_facts: Proof = {}
         self.retry_after_ms: float | None = None
-        arrival.connection.open = self.client.open
+        incoming.connection.open = self.client.open
 
     def connection_made(self, transport: Any) -> None:
         """Registers with admission control, which can then send the client a rejection reason."""
-        self.arrival.end = self
+        self.incoming.protocol = self
         super().connection_made(transport)
 
     def has_closed(self) -> bool:
@@ -79,11 +79,11 @@
         if (
             message_count
             and self.reader.held
-            and self.arrival.connection.state == "seated"
+            and self.incoming.connection.state == "seated"
             and not self.reader.fault
         ):
             message_count += self.process_data(b"")  # messages that arrived with the hello
-        self.holds(len(self.reader.held), message_count)
+        self.report_unfinished_bytes(len(self.reader.held), message_count)
 
     def admitted(self, max_frame_bytes: int) -> None:
         """Accepts larger frames from now on, as admission control has admitted the client."""
@@ -119,7 +119,7 @@
             return
         client_connection.credential_facts = facts
         service.listeners.post(
-            admission.ClientIdentified(client_connection.arrival.connection, known_client)
+            admission.ClientIdentified(client_connection.incoming.connection, known_client)
         )
 
     def admitted(self, client_connection: ClientProtocol) -> None:
@@ -147,7 +147,7 @@
             return
         if message_type is protocol.Request:
             service.post(service.dispatcher.request_received, client_connection.client, message)
-            connection = client_connection.arrival.connection
+            connection = client_connection.incoming.connection
             group = connection.group
             group.read += 1
             if group.allowed is not None and group.read >= group.allowed and not group.paused:
@@ -164,7 +164,7 @@
     def connection_ended(self, client_connection: ClientProtocol) -> None:
         """Notifies admission control, credentials and the dispatcher of an ended connection."""
         service = self.service
-        service.listeners.post(admission.ConnectionClosed(client_connection.arrival.connection))
+        service.listeners.post(admission.ConnectionClosed(client_connection.incoming.connection))
         if client_connection in self.connections:
             self.connections.discard(client_connection)
             service.tls.post(credentials.ConnectionClosed(client_connection))
@@ -223,7 +223,7 @@
         loop = asyncio.get_running_loop()
         clock = self.service.clock
         quiet_since_ms = max(
-            client_connection.arrival.connection.used, 1000 * withdrawn_at_s + clock.offset_ms
+            client_connection.incoming.connection.used, 1000 * withdrawn_at_s + clock.offset_ms
         )
         idle = not client_connection.client.open and clock.now() - quiet_since_ms > IDLE_AFTER_MS
         if idle or loop.time() - withdrawn_at_s > MAX_WITHDRAWAL_S:
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -101,15 +101,15 @@
     def divide_descriptors(self, usage: ProcessUsage, configs: Sequence[Any]) -> int:
         """Divides the process's descriptors; returns the connection slots of each gateway."""
         hosts, connection_slots, spare = divide_descriptors(
-            usage.limit,
-            usage.used() + DESCRIPTORS_PER_GATEWAY * len(configs),
+            usage.descriptor_limit,
+            usage.count_descriptors() + DESCRIPTORS_PER_GATEWAY * len(configs),
             len(configs),
             sum(config.limits.links * MAX_HOSTS for config in configs),
         )
         log.info(
             "file descriptors divided",
-            limit=usage.limit,
-            used=usage.used(),
+            limit=usage.descriptor_limit,
+            used=usage.count_descriptors(),
             hosts=hosts,
             connection_slots_per_gateway=connection_slots,
             spare=spare,
--- a/cherrydoor/gateway/event_loop.py
+++ b/cherrydoor/gateway/event_loop.py
@@ -10,7 +10,7 @@
 from math import ceil
 from typing import Any
 
-from cherrydoor.admission.listener import NO_DESCRIPTORS
+from cherrydoor.admission.listener import DESCRIPTOR_ERRNOS
 from cherrydoor.gateway.sockets import after_input
 
 # Delay before a connection that found no free descriptor is tried again; a closed connection frees
@@ -147,9 +147,9 @@
                 make_protocol, host, port, ssl=tls
             )
         except OSError as error:
-            if error.errno not in NO_DESCRIPTORS:
+            if error.errno not in DESCRIPTOR_ERRNOS:
                 raise
-            listeners.needs_descriptor()
+            listeners.free_descriptor()
             await asyncio.sleep(DESCRIPTOR_RETRY_S)
 
 
--- a/cherrydoor/gateway/metrics.py
+++ b/cherrydoor/gateway/metrics.py
@@ -61,23 +61,23 @@
     Listener(
         services[0].listeners,
         listen_address,
-        lambda arrival: MetricsRequest(arrival, lambda: generate_latest(registry)),
+        lambda incoming: MetricsRequest(incoming, lambda: generate_latest(registry)),
     )
 
 
 class MetricsRequest(ChunkedReading):
     """The connection of one scrape, which is closed after one request and its response."""
 
-    def __init__(self, arrival: Any, render_metrics: Callable[[], bytes]) -> None:
+    def __init__(self, incoming: Any, render_metrics: Callable[[], bytes]) -> None:
         """Prepares a connection that admission control has accepted.
 
         Args:
-            arrival: The incoming connection.
+            incoming: The incoming connection.
             render_metrics: Returns the body of a successful response.
         """
-        self.arrival = arrival
+        self.incoming = incoming
         self.render_metrics = render_metrics
-        self.chunk = bytearray(MAX_REQUEST_BYTES)
+        self.read_buffer = bytearray(MAX_REQUEST_BYTES)
         self.http = h11.Connection(h11.SERVER, MAX_REQUEST_BYTES)
         self.transport = None
         self.read_bytes = 0
@@ -86,12 +86,12 @@
     def connection_made(self, transport: Any) -> None:
         """Registers the connection with admission control."""
         self.transport = transport
-        self.arrival.end = self
+        self.incoming.protocol = self
 
     def data_received(self, data: bytes) -> None:
         """Reads the request and, once its head is complete, asks admission control to admit it."""
         self.read_bytes += len(data)
-        self.holds(self.read_bytes, 0)
+        self.report_unfinished_bytes(self.read_bytes, 0)
         try:
             self.http.receive_data(data)
             event = self.http.next_event()
@@ -100,7 +100,7 @@
             return
         if isinstance(event, h11.Request):
             self.request = event
-            self.arrival.listeners.post(admission.ClientIdentified(self.arrival.connection, ""))
+            self.incoming.listeners.post(admission.ClientIdentified(self.incoming.connection, ""))
 
     def admitted(self, max_frame_bytes: int) -> None:
         """Responds to the scrape, as admission control has admitted it."""
@@ -142,4 +142,4 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notifies admission control, which frees the connection's slot."""
-        self.arrival.listeners.post(admission.ConnectionClosed(self.arrival.connection))
+        self.incoming.listeners.post(admission.ConnectionClosed(self.incoming.connection))
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -172,7 +172,7 @@
             await self.releases.start()
         self.port = self.listen(
             address(self.config.door),
-            lambda arrival: ClientProtocol(self, arrival),
+            lambda incoming: ClientProtocol(self, incoming),
             (lambda: self.tls.server) if self.tls.sealed else None,
         )
         self.set_timer()
--- a/cherrydoor/platform/client_connection.py
+++ b/cherrydoor/platform/client_connection.py
@@ -25,7 +25,7 @@
 
     Args:
         listener: Owner of all client connections.
-        arrival: Admission's record of this connection.
+        incoming: Admission's record of this connection.
 
     Attributes:
         conversation: The HTTP codec, with the pipelined input that it buffers.
@@ -35,28 +35,28 @@
         closing: Whether the connection is no longer read or written.
     """
 
-    def __init__(self, listener: "ClientListener", arrival: Any) -> None:
+    def __init__(self, listener: "ClientListener", incoming: Any) -> None:
         self.listener = listener
-        self.arrival = arrival
-        self.chunk = listener.chunk
+        self.incoming = incoming
+        self.read_buffer = listener.read_buffer
         self.conversation = invoke.Conversation()
         self.transport: Any = None
         self.closing = False
         self.client = ClientConnection(self, has_closed=self.has_closed)
         self.awaiting_id: int | None = None
         self.is_admitted = False
-        arrival.connection.open = self.client.open
+        incoming.connection.open = self.client.open
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Attaches the transport to this connection and to admission's record."""
-        self.arrival.end = self
+        self.incoming.protocol = self
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
         """Parses input, and reports to admission how much incomplete input is buffered."""
         if not self.closing:
             self.parsed(self.conversation.feed(data))
-            self.holds(self.conversation.buffered_bytes, False)
+            self.report_unfinished_bytes(self.conversation.buffered_bytes, False)
 
     def parsed(self, message: invoke.Call | invoke.Ping | invoke.BadRequest | None) -> None:
         """Handles a message of the codec; None means that no message is complete."""
@@ -117,7 +117,7 @@
             close or self.listener.draining,
         )
         self.transport.write(data)
-        self.arrival.connection.used = self.listener.service.clock.now()
+        self.incoming.connection.used = self.listener.service.clock.now()
         if closes:
             self.close_when_written()
         elif self.transport.get_write_buffer_size() > WRITE_BUFFER_MAX_BYTES:
@@ -186,9 +186,9 @@
 
     def release(self) -> None:
         """Clears reference cycles, so that the connection is freed without the collector."""
-        self.arrival.end = None
-        self.arrival.task = None
-        self.arrival.connection.wire = None
+        self.incoming.protocol = None
+        self.incoming.handshake_task = None
+        self.incoming.connection.handler = None
         self.transport = None
         self.client.wire = None
-        self.arrival = None  # type: ignore[assignment]
+        self.incoming = None  # type: ignore[assignment]
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -43,7 +43,7 @@
 DUPLICATE_ID = Refusal(CONFLICT, "bad requests: duplicate request id", "X-Call-Id: known already")
 
 
-def request_of(call: invoke.Call, now_ms: float, arrival: IncomingConnection) -> protocol.Request:
+def request_of(call: invoke.Call, now_ms: float, incoming: IncomingConnection) -> protocol.Request:
     """Returns the dispatcher's message for a call.
 
     A client can send as soon as the kernel has accepted its connection. The time for which the
@@ -52,10 +52,10 @@
     Args:
         call: The request as the client sent it.
         now_ms: When it arrived, in ms of the service's clock.
-        arrival: Admission's record of the connection.
+        incoming: Admission's record of the connection.
     """
-    remaining_ms = max(MIN_TIMEOUT_MS, call.timeout_ms - arrival.waited_ms)
-    arrival.waited_ms = 0.0
+    remaining_ms = max(MIN_TIMEOUT_MS, call.timeout_ms - incoming.waited_ms)
+    incoming.waited_ms = 0.0
     return protocol.Request(
         int(call.id, 16),
         call.request_class,
@@ -76,7 +76,7 @@
     Attributes:
         connections: The open connections, in the order in which they were accepted.
         draining: Whether each connection closes after its next response.
-        chunk: Read buffer that all connections share; input is copied out before the next read.
+        read_buffer: Shared by all connections; input is copied out before the next read.
         recent_ids: Request ids that are not accepted again.
     """
 
@@ -84,13 +84,13 @@
         self.service = service
         self.connections: dict[ClientProtocol, bool] = {}
         self.draining = False
-        self.chunk = bytearray(CHUNK_BYTES)
+        self.read_buffer = bytearray(CHUNK_BYTES)
         longest_ms = service.configuration.longest_deadline_ms
         self.recent_ids = RecentRequestIds(ID_SPANS_PER_DEADLINE * longest_ms)
 
-    def new_connection(self, arrival: IncomingConnection) -> ClientProtocol:
+    def new_connection(self, incoming: IncomingConnection) -> ClientProtocol:
         """Returns the protocol object of an accepted connection."""
-        connection = ClientProtocol(self, arrival)
+        connection = ClientProtocol(self, incoming)
         self.connections[connection] = True
         return connection
 
@@ -98,7 +98,7 @@
         """Asks admission for a slot at the first complete message; returns whether to handle it."""
         if not connection.is_admitted:
             service = self.service
-            service.listeners.post(ClientIdentified(connection.arrival.connection, ""))
+            service.listeners.post(ClientIdentified(connection.incoming.connection, ""))
             if connection.is_admitted:
                 service.post(
                     service.dispatcher.client_connected,
@@ -125,7 +125,7 @@
             self.service.dispatcher.counters[refusal.counter] += 1
             connection.respond(refusal.status, refusal.reason, close=True)
             return
-        request = request_of(message, now_ms, connection.arrival)
+        request = request_of(message, now_ms, connection.incoming)
         connection.awaiting_id = request.id
         self.service.post(self.dispatch, connection, request)
 
@@ -158,7 +158,7 @@
     def connection_lost(self, connection: ClientProtocol) -> None:
         """Removes a connection that has ended."""
         self.connections.pop(connection, None)
-        self.service.listeners.post(ConnectionClosed(connection.arrival.connection))
+        self.service.listeners.post(ConnectionClosed(connection.incoming.connection))
         self.client_closed(connection)
         self.service.post(connection.release)
 
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -143,7 +143,7 @@
             self.listeners,
             address(self.configuration.listen),
             self.client_listener.new_connection,
-            word=invoke.refusal,
+            encode_rejection=invoke.refusal,
         )
 
     def add_signal_handlers(self) -> None:
@@ -157,7 +157,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        self.usage.base_memory_bytes = self.usage.measure_held()
+        self.usage.base_memory_bytes = self.usage.resident_bytes()
 
     def end(self, exit_code: int) -> None:
         """Ends the service; later calls do not change the exit code."""
@@ -217,8 +217,8 @@
             "usage",
             uptime_s=round((self.clock.now() - self.started_at_ms) / 1000, 1),
             cpu_s=round(process.ru_utime + process.ru_stime, 2),
-            memory_used_mb=round(self.usage.measure_held() / 2**20, 1),
-            descriptors=self.usage.used(),
+            memory_used_mb=round(self.usage.resident_bytes() / 2**20, 1),
+            descriptors=self.usage.count_descriptors(),
             client_connections=len(self.client_listener.connections),
             host_connections=len(self.upstream.connections),
             requests=len(self.dispatcher.requests),
--- a/cherrydoor/platform/resource_usage.py
+++ b/cherrydoor/platform/resource_usage.py
@@ -31,12 +31,12 @@
 
     def __init__(self, memory_bytes: int, descriptors: int) -> None:
         super().__init__(memory_bytes)
-        self.limit = min(self.limit, descriptors)
+        self.descriptor_limit = min(self.descriptor_limit, descriptors)
         self.base_memory_bytes = 0
 
     def measure(self) -> UsageMeasured:
         """Returns the usage in the form that admission reads."""
         measured = super().measure()
-        used_bytes = measured.memory * self.memory - self.base_memory_bytes
-        memory = used_bytes / max(1.0, self.memory - self.base_memory_bytes)
+        used_bytes = measured.memory * self.memory_limit_bytes - self.base_memory_bytes
+        memory = used_bytes / max(1.0, self.memory_limit_bytes - self.base_memory_bytes)
         return UsageMeasured(measured.descriptors, max(0.0, memory), 0.0)
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -278,7 +278,7 @@
     later = service.clock.now() + 400
     service.clock.now = lambda: later
     listener.ready(2)
-    assert listener.since is None, (
+    assert listener.backlog_since_ms is None, (
         "no connection waits any more, although the last pass accepted its maximum"
     )
     await until(lambda: len(service.dispatcher.requests) == 4)
