--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -180,10 +180,10 @@
             if caller.handler.protocol
         ]
         found += [
-            link.wire.transport
+            link.writer.transport
             for host in self.dispatcher.hosts.values()
-            for link in host.links
-            if link.wire
+            for link in host.connections
+            if link.writer
         ]
         found += [
             end.transport
--- a/cherrydoor/gateway/attempts.py
+++ b/cherrydoor/gateway/attempts.py
@@ -144,7 +144,7 @@
     def streaming_started(self, call: HostCall) -> None:
         """Notifies client and router of the request's first attempt that starts to stream."""
         pending = call.pending
-        link = call.link
+        link = call.connection
         assert pending is not None and link is not None, "an attempt in flight has both"
         if pending.finished or pending.streaming:
             return
@@ -152,7 +152,7 @@
         request = pending.request
         if dispatcher.router.settings.request_classes[request.request_class].streaming:
             pending.streaming = True
-            pending.client.wire.write(protocol.StreamStarted(request.id))
+            pending.client.writer.write(protocol.StreamStarted(request.id))
             dispatcher.router_messages.append(
                 routing.StreamStarted(pending.number, call.index, link.host.id)
             )
@@ -173,7 +173,7 @@
         pending.references -= 1
         if not pending.finished:
             self.respond_to_outcome(pending, outcome, message)
-        if dispatcher.releases is not None and call.link is not None:
+        if dispatcher.releases is not None and call.connection is not None:
             self.notify_releases(call, outcome, took_ms, host_id, message)
         if not adopted:
             self.notify_router(call, pending, outcome, took_ms, host_id, message)
--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -62,7 +62,7 @@
         self.client = ClientConnection(self, has_closed=self.has_closed)
         self.credential_facts: Proof = {}
         self.retry_after_ms: float | None = None
-        incoming.connection.open = self.client.open
+        incoming.connection.open = self.client.pending_requests
 
     def connection_made(self, transport: Any) -> None:
         """Registers with admission control, which can then send the client a rejection reason."""
@@ -193,15 +193,15 @@
             FINAL_READ_S, client_connection.close, reason, retry_after_ms
         )
 
-    def withdraw(self, client_connection: ClientProtocol, reason: str, at_once: bool) -> None:
+    def withdraw(self, client_connection: ClientProtocol, reason: str, immediately: bool) -> None:
         """Closes a connection whose certificate or token is no longer valid.
 
-        Unless `at_once` is set, the client is notified that this connection is draining, and the
-        connection is closed once it is idle.
+        Unless `immediately` is set, the client is notified that this connection is draining, and
+        the connection is closed once it is idle.
         """
         if client_connection not in self.connections:
             return
-        if at_once:
+        if immediately:
             self.close_withdrawn(client_connection, reason)
         else:
             withdrawn_at_s = asyncio.get_running_loop().time()
@@ -225,7 +225,10 @@
         quiet_since_ms = max(
             client_connection.incoming.connection.used, 1000 * withdrawn_at_s + clock.offset_ms
         )
-        idle = not client_connection.client.open and clock.now() - quiet_since_ms > IDLE_AFTER_MS
+        idle = (
+            not client_connection.client.pending_requests
+            and clock.now() - quiet_since_ms > IDLE_AFTER_MS
+        )
         if idle or loop.time() - withdrawn_at_s > MAX_WITHDRAWAL_S:
             self.close_withdrawn(client_connection, reason)
         else:
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -17,7 +17,7 @@
 from cherrydoor.config import Problems
 from cherrydoor.config.figures import read_config
 from cherrydoor.gateway.event_loop import address
-from cherrydoor.gateway.exit_codes import BAD_CONFIGURATION, PORT_TAKEN
+from cherrydoor.gateway.exit_codes import ADDRESS_NOT_BOUND, BAD_CONFIGURATION
 from cherrydoor.gateway.metrics import serve_metrics
 from cherrydoor.gateway.service import GatewayService
 from cherrydoor.tls.errors import InvalidCredentialsError
@@ -139,7 +139,7 @@
                 address=config.door,
                 error=str(error),
             )
-            raise StartError(PORT_TAKEN) from error
+            raise StartError(ADDRESS_NOT_BOUND) from error
         host, _ = address(config.door)
         log.info("listener open", gateway=config.name, address=f"{host}:{service.port}")
         if self.announce:
@@ -155,7 +155,7 @@
             serve_metrics(self.services, address(listen_address))
         except OSError as error:
             log.error("metrics listener cannot be opened", address=listen_address, error=str(error))
-            raise StartError(PORT_TAKEN) from error
+            raise StartError(ADDRESS_NOT_BOUND) from error
 
     def handle_signals(self) -> None:
         """Installs the signal handlers and, with `ends_with_stdin`, watches standard input."""
--- a/cherrydoor/gateway/dispatcher.py
+++ b/cherrydoor/gateway/dispatcher.py
@@ -228,4 +228,4 @@
         if self.draining is None:
             self.draining = reason
             for client in self.clients:
-                client.wire.write(Draining(reason))
+                client.writer.write(Draining(reason))
--- a/cherrydoor/gateway/endpoints.py
+++ b/cherrydoor/gateway/endpoints.py
@@ -89,7 +89,7 @@
         for host in list(self.hosts.values()):
             gone = host.row.state == GONE
             dispatcher.connections.close_idle(host, 0.0 if gone else dispatcher.limits.idle, gone)
-            if gone and not host.links:
+            if gone and not host.connections:
                 del self.hosts[host.id]
 
 
--- a/cherrydoor/gateway/host_calls.py
+++ b/cherrydoor/gateway/host_calls.py
@@ -40,18 +40,18 @@
 
 
 class HostCalls:
-    """Owns the calls to hosts (``link.out`` of each connection).
+    """Owns the calls to hosts (``link.calls_in_flight`` of each connection).
 
     Invariant: each call ends exactly once, in ``end``. Until then it is in its connection's
-    ``out``, and a reply on any other connection is ignored.
+    ``calls_in_flight``, and a reply on any other connection is ignored.
 
     Attributes:
-        outcomes: How often calls of each kind ended with each outcome, for the log.
+        outcome_counts: How often calls of each kind ended with each outcome, for the log.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
         self.dispatcher = dispatcher
-        self.outcomes: Counter[str] = Counter()
+        self.outcome_counts: Counter[str] = Counter()
 
     # ---- calls out
     def check_health(self, action: routing.CheckHealth) -> None:
@@ -125,7 +125,7 @@
         pending = call.pending
         if pending is None:
             return ""
-        if not pending.finished and not pending.client.connected(dispatcher.now):
+        if not pending.finished and not pending.client.check_connected(dispatcher.now):
             dispatcher.counters["closes found at a launch"] += 1
             dispatcher.request_table.cancel(pending)
         if pending.finished:
@@ -138,15 +138,15 @@
             return False
         host.calls_sent += 1
         link = self.dispatcher.connections.choose(host, call)
-        call.link = link
-        link.out[call.id] = call
+        call.connection = link
+        link.calls_in_flight[call.id] = call
         link.last_used_ms = self.dispatcher.now
         link.write(message)
         return True
 
     def message_not_sent(self, link: HostConnection, number: int) -> None:
         """Ends a call whose message the I/O layer could not write."""
-        call = link.out.get(number)
+        call = link.calls_in_flight.get(number)
         if call is not None:
             self.end(call, AttemptOutcome.NOT_SENT)
 
@@ -155,7 +155,7 @@
         """Handles a host's reply; it is ignored unless its call is in flight on this connection."""
         link.last_used_ms = link.last_reply_ms = self.dispatcher.now
         link.unresponsive = False
-        call = link.out.get(message.id)
+        call = link.calls_in_flight.get(message.id)
         kind = call.kind if call is not None else None
         message_type = type(message)
         if call is not None and kind is CallKind.QUERY:
@@ -182,7 +182,7 @@
         """
         if call.outcome is not None:
             return
-        link = call.link
+        link = call.connection
         assert link is not None, "a call without a connection has already ended"
         if link.state is ConnectionState.DIALING:
             link.unsent = [message for message in link.unsent if message.id != call.id]
@@ -217,12 +217,12 @@
             return
         call.outcome = outcome
         if call.kind in OUTCOME_COUNTERS:
-            self.outcomes[f"{OUTCOME_COUNTERS[call.kind]}: {outcome}"] += 1
+            self.outcome_counts[f"{OUTCOME_COUNTERS[call.kind]}: {outcome}"] += 1
         took_ms = self.dispatcher.now - call.started_at_ms
-        link = call.link
+        link = call.connection
         if link is not None:
             host_id = link.host.id
-            link.out.pop(call.id, None)
+            link.calls_in_flight.pop(call.id, None)
             if outcome == AttemptOutcome.FUNCTION_MISSING and call.pending is not None:
                 remember_missing(link, call.pending.number)
         if call.kind is CallKind.ATTEMPT:
--- a/cherrydoor/gateway/host_connections.py
+++ b/cherrydoor/gateway/host_connections.py
@@ -14,10 +14,10 @@
 
 
 class HostConnections:
-    """Owns the connections to each host (``host.links``).
+    """Owns the connections to each host (``host.connections``).
 
-    Invariant: a connection is in its host's ``links`` from when it is dialed until it is closed,
-    refused or lost, which ends all calls on it.
+    Invariant: a connection is in its host's ``connections`` from when it is dialed until it is
+    closed, refused or lost, which ends all calls on it.
     """
 
     def __init__(self, dispatcher: "Dispatcher") -> None:
@@ -36,7 +36,7 @@
         for the reply to the new attempt.
         """
         limits = self.dispatcher.limits
-        responsive = [link for link in host.links if not link.unresponsive]
+        responsive = [link for link in host.connections if not link.unresponsive]
         pending = call.pending
         if pending is None:
             suitable = responsive
@@ -44,41 +44,41 @@
             number = pending.number
             suitable = [link for link in responsive if number not in link.missing_requests]
         for link in suitable:
-            if len(link.out) < limits.per_link:
+            if len(link.calls_in_flight) < limits.per_link:
                 return link
         worth_handshake = MAX_HANDSHAKE_SHARE * host.calls_sent >= limits.handshake * len(
             responsive
         )
-        if worth_handshake and len(host.links) < limits.links:
+        if worth_handshake and len(host.connections) < limits.links:
             return self.open(host)
-        return min(suitable or responsive or host.links, key=calls_in_flight)
+        return min(suitable or responsive or host.connections, key=count_calls)
 
     def open(self, host: HostRecord) -> HostConnection:
         """Dials the host; messages written before the connection is open are sent once it is."""
         dispatcher = self.dispatcher
         link = HostConnection(host, dispatcher.now)
-        host.links.append(link)
+        host.connections.append(link)
         dispatcher.timers.set(
             dispatcher.now + dispatcher.limits.connect, self.connect_timed_out, link
         )
         dispatcher.dial(link)
         return link
 
-    def connection_opened(self, link: HostConnection, wire: Any) -> None:
+    def connection_opened(self, link: HostConnection, writer: Any) -> None:
         """Sends the messages that waited for the connection, except those now held back."""
         if link.state is not ConnectionState.DIALING:  # it has timed out
-            wire.close("")
+            writer.close("")
             return
         link.state = ConnectionState.OPEN
-        link.wire = wire
+        link.writer = writer
         link.last_reply_ms = self.dispatcher.now
         unsent = link.unsent
         link.unsent = []
         calls = self.dispatcher.calls
         for message in unsent:
-            call = link.out.get(message.id)
+            call = link.calls_in_flight.get(message.id)
             if call is None or not calls.end_if_held_back(link.host, call, message):
-                wire.write(message)
+                writer.write(message)
 
     def connect_timed_out(self, link: HostConnection) -> None:
         """Ends a connection that was not opened within the connect timeout."""
@@ -95,9 +95,9 @@
             outcome = AttemptOutcome.CONNECT_FAILED
         link.state = ConnectionState.CLOSED
         link.unsent = []
-        link.host.links.remove(link)
-        self.dispatcher.counters[f"connections: {outcome}"] += bool(link.out)
-        calls = list(link.out.values())
+        link.host.connections.remove(link)
+        self.dispatcher.counters[f"connections: {outcome}"] += bool(link.calls_in_flight)
+        calls = list(link.calls_in_flight.values())
         if outcome is AttemptOutcome.CONNECTION_LOST and calls:
             self.dispatcher.takeover.cancel_on_other_connection(link.host, calls)
         for call in calls:
@@ -106,10 +106,10 @@
     def close_idle(self, host: HostRecord, idle_ms: float, host_is_gone: bool) -> None:
         """Closes the host's connections idle for ``idle_ms``; if it is gone, all without calls."""
         now_ms = self.dispatcher.now
-        for link in list(host.links):
+        for link in list(host.connections):
             if (
                 link.state is ConnectionState.OPEN
-                and not link.out
+                and not link.calls_in_flight
                 and (host_is_gone or now_ms - link.last_used_ms > idle_ms)
             ):
                 self.close(link)
@@ -120,10 +120,10 @@
         A network partition can leave dead connections open, and each would lose another attempt.
         If the host was only slow, the cost is dialing it again.
         """
-        for link in list(host.links):
+        for link in list(host.connections):
             if (
                 link.state is ConnectionState.OPEN
-                and not link.out
+                and not link.calls_in_flight
                 and link.last_reply_ms <= since_ms
             ):
                 self.dispatcher.counters["silent connections closed"] += 1
@@ -132,10 +132,10 @@
     def close(self, link: HostConnection) -> None:
         """Closes an open connection on which no call is in flight."""
         link.state = ConnectionState.CLOSED
-        link.host.links.remove(link)
-        link.wire.close("")
+        link.host.connections.remove(link)
+        link.writer.close("")
 
 
-def calls_in_flight(link: HostConnection) -> int:
+def count_calls(link: HostConnection) -> int:
     """Returns the number of calls in flight on a connection."""
-    return len(link.out)
+    return len(link.calls_in_flight)
--- a/cherrydoor/gateway/incarnations.py
+++ b/cherrydoor/gateway/incarnations.py
@@ -82,10 +82,10 @@
             if answer is None:
                 continue
             outcome, reason = answer
-            wire = pending.client.wire
-            wire.write(
+            writer = pending.client.writer
+            writer.write(
                 protocol.Response(
-                    pending.request.id, outcome, retry_after_ms.get(wire, 0.0), reason
+                    pending.request.id, outcome, retry_after_ms.get(writer, 0.0), reason
                 )
             )
 
@@ -95,7 +95,7 @@
         for handler, arguments in dispatcher.inputs:
             if handler == dispatcher.request_received:
                 client, request = arguments
-                self.reject_unaccepted(client, request, retry_after_ms.get(client.wire, 0.0))
+                self.reject_unaccepted(client, request, retry_after_ms.get(client.writer, 0.0))
 
     def reject_unaccepted(self, client: Any, request: Any, retry_after_ms: float) -> None:
         """Rejects a request that the ended incarnation had not accepted.
@@ -105,7 +105,7 @@
         if request.timeout_ms > client.excess_delay_ms(
             request.sent_at_ms, self.service.clock.now()
         ):
-            client.wire.write(
+            client.writer.write(
                 protocol.Response(request.id, "deferred", retry_after_ms, INCARNATION_ENDED)
             )
 
@@ -122,7 +122,7 @@
         for client_connection in list(service.client_listener.connections):
             # Later events of this connection reach the next dispatcher, which knows none of its
             # requests.
-            client_connection.client.open.clear()
+            client_connection.client.pending_requests.clear()
             close_connection(client_connection)
         self.abort_host_connections(ended)
         service.dispatcher = service.make_dispatcher()
@@ -135,11 +135,11 @@
     def abort_host_connections(self, dispatcher: Any) -> None:
         """Aborts all connections to hosts; the calls on them get no outcome."""
         for host in dispatcher.hosts.values():
-            for link in host.links:
+            for link in host.connections:
                 link.state = CLOSED
-                link.out = {}
-                if link.wire is not None:
-                    link.wire.abort()
+                link.calls_in_flight = {}
+                if link.writer is not None:
+                    link.writer.abort()
 
     def replace_peer_services(self, ended: "PeerServices") -> None:
         """Ends the peer services and starts those of the next incarnation.
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -63,7 +63,7 @@
             host = self.dispatcher.hosts.get(host_id)
             if host is None:
                 continue
-            for link in host.links:
+            for link in host.connections:
                 if link.state is ConnectionState.OPEN:
                     link.write(protocol.Unload(self.dispatcher.next_number(), function))
                     break
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -51,12 +51,12 @@
         client.excess_delay_ms(hello.clock_ms, dispatcher.now)
         self.clients[client] = True
         if dispatcher.draining is not None:
-            client.wire.write(Draining(dispatcher.draining))
+            client.writer.write(Draining(dispatcher.draining))
 
     def client_disconnected(self, client: ClientConnection) -> None:
         """Removes a client and cancels all its pending requests."""
         self.clients.pop(client, None)
-        for pending in list(client.open.values()):
+        for pending in list(client.pending_requests.values()):
             self.cancel(pending)
 
     # ---- acceptance
@@ -75,7 +75,7 @@
             LATE_TIMERS_PER_REQUEST * dispatcher.timers.lag_ms, MAX_LAG_SHARE * request.timeout_ms
         )
         deadline_ms = client_deadline_ms - dispatcher.limits.spare - lag_ms
-        if request.id in client.open:
+        if request.id in client.pending_requests:
             dispatcher.counters["duplicate request ids"] += 1
             return
         if client_deadline_ms <= dispatcher.now:
@@ -128,7 +128,7 @@
     ) -> None:
         """Answers a request that is not accepted, and counts the reason."""
         self.dispatcher.counters[f"not accepted: {reason}"] += 1
-        client.wire.write(protocol.Response(request.id, outcome, retry_after_ms, reason))
+        client.writer.write(protocol.Response(request.id, outcome, retry_after_ms, reason))
 
     def accept(
         self, client: ClientConnection, request: protocol.Request, deadline_ms: float
@@ -139,7 +139,7 @@
         client.last_connected_ms = dispatcher.now
         pending = PendingRequest(number, request, client, deadline_ms, dispatcher.now)
         self.requests[number] = pending
-        client.open[request.id] = pending
+        client.pending_requests[request.id] = pending
         dispatcher.counters["taken"] += 1
         dispatcher.timers.set(deadline_ms, self.deadline_passed, pending)
         return pending
@@ -176,7 +176,7 @@
     # ---- responses and cancellation
     def request_withdrawn(self, client: ClientConnection, request_id: int) -> None:
         """Cancels a request that its client no longer waits for."""
-        pending = client.open.get(request_id)
+        pending = client.pending_requests.get(request_id)
         if pending is None:
             self.dispatcher.counters["cancellations of unknown requests"] += 1
         else:
@@ -192,7 +192,7 @@
         dispatcher.counters["clients left"] += 1
         last_connected_ms = pending.client.last_connected_ms
         for call in pending.attempts:
-            if call.link and call.started_at_ms - last_connected_ms > CLOSE_GRACE_MS:
+            if call.connection and call.started_at_ms - last_connected_ms > CLOSE_GRACE_MS:
                 dispatcher.counters[ATTEMPTS_AFTER_CLOSE] += 1
         if pending.streaming:
             for call in pending.attempts:
@@ -216,7 +216,7 @@
         dispatcher.counters[response.outcome] += 1
         if dispatcher.zone_drain is not None:
             dispatcher.zone_drain.request_finished(pending, response.outcome, dispatcher.now)
-        pending.client.wire.write(response)
+        pending.client.writer.write(response)
         self.finish(pending)
 
     def respond_to_all(self, reason: str) -> None:
@@ -232,7 +232,7 @@
     def finish(self, pending: PendingRequest) -> None:
         """Marks a request as finished; no other method does."""
         pending.finished = True
-        pending.client.open.pop(pending.request.id, None)
+        pending.client.pending_requests.pop(pending.request.id, None)
         if self.dispatcher.failover is not None:
             self.dispatcher.failover.request_finished(pending)
         self.remove_if_unreferenced(pending)
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -294,6 +294,6 @@
         for client_connection in list(self.client_listener.connections):
             client_connection.close()
         for host in self.dispatcher.hosts.values():
-            for link in host.links:
-                if link.wire is not None:
-                    link.wire.close()
+            for link in host.connections:
+                if link.writer is not None:
+                    link.writer.close()
--- a/cherrydoor/gateway/tables.py
+++ b/cherrydoor/gateway/tables.py
@@ -57,9 +57,9 @@
     """One connection of a client. Owned by ``RequestTable``.
 
     Attributes:
-        wire: Where responses are written.
+        writer: Where responses are written.
         name: Name in the client's hello.
-        open: Pending requests by the ids that the client gave them.
+        pending_requests: Pending requests by the ids that the client gave them.
         has_closed: Returns whether the client has closed, even if the close has not been read yet.
         min_clock_gap_ms: Smallest difference seen between our receive time and the client's send
             time, which is taken as zero delay; None before the first message.
@@ -67,16 +67,16 @@
     """
 
     def __init__(
-        self, wire: Any, name: str = "", has_closed: Callable[[], bool] = never_closed
+        self, writer: Any, name: str = "", has_closed: Callable[[], bool] = never_closed
     ) -> None:
-        self.wire = wire
+        self.writer = writer
         self.name = name
         self.has_closed = has_closed
-        self.open: dict[int, PendingRequest] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.min_clock_gap_ms: float | None = None
         self.last_connected_ms = 0.0
 
-    def connected(self, now_ms: float) -> bool:
+    def check_connected(self, now_ms: float) -> bool:
         """Returns whether the client has not closed, checked before each attempt is sent."""
         if self.has_closed():
             return False
@@ -164,7 +164,7 @@
     Attributes:
         id: Number on the wire.
         started_at_ms: When the call was created.
-        link: The connection to the host that it was sent on; None if it was not sent.
+        connection: The connection to the host that it was sent on; None if it was not sent.
         pending: The request of an attempt; None for other kinds.
         index: Position of an attempt among those of its request.
         function: Function of a load order.
@@ -177,7 +177,7 @@
         "kind",
         "id",
         "started_at_ms",
-        "link",
+        "connection",
         "pending",
         "index",
         "function",
@@ -199,7 +199,7 @@
         self.kind = kind
         self.id = number
         self.started_at_ms = started_at_ms
-        self.link: HostConnection | None = None
+        self.connection: HostConnection | None = None
         self.pending = pending
         self.index = index
         self.function = function
@@ -212,8 +212,8 @@
     """One connection to a host. Owned by ``HostConnections``.
 
     Attributes:
-        wire: Where messages are written; None until the connection is open.
-        out: Calls in flight on it, by their ids.
+        writer: Where messages are written; None until the connection is open.
+        calls_in_flight: Calls in flight on it, by their ids.
         unsent: Messages written while dialing; they are dropped if dialing fails.
         last_used_ms: When it last carried a message.
         last_reply_ms: When the last reply was read from it, or when it was opened.
@@ -226,8 +226,8 @@
     def __init__(self, host: "HostRecord", now_ms: float) -> None:
         self.host = host
         self.state = ConnectionState.DIALING
-        self.wire: Any = None
-        self.out: dict[int, HostCall] = {}
+        self.writer: Any = None
+        self.calls_in_flight: dict[int, HostCall] = {}
         self.unsent: list[Any] = []
         self.last_used_ms = now_ms
         self.last_reply_ms = now_ms
@@ -237,7 +237,7 @@
     def write(self, message: Any) -> None:
         """Sends a message, or queues it until the connection is open; ignored once it is closed."""
         if self.state is ConnectionState.OPEN:
-            self.wire.write(message)
+            self.writer.write(message)
         elif self.state is ConnectionState.DIALING:
             self.unsent.append(message)
 
@@ -247,7 +247,7 @@
 
     Attributes:
         row: Its latest row of the endpoint list.
-        links: Connections to it that are not closed; written by ``HostConnections``.
+        connections: Connections to it that are not closed; written by ``HostConnections``.
         started_at_ms: The later of the start times in the endpoint list and in the host's hello.
         calls_sent: Number of calls sent to it; written by ``HostCalls``.
     """
@@ -255,6 +255,6 @@
     def __init__(self, row: protocol.Endpoint) -> None:
         self.id = row.host
         self.row = row
-        self.links: list[HostConnection] = []
+        self.connections: list[HostConnection] = []
         self.started_at_ms = row.started_at_ms
         self.calls_sent = 0
--- a/cherrydoor/gateway/takeover.py
+++ b/cherrydoor/gateway/takeover.py
@@ -126,7 +126,7 @@
         """
         if self.dispatcher.failover is None or host.row.state == "gone":
             return
-        link = host.links[0] if host.links else self.dispatcher.connections.open(host)
+        link = host.connections[0] if host.connections else self.dispatcher.connections.open(host)
         for call in calls:
             if call.kind is CallKind.ATTEMPT:
                 link.write(protocol.CancelAttempt(call.id))
--- a/cherrydoor/platform/client_connection.py
+++ b/cherrydoor/platform/client_connection.py
@@ -45,7 +45,7 @@
         self.client = ClientConnection(self, has_closed=self.has_closed)
         self.awaiting_id: int | None = None
         self.is_admitted = False
-        incoming.connection.open = self.client.open
+        incoming.connection.open = self.client.pending_requests
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Attaches the transport to this connection and to admission's record."""
@@ -190,5 +190,5 @@
         self.incoming.handshake_task = None
         self.incoming.connection.handler = None
         self.transport = None
-        self.client.wire = None
+        self.client.writer = None
         self.incoming = None  # type: ignore[assignment]
--- a/cherrydoor/platform/client_listener.py
+++ b/cherrydoor/platform/client_listener.py
@@ -147,7 +147,10 @@
         each request, so it is written here.
         """
         self.service.dispatcher.request_received(connection.client, request)
-        if connection.awaiting_id == request.id and request.id not in connection.client.open:
+        if (
+            connection.awaiting_id == request.id
+            and request.id not in connection.client.pending_requests
+        ):
             connection.write(protocol.Response(request.id, "deferred", 0.0, "the time is up"))
 
     def client_closed(self, connection: ClientProtocol) -> None:
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -29,7 +29,7 @@
 from cherrydoor.platform.upstream import Upstream
 from cherrydoor.routing import Router
 
-BAD_CONFIGURATION, PORT_TAKEN = 64, 69  # exit codes
+BAD_CONFIGURATION, ADDRESS_NOT_BOUND = 64, 69  # exit codes
 USAGE_INTERVAL_S = 10.0  # between log lines of resource usage
 CLOSE_TIME_S = 0.02  # at the end, for closed connections to write what is buffered
 # A request leaves few objects behind, so full collections are cheap, and frequent ones keep memory
@@ -120,7 +120,7 @@
                 f"{self.configuration.listen}: the listener cannot be opened: {error.strerror}",
                 file=sys.stderr,
             )
-            return PORT_TAKEN
+            return ADDRESS_NOT_BOUND
         self.add_signal_handlers()
         self.discovery_watch.start()
         if self.reload_wanted():
@@ -224,7 +224,7 @@
             requests=len(self.dispatcher.requests),
             hosts=len(self.dispatcher.hosts),
             counters=dict(self.dispatcher.counters),
-            outcomes=dict(self.dispatcher.calls.outcomes),
+            outcomes=dict(self.dispatcher.calls.outcome_counts),
             admission=self.listeners.controller.counters,
         )
 
--- a/cherrydoor/platform/router_trace.py
+++ b/cherrydoor/platform/router_trace.py
@@ -52,7 +52,7 @@
         dispatcher = self.service.dispatcher
         now_ms = self.service.clock.now()
         record = dispatcher.hosts.get(host.id)
-        links = record.links if record else ()
+        links = record.connections if record else ()
         functions = dispatcher.router.history.functions.values()
         return {
             "host": host.id,
@@ -69,6 +69,6 @@
             "full": round(host.fullness.read(now_ms), 2),
             "copies": sum(host in function.copies for function in functions),
             "links": len(links),
-            "open": sum(len(link.out) for link in links),
+            "open": sum(len(link.calls_in_flight) for link in links),
             "crossed": traffic.get(host.id, {}),
         }
--- a/cherrydoor/zone_drain/listed_hosts.py
+++ b/cherrydoor/zone_drain/listed_hosts.py
@@ -23,8 +23,8 @@
 def calls_in_flight(dispatcher: Any, zone: str) -> int:
     """Counts this gateway's calls in flight at the zone's hosts, including unlisted hosts."""
     return sum(
-        len(link.out)
+        len(link.calls_in_flight)
         for host in dispatcher.hosts.values()
         if host.row.zone == zone
-        for link in host.links
+        for link in host.connections
     )
--- a/tests/gateway/test_hard_cases.py
+++ b/tests/gateway/test_hard_cases.py
@@ -421,7 +421,7 @@
     [attempt] = await host.got(protocol.Attempt)
     dispatcher = stack.service.dispatcher
     [pending] = dispatcher.requests.values()
-    link = pending.attempts[0].link
+    link = pending.attempts[0].connection
     # The response has arrived and the client's deadline has passed when the tick begins.
     dispatcher.post(dispatcher.host_replied, link, protocol.AttemptResult(attempt.id, "handled", 1))
     dispatcher.tick(pending.deadline_ms + 5)
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -34,9 +34,11 @@
     client = BlockingClient(harness)
     number = client.call()
     await until(lambda: executed(harness))
-    [link] = [link for host in service.dispatcher.hosts.values() for link in host.links]
+    [link] = [link for host in service.dispatcher.hosts.values() for link in host.connections]
     [connection] = service.client_listener.connections
-    service.post(service.dispatcher.host_replied, link, protocol.AttemptResult(*link.out, "full"))
+    service.post(
+        service.dispatcher.host_replied, link, protocol.AttemptResult(*link.calls_in_flight, "full")
+    )
     service.post(service.dispatcher.client_disconnected, connection.client)
     await until(lambda: not service.dispatcher.requests)
     for host in harness.hosts:
@@ -75,12 +77,19 @@
     connection.transport.pause_reading()
     client.sock.close()
     # Disables the check that prevents such attempts.
-    connection.client.connected = lambda now: True
-    [link] = [link for host in service.dispatcher.hosts.values() for link in host.links if link.out]
+    connection.client.check_connected = lambda now: True
+    [link] = [
+        link
+        for host in service.dispatcher.hosts.values()
+        for link in host.connections
+        if link.calls_in_flight
+    ]
     later = service.clock.now() + 200
     service.clock.now = lambda: later
     assert service.dispatcher.counters[ATTEMPTS_AFTER_CLOSE] == 0
-    service.post(service.dispatcher.host_replied, link, protocol.AttemptResult(*link.out, "full"))
+    service.post(
+        service.dispatcher.host_replied, link, protocol.AttemptResult(*link.calls_in_flight, "full")
+    )
     service.post(connection.transport.resume_reading)
     await until(lambda: not service.dispatcher.requests and not service.client_listener.connections)
     assert service.dispatcher.counters[ATTEMPTS_AFTER_CLOSE] == 1
