--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -14,7 +14,7 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import messages as credentials
 from cherrydoor.tls.errors import PeerAuthenticationError
-from cherrydoor.tls.peer_authentication import Proof
+from cherrydoor.tls.peer_authentication import PeerCredentials
 
 if TYPE_CHECKING:
     from cherrydoor.gateway.service import GatewayService
@@ -60,7 +60,7 @@
         self.incoming = incoming
         self.read_buffer = bytearray(CHUNK_BYTES)
         self.client = ClientConnection(self, has_closed=self.has_closed)
-        self.credential_facts: Proof = {}
+        self.credential_facts: PeerCredentials = {}
         self.retry_after_ms: float | None = None
         incoming.connection.open = self.client.pending_requests
 
--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -199,7 +199,7 @@
 
     def apply_configuration(self, service: GatewayService, config: Any) -> None:
         """Applies the limits of a reloaded configuration and checks the key files for changes."""
-        service.tls.look(True)
+        service.tls.reload_changed_files(True)
         old = service.config
         if (config.lease, config.door, config.keys) != (old.lease, old.door, old.keys):
             log.warning(
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -125,7 +125,7 @@
         router = self.make_router(self.config.lease)
         versions, attempt_ended = None, None
         if self.releases:
-            versions, attempt_ended = self.releases.versions, self.releases.post
+            versions, attempt_ended = self.releases.controller, self.releases.post
         return Dispatcher(
             router,
             self.config.limits,
@@ -173,7 +173,7 @@
         self.port = self.listen(
             address(self.config.door),
             lambda incoming: ClientProtocol(self, incoming),
-            (lambda: self.tls.server) if self.tls.sealed else None,
+            (lambda: self.tls.server) if self.tls.uses_tls else None,
         )
         self.set_timer()
 
--- a/cherrydoor/membership/handshake.py
+++ b/cherrydoor/membership/handshake.py
@@ -28,7 +28,7 @@
         return f"a peer is expected here, not a {hello.role}"
     if connection.dialled_name and hello.name != connection.dialled_name:
         return f"{connection.dialled_name} is expected here, not {hello.name}"
-    if tls.sealed and not has_certificate_of(connection, hello.name, tls):
+    if tls.uses_tls and not has_certificate_of(connection, hello.name, tls):
         log.warning(
             "peer rejected: its certificate is not of that name",
             gateway=own_name,
--- a/cherrydoor/releases/feed.py
+++ b/cherrydoor/releases/feed.py
@@ -45,7 +45,7 @@
     It owns the connection to the feed, two tasks, the state file and the control socket.
 
     Attributes:
-        versions: The controller. The dispatcher asks it which version a request calls.
+        controller: The dispatcher asks it which version a request calls.
         connection: The connection to the feed; None while disconnected.
         tasks: The background tasks, which run until `close`.
     """
@@ -60,7 +60,7 @@
         """
         self.service = service
         self._now_ms = service.clock.now
-        self.versions = RolloutController(self._now_ms())
+        self.controller = RolloutController(self._now_ms())
         self.connection: Any = None
         self.tasks: list[asyncio.Task[None]] = []
         self._feed_address: str = settings["feed"]
@@ -94,7 +94,7 @@
     # ---- decisions
     def post(self, message: Message) -> None:
         """Pass a message to the controller and carry out the resulting actions."""
-        for action in self.versions.take(self._now_ms(), message):
+        for action in self.controller.take(self._now_ms(), message):
             self._carry_out(action)
 
     def _carry_out(self, action: Action) -> None:
@@ -124,7 +124,7 @@
             if self.connection is not None and loop.time() - requested_at_s >= RESYNC_INTERVAL_S:
                 requested_at_s = loop.time()
                 self.connection.write(protocol.Watch())
-            if self.versions.has_unsaved_changes:
+            if self.controller.has_unsaved_changes:
                 self._save()
 
     # ---- persistence
@@ -132,7 +132,7 @@
         if self._state_file is None:
             return
         try:
-            self._state_file.write(self.versions.stored())
+            self._state_file.write(self.controller.stored())
         except OSError as error:
             log.warning(
                 "release state cannot be saved",
@@ -148,9 +148,9 @@
         if self._state_file is None or not self._state_file.exists():
             return
         try:
-            self.versions.restore(self._state_file.read())
+            self.controller.restore(self._state_file.read())
         except INVALID_STATE_ERRORS as error:
-            self.versions = RolloutController(self._now_ms())
+            self.controller = RolloutController(self._now_ms())
             log.error(
                 "release state cannot be read, file set aside",
                 file=str(self._state_file.set_aside()),
@@ -226,7 +226,7 @@
         if verb == "announce":
             self.post(ReleaseUpdated(str(command["function"]), int(command["version"])))
         elif verb in tuple(OperatorAction):
-            versions = self.versions.functions.get(command["function"])
+            versions = self.controller.functions.get(command["function"])
             if versions is None or versions.release is None:
                 return {"error": f"no release of {command['function']} is known here"}
             self.post(OperatorCommand(command["function"], OperatorAction(verb)))
@@ -237,6 +237,6 @@
         return {
             "gateway": self.service.config.name,
             "releases": [
-                row for row in self.versions.table() if function in (None, row["function"])
+                row for row in self.controller.table() if function in (None, row["function"])
             ],
         }
--- a/cherrydoor/tls/credential_manager.py
+++ b/cherrydoor/tls/credential_manager.py
@@ -112,7 +112,7 @@
         self.private_key = b""
 
     @property
-    def sealed(self) -> bool:
+    def uses_tls(self) -> bool:
         """Whether the listeners use TLS."""
         return bool(self.settings.certificate)
 
@@ -129,14 +129,15 @@
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + self.settings.start_timeout_ms / 1000
         poll_interval_s = self.settings.poll_interval_ms / 1000
-        self.look(True)
-        # Asks the store what is rejected now, because `look` returns each rejection only once.
+        self.reload_changed_files(True)
+        # Asks the store what is rejected now, because `reload_changed_files` returns each rejection
+        # only once.
         while rejections := self.store.rejections():
             remaining_s = deadline_s - loop.time()
             if remaining_s <= 0:
                 raise CredentialRejectedError(rejections[0].part, rejections[0].reason)
             await asyncio.sleep(min(remaining_s, START_RETRY_S, poll_interval_s))
-            self.look(True)
+            self.reload_changed_files(True)
         if self.settings.paths():
             self.timer = loop.call_later(poll_interval_s, self._poll)
 
@@ -145,7 +146,7 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def look(self, force: bool = False) -> list[Rejected]:
+    def reload_changed_files(self, force: bool = False) -> list[Rejected]:
         """Reads all files if any of them has changed.
 
         Args:
@@ -203,7 +204,7 @@
         self.timer = asyncio.get_running_loop().call_later(
             self.settings.poll_interval_ms / 1000, self._poll
         )
-        self.look()
+        self.reload_changed_files()
         self.post(Tick())
 
     def _readers(self) -> Iterator[tuple[Part, Callable[[], CredentialFile]]]:
--- a/cherrydoor/tls/peer_authentication.py
+++ b/cherrydoor/tls/peer_authentication.py
@@ -21,7 +21,7 @@
 TOKEN_ALGORITHM = "EdDSA"
 
 
-class Proof(TypedDict, total=False):
+class PeerCredentials(TypedDict, total=False):
     """The credentials a peer was accepted with, as fields of `messages.ConnectionOpened`."""
 
     serial: str
@@ -37,7 +37,7 @@
     """
 
     known_client: str
-    proof: Proof
+    credentials: PeerCredentials
 
 
 class VerifiedToken(NamedTuple):
@@ -77,24 +77,26 @@
             PeerAuthenticationError: The certificate or the token is not valid.
         """
         known_client = ""
-        proof: Proof = {}
+        credentials: PeerCredentials = {}
         tls = transport.get_extra_info("ssl_object")
         der = tls.getpeercert(True) if tls is not None else None
         if der:
             certificate = x509.load_der_x509_certificate(der)
             known_client = common_name(certificate.subject)
-            proof = self._verify_certificate(certificate)
+            credentials = self._verify_certificate(certificate)
         if token:
             verified = self._verify_token(token)
             if known_client and verified.known_client != known_client:
                 raise PeerAuthenticationError("certificate and token speak for different clients")
             known_client = verified.known_client
-            expires_ms = min(verified.expires_ms, proof.get("expires_ms", verified.expires_ms))
-            proof["token"] = verified.key_id
-            proof["expires_ms"] = expires_ms
-        return PeerIdentity(known_client, proof)
+            expires_ms = min(
+                verified.expires_ms, credentials.get("expires_ms", verified.expires_ms)
+            )
+            credentials["token"] = verified.key_id
+            credentials["expires_ms"] = expires_ms
+        return PeerIdentity(known_client, credentials)
 
-    def _verify_certificate(self, certificate: x509.Certificate) -> Proof:
+    def _verify_certificate(self, certificate: x509.Certificate) -> PeerCredentials:
         issuer = find_issuer(certificate, self.trusted)
         if issuer is None:
             raise PeerAuthenticationError("the authority of this certificate is in service no more")
--- a/tests/releases/test_release_service.py
+++ b/tests/releases/test_release_service.py
@@ -103,7 +103,7 @@
 
 async def start_canary(stack, feed):
     """Announce the version; return the function's versions once the release is a canary."""
-    functions = stack.service.releases.versions.functions
+    functions = stack.service.releases.controller.functions
     feed.release([FUNCTION], VERSION)
     await stack.settled(
         lambda: FUNCTION in functions and functions[FUNCTION].release.state == ReleaseState.CANARY
