--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -129,7 +129,7 @@
             case "peers":
                 return self.table()
             case "site":
-                return self.zone_drains.order(command)
+                return self.zone_drains.answer_command(command)
             case "custody":
                 return self.failover.table()
             case "tenures":
--- a/cherrydoor/gateway/host_calls.py
+++ b/cherrydoor/gateway/host_calls.py
@@ -253,7 +253,7 @@
         dispatcher = self.dispatcher
         dispatcher.call_ended(releases.LoadEnded(call.function, outcome, took_ms))
         if dispatcher.zone_drain is not None:
-            dispatcher.zone_drain.load_ended(
+            dispatcher.zone_drain.load_order_ended(
                 call.function, host_id, outcome == AttemptOutcome.SUCCEEDED
             )
 
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -47,7 +47,7 @@
         elif dispatcher.zone_drain is None:
             zones = [""]
         else:
-            zones = ["", *dispatcher.zone_drain.draining_zones()]
+            zones = ["", *dispatcher.zone_drain.zones_with_moved_sessions()]
         for zone in zones:
             dispatcher.router_messages.append(routing.FunctionExpected(function, zone))
 
--- a/cherrydoor/gateway/requests.py
+++ b/cherrydoor/gateway/requests.py
@@ -157,7 +157,7 @@
             )
         drained_zone = ""
         if dispatcher.zone_drain is not None:
-            drained_zone = dispatcher.zone_drain.drained_zone(request, pending.function)
+            drained_zone = dispatcher.zone_drain.excluded_zone(request, pending.function)
         dispatcher.router_messages.append(
             routing.RequestArrived(
                 pending.number,
--- a/cherrydoor/platform/router_trace.py
+++ b/cherrydoor/platform/router_trace.py
@@ -34,7 +34,7 @@
         service.upstream.traffic = {}
         service.log.write(
             "believed",
-            mean=round(router.mean(), 1),
+            mean=round(router.mean_response_ms(), 1),
             blind=statistics.most_hosts_suspect,
             brisk=round(statistics.fast_response_ms, 1),
             load=round(statistics.load_ms),
--- a/cherrydoor/routing/router.py
+++ b/cherrydoor/routing/router.py
@@ -105,7 +105,7 @@
             messages.LoadOrderEnded: self._end_load_order,
         }
 
-    def mean(self) -> float:
+    def mean_response_ms(self) -> float:
         """The mean response time of all hosts, in ms."""
         return self.statistics.mean_response_ms()
 
--- a/cherrydoor/zone_drain/service.py
+++ b/cherrydoor/zone_drain/service.py
@@ -95,7 +95,7 @@
             self._timer.cancel()
         self.coordinators.release_leases()
 
-    def order(self, request: Mapping[str, Any]) -> Table:
+    def answer_command(self, request: Mapping[str, Any]) -> Table:
         """Answers an operator's command (operator_commands.py)."""
         return self._operator_commands.answer(request)
 
@@ -107,7 +107,7 @@
         """Returns why a drain rejects the request; "" if none does."""
         return self._decide(request).rejection_reason if self.participant.drains else ""
 
-    def drained_zone(self, request: Any, function: str) -> str:
+    def excluded_zone(self, request: Any, function: str) -> str:
         """Returns the drained zone that the request must avoid; "" if there is none.
 
         Args:
@@ -117,7 +117,7 @@
         self.load.request_routed(function, request.request_class)
         return self._decide(request).excluded_zone if self.participant.drains else ""
 
-    def draining_zones(self) -> list[str]:
+    def zones_with_moved_sessions(self) -> list[str]:
         """Returns the zones from which sessions have moved; releases also preload outside them."""
         return self.participant.zones_with_moved_sessions()
 
@@ -131,7 +131,7 @@
         request_class = pending.request.request_class
         self.load.request_finished(request_class, outcome == SUCCEEDED, duration_ms)
 
-    def load_ended(self, function: str, host: str, is_success: bool) -> None:
+    def load_order_ended(self, function: str, host: str, is_success: bool) -> None:
         """Records the end of a load order of this gateway; `function` is a versioned name."""
         self.coordinators.load_order_ended(function, host, is_success)
 
--- a/tests/routing/test_rules_of_attempts.py
+++ b/tests/routing/test_rules_of_attempts.py
@@ -299,7 +299,7 @@
             fleet.end_attempt(
                 request_id, duration_ms=4000.0 if fleet.sent[request_id] == ["a"] else 50.0
             )
-    assert fleet.router.mean() < 0.75 * 500.0
+    assert fleet.router.mean_response_ms() < 0.75 * 500.0
 
 
 def test_attempts_lost_together_count_as_one_failure():
--- a/tests/zone_drain/test_waves.py
+++ b/tests/zone_drain/test_waves.py
@@ -127,7 +127,7 @@
 
 def test_a_release_preloads_also_outside_a_zone_whose_sessions_have_moved():
     dispatcher = SimpleNamespace(
-        router_messages=[], zone_drain=SimpleNamespace(draining_zones=lambda: ["s"])
+        router_messages=[], zone_drain=SimpleNamespace(zones_with_moved_sessions=lambda: ["s"])
     )
     LoadOrders(dispatcher).function_expected("deed@2")
     assert [(message.function, message.drained_zone) for message in dispatcher.router_messages] == [
