--- a/cherrydoor/gateway/client_listener.py
+++ b/cherrydoor/gateway/client_listener.py
@@ -56,7 +56,7 @@
             service.bounds.client_bytes,
             MAX_HELLO_BYTES,
         )
-        self.reader.halts = True
+        self.reader.stop_after_hello = True
         self.incoming = incoming
         self.read_buffer = bytearray(CHUNK_BYTES)
         self.client = ClientConnection(self, has_closed=self.has_closed)
@@ -78,16 +78,16 @@
         message_count = self.process_data(data)
         if (
             message_count
-            and self.reader.held
+            and self.reader.buffer
             and self.incoming.connection.state == "seated"
             and not self.reader.fault
         ):
             message_count += self.process_data(b"")  # messages that arrived with the hello
-        self.report_unfinished_bytes(len(self.reader.held), message_count)
+        self.report_unfinished_bytes(len(self.reader.buffer), message_count)
 
     def admitted(self, max_frame_bytes: int) -> None:
         """Accepts larger frames from now on, as admission control has admitted the client."""
-        self.reader.largest = min(max_frame_bytes, self.owner.service.bounds.frame)
+        self.reader.max_frame_bytes = min(max_frame_bytes, self.owner.service.bounds.frame)
         self.owner.admitted(self)
 
 
--- a/cherrydoor/protocol/codec.py
+++ b/cherrydoor/protocol/codec.py
@@ -62,11 +62,12 @@
     It also checks that a hello comes first and only once, so that its callers do not have to.
 
     Attributes:
-        largest: Longest body that is accepted, in bytes; it may change between two calls of feed().
-        halts: Whether feed() returns a hello alone, and the messages after it at the next call:
-            which of these are allowed depends on the sender of the hello.
-        held: Bytes that have not been decoded yet.
-        need: Number of held bytes below which no frame can be complete.
+        max_frame_bytes: Longest body that is accepted, in bytes; it may change between two
+            calls of feed().
+        stop_after_hello: Whether feed() returns a hello alone, and the messages after it at
+            the next call: which of these are allowed depends on the sender of the hello.
+        buffer: Bytes that have not been decoded yet.
+        needed_bytes: Number of buffered bytes below which no frame can be complete.
         hello: The peer's hello; None until it has come.
         fault: The error after which nothing is read; None or empty if there is none.
     """
@@ -74,14 +75,14 @@
     def __init__(
         self,
         kinds: Iterable[type[Message]],
-        largest: int = DEFAULT_MAX_FRAME_BYTES,
-        halts: bool = False,
+        max_frame_bytes: int = DEFAULT_MAX_FRAME_BYTES,
+        stop_after_hello: bool = False,
     ) -> None:
-        self.halts = halts
+        self.stop_after_hello = stop_after_hello
         self.decode = _decoder(tuple(kinds)).decode
-        self.largest = largest
-        self.held = bytearray()
-        self.need = PREFIX
+        self.max_frame_bytes = max_frame_bytes
+        self.buffer = bytearray()
+        self.needed_bytes = PREFIX
         self.hello: Hello | None = None
         self.fault: str | None = None
 
@@ -89,32 +90,34 @@
         """Returns the messages that these bytes complete, oldest first; none after an error."""
         if self.fault:
             return []
-        held = self.held
-        held += data
-        if len(held) < self.need:
+        buffer = self.buffer
+        buffer += data
+        if len(buffer) < self.needed_bytes:
             return []
         found: list[Any] = []
         at = 0
-        with memoryview(held) as view:
+        with memoryview(buffer) as view:
             while self.fault is None:
                 start = at + PREFIX
                 if len(view) < start:
-                    self.need = PREFIX
+                    self.needed_bytes = PREFIX
                     break
                 size = int.from_bytes(view[at:start], "big")
-                if size > self.largest:
-                    self.fault = f"a frame of {size} bytes, where {self.largest} is the most"
+                if size > self.max_frame_bytes:
+                    self.fault = (
+                        f"a frame of {size} bytes, where {self.max_frame_bytes} is the most"
+                    )
                 elif len(view) < start + size:
-                    self.need = PREFIX + size
+                    self.needed_bytes = PREFIX + size
                     break
                 else:
                     at = start + size
                     self._decode_body(view[start:at], found)
-                    if self.halts and self.hello is not None:
-                        self.halts = False
-                        self.need = PREFIX
+                    if self.stop_after_hello and self.hello is not None:
+                        self.stop_after_hello = False
+                        self.needed_bytes = PREFIX
                         break
-        del held[: at if self.fault is None else len(held)]
+        del buffer[: at if self.fault is None else len(buffer)]
         return found
 
     def end(self) -> str | None:
@@ -124,8 +127,8 @@
             The error that ended reading, which may be that the stream stops within a frame; None or
             empty if there is none.
         """
-        if self.held and not self.fault:
-            self.fault = f"the stream ends within a frame, {len(self.held)} bytes in"
+        if self.buffer and not self.fault:
+            self.fault = f"the stream ends within a frame, {len(self.buffer)} bytes in"
         return self.fault
 
     def _decode_body(self, body: memoryview, found: list[Any]) -> None:
--- a/tests/protocol/test_codec.py
+++ b/tests/protocol/test_codec.py
@@ -139,7 +139,7 @@
 
 
 def test_a_frame_that_is_too_long_is_rejected_before_its_body_arrives():
-    found, reader = feed(encode(hello) + (1001).to_bytes(4, "big"), largest=1000)
+    found, reader = feed(encode(hello) + (1001).to_bytes(4, "big"), max_frame_bytes=1000)
     assert "1001 bytes" in reader.fault and found == [hello]
     try:
         encode(protocol.Response(1, "handled", body=b"x" * 2000), largest=1000)
