--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -9,8 +9,8 @@
 import sys
 from contextlib import suppress
 
-from stack import Host, environment, now, story
-from test_process import Daemon, Ended, given, with_folder
+from gateway_process import GatewayProcess, KilledAtEnd, configuration_file, with_folder
+from stack import Host, environment, now, with_stack
 
 from cherrydoor.admission.messages import UsageMeasured
 from cherrydoor.connection import FramedConnection
@@ -41,10 +41,10 @@
         env=environment(),
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
     )
-    stack.opened.append(Ended(process))
-    daemon = Daemon(process, [])
+    stack.opened.append(KilledAtEnd(process))
+    daemon = GatewayProcess(process, [])
     daemon.port = json.loads(await process.stdout.readline())["port"]
-    await stack.list.got(protocol.UpdateAcknowledged)
+    await stack.list.wait_for(protocol.UpdateAcknowledged)
     return daemon
 
 
@@ -154,7 +154,7 @@
         )
     except OSError:
         return None
-    await client.until(lambda: client.ends or client.lost_ends)
+    await client.until(lambda: client.connections or client.ended_count)
     stack.opened.append(client)
     return client
 
@@ -163,7 +163,7 @@
 async def test_a_flood_up_to_the_descriptor_limit_does_not_lock_out_known_clients(stack, tmp):
     hosts = [Host("handled") for _ in range(4)]
     daemon = await start_with_descriptor_limit(
-        stack, await given(stack, tmp, *hosts, more="bounds: {}\n" + HARBOUR)
+        stack, await configuration_file(stack, tmp, *hosts, more="bounds: {}\n" + HARBOUR)
     )
     flood = Flood(daemon.port)
     await flood.until_opened(1600)
@@ -172,9 +172,9 @@
         await flood.until_opened(40)
         clients.append(await connect_known(stack, daemon.port))
         client = clients[-1]
-        answer = await client.answer(client.send(f"deed {i}", lasts=4000.0))
+        answer = await client.answer(client.send(f"deed {i}", timeout_ms=4000.0))
         assert answer.outcome == "handled"
-    assert not any(c.lost_ends for c in clients), "each known client keeps its slot"
+    assert not any(c.ended_count for c in clients), "each known client keeps its slot"
     flood.stop()
     assert flood.rejections_read > 0, "flooding clients are sent the reason"
     daemon.process.send_signal(15)
@@ -185,7 +185,7 @@
 @with_folder
 async def test_a_known_client_reconnects_with_all_its_connections_during_a_flood(stack, tmp):
     daemon = await start_with_descriptor_limit(
-        stack, await given(stack, tmp, Host("handled"), more="bounds: {}\n" + HARBOUR)
+        stack, await configuration_file(stack, tmp, Host("handled"), more="bounds: {}\n" + HARBOUR)
     )
     flood = Flood(daemon.port)
     await flood.until_opened(800)
@@ -204,7 +204,7 @@
 async def test_an_upstream_connection_is_opened_when_descriptors_are_exhausted(stack, tmp):
     host = Host("handled")
     daemon = await start_with_descriptor_limit(
-        stack, await given(stack, tmp, host, more="bounds: {}\n" + HARBOUR)
+        stack, await configuration_file(stack, tmp, host, more="bounds: {}\n" + HARBOUR)
     )
     unknown = [await connect_known(stack, daemon.port, f"127.{i}.0.1") for i in range(1, 9)]
     client = await connect_known(stack, daemon.port)
@@ -212,18 +212,18 @@
     # With the lowest free descriptor as the limit, the process cannot open another one.
     lowest_free = next(n for n in range(1000) if n not in open_descriptors)
     resource.prlimit(daemon.process.pid, resource.RLIMIT_NOFILE, (lowest_free, lowest_free))
-    assert (await client.answer(client.send("deed", lasts=4500.0))).outcome == "handled"
-    assert host.all(protocol.Attempt) and not client.lost_ends
+    assert (await client.answer(client.send("deed", timeout_ms=4500.0))).outcome == "handled"
+    assert host.all(protocol.Attempt) and not client.ended_count
     daemon.process.send_signal(15)
     code, errors = await daemon.end()
     assert (
         code == 0
         and "descriptors have run out" in errors
-        and any(connection.lost_ends for connection in unknown)
+        and any(connection.ended_count for connection in unknown)
     )
 
 
-@story
+@with_stack
 async def test_a_hello_sent_byte_by_byte_and_a_frame_that_is_never_completed_time_out(stack):
     short_timeouts = "bounds: {}\nadmission: {hello: 300ms, unfinished: 300ms}"
     client = await stack.start(Host("handled"), bounds=short_timeouts)
@@ -250,7 +250,7 @@
     assert not stack.service.listeners.controller.pending.unidentified
 
 
-@story
+@with_stack
 async def test_a_flood_of_requests_on_one_connection_does_not_delay_other_clients(stack):
     from stack import Client
 
@@ -262,11 +262,11 @@
     stack.service.listeners.usage.measure = lambda: UsageMeasured(0.0, 0.0, 1.0)
     sent = []
     while not stack.service.listeners.controller.counters.get("read quota exceeded"):
-        sent += [flooding.send(f"deed {i % 7}", lasts=5000.0) for i in range(20)]
+        sent += [flooding.send(f"deed {i % 7}", timeout_ms=5000.0) for i in range(20)]
         await asyncio.sleep(0.002)
     assert fair_reading.level is not None
-    sent += [flooding.send(f"deed {i % 7}", lasts=5000.0) for i in range(200)]
-    one = quiet.send("deed 1", lasts=5000.0)
+    sent += [flooding.send(f"deed {i % 7}", timeout_ms=5000.0) for i in range(200)]
+    one = quiet.send("deed 1", timeout_ms=5000.0)
     assert (await quiet.answer(one)).outcome == "handled"
     assert len(flooding.all(protocol.Response)) < len(sent), (
         "the quiet client was answered while requests of the flood still waited to be read"
@@ -278,7 +278,7 @@
     )
 
 
-@story
+@with_stack
 async def test_five_hundred_connections_of_a_known_client_reconnect_at_once(stack):
     known_part = (
         "bounds: {connections: 700}\n"
@@ -294,15 +294,15 @@
         clients = await asyncio.gather(
             *(connect_known(stack, stack.service.port) for _ in range(500))
         )
-        assert len(admitted) == 500 and not any(client.lost_ends for client in clients)
+        assert len(admitted) == 500 and not any(client.ended_count for client in clients)
         sent = [
-            (client, client.send(f"deed {i % 20}", lasts=4900.0))
+            (client, client.send(f"deed {i % 20}", timeout_ms=4900.0))
             for i, client in enumerate(clients[:50])
         ]
         for client, number in sent:
             assert (await client.answer(number)).outcome in ("handled", "deferred")
         await flood.until_opened(waiting_limit)
-        assert not any(client.lost_ends for client in clients)
+        assert not any(client.ended_count for client in clients)
         for client in clients:
             client.end.abort()
     flood.stop()
@@ -314,7 +314,7 @@
     )
 
 
-@story
+@with_stack
 async def test_a_known_client_with_too_many_connections_does_not_affect_another(stack):
     two_known_clients = (
         "bounds: {connections: 60}\n"
@@ -336,12 +336,12 @@
     )
     for client in excessive[:3]:
         for i in range(100):
-            client.send(f"deed {i}", lasts=4900.0)
+            client.send(f"deed {i}", timeout_ms=4900.0)
     for client in meadow:
-        assert (await client.answer(client.send("deed 1", lasts=4900.0))).outcome in (
+        assert (await client.answer(client.send("deed 1", timeout_ms=4900.0))).outcome in (
             "handled",
             "deferred",
         )
     assert len(known_clients["meadow"].admitted) == 20 and not any(
-        client.lost_ends for client in meadow
+        client.ended_count for client in meadow
     )
--- a/tests/gateway/gateway_process.py
+++ b/tests/gateway/gateway_process.py
@@ -5,7 +5,7 @@
 import sys
 from functools import wraps
 
-from stack import LEASE, Listing, environment, story
+from stack import LEASE, EndpointListServer, environment, with_stack
 
 from cherrydoor.protocol import messages as protocol
 
@@ -66,7 +66,7 @@
         self.process = process
 
     @property
-    def ends(self):
+    def connections(self):
         """Kills the process if it still runs; returns no connections, as it has none to close."""
         if self.process.returncode is None:
             self.process.kill()
@@ -75,7 +75,7 @@
 
 async def configuration_file(stack, folder, *hosts, more="", port=0):
     """Starts an endpoint list and hosts; returns the configuration file of a gateway for them."""
-    stack.list = await Listing().start()
+    stack.list = await EndpointListServer().start()
     stack.opened.append(stack.list)
     for host in hosts:
         await stack.host(host, listed=False)
@@ -90,11 +90,11 @@
 
 
 def with_folder(test):
-    """Runs an async test with a stack and a temporary folder (see `stack.story`)."""
+    """Runs an async test with a stack and a temporary folder (see `stack.with_stack`)."""
 
     @wraps(test)
     def run(tmp_path):
-        story(lambda stack: test(stack, tmp_path))()
+        with_stack(lambda stack: test(stack, tmp_path))()
 
     del run.__wrapped__  # otherwise pytest would look for the wrapped test's fixtures
     return run
--- a/tests/gateway/stack.py
+++ b/tests/gateway/stack.py
@@ -42,7 +42,7 @@
     return time.monotonic() * 1000
 
 
-def story(test):
+def with_stack(test):
     """Runs an async test with a stack on uvloop, and closes everything that the stack opened."""
 
     @wraps(test)
@@ -63,29 +63,29 @@
 class ScriptedPeer:
     """A peer controlled by the test, which records what it receives and can wait for it.
 
-    `heard_all` holds (connection, message) for each message received, `ends` all connections, and
-    `lost_ends` the number of connections that have ended.
+    `received` holds (connection, message) for each message received, `connections` all
+    connections, and `ended_count` the number of connections that have ended.
     """
 
     def __init__(self):
-        self.heard_all = []
+        self.received = []
         self.waiters = []
-        self.ends = []
-        self.lost_ends = 0
+        self.connections = []
+        self.ended_count = 0
 
     def hello_received(self, end, hello):
-        self.ends.append(end)
-        self.stir()
+        self.connections.append(end)
+        self.wake_waiters()
 
     def message_received(self, end, message):
-        self.heard_all.append((end, message))
-        self.stir()
+        self.received.append((end, message))
+        self.wake_waiters()
 
     def connection_ended(self, end):
-        self.lost_ends += 1
-        self.stir()
+        self.ended_count += 1
+        self.wake_waiters()
 
-    def stir(self):
+    def wake_waiters(self):
         """Wakes all waiters, which check their conditions again."""
         for future in self.waiters:
             if not future.done():
@@ -94,7 +94,7 @@
 
     def all(self, message_type):
         """Returns the messages received of this type, oldest first."""
-        return [message for _, message in self.heard_all if isinstance(message, message_type)]
+        return [message for _, message in self.received if isinstance(message, message_type)]
 
     async def until(self, condition):
         """Waits until condition() returns a true value, and returns that value."""
@@ -108,7 +108,7 @@
 
         return await asyncio.wait_for(wait(), WAIT_LIMIT_S)
 
-    async def got(self, message_type, count=1):
+    async def wait_for(self, message_type, count=1):
         """Waits for at least `count` messages of this type, and returns all of them."""
         await self.until(lambda: len(self.all(message_type)) >= count)
         return self.all(message_type)
@@ -162,12 +162,12 @@
 
     def outcome(self, attempt, outcome="handled", copy=1, end=None, body=b""):
         """Answers an attempt, by default on the connection on which it was received."""
-        end = end or next(e for e, message in self.heard_all if message is attempt)
+        end = end or next(e for e, message in self.received if message is attempt)
         end.write(protocol.AttemptResult(attempt.id, outcome, copy, 0, None, body))
 
     def abort_connections(self):
         """Aborts all connections."""
-        for end in self.ends:
+        for end in self.connections:
             end.abort()
 
     def crash(self):
@@ -176,7 +176,7 @@
         self.abort_connections()
 
 
-class Listing(ScriptedPeer):
+class EndpointListServer(ScriptedPeer):
     """An endpoint list server."""
 
     async def start(self):
@@ -207,7 +207,7 @@
             self.rows[row.host] = row
         if kind == "whole":
             self.rows = {row.host: row for row in rows}
-        open_ends = [end for end in self.ends if not end.transport.is_closing()]
+        open_ends = [end for end in self.connections if not end.transport.is_closing()]
         for end in open_ends:
             end.write(protocol.EndpointUpdate(self.revision, kind, list(rows)))
         await self.until(
@@ -239,23 +239,22 @@
             "127.0.0.1",
             port,
         )
-        await self.until(lambda: self.ends)
+        await self.until(lambda: self.connections)
         return self
 
     def send(
         self,
         function="deed",
         request_class="draft",
-        lasts=4000.0,
-        mark="",
+        timeout_ms=4000.0,
+        idempotency_key="",
         body=b"",
         number=None,
         sent_at_ms=None,
     ):
         """Sends a request and returns its id, which is `number` or by default the next one.
 
-        `lasts` is the timeout in ms, `mark` the idempotency key and `sent_at_ms` the send time by
-        the client's clock.
+        `sent_at_ms` is the send time by the client's clock.
         """
         self.ids += 1
         number = self.ids if number is None else number
@@ -264,10 +263,10 @@
                 number,
                 request_class,
                 function,
-                lasts,
+                timeout_ms,
                 now() if sent_at_ms is None else sent_at_ms,
                 "",
-                mark,
+                idempotency_key,
                 4.0,
                 0.0,
                 body,
@@ -298,7 +297,7 @@
         `parts` replaces parts of the configuration, `saved` is the cache file of the endpoint list,
         and `plain` states that the gateway listens on plain TCP.
         """
-        self.list = await Listing().start()
+        self.list = await EndpointListServer().start()
         self.opened.append(self.list)
         for host in hosts:
             await self.host(host, listed=False)
@@ -313,7 +312,7 @@
             GatewayConfig(read(text, "f", schema("lease.schema"), "#Lease")), Router
         )
         await self.service.start()
-        await self.list.got(protocol.UpdateAcknowledged)
+        await self.list.wait_for(protocol.UpdateAcknowledged)
         return await self.client() if plain else None
 
     async def client(self):
@@ -330,7 +329,7 @@
             await self.list.push(protocol.Endpoint(host.id, "ready", host.started_at_ms, zone, 0))
         return host
 
-    async def settled(self, condition):
+    async def wait_until(self, condition):
         """Waits for a condition inside the gateway, checked in each iteration of the event loop."""
 
         async def wait():
@@ -351,7 +350,7 @@
         for peer in self.opened:
             if getattr(peer, "server", None):
                 peer.server.close()
-            for end in peer.ends:
+            for end in peer.connections:
                 end.abort()
         await asyncio.sleep(0)
 
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -8,14 +8,11 @@
 import sys
 
 import pytest
-from gateway_process import GatewayProcess, KilledAtEnd, configuration_file, with_folder
+from gateway_process import GatewayProcess, configuration_file, with_folder
 from stack import WAIT_LIMIT_S, Client, Host, environment, now
 
 from cherrydoor.protocol import messages as protocol
 
-# Names that other tests import.
-Daemon, Ended, given = GatewayProcess, KilledAtEnd, configuration_file
-
 MISSING_LATENCY_OBJECTIVE = """
 name: "g", number: 3, gateways: 2, list: "nowhere"
 clauses: []
@@ -32,7 +29,7 @@
 
 async def connected_client(stack, port):
     """Connects a client once the gateway knows its hosts; it rejects requests until then."""
-    await stack.list.got(protocol.UpdateAcknowledged)
+    await stack.list.wait_for(protocol.UpdateAcknowledged)
     client = await Client().connect(port)
     stack.opened.append(client)
     return client
@@ -85,11 +82,11 @@
     configuration = await configuration_file(stack, folder, host)
     gateway = await GatewayProcess.start(stack, configuration)
     client = await connected_client(stack, gateway.port)
-    accepted = [client.send(f"function {i}", lasts=4500.0) for i in range(2)]
-    attempts = await host.got(protocol.Attempt, 2)
+    accepted = [client.send(f"function {i}", timeout_ms=4500.0) for i in range(2)]
+    attempts = await host.wait_for(protocol.Attempt, 2)
     gateway.process.send_signal(signal.SIGTERM)
-    await client.got(protocol.Draining)
-    rejected = await client.answer(client.send(lasts=4500.0))
+    await client.wait_for(protocol.Draining)
+    rejected = await client.answer(client.send(timeout_ms=4500.0))
     assert rejected.outcome == "deferred"
     assert "leaving" in rejected.reason
     for attempt in attempts:
@@ -107,10 +104,10 @@
     configuration = await configuration_file(stack, folder, host)
     gateway = await GatewayProcess.start(stack, configuration)
     client = await connected_client(stack, gateway.port)
-    client.send(lasts=4500.0)
-    await host.got(protocol.Attempt)
+    client.send(timeout_ms=4500.0)
+    await host.wait_for(protocol.Attempt)
     gateway.process.send_signal(signal.SIGTERM)
-    await client.got(protocol.Draining)
+    await client.wait_for(protocol.Draining)
     gateway.process.send_signal(signal.SIGTERM)
     code, errors = await gateway.end()
     assert code == 3
@@ -130,9 +127,9 @@
     configuration.write_text(valid.replace("bounds: {}", "bounds: {open_events: 1}"))
     gateway.process.send_signal(signal.SIGHUP)
     await gateway.wait_for_log("configuration reloaded")
-    client.send("a", lasts=4500.0)
-    assert (await client.answer(client.send("b", lasts=4500.0))).outcome == "deferred"
-    [attempt] = await host.got(protocol.Attempt)
+    client.send("a", timeout_ms=4500.0)
+    assert (await client.answer(client.send("b", timeout_ms=4500.0))).outcome == "deferred"
+    [attempt] = await host.wait_for(protocol.Attempt)
     host.outcome(attempt)
     gateway.process.send_signal(signal.SIGTERM)
     assert (await gateway.end())[0] == 0
@@ -147,20 +144,20 @@
     configuration = await configuration_file(stack, folder, host)
     gateway = await GatewayProcess.start(stack, configuration)
     client = await connected_client(stack, gateway.port)
-    client.send(lasts=4500.0)
-    await host.got(protocol.Attempt)
+    client.send(timeout_ms=4500.0)
+    await host.wait_for(protocol.Attempt)
     while not (folder / "saved").exists():
         await asyncio.sleep(0.01)
     gateway.process.kill()
-    await client.until(lambda: client.lost_ends)
-    await host.until(lambda: host.lost_ends)
+    await client.until(lambda: client.ended_count)
+    await host.until(lambda: host.ended_count)
     stack.list.server.close()
-    for end in stack.list.ends:
+    for end in stack.list.connections:
         end.abort()
     host.answers = "handled"
     restarted = await GatewayProcess.start(stack, configuration)
     second = await connected_client(stack, restarted.port)
-    assert (await second.answer(second.send(lasts=4500.0))).outcome == "handled"
+    assert (await second.answer(second.send(timeout_ms=4500.0))).outcome == "handled"
     restarted.process.send_signal(signal.SIGTERM)
     code, errors = await restarted.end()
     assert code == 0
@@ -173,13 +170,13 @@
     configuration = await configuration_file(stack, folder, host)
     gateway = await GatewayProcess.start(stack, configuration)
     client = await connected_client(stack, gateway.port)
-    await client.answer(client.send(lasts=4500.0))
+    await client.answer(client.send(timeout_ms=4500.0))
     gateway.process.send_signal(signal.SIGSTOP)
     suspended_at_ms = now()
-    expired = [client.send(f"function {i}", lasts=300.0) for i in range(10)]
+    expired = [client.send(f"function {i}", timeout_ms=300.0) for i in range(10)]
     while now() < suspended_at_ms + 600:  # their deadlines pass during the suspension
         await asyncio.sleep(0.05)
-    in_time = [client.send(f"function {i}", lasts=4500.0) for i in range(10)]
+    in_time = [client.send(f"function {i}", timeout_ms=4500.0) for i in range(10)]
     gateway.process.send_signal(signal.SIGCONT)
     for number in in_time:
         await client.answer(number)
@@ -227,7 +224,7 @@
     )
     gateway = await GatewayProcess.start(stack, configuration)
     client = await connected_client(stack, gateway.port)
-    await client.answer(client.send(lasts=4500.0))
+    await client.answer(client.send(timeout_ms=4500.0))
     status, body = await scrape(port, b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n")
     assert status == 200
     lines = body.splitlines()
--- a/tests/releases/test_release_service.py
+++ b/tests/releases/test_release_service.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
-from stack import Host, now, story
-from test_process import with_folder
+from gateway_process import with_folder
+from stack import Host, now, with_stack
 
 from cherrydoor.fakes.feed import Feed
 from cherrydoor.fakes.record import Record
@@ -38,8 +38,8 @@
         super().message_received(end, message)
 
     def answer(self, end, attempt):
-        self.heard_all.append((end, attempt))
-        self.stir()
+        self.received.append((end, attempt))
+        self.wake_waiters()
         error = attempt.function in self.failing
         runs, errors, slow = self.tallies.get(attempt.function, (0, 0, 0))
         tally = (runs + 1, errors + error, slow)
@@ -60,13 +60,13 @@
     """Start a gateway that is connected to a feed; return the feed and a client."""
     feed = await Feed(Record(None, "feed", "feed"), (0.0, 1.0)).start()
     stack.opened.append(feed)
-    feed.ends = ()
+    feed.connections = ()
     settings = (
         f'bounds: {{}}\nreleases: {{feed: "127.0.0.1:{feed.port}", saved: "{folder}/g.releases", '
         f'control: "{folder}/g.sock"}}'
     )
     client = await stack.start(*hosts, bounds=settings)
-    await stack.settled(lambda: feed.followers)
+    await stack.wait_until(lambda: feed.followers)
     return feed, client
 
 
@@ -105,7 +105,7 @@
     """Announce the version; return the function's versions once the release is a canary."""
     functions = stack.service.releases.controller.functions
     feed.release([FUNCTION], VERSION)
-    await stack.settled(
+    await stack.wait_until(
         lambda: FUNCTION in functions and functions[FUNCTION].release.state == ReleaseState.CANARY
     )
     return functions[FUNCTION]
@@ -128,7 +128,7 @@
     await send_requests(client, 10)
     assert before
     assert len(attempts_at(CANARY, *hosts)) == before + 10
-    await stack.settled(lambda: any(FUNCTION in host.unloaded for host in hosts))
+    await stack.wait_until(lambda: any(FUNCTION in host.unloaded for host in hosts))
 
 
 @with_folder
@@ -191,7 +191,7 @@
     assert {attempt.function for attempt in attempts(host)} == {FUNCTION}
 
 
-@story
+@with_stack
 async def test_without_a_feed_no_version_is_added_to_function_names(stack):
     host = VersionedHost()
     client = await stack.start(host)
--- a/tests/tls/test_credentials_in_service.py
+++ b/tests/tls/test_credentials_in_service.py
@@ -5,8 +5,8 @@
 import signal
 
 import pytest
-from stack import LEASE, Host, Listing
-from test_process import Daemon, with_folder
+from gateway_process import GatewayProcess, with_folder
+from stack import LEASE, EndpointListServer, Host
 from tls_support import (
     client_context,
     config_part,
@@ -58,8 +58,8 @@
         (local_authority.token("k1", "harbour")[:-9] + "AAAAAAAAA", "does not hold"),
     ):
         refused = await connect_tls(stack, tmp, "", token)
-        await refused.until(lambda refused=refused: refused.lost_ends)
-        assert reason in refused.ends[0].close_reason
+        await refused.until(lambda refused=refused: refused.ended_count)
+        assert reason in refused.connections[0].close_reason
 
 
 @with_folder
@@ -76,7 +76,7 @@
     without_certificate = None
     try:
         without_certificate = await connect_tls(stack, tmp)
-        await without_certificate.until(lambda: without_certificate.lost_ends)
+        await without_certificate.until(lambda: without_certificate.ended_count)
     except OSError:
         pass
     assert without_certificate is None or not without_certificate.all(protocol.Response)
@@ -104,9 +104,9 @@
         nonlocal sent, answered, ended
         while not stop:
             client = await connect_tls(stack, tmp, name)
-            number = client.send(f"document {sent % 9}", lasts=4900.0)
+            number = client.send(f"document {sent % 9}", timeout_ms=4900.0)
             sent += 1
-            await client.until(lambda c=client, n=number: c.answers(n) or c.lost_ends)
+            await client.until(lambda c=client, n=number: c.answers(n) or c.ended_count)
             if client.answers(number):
                 assert client.answers(number)[0].outcome == "handled"
                 answered += 1
@@ -118,18 +118,18 @@
     tasks = [asyncio.ensure_future(load(name)) for name in ("harbour", "meadow")]
     first = store.pair.serial
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
-    await stack.settled(lambda: store.pair.serial != first)
+    await stack.wait_until(lambda: store.pair.serial != first)
     second = store.pair.serial
     key = (tmp / "g0.key").read_bytes()
     (tmp / "g0.key").write_bytes(key[: len(key) // 2])  # half-written
-    await stack.settled(lambda: store.parts[Part.PAIR].reported_reason)
+    await stack.wait_until(lambda: store.parts[Part.PAIR].reported_reason)
     assert store.pair.serial == second
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
-    await stack.settled(lambda: store.pair.serial != second)
+    await stack.wait_until(lambda: store.pair.serial != second)
     local_authority.create_authority(additional=True)
-    await stack.settled(lambda: len(store.authorities) == 2)
+    await stack.wait_until(lambda: len(store.authorities) == 2)
     before = answered
-    await stack.settled(lambda: answered > before + 10)
+    await stack.wait_until(lambda: answered > before + 10)
     stop = True
     await asyncio.gather(*tasks)
     assert sent == answered + ended and ended <= 6
@@ -148,15 +148,15 @@
     local_authority.create_authority(additional=True)
     local_authority.issue("gateway", "g0", addresses=["127.0.0.1"])
     local_authority.issue("client", "meadow")
-    await stack.settled(
+    await stack.wait_until(
         lambda: len(store.authorities) == 2 and not store.parts[Part.PAIR].reported_reason
     )
     new = await connect_tls(stack, tmp, "meadow")
     assert (await new.answer(new.send())).outcome == "handled"
-    assert (await connect_tls(stack, tmp, "harbour")).ends
+    assert (await connect_tls(stack, tmp, "harbour")).connections
     local_authority.retire()
-    await stack.settled(lambda: len(store.authorities) == 1)
-    await old.until(lambda: old.lost_ends)
+    await stack.wait_until(lambda: len(store.authorities) == 1)
+    await old.until(lambda: old.ended_count)
     assert "service no more" in old.end.close_reason or "has changed" in old.end.close_reason
     assert (await new.answer(new.send())).outcome == "handled"
 
@@ -168,11 +168,11 @@
     client = await connect_tls(stack, tmp, "harbour")
     other = await connect_tls(stack, tmp, "meadow")
     local_authority.revoke("harbour")
-    await client.until(lambda: client.lost_ends)
+    await client.until(lambda: client.ended_count)
     assert "revoked" in client.end.close_reason
     second = await connect_tls(stack, tmp, "harbour")
-    await second.until(lambda: second.lost_ends)
-    assert "revoked" in second.ends[0].close_reason and not other.lost_ends
+    await second.until(lambda: second.ended_count)
+    assert "revoked" in second.connections[0].close_reason and not other.ended_count
 
 
 @with_folder
@@ -195,13 +195,13 @@
 @with_folder
 async def test_no_secret_is_in_a_log_or_an_error(stack, tmp):
     local_authority = make_local_authority(tmp)
-    stack.list = await Listing().start()
+    stack.list = await EndpointListServer().start()
     stack.opened.append(stack.list)
     lease = tmp / "g.lease"
     lease.write_text(
         LEASE % stack.list.port + "may: {}\ncold: {}\nration: {}\n" + config_part(tmp) + KNOWN
     )
-    daemon = await Daemon.start(stack, lease)
+    daemon = await GatewayProcess.start(stack, lease)
     token = local_authority.token("k1", "harbour")
     await connect_tls(stack, tmp, "", token[:-9] + "AAAAAAAAA", daemon.port)
     secret = (tmp / "g0.key").read_text()
@@ -281,11 +281,11 @@
         idle.append((reader, writer))
         if i % 30 == 29:
             client = await connect_tls(stack, tmp, "meadow")
-            assert (await client.answer(client.send(lasts=4900.0))).outcome == "handled"
+            assert (await client.answer(client.send(timeout_ms=4900.0))).outcome == "handled"
             client.end.close()
     admission_controller = stack.service.listeners.controller
     assert len(admission_controller.pending.slots) <= admission_controller.pending.capacity
-    await stack.settled(lambda: not admission_controller.pending.unidentified)
+    await stack.wait_until(lambda: not admission_controller.pending.unidentified)
     for _, writer in idle:
         writer.close()
 
--- a/tests/tls/tls_support.py
+++ b/tests/tls/tls_support.py
@@ -90,9 +90,9 @@
         server_hostname="127.0.0.1",
     )
     stack.opened.append(client)
-    await client.until(lambda: client.ends or client.lost_ends)
-    if client.ends:
-        client.end = client.ends[0]
+    await client.until(lambda: client.connections or client.ended_count)
+    if client.connections:
+        client.end = client.connections[0]
     return client
 
 
