--- a/cherrydoor/gateway/daemon.py
+++ b/cherrydoor/gateway/daemon.py
@@ -17,7 +17,7 @@
 from cherrydoor.config import Problems
 from cherrydoor.config.figures import read_config
 from cherrydoor.gateway.event_loop import address
-from cherrydoor.gateway.exit_codes import BAD_CONFIGURATION, PORT_TAKEN
+from cherrydoor.gateway.exit_codes import ADDRESS_NOT_BOUND, BAD_CONFIGURATION
 from cherrydoor.gateway.metrics import serve_metrics
 from cherrydoor.gateway.service import GatewayService
 from cherrydoor.tls.errors import InvalidCredentialsError
@@ -101,15 +101,15 @@
     def divide_descriptors(self, usage: ProcessUsage, configs: Sequence[Any]) -> int:
         """Divides the process's descriptors; returns the connection slots of each gateway."""
         hosts, connection_slots, spare = divide_descriptors(
-            usage.limit,
-            usage.used() + DESCRIPTORS_PER_GATEWAY * len(configs),
+            usage.descriptor_limit,
+            usage.count_descriptors() + DESCRIPTORS_PER_GATEWAY * len(configs),
             len(configs),
             sum(config.limits.links * MAX_HOSTS for config in configs),
         )
         log.info(
             "file descriptors divided",
-            limit=usage.limit,
-            used=usage.used(),
+            limit=usage.descriptor_limit,
+            used=usage.count_descriptors(),
             hosts=hosts,
             connection_slots_per_gateway=connection_slots,
             spare=spare,
@@ -139,7 +139,7 @@
                 address=config.door,
                 error=str(error),
             )
-            raise StartError(PORT_TAKEN) from error
+            raise StartError(ADDRESS_NOT_BOUND) from error
         host, _ = address(config.door)
         log.info("listener open", gateway=config.name, address=f"{host}:{service.port}")
         if self.announce:
@@ -155,7 +155,7 @@
             serve_metrics(self.services, address(listen_address))
         except OSError as error:
             log.error("metrics listener cannot be opened", address=listen_address, error=str(error))
-            raise StartError(PORT_TAKEN) from error
+            raise StartError(ADDRESS_NOT_BOUND) from error
 
     def handle_signals(self) -> None:
         """Installs the signal handlers and, with `ends_with_stdin`, watches standard input."""
@@ -199,7 +199,7 @@
 
     def apply_configuration(self, service: GatewayService, config: Any) -> None:
         """Applies the limits of a reloaded configuration and checks the key files for changes."""
-        service.tls.look(True)
+        service.tls.reload_changed_files(True)
         old = service.config
         if (config.lease, config.door, config.keys) != (old.lease, old.door, old.keys):
             log.warning(
--- a/cherrydoor/gateway/load_orders.py
+++ b/cherrydoor/gateway/load_orders.py
@@ -47,7 +47,7 @@
         elif dispatcher.zone_drain is None:
             zones = [""]
         else:
-            zones = ["", *dispatcher.zone_drain.draining_zones()]
+            zones = ["", *dispatcher.zone_drain.zones_with_moved_sessions()]
         for zone in zones:
             dispatcher.router_messages.append(routing.FunctionExpected(function, zone))
 
@@ -63,7 +63,7 @@
             host = self.dispatcher.hosts.get(host_id)
             if host is None:
                 continue
-            for link in host.links:
+            for link in host.connections:
                 if link.state is ConnectionState.OPEN:
                     link.write(protocol.Unload(self.dispatcher.next_number(), function))
                     break
--- a/cherrydoor/gateway/service.py
+++ b/cherrydoor/gateway/service.py
@@ -125,7 +125,7 @@
         router = self.make_router(self.config.lease)
         versions, attempt_ended = None, None
         if self.releases:
-            versions, attempt_ended = self.releases.versions, self.releases.post
+            versions, attempt_ended = self.releases.controller, self.releases.post
         return Dispatcher(
             router,
             self.config.limits,
@@ -172,8 +172,8 @@
             await self.releases.start()
         self.port = self.listen(
             address(self.config.door),
-            lambda arrival: ClientProtocol(self, arrival),
-            (lambda: self.tls.server) if self.tls.sealed else None,
+            lambda incoming: ClientProtocol(self, incoming),
+            (lambda: self.tls.server) if self.tls.uses_tls else None,
         )
         self.set_timer()
 
@@ -294,6 +294,6 @@
         for client_connection in list(self.client_listener.connections):
             client_connection.close()
         for host in self.dispatcher.hosts.values():
-            for link in host.links:
-                if link.wire is not None:
-                    link.wire.close()
+            for link in host.connections:
+                if link.writer is not None:
+                    link.writer.close()
--- a/cherrydoor/platform/process.py
+++ b/cherrydoor/platform/process.py
@@ -29,7 +29,7 @@
 from cherrydoor.platform.upstream import Upstream
 from cherrydoor.routing import Router
 
-BAD_CONFIGURATION, PORT_TAKEN = 64, 69  # exit codes
+BAD_CONFIGURATION, ADDRESS_NOT_BOUND = 64, 69  # exit codes
 USAGE_INTERVAL_S = 10.0  # between log lines of resource usage
 CLOSE_TIME_S = 0.02  # at the end, for closed connections to write what is buffered
 # A request leaves few objects behind, so full collections are cheap, and frequent ones keep memory
@@ -120,7 +120,7 @@
                 f"{self.configuration.listen}: the listener cannot be opened: {error.strerror}",
                 file=sys.stderr,
             )
-            return PORT_TAKEN
+            return ADDRESS_NOT_BOUND
         self.add_signal_handlers()
         self.discovery_watch.start()
         if self.reload_wanted():
@@ -143,7 +143,7 @@
             self.listeners,
             address(self.configuration.listen),
             self.client_listener.new_connection,
-            word=invoke.refusal,
+            encode_rejection=invoke.refusal,
         )
 
     def add_signal_handlers(self) -> None:
@@ -157,7 +157,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        self.usage.base_memory_bytes = self.usage.measure_held()
+        self.usage.base_memory_bytes = self.usage.resident_bytes()
 
     def end(self, exit_code: int) -> None:
         """Ends the service; later calls do not change the exit code."""
@@ -217,14 +217,14 @@
             "usage",
             uptime_s=round((self.clock.now() - self.started_at_ms) / 1000, 1),
             cpu_s=round(process.ru_utime + process.ru_stime, 2),
-            memory_used_mb=round(self.usage.measure_held() / 2**20, 1),
-            descriptors=self.usage.used(),
+            memory_used_mb=round(self.usage.resident_bytes() / 2**20, 1),
+            descriptors=self.usage.count_descriptors(),
             client_connections=len(self.client_listener.connections),
             host_connections=len(self.upstream.connections),
             requests=len(self.dispatcher.requests),
             hosts=len(self.dispatcher.hosts),
             counters=dict(self.dispatcher.counters),
-            outcomes=dict(self.dispatcher.calls.outcomes),
+            outcomes=dict(self.dispatcher.calls.outcome_counts),
             admission=self.listeners.controller.counters,
         )
 
