--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 from gateway_process import GatewayProcess, KilledAtEnd, configuration_file, with_folder
-from stack import Host, environment, now, with_stack
+from stack import WAIT_LIMIT_S, Host, environment, now, with_stack
 
 from cherrydoor.admission.messages import UsageMeasured
 from cherrydoor.connection import FramedConnection
@@ -134,6 +134,13 @@
             assert not self.task.done()
             await asyncio.sleep(0.005)
 
+    async def until_waiting(self, count):
+        """Waits until more than `count` connections wait to be accepted."""
+        async with asyncio.timeout(WAIT_LIMIT_S):
+            while self.waiting() <= count:
+                assert not self.task.done()
+                await asyncio.sleep(0.005)
+
 
 async def connect_known(stack, port, address="127.200.0.1"):
     """Connects a client from this address; returns None if it cannot connect."""
@@ -290,6 +297,8 @@
     admitted = stack.service.listeners.controller.known_clients.by_name["harbour"].admitted
     await flood.until_opened(2 * waiting_limit)
     for _ in range(2):
+        # The listener accepts the first connections faster than the flood opens them.
+        await flood.until_waiting(waiting_limit // 2)
         assert flood.waiting() > waiting_limit // 2, "the known clients queue behind a flood"
         clients = await asyncio.gather(
             *(connect_known(stack, stack.service.port) for _ in range(500))
