--- a/cherrydoor/config/__init__.py
+++ b/cherrydoor/config/__init__.py
@@ -1,4 +1,8 @@
-"""CUE-like typed records, and the leases written in them: read(text), show(value), Problems."""
+"""Typed records in a CUE-like language, and the gateway configurations written in it.
+
+`read` parses and validates text, `show` formats values as text, and `Problems` is the error that
+lists everything wrong with a file.
+"""
 
 from cherrydoor.config.records import Problem, Problems, read
 from cherrydoor.config.show import show
--- a/cherrydoor/config/constraints.py
+++ b/cherrydoor/config/constraints.py
@@ -1,4 +1,4 @@
-"""What may be written for a place: plain values, types, bounds, records, lists, and the choice between several."""
+"""The terms that constrain a field: values, types, bounds, records, lists and disjunctions."""
 
 import json
 
@@ -24,16 +24,18 @@
 
 
 class Duration(float):
-    """Ms, read from a text with a unit, so that it can be shown with one."""
+    """A duration in ms, which `show` formats with its unit."""
 
 
 class Size(int):
-    """Bytes, likewise."""
+    """A size in bytes, which `show` formats with its unit."""
 
 
 class Scalar:
-    def __init__(self, kind, value, at, text):
-        self.kind, self.value, self.at, self.text = kind, value, at, text
+    """A string, number, duration, size, boolean or null, with its position and its text."""
+
+    def __init__(self, kind, value, position, text):
+        self.kind, self.value, self.position, self.text = kind, value, position, text
 
     def equals(self, other):
         return self.value == other.value and (
@@ -42,32 +44,58 @@
 
 
 class Type:
-    def __init__(self, kind, at):
-        self.kind, self.at, self.text = kind, at, kind
+    """A type as a constraint on a scalar; "number" also accepts integers."""
+
+    def __init__(self, kind, position):
+        self.kind, self.position, self.text = kind, position, kind
 
     def accepts(self, atom):
         return atom.kind == self.kind or self.kind == "number" and atom.kind == "int"
 
 
 class Bound:
-    def __init__(self, op, limit, at):
-        self.op, self.limit, self.at, self.text = op, limit, at, op + limit.text
+    """A comparison with a limit as a constraint on a scalar, such as `>=0`."""
+
+    def __init__(self, operator, limit, position):
+        self.operator, self.limit, self.position, self.text = (
+            operator,
+            limit,
+            position,
+            operator + limit.text,
+        )
 
     def accepts(self, atom):
-        a, b, op = atom.value, self.limit.value, self.op
-        if op == "!=":
+        found_value, limit_value, operator = atom.value, self.limit.value, self.operator
+        if operator == "!=":
             return not atom.equals(self.limit)
-        alike = atom.kind == self.limit.kind or {atom.kind, self.limit.kind} == {"int", "number"}
-        if not alike or isinstance(a, bool) or a is None:
+        is_comparable = atom.kind == self.limit.kind or {atom.kind, self.limit.kind} == {
+            "int",
+            "number",
+        }
+        if not is_comparable or isinstance(found_value, bool) or found_value is None:
             return False
-        return {">": a > b, ">=": a >= b, "<": a < b, "<=": a <= b}[op]
+        return {
+            ">": found_value > limit_value,
+            ">=": found_value >= limit_value,
+            "<": found_value < limit_value,
+            "<=": found_value <= limit_value,
+        }[operator]
 
 
 class StructLiteral:
-    """A struct literal as one conjunct of a place."""
-
-    def __init__(self, tree, env, closed, at):
-        self.tree, self.env, self.closed, self.at, self.text = tree, env, closed, at, "a record"
+    """A record literal as one term of a field.
+
+    A closed one rejects fields that it does not name.
+    """
+
+    def __init__(self, tree, env, closed, position):
+        self.tree, self.env, self.closed, self.position, self.text = (
+            tree,
+            env,
+            closed,
+            position,
+            "a record",
+        )
         self.fields, self.patterns, self.open = {}, [], False
         for member in tree.children:
             if member.data == "rest":
@@ -85,23 +113,31 @@
 
 
 class ListLiteral:
-    """A list literal as one conjunct of a place."""
+    """A list literal as one term of a field.
+
+    `rest` is the expression for further items, None if there may be none.
+    """
 
-    def __init__(self, tree, env, at):
-        self.env, self.at, self.text = env, at, "a list"
+    def __init__(self, tree, env, position):
+        self.env, self.position, self.text = env, position, "a list"
         self.items = [c for c in tree.children if not (isinstance(c, Tree) and c.data == "more")]
-        more = [c for c in tree.children if isinstance(c, Tree) and c.data == "more"]
-        self.more = more[0].children[0] if more else None
+        rest = [c for c in tree.children if isinstance(c, Tree) and c.data == "more"]
+        self.rest = rest[0].children[0] if rest else None
 
 
 class Disjunction:
-    def __init__(self, options, env, at):
-        self.options, self.env, self.at = options, env, at
+    """A choice between several options, each a pair: whether it is the default, and its tree."""
+
+    def __init__(self, options, env, position):
+        self.options, self.env, self.position = options, env, position
         self.text = "one of several"
 
 
 class Env:
-    """Where names are looked up: a place and what encloses it; closed within a definition."""
+    """The scope in which names are resolved: a node and the enclosing scope.
+
+    It is closed within a definition.
+    """
 
     def __init__(self, node, outer, closed):
         self.node, self.outer, self.closed = node, outer, closed
@@ -113,19 +149,23 @@
 
 
 def scalar_of(token):
-    text, at = str(token), (token.line, token.column)
+    text, position = str(token), (token.line, token.column)
     if token.type == "STRING":
-        return Scalar("string", json.loads(text), at, text)
+        return Scalar("string", json.loads(text), position, text)
     if token.type == "QUANTITY":
         number = text.rstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ%")
         kind, factor = UNITS[text[len(number) :]]
         value = float(number) * factor
-        return Scalar(kind, round(value, 9) if kind != "size" else int(value), at, text)
+        return Scalar(kind, round(value, 9) if kind != "size" else int(value), position, text)
     if token.type == "NUMBER":
         whole = all(c in "-0123456789" for c in text)
         return Scalar(
-            "int" if whole else "number", int(text[:400]) if whole else float(text), at, text[:40]
+            "int" if whole else "number",
+            int(text[:400]) if whole else float(text),
+            position,
+            text[:40],
         )
-    return {"TRUE": Scalar("bool", True, at, text), "FALSE": Scalar("bool", False, at, text)}.get(
-        token.type, Scalar("null", None, at, text)
-    )
+    return {
+        "TRUE": Scalar("bool", True, position, text),
+        "FALSE": Scalar("bool", False, position, text),
+    }.get(token.type, Scalar("null", None, position, text))
--- a/cherrydoor/config/figures.py
+++ b/cherrydoor/config/figures.py
@@ -1,4 +1,4 @@
-"""A lease as read, turned into the few things that a gateway goes by."""
+"""Reads a gateway's configuration file, validates it and makes the settings of its parts."""
 
 from importlib import resources
 from ipaddress import ip_network
@@ -11,11 +11,22 @@
 
 
 def schema(name):
+    """Returns the text of a schema file of this package."""
     return resources.files("cherrydoor.config").joinpath(name).read_text()
 
 
 def read_file(path, top="#Lease", name="gateway.schema", positions=None):
-    """The plain value of a file of records; Problems also for a file that cannot be read at all."""
+    """Returns the plain value of a file of typed records.
+
+    Args:
+        path: Path of the file.
+        top: The definition of the schema that the whole file must satisfy.
+        name: File name of the schema.
+        positions: A dict that receives the line and column of each dotted path that the file sets.
+
+    Raises:
+        Problems: The file cannot be read or is not valid.
+    """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -26,7 +37,7 @@
 
 
 def bare(value):
-    """The same value without units: what leaves the lease are plain numbers."""
+    """Returns the same value with plain numbers in place of Duration (ms) and Size (bytes)."""
     if isinstance(value, dict):
         return {key: bare(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -41,26 +52,43 @@
 
 
 class Bounds:
-    """What the sockets go by: bytes, connections, and the ms that draining may take."""
+    """Limits of the sockets.
+
+    Attributes:
+        connections: Client connections.
+        client_bytes: Unsent bytes for one client.
+        host_bytes: Unsent bytes for one host.
+        frame: Longest frame, in bytes.
+        drain: Time after SIGTERM until open connections are cut, in ms.
+    """
 
-    def __init__(self, said):
+    def __init__(self, values):
         self.connections, self.client_bytes, self.host_bytes = (
-            said["connections"],
-            said["client_bytes"],
-            said["host_bytes"],
+            values["connections"],
+            values["client_bytes"],
+            values["host_bytes"],
         )
-        self.frame, self.drain = said["frame"], said["drain"]
+        self.frame, self.drain = values["frame"], values["drain"]
 
 
 class DispatcherLimits:
-    """What bounds a desk, each with what is done at the bound. Times in ms.
-
-    spare: taken off each client's time, for the way back;  most_open: events held, more are deferred untaken;
-    per_link: launches on one connection before another is opened;  links: connections to one host, then they share;
-    handshake: price of a new connection, in events' worth: a further one is opened as far as what was sent bears it;
-    connect: a connection not up by then failed;  idle: an unused one is closed;  probe, order: longest wait for these;
-    silence: a launch, probe or order cut after so long without a word on its link closes it, if nothing else is out;
-    stay: advice with what is refused untaken;  tells: whether hosts' answers tell of copies, and of the crowd.
+    """Limits of the dispatcher. Times are in ms.
+
+    Attributes:
+        spare: Time subtracted from each request's timeout, for the response's way back.
+        most_open: Requests in flight; further ones are rejected before any attempt.
+        per_link: Attempts on one connection before another one is opened.
+        links: Connections to one host; beyond that, attempts share connections.
+        connect: Timeout for connecting to a host.
+        idle: Time after which an unused connection to a host is closed.
+        probe: Timeout of a health check.
+        order: Timeout of a load order.
+        stay: Retry-After of requests that are rejected before any attempt.
+        tells: Whether hosts report copies, and whether they report concurrency.
+        silence: When a call times out on a connection without a reply for this long, the connection
+            gets no further calls and is closed once no call is in flight on it.
+        handshake: Cost of a new connection, in calls. A further connection is opened only once
+            enough calls were sent to the host to justify that cost.
     """
 
     def __init__(
@@ -95,32 +123,56 @@
         self.tells, self.handshake = tells, handshake
 
 
-def request_class_of(clause):
-    """The decision module's record of one entry of `clauses`."""
+def request_class_of(entry):
+    """Returns the router's request class for one entry of `clauses`."""
     return routing.RequestClass(
-        clause["name"],
-        clause["target"],
-        clause["max_age"],
-        routing.RetrySafety(clause["kind"]),
-        clause["group"],
-        clause["memory"],
-        clause["stream"],
+        entry["name"],
+        entry["target"],
+        entry["max_age"],
+        routing.RetrySafety(entry["kind"]),
+        entry["group"],
+        entry["memory"],
+        entry["stream"],
     )
 
 
 class GatewayConfig:
-    """One gateway's lease: for the module (lease), the desk (terms) and the sockets (bounds, addresses)."""
-
-    def __init__(self, said):
-        said = bare(said)
-        may, cold, ration, bounds = said["may"], said["cold"], said["ration"], said["bounds"]
-        self.benefits = {clause["name"]: clause["benefit"] for clause in said["clauses"]}
-        self.name, self.door, self.list_at = said["name"], said["door"], said["list"]
-        self.saved = Path(said["saved"]) if said["saved"] else None
-        self.metrics = said["metrics"]
-        self.admission, self.memory = said["admission"], said["admission"]["memory"]
-        self.releases, self.peers, self.tenures = said["releases"], said["peers"], said["tenures"]
-        self.keys, self.seed = said["keys"], said["seed"]
+    """The configuration of one gateway, divided by the part that uses it.
+
+    Attributes:
+        name: Name of the gateway.
+        door: Address where clients connect.
+        list_at: Address of the endpoint list.
+        saved: File that caches the last endpoint list; None for no file.
+        metrics: Address of the metrics; "" for none.
+        seed: Seed of all random numbers.
+        benefits: Priority weight of each request class, by name.
+        memory: Bytes of memory that the process may use.
+        lease: Settings of the router.
+        limits: Limits of the dispatcher.
+        bounds: Limits of the sockets.
+        admission, keys, peers, releases, tenures: The section of this name, as plain values.
+    """
+
+    def __init__(self, values):
+        values = bare(values)
+        permissions, slow_start, load_quota, bounds = (
+            values["may"],
+            values["cold"],
+            values["ration"],
+            values["bounds"],
+        )
+        self.benefits = {entry["name"]: entry["benefit"] for entry in values["clauses"]}
+        self.name, self.door, self.list_at = values["name"], values["door"], values["list"]
+        self.saved = Path(values["saved"]) if values["saved"] else None
+        self.metrics = values["metrics"]
+        self.admission, self.memory = values["admission"], values["admission"]["memory"]
+        self.releases, self.peers, self.tenures = (
+            values["releases"],
+            values["peers"],
+            values["tenures"],
+        )
+        self.keys, self.seed = values["keys"], values["seed"]
         self.bounds = Bounds(bounds)
         self.limits = DispatcherLimits(
             bounds["spare"],
@@ -132,74 +184,88 @@
             bounds["probe"],
             bounds["order"],
             bounds["stay"],
-            (said["tells"]["copy"], said["tells"]["crowd"]),
+            (values["tells"]["copy"], values["tells"]["crowd"]),
         )
         self.lease = routing.Settings(
-            said["number"],
-            said["gateways"],
-            said["seed"],
-            said["zone"],
+            values["number"],
+            values["gateways"],
+            values["seed"],
+            values["zone"],
             1.0,
-            tuple(request_class_of(clause) for clause in said["clauses"]),
-            tuple(routing.Tenant(party["name"], party["per_second"]) for party in said["parties"]),
-            said["asks"],
-            may["launches"],
-            may["twice"],
-            may["recall"],
-            may["probe"],
-            may["advice"],
-            cold["from"],
-            cold["time"],
-            cold["multiple"],
-            cold["fall"],
-            said["linger"],
-            may["order"],
-            said["misses"],
-            ration["free"],
-            ration["share"],
-            ration["within"],
-            said["tells"]["copy"],
-            said["tells"]["crowd"],
+            tuple(request_class_of(entry) for entry in values["clauses"]),
+            tuple(
+                routing.Tenant(tenant["name"], tenant["per_second"]) for tenant in values["parties"]
+            ),
+            values["asks"],
+            permissions["launches"],
+            permissions["twice"],
+            permissions["recall"],
+            permissions["probe"],
+            permissions["advice"],
+            slow_start["from"],
+            slow_start["time"],
+            slow_start["multiple"],
+            slow_start["fall"],
+            values["linger"],
+            permissions["order"],
+            values["misses"],
+            load_quota["free"],
+            load_quota["share"],
+            load_quota["within"],
+            values["tells"]["copy"],
+            values["tells"]["crowd"],
         )
 
 
-def problems_of(said, file, positions=None):
-    """What no single field shows: addresses that are none, doubled names, a number beyond the count."""
-    found, positions = [], positions or {}
+def problems_of(values, file, positions=None):
+    """Returns the problems that the schema cannot express.
+
+    These are invalid addresses, duplicate names and fields that contradict each other.
 
-    def check(good, path, expected, value):
-        if not good:  # where it is said, else where what holds it is
+    Args:
+        values: The plain values of the file.
+        file: Name of the file, for error messages.
+        positions: Line and column of each dotted path that the file sets.
+    """
+    problems, positions = [], positions or {}
+
+    def check(is_valid, path, expected, value):
+        if not is_valid:
             parts = path.split(".")
-            above = (positions.get(".".join(parts[:n])) for n in range(len(parts), 0, -1))
-            line, column = next((at for at in above if at), (1, 1))
-            found.append(Problem(file, line, column, path, expected, str(value)))
+            # the position of the field if the file sets it, else of the nearest enclosing one
+            known_positions = (positions.get(".".join(parts[:n])) for n in range(len(parts), 0, -1))
+            line, column = next((at for at in known_positions if at), (1, 1))
+            problems.append(Problem(file, line, column, path, expected, str(value)))
 
     for path in ("door", "list", "metrics"):
-        host, _, port = said[path].rpartition(":")
-        good = host and port.isdigit() and int(port) < 65536
+        host, _, port = values[path].rpartition(":")
+        is_valid = host and port.isdigit() and int(port) < 65536
         check(
-            good or path == "metrics" and not said[path], path, "an address:port", repr(said[path])
+            is_valid or path == "metrics" and not values[path],
+            path,
+            "an address:port",
+            repr(values[path]),
         )
     check(
-        said["number"] < said["gateways"],
+        values["number"] < values["gateways"],
         "number",
-        f"a number below {said['gateways']} gateways",
-        said["number"],
+        f"a number below {values['gateways']} gateways",
+        values["number"],
     )
-    feed = said["releases"]["feed"].rpartition(":")
+    feed = values["releases"]["feed"].rpartition(":")
     check(
-        not said["releases"]["feed"] or feed[0] and feed[2].isdigit() and int(feed[2]) < 65536,
+        not values["releases"]["feed"] or feed[0] and feed[2].isdigit() and int(feed[2]) < 65536,
         "releases.feed",
         "an address:port",
-        repr(said["releases"]["feed"]),
+        repr(values["releases"]["feed"]),
     )
     check(
-        said["releases"]["feed"] or not said["releases"]["control"],
+        values["releases"]["feed"] or not values["releases"]["control"],
         "releases.control",
-        "a feed beside it",
+        "releases.feed to be set as well",
         "none",
     )
-    keys = said["keys"]
+    keys = values["keys"]
     check(
         bool(keys["certificate"]) == bool(keys["key"]),
         "keys.key",
@@ -209,133 +275,142 @@
     check(
         keys["authorities"] or not keys["revoked"],
         "keys.revoked",
-        "authorities beside revocations",
+        "keys.authorities to be set as well",
         "none",
     )
     check(
         keys["authorities"] or not keys["hosts"],
         "keys.hosts",
-        "authorities by which hosts are believed",
+        "keys.authorities that verify hosts",
         "none",
     )
     check(
         keys["authorities"] or keys["clients"] != "need",
         "keys.clients",
-        "authorities by which clients are believed",
+        "keys.authorities that verify clients",
         "none",
     )
-    for i, known in enumerate(said["admission"]["known"]):
-        for net in known["addresses"]:
+    for index, client in enumerate(values["admission"]["known"]):
+        for network in client["addresses"]:
             try:
-                ip_network(net, strict=False)
+                ip_network(network, strict=False)
             except ValueError:
                 check(
                     False,
-                    f"admission.known.{i}.addresses",
+                    f"admission.known.{index}.addresses",
                     "networks such as 10.1.0.0/16 or 2001:db8::/48",
-                    net,
+                    network,
                 )
-    names = [known["name"] for known in said["admission"]["known"]]
-    check(len(set(names)) == len(names), "admission.known", "names that differ", " ".join(names))
+    names = [client["name"] for client in values["admission"]["known"]]
+    check(len(set(names)) == len(names), "admission.known", "unique names", " ".join(names))
     for path in ("clauses", "parties"):
-        names = [entry["name"] for entry in said[path]]
-        check(len(set(names)) == len(names), path, "names that differ", " ".join(names))
-    for i, clause in enumerate(said["clauses"]):
+        names = [entry["name"] for entry in values[path]]
+        check(len(set(names)) == len(names), path, "unique names", " ".join(names))
+    for index, request_class in enumerate(values["clauses"]):
         check(
-            clause["target"] <= clause["max_age"],
-            f"clauses.{i}.target",
+            request_class["target"] <= request_class["max_age"],
+            f"clauses.{index}.target",
             "no more than max_age",
-            clause["target"],
+            request_class["target"],
         )
-        keyed = clause["kind"] == "keyed"
+        keyed = request_class["kind"] == "keyed"
         check(
-            not keyed or clause["memory"] > 0,
-            f"clauses.{i}.memory",
-            "above 0 for a keyed event type",
+            not keyed or request_class["memory"] > 0,
+            f"clauses.{index}.memory",
+            "more than 0 for a keyed request class",
             0,
         )
         check(
-            keyed or clause["group"] == "all",
-            f"clauses.{i}.group",
-            "'all' for an event type that is not keyed: no host drops its repeats",
-            repr(clause["group"]),
+            keyed or request_class["group"] == "all",
+            f"clauses.{index}.group",
+            "'all' for a request class that is not keyed, as no host recognizes its duplicates",
+            repr(request_class["group"]),
         )
-    check_deployment_shape(said, check)
-    check_peers(said, check)
-    return found
+    check_deployment_shape(values, check)
+    check_peers(values, check)
+    return problems
 
 
-def check_deployment_shape(said, check):
-    """Statements of two shapes of deployment that cannot both hold (docs/migration.md says why)."""
-    order, tells = said["may"]["order"], said["tells"]
+def check_deployment_shape(values, check):
+    """Checks that no settings of two different kinds of deployment are mixed.
+
+    docs/migration.md describes the kinds and why they exclude each other.
+    """
+    may_order, reports = values["may"]["order"], values["tells"]
     check(
-        order or not said["ration"]["within"],
+        may_order or not values["ration"]["within"],
         "ration.within",
-        "0ms where may.order is false: no orders are given",
-        f"{said['ration']['within']:g}ms",
+        "0ms if may.order is false, as no load orders are sent",
+        f"{values['ration']['within']:g}ms",
     )
     check(
-        order or not said["misses"],
+        may_order or not values["misses"],
         "misses",
-        "false where may.order is false: nothing would ever be loaded",
+        "false if may.order is false, as no function would ever be loaded",
         "true",
     )
     check(
-        tells["copy"] or not said["releases"]["feed"],
+        reports["copy"] or not values["releases"]["feed"],
         "tells.copy",
-        "true beside releases.feed: else a release's first loads count as its slowness",
+        "true if releases.feed is set, as the first loads of a release would count as slow answers",
         "false",
     )
 
 
-def addressed(text):
+def is_address(text):
+    """Returns whether a text has the form host:port."""
     host, _, port = text.rpartition(":")
     return bool(host) and port.isdigit() and int(port) < 65536
 
 
-def check_peers(said, check):
-    """What is said of peers and tenures, where a gateway has any."""
-    peers, tenures = said["peers"], said["tenures"]
+def check_peers(values, check):
+    """Checks the sections `peers` and `tenures` of a gateway with peers."""
+    peers, tenures = values["peers"], values["tenures"]
     if not peers["door"]:
-        check(not peers["keepers"], "peers.door", "an address:port beside peers.keepers", '""')
+        check(not peers["keepers"], "peers.door", "an address:port if peers.keepers is set", '""')
         return
-    names = [one["name"] for one in peers["keepers"]]
-    check(addressed(peers["door"]), "peers.door", "an address:port", repr(peers["door"]))
+    names = [voter["name"] for voter in peers["keepers"]]
+    check(is_address(peers["door"]), "peers.door", "an address:port", repr(peers["door"]))
     check(
-        not peers["at"] or addressed(peers["at"]), "peers.at", "an address:port", repr(peers["at"])
+        not peers["at"] or is_address(peers["at"]), "peers.at", "an address:port", repr(peers["at"])
     )
     check(
         len(names) % 2 == 1,
         "peers.keepers",
-        "an odd number, so that there is a majority",
+        "an odd number of voters, so that there is a majority",
         len(names),
     )
-    check(len(set(names)) == len(names), "peers.keepers", "names that differ", " ".join(names))
-    for i, one in enumerate(peers["keepers"]):
-        check(addressed(one["at"]), f"peers.keepers.{i}.at", "an address:port", repr(one["at"]))
+    check(len(set(names)) == len(names), "peers.keepers", "unique names", " ".join(names))
+    for index, voter in enumerate(peers["keepers"]):
+        check(
+            is_address(voter["at"]),
+            f"peers.keepers.{index}.at",
+            "an address:port",
+            repr(voter["at"]),
+        )
     check(
-        peers["next"] < said["gateways"],
+        peers["next"] < values["gateways"],
         "peers.next",
-        f"fewer than {said['gateways']} gateways: one is this itself",
+        f"fewer than {values['gateways']} gateways, as one of them is this one",
         peers["next"],
     )
     check(
         2 * peers["beat"] <= peers["silent"],
         "peers.silent",
-        "at least two beats",
+        "at least twice peers.beat",
         f"{peers['silent']:g}ms",
     )
     check(
-        said["name"] not in names or tenures["promises"],
+        values["name"] not in names or tenures["promises"],
         "tenures.promises",
-        "a file, as this gateway is a keeper",
+        "a file, as this gateway is a voter",
         '""',
     )
-    lost = tenures["term"] * tenures["drift"] + tenures["margin"]
+    margins_ms = tenures["term"] * tenures["drift"] + tenures["margin"]
     check(
-        tenures["term"] > 2 * lost,
+        tenures["term"] > 2 * margins_ms,
         "tenures.term",
-        f"more than twice its margins, {2 * lost:g}ms",
+        f"more than twice its margin and clock drift, {2 * margins_ms:g}ms",
         f"{tenures['term']:g}ms",
     )
     check(
@@ -347,9 +422,13 @@
 
 
 def read_config(path: "str | PathLike[str]") -> "GatewayConfig":
-    """The figures of a lease file; Problems names everything that is wrong with it."""
+    """Reads and validates a gateway's configuration file.
+
+    Raises:
+        Problems: The file cannot be read or is not valid; lists everything wrong with it.
+    """
     positions: dict = {}
-    said = read_file(path, positions=positions)
-    if found := problems_of(said, str(path), positions):
-        raise Problems(found)
-    return GatewayConfig(said)
+    values = read_file(path, positions=positions)
+    if problems := problems_of(values, str(path), positions):
+        raise Problems(problems)
+    return GatewayConfig(values)
--- a/cherrydoor/config/node.py
+++ b/cherrydoor/config/node.py
@@ -1,4 +1,4 @@
-"""A place in a file: what was written for it, where references lead, and what lies below."""
+"""A field or list item of a file: its expressions, references, and nested fields and items."""
 
 from cherrydoor.config.constraints import (
     TYPES,
@@ -15,39 +15,46 @@
 from cherrydoor.config.parsing import MAX_DEPTH, SCHEMA_LINE_OFFSET, Problem
 from cherrydoor.config.unification import Unification
 
-MAX_STEPS = 8000  # evaluations for one file
+MAX_STEPS = 8000  # evaluation steps per file
 
 
 class EvaluationLimitError(Exception):
-    """A bound on the work for one file is reached."""
+    """The limit of evaluation steps for one file is reached."""
 
 
 class Evaluation:
-    """The evaluation of one file: steps spent and problems found."""
+    """The evaluation of one file: its steps, problems and positions."""
 
     def __init__(self, file, schema_file):
         self.file, self.schema_file, self.steps, self.problems = file, schema_file, 0, []
-        self.positions = {}  # dotted path -> line and column, of what the file itself says
+        self.positions = {}  # dotted path -> line and column, of values set in the file itself
 
     def step(self):
         self.steps += 1
         if self.steps > MAX_STEPS:
             raise EvaluationLimitError
 
-    def problem(self, at, path, expected, found):
+    def problem(self, position, path, expected, found):
         file, line = (
-            (self.schema_file, at[0] - SCHEMA_LINE_OFFSET)
-            if at[0] > SCHEMA_LINE_OFFSET
-            else (self.file, at[0])
+            (self.schema_file, position[0] - SCHEMA_LINE_OFFSET)
+            if position[0] > SCHEMA_LINE_OFFSET
+            else (self.file, position[0])
+        )
+        self.problems.append(
+            Problem(file, line, position[1], ".".join(map(str, path)), expected, found)
         )
-        self.problems.append(Problem(file, line, at[1], ".".join(map(str, path)), expected, found))
 
 
 class Node(Unification):
-    """A field or an item: all that was written for it, and what that comes to."""
-
-    def __init__(self, run, path, written, at):
-        self.run, self.path, self.written, self.at = run, path, written, at
+    """A field or a list item: all expressions for it, and the value that results from them."""
+
+    def __init__(self, evaluation, path, expressions, position):
+        self.evaluation, self.path, self.expressions, self.position = (
+            evaluation,
+            path,
+            expressions,
+            position,
+        )
         self.state, self.terms, self.fields, self.items, self.kind, self.scalar = (
             "new",
             [],
@@ -57,41 +64,54 @@
             None,
         )
 
-    def collect_terms(self, tree, env, out, seen):
-        """Appends the terms of one expression; references bring those of their target."""
-        self.run.step()
-        data, at = tree.data, (tree.meta.line, tree.meta.column) if not tree.meta.empty else self.at
+    def collect_terms(self, tree, env, terms, visited):
+        """Appends the terms of one expression to `terms`; a reference adds those of its target."""
+        self.evaluation.step()
+        data, position = (
+            tree.data,
+            (tree.meta.line, tree.meta.column) if not tree.meta.empty else self.position,
+        )
         if data == "both":
             for child in tree.children:
-                self.collect_terms(child, env, out, seen)
+                self.collect_terms(child, env, terms, visited)
         elif data == "atom":
-            atom = scalar_of(tree.children[0])
-            if isinstance(atom.value, (int, float)) and not abs(atom.value) < 2**62:
-                self.run.problem(atom.at, self.path, "a number below 2^62", atom.text[:40])
+            scalar = scalar_of(tree.children[0])
+            if isinstance(scalar.value, (int, float)) and not abs(scalar.value) < 2**62:
+                self.evaluation.problem(
+                    scalar.position, self.path, "a number below 2^62", scalar.text[:40]
+                )
                 self.kind = "bad"
             else:
-                out.append(atom)
+                terms.append(scalar)
         elif data == "bound":
-            out.append(Bound(str(tree.children[0]), scalar_of(tree.children[1].children[0]), at))
+            terms.append(
+                Bound(str(tree.children[0]), scalar_of(tree.children[1].children[0]), position)
+            )
         elif data == "struct":
-            out.append(StructLiteral(tree, env, env.closed, at))
+            terms.append(StructLiteral(tree, env, env.closed, position))
         elif data == "list":
-            out.append(ListLiteral(tree, env, at))
+            terms.append(ListLiteral(tree, env, position))
         elif data in ("either", "star"):
             options = tree.children if data == "either" else [tree]
-            out.append(
+            terms.append(
                 Disjunction(
-                    [(o.data == "star", o.children[0] if o.data == "star" else o) for o in options],
+                    [
+                        (
+                            option.data == "star",
+                            option.children[0] if option.data == "star" else option,
+                        )
+                        for option in options
+                    ],
                     env,
-                    at,
+                    position,
                 )
             )
         elif data == "ref":
-            self.resolve_reference([str(t) for t in tree.children], env, out, seen, at)
+            self.resolve_reference([str(t) for t in tree.children], env, terms, visited, position)
 
-    def resolve_reference(self, names, env, out, seen, at):
+    def resolve_reference(self, names, env, terms, visited, position):
         if len(names) == 1 and names[0] in TYPES:
-            out.append(Type(names[0], at))
+            terms.append(Type(names[0], position))
             return
         scope, target = env, None
         while scope is not None and target is None:
@@ -101,94 +121,122 @@
             target = target and target.field(name)
         dotted = ".".join(names)
         if target is None:
-            self.conflict(at, "a name that is written somewhere", dotted)
-        elif target is self or target in seen or len(seen) > MAX_DEPTH:
-            self.conflict(at, "a value", f"a cycle through {dotted}")
+            self.conflict(position, "a defined name", dotted)
+        elif target is self or target in visited or len(visited) > MAX_DEPTH:
+            self.conflict(position, "a value", f"a cycle through {dotted}")
         else:
-            for tree, inner in target.written:
+            for tree, target_env in target.expressions:
                 if names[-1].startswith("#"):
-                    inner = Env(inner.node, inner.outer, True)
-                self.collect_terms(tree, inner, out, (*seen, target))
+                    target_env = Env(target_env.node, target_env.outer, True)
+                self.collect_terms(tree, target_env, terms, (*visited, target))
 
-    def build_record(self, parts):
+    def build_record(self, structs):
         self.kind, self.fields = "record", {}
         if len(self.path) > MAX_DEPTH:
-            return self.conflict(parts[0].at, f"at most {MAX_DEPTH} levels", "more")
-        given = {}
-        for part in parts:
-            for name, entries in part.fields.items():
-                given.setdefault(name, []).extend((part, *entry) for entry in entries)
-        for name, entries in given.items():
-            real = [e for e in entries if e[1]]
-            if not real:
+            return self.conflict(structs[0].position, f"at most {MAX_DEPTH} levels", "more")
+        members = {}
+        for struct in structs:
+            for name, entries in struct.fields.items():
+                members.setdefault(name, []).extend((struct, *entry) for entry in entries)
+        for name, entries in members.items():
+            set_entries = [member for member in entries if member[1]]
+            if not set_entries:
                 continue
-            positions = [(e[3].meta.line, e[3].meta.column) for e in real] + [
-                part.at for part in parts
+            positions = [(member[3].meta.line, member[3].meta.column) for member in set_entries] + [
+                struct.position for struct in structs
             ]
-            at = next((p for p in positions if p[0] < SCHEMA_LINE_OFFSET), positions[0])
+            position = next((p for p in positions if p[0] < SCHEMA_LINE_OFFSET), positions[0])
             if not name.startswith(("#", "_")):
-                for part in parts:
-                    if not part.allows(name):
-                        known = " ".join(sorted(n for n in part.fields if not n.startswith("#")))
-                        self.run.problem(
-                            at, (*self.path, name), f"a field that is known here ({known})", name
+                for struct in structs:
+                    if not struct.allows(name):
+                        known_fields = " ".join(
+                            sorted(
+                                field_name
+                                for field_name in struct.fields
+                                if not field_name.startswith("#")
+                            )
+                        )
+                        self.evaluation.problem(
+                            position, (*self.path, name), f"a known field ({known_fields})", name
                         )
-            written = [
-                (tree, Env(self, part.env, part.env.closed if part.env else part.closed or False))
-                if not part.closed
-                else (tree, Env(self, part.env, True))
-                for part, _, tree, _ in entries
+            expressions = [
+                (
+                    tree,
+                    Env(
+                        self,
+                        struct.env,
+                        struct.env.closed if struct.env else struct.closed or False,
+                    ),
+                )
+                if not struct.closed
+                else (tree, Env(self, struct.env, True))
+                for struct, _, tree, _ in entries
             ]
             if not name.startswith("#"):
-                written += [
-                    (tree, Env(self, part.env, part.closed))
-                    for part in parts
-                    for tree in part.patterns
-                    if name not in part.fields
+                expressions += [
+                    (tree, Env(self, struct.env, struct.closed))
+                    for struct in structs
+                    for tree in struct.patterns
+                    if name not in struct.fields
                 ]
-            self.fields[name] = Node(self.run, (*self.path, name), written, at)
+            self.fields[name] = Node(self.evaluation, (*self.path, name), expressions, position)
 
-    def build_list(self, rows):
+    def build_list(self, lists):
         self.kind, self.items = "list", []
-        length = max(len(r.items) for r in rows)
-        for r in rows:
-            if r.more is None and len(r.items) < length:
-                longer = next(o for o in rows if len(o.items) == length)
-                return self.conflict(longer.at, f"a list of {len(r.items)}", f"one of {length}")
-        for i in range(length):
-            written = [(r.items[i] if i < len(r.items) else r.more, r.env) for r in rows]
-            at = next((t.meta.line, t.meta.column) for t, _ in written if not t.meta.empty)
-            concrete = next((r for r in rows if i < len(r.items)), None)
-            if concrete and not concrete.items[i].meta.empty:
-                at = concrete.items[i].meta.line, concrete.items[i].meta.column
-            self.items.append(Node(self.run, (*self.path, i), written, at))
+        length = max(len(literal.items) for literal in lists)
+        for literal in lists:
+            if literal.rest is None and len(literal.items) < length:
+                longer = next(other for other in lists if len(other.items) == length)
+                return self.conflict(
+                    longer.position, f"a list of {len(literal.items)}", f"one of {length}"
+                )
+        for index in range(length):
+            expressions = [
+                (literal.items[index] if index < len(literal.items) else literal.rest, literal.env)
+                for literal in lists
+            ]
+            position = next(
+                (t.meta.line, t.meta.column) for t, _ in expressions if not t.meta.empty
+            )
+            first_with_item = next(
+                (literal for literal in lists if index < len(literal.items)), None
+            )
+            if first_with_item and not first_with_item.items[index].meta.empty:
+                position = (
+                    first_with_item.items[index].meta.line,
+                    first_with_item.items[index].meta.column,
+                )
+            self.items.append(Node(self.evaluation, (*self.path, index), expressions, position))
 
     def field(self, name):
-        """A place below by name, without evaluating it; None where there is none."""
+        """Returns the field of this name without evaluating it; None if there is none."""
         if self.state == "new":
             self.value()
         return (self.fields or {}).get(name)
 
-    def evaluate_all(self, deepest):
-        """Evaluates everything below; a trial needs to know whether any of it fails."""
-        self.run.step()
-        if self.state == "new" and self.written:
+    def evaluate_all(self, max_depth):
+        """Evaluates this node and all nested nodes down to a depth.
+
+        The trial of an option needs to know whether any of them fails.
+        """
+        self.evaluation.step()
+        if self.state == "new" and self.expressions:
             self.value()
-        if len(self.path) >= deepest:
+        if len(self.path) >= max_depth:
             return
-        for below in [*(self.fields or {}).items()]:
-            if not below[0].startswith("#"):
-                below[1].evaluate_all(deepest)
-        for below in self.items or ():
-            below.evaluate_all(deepest)
+        for child in [*(self.fields or {}).items()]:
+            if not child[0].startswith("#"):
+                child[1].evaluate_all(max_depth)
+        for child in self.items or ():
+            child.evaluate_all(max_depth)
 
     def to_plain(self):
-        """Plain Python values; a problem for each place that has none yet."""
-        self.run.step()
+        """Returns plain Python values, and reports a problem for each node without a value."""
+        self.evaluation.step()
         if self.state == "new":
             self.value()
-        if self.at[0] < SCHEMA_LINE_OFFSET:
-            self.run.positions[".".join(map(str, self.path))] = self.at
+        if self.position[0] < SCHEMA_LINE_OFFSET:
+            self.evaluation.positions[".".join(map(str, self.path))] = self.position
         if self.kind == "record":
             return {
                 name: node.to_plain() for name, node in self.fields.items() if name[0] not in "#_"
@@ -201,5 +249,5 @@
             )
         if self.kind is None:
             expected = " & ".join(t.text for t in self.terms) or "a value"
-            self.run.problem(self.at, self.path, expected, "nothing")
+            self.evaluation.problem(self.position, self.path, expected, "nothing")
         return None
--- a/cherrydoor/config/records.py
+++ b/cherrydoor/config/records.py
@@ -1,9 +1,11 @@
-"""Reads typed records: text to plain values, or every problem found with its place.
+"""Reads typed records: converts text to plain values, or reports every problem with its position.
 
-What is written several times for one place must agree: types, bounds and values unify, as in CUE. A definition
-(#Clause) is closed: it refuses fields it does not name. `*a | b` is b with the default a. Durations come out as ms,
-sizes as bytes, shares in percent as fractions. Nothing a file holds can make this loop: nesting, length and steps
-are bounded, and a reference cycle is a problem like any other.
+All expressions for one field must agree: types, bounds and values are unified, as in CUE. A
+definition such as #Clause is closed: it rejects fields that it does not name. `*a | b` means b with
+the default a. Durations are returned in ms, sizes in bytes and percentages as fractions.
+
+Evaluation ends for every input: nesting, length and steps are limited, and a reference cycle is
+reported as a problem.
 """
 
 from lark import Token, Tree
@@ -16,38 +18,48 @@
 
 
 def read(text, file="lease", schema="", top="", schema_file="schema", positions=None):
-    """The plain value of a file's records.
+    """Returns the plain value of a file's records.
+
+    Args:
+        text: The text of the file.
+        file: Name of the file, for error messages.
+        schema: Text of the definitions that the file may refer to.
+        top: The definition that the whole file must satisfy, such as '#Lease'; "" for none.
+        schema_file: Name of the schema, for error messages.
+        positions: A dict that receives the line and column of each dotted path that the file sets.
 
-    schema: text of definitions that the file may refer to; top: the definition that the whole file must meet, such as
-    '#Lease'; positions: a dict that is given the line and column of each dotted path that the file says. Raises
-    Problems with everything wrong, each with file, line, column and path.
+    Raises:
+        Problems: The file is not valid; lists everything wrong with it, with file, line, column
+            and path.
     """
-    run, trees = Evaluation(file, schema_file), []
+    evaluation, schema_trees = Evaluation(file, schema_file), []
     body = parse(text, file)
     if schema:
-        trees.append(schema_tree(schema, schema_file))
+        schema_trees.append(schema_tree(schema, schema_file))
     try:
-        base = Node(run, (), [], (1, 1))
-        base.state = "done"
-        base.build_record([StructLiteral(tree, None, False, (1, 1)) for tree in trees])
-        outer = Env(base, None, False)
-        struct = Tree("struct", body.children, body.meta)
-        written = [(struct, outer)]
+        definitions = Node(evaluation, (), [], (1, 1))
+        definitions.state = "done"
+        definitions.build_record(
+            [StructLiteral(tree, None, False, (1, 1)) for tree in schema_trees]
+        )
+        scope = Env(definitions, None, False)
+        file_record = Tree("struct", body.children, body.meta)
+        expressions = [(file_record, scope)]
         if top:
-            written.insert(0, (Tree("ref", [Token("DEF", top)]), outer))
-        whole = Node(run, (), written, (1, 1))
-        value = whole.to_plain()
+            expressions.insert(0, (Tree("ref", [Token("DEF", top)]), scope))
+        root = Node(evaluation, (), expressions, (1, 1))
+        value = root.to_plain()
     except (EvaluationLimitError, RecursionError):
         raise Problems(
             [
-                *run.problems,
+                *evaluation.problems,
                 Problem(
                     file, 1, 1, "", f"a file that can be evaluated in {MAX_STEPS} steps", "more"
                 ),
             ]
         ) from None
-    if run.problems:
-        raise Problems(run.problems)
+    if evaluation.problems:
+        raise Problems(evaluation.problems)
     if positions is not None:
-        positions.update(run.positions)
+        positions.update(evaluation.positions)
     return value
--- a/cherrydoor/config/show.py
+++ b/cherrydoor/config/show.py
@@ -1,4 +1,4 @@
-"""Plain values back to the text of typed records."""
+"""Formats plain values as the text of typed records."""
 
 import json
 
@@ -6,7 +6,11 @@
 
 
 def show(value, depth=0):
-    """Text that read() gives the same value for.
+    """Returns text for which `read` returns the same value.
+
+    Args:
+        value: The plain value.
+        depth: Level of indentation.
 
     >>> print(show({"a": [1, {"b": None}], "c-d": "x"}))
     a: [
@@ -18,23 +22,27 @@
     c-d: "x"
     """
     if isinstance(value, dict):
-        pad = "  " * depth
-        return "\n".join(f"{pad}{name(key)}: {inner(item, depth)}" for key, item in value.items())
-    return inner(value, depth)
+        indent = "  " * depth
+        return "\n".join(
+            f"{indent}{show_key(key)}: {show_value(item, depth)}" for key, item in value.items()
+        )
+    return show_value(value, depth)
 
 
-def name(key):
-    plain = key[:1].isalpha() and all(c.isalnum() or c in "_-" for c in key)
-    return key if plain and key not in ("true", "false", "null") else json.dumps(key)
+def show_key(key):
+    is_plain = key[:1].isalpha() and all(c.isalnum() or c in "_-" for c in key)
+    return key if is_plain and key not in ("true", "false", "null") else json.dumps(key)
 
 
-def inner(value, depth):
-    pad, below = "  " * depth, "  " * (depth + 1)
+def show_value(value, depth):
+    indent, inner_indent = "  " * depth, "  " * (depth + 1)
     if isinstance(value, dict):
-        return "{\n" + show(value, depth + 1) + f"\n{pad}}}" if value else "{}"
+        return "{\n" + show(value, depth + 1) + f"\n{indent}}}" if value else "{}"
     if isinstance(value, list):
         return (
-            "[\n" + "".join(f"{below}{inner(v, depth + 1)}\n" for v in value) + f"{pad}]"
+            "[\n"
+            + "".join(f"{inner_indent}{show_value(v, depth + 1)}\n" for v in value)
+            + f"{indent}]"
             if value
             else "[]"
         )
--- a/cherrydoor/config/unification.py
+++ b/cherrydoor/config/unification.py
@@ -1,4 +1,4 @@
-"""All that was written for one place must agree: of several options the one that does, then one value."""
+"""Unifies all terms of a field, after selecting an option of each disjunction."""
 
 from typing import Any
 
@@ -14,12 +14,12 @@
 
 
 class Unification:
-    """How the terms of a place come to one value; what a place is made of is said by Node."""
+    """Unification of the terms of one field to one value; the subclass Node supplies the terms."""
 
-    run: Any
+    evaluation: Any
     path: tuple
-    at: tuple
-    written: list
+    position: tuple
+    expressions: list
     state: str
     terms: list
     kind: Any
@@ -31,131 +31,154 @@
     evaluate_all: Any
 
     def value(self):
-        """Evaluates this place once; the places below it are evaluated when asked for."""
+        """Evaluates this node once. Its fields and items are evaluated when they are needed."""
         if self.state == "new":
             self.state = "busy"
             terms = []
-            for tree, env in self.written:
+            for tree, env in self.expressions:
                 self.collect_terms(tree, env, terms, ())
             self.resolve(terms)
             self.state = "done"
         return self
 
     def resolve(self, terms):
-        while either := next((t for t in terms if isinstance(t, Disjunction)), None):
-            self.run.step()
-            atoms = [t for t in terms if isinstance(t, Scalar)]
-            if other := next((a for a in atoms[1:] if not a.equals(atoms[0])), None):
-                return self.conflict(other.at, atoms[0].text, other.text)
-            terms = self.resolve_disjunction([t for t in terms if t is not either], either)
+        while disjunction := next((t for t in terms if isinstance(t, Disjunction)), None):
+            self.evaluation.step()
+            scalars = [t for t in terms if isinstance(t, Scalar)]
+            if other := next((a for a in scalars[1:] if not a.equals(scalars[0])), None):
+                return self.conflict(other.position, scalars[0].text, other.text)
+            terms = self.resolve_disjunction(
+                [t for t in terms if t is not disjunction], disjunction
+            )
             if terms is None:
                 return
         self.unify(terms)
 
-    def resolve_disjunction(self, plain, either):
-        """The terms with the one option that agrees with all else; of several the default."""
-        kept: list = []
-        deeper: list = []  # problems of options that fit here and fail only further down
-        for starred, tree in self.candidate_options(plain, either.options):
-            terms, before = list(plain), len(self.run.problems)
-            self.collect_terms(tree, either.env, terms, ())
-            trial = type(self)(self.run, self.path, [], self.at)
+    def resolve_disjunction(self, other_terms, disjunction):
+        """Returns the terms with the one option that fits all others; of several, the default.
+
+        Returns None after reporting a problem if no single option can be selected.
+        """
+        fitting: list = []
+        # Problems of options that fit this node and fail only in nested nodes.
+        nested_failures: list = []
+        for is_default, tree in self.candidate_options(other_terms, disjunction.options):
+            terms, problem_count = list(other_terms), len(self.evaluation.problems)
+            self.collect_terms(tree, disjunction.env, terms, ())
+            trial = type(self)(self.evaluation, self.path, [], self.position)
             trial.resolve(terms)
             trial.evaluate_all(len(self.path) + 12)
-            if len(self.run.problems) == before:
-                kept.append((starred, terms, trial))
+            if len(self.evaluation.problems) == problem_count:
+                fitting.append((is_default, terms, trial))
             else:
-                found = self.run.problems[before:]
-                del self.run.problems[before:]
-                here = ".".join(map(str, self.path)) + "." if self.path else ""
-                if all(p.path.startswith(here) for p in found):
-                    deeper.append(found)
-        first = [k for k in kept if k[0]] or kept
-        firm = [k for k in first if k[2].kind is not None]
-        if len(first) == 1:
-            return first[0][1]
-        if len(firm) > 1 and all(
-            f[2].scalar and f[2].scalar.equals(firm[0][2].scalar) for f in firm
+                found = self.evaluation.problems[problem_count:]
+                del self.evaluation.problems[problem_count:]
+                path_prefix = ".".join(map(str, self.path)) + "." if self.path else ""
+                if all(p.path.startswith(path_prefix) for p in found):
+                    nested_failures.append(found)
+        preferred = [option for option in fitting if option[0]] or fitting
+        definite = [option for option in preferred if option[2].kind is not None]
+        if len(preferred) == 1:
+            return preferred[0][1]
+        if len(definite) > 1 and all(
+            candidate[2].scalar and candidate[2].scalar.equals(definite[0][2].scalar)
+            for candidate in definite
         ):
-            return firm[0][1]
-        if not first and deeper:
-            self.run.problems.extend(
-                min(deeper, key=lambda found: (-max(p.path.count(".") for p in found), len(found)))
+            return definite[0][1]
+        if not preferred and nested_failures:
+            self.evaluation.problems.extend(
+                min(
+                    nested_failures,
+                    key=lambda found: (
+                        -max(p.path.count(".") for p in found),
+                        len(found),
+                    ),
+                )
             )
-        elif not first:
-            found = next((t for t in plain if isinstance(t, Scalar)), None) or (
-                plain[0] if plain else either
+        elif not preferred:
+            found = next((t for t in other_terms if isinstance(t, Scalar)), None) or (
+                other_terms[0] if other_terms else disjunction
             )
-            self.run.problem(found.at, self.path, self.describe(either), found.text)
-        elif plain or firm:
-            self.run.problem(
-                either.at, self.path, "one value", f"several that fit: {self.describe(either)}"
+            self.evaluation.problem(
+                found.position, self.path, self.describe(disjunction), found.text
+            )
+        elif other_terms or definite:
+            self.evaluation.problem(
+                disjunction.position,
+                self.path,
+                "one value",
+                f"several that fit: {self.describe(disjunction)}",
             )
         else:
-            self.run.problem(self.at, self.path, self.describe(either), "nothing")
+            self.evaluation.problem(self.position, self.path, self.describe(disjunction), "nothing")
         self.kind = "bad"
         return None
 
-    def candidate_options(self, plain, options):
-        """Of options that are all plain values, the one that was said, if any: the others need no evaluation."""
-        atom = next((t for t in plain if isinstance(t, Scalar)), None)
-        if atom is None or not all(tree.data == "atom" for _, tree in options):
+    def candidate_options(self, other_terms, options):
+        """Returns the options that need to be evaluated.
+
+        If all options are scalars and a value is given, that is only the option equal to it.
+        """
+        scalar_term = next((t for t in other_terms if isinstance(t, Scalar)), None)
+        if scalar_term is None or not all(tree.data == "atom" for _, tree in options):
             return options
-        return [one for one in options if scalar_of(one[1].children[0]).equals(atom)] or options
-
-    def describe(self, either):
-        words = []
-        for _, tree in either.options:
-            terms, before = [], len(self.run.problems)
-            self.collect_terms(tree, either.env, terms, ())
-            del self.run.problems[before:]
-            words.append(
+        return [
+            option for option in options if scalar_of(option[1].children[0]).equals(scalar_term)
+        ] or options
+
+    def describe(self, disjunction):
+        descriptions = []
+        for _, tree in disjunction.options:
+            terms, problem_count = [], len(self.evaluation.problems)
+            self.collect_terms(tree, disjunction.env, terms, ())
+            del self.evaluation.problems[problem_count:]
+            descriptions.append(
                 " & ".join(
                     self.describe(t) if isinstance(t, Disjunction) else t.text for t in terms
                 )
             )
-        return " or ".join(words)
+        return " or ".join(descriptions)
 
     def unify(self, terms):
-        parts = [t for t in terms if isinstance(t, StructLiteral)]
-        rows = [t for t in terms if isinstance(t, ListLiteral)]
-        atoms = [t for t in terms if isinstance(t, Scalar)]
-        limits = [t for t in terms if isinstance(t, (Type, Bound))]
+        structs = [t for t in terms if isinstance(t, StructLiteral)]
+        lists = [t for t in terms if isinstance(t, ListLiteral)]
+        scalars = [t for t in terms if isinstance(t, Scalar)]
+        constraints = [t for t in terms if isinstance(t, (Type, Bound))]
         self.terms = terms
         if not terms:
             return
-        groups = [g for g in (parts, rows, atoms) if g]
-        if len(groups) > 1 or limits and (parts or rows):
+        groups = [g for g in (structs, lists, scalars) if g]
+        if len(groups) > 1 or constraints and (structs or lists):
             first = groups[0][0]
             if len(groups) > 1:
-                self.conflict(groups[1][0].at, first.text, groups[1][0].text)
+                self.conflict(groups[1][0].position, first.text, groups[1][0].text)
             else:
-                self.conflict(first.at, limits[0].text, first.text)
-        elif parts:
-            self.build_record(parts)
-        elif rows:
-            self.build_list(rows)
-        elif atoms:
-            self.unify_scalars(atoms, limits)
+                self.conflict(first.position, constraints[0].text, first.text)
+        elif structs:
+            self.build_record(structs)
+        elif lists:
+            self.build_list(lists)
+        elif scalars:
+            self.unify_scalars(scalars, constraints)
         else:
-            self.check_types(limits)
+            self.check_types(constraints)
 
-    def conflict(self, at, expected, found):
+    def conflict(self, position, expected, found):
         self.kind = "bad"
-        self.run.problem(at, self.path, expected, found)
+        self.evaluation.problem(position, self.path, expected, found)
 
-    def unify_scalars(self, atoms, limits):
-        first = atoms[0]
-        for other in atoms[1:]:
+    def unify_scalars(self, scalars, constraints):
+        first = scalars[0]
+        for other in scalars[1:]:
             if not first.equals(other):
-                return self.conflict(other.at, first.text, other.text)
-        for limit in limits:
-            if not limit.accepts(first):
-                return self.conflict(first.at, limit.text, first.text)
+                return self.conflict(other.position, first.text, other.text)
+        for constraint in constraints:
+            if not constraint.accepts(first):
+                return self.conflict(first.position, constraint.text, first.text)
         self.kind, self.scalar = "atom", first
 
-    def check_types(self, limits):
-        types = [t for t in limits if isinstance(t, Type)]
+    def check_types(self, constraints):
+        types = [t for t in constraints if isinstance(t, Type)]
         for other in types[1:]:
             if {types[0].kind, other.kind} != {"int", "number"} and types[0].kind != other.kind:
-                return self.conflict(other.at, types[0].text, other.text)
+                return self.conflict(other.position, types[0].text, other.text)
--- a/tests/config/test_records.py
+++ b/tests/config/test_records.py
@@ -1,6 +1,4 @@
-"""What records come to, and that whatever is wrong with a file is told in one go, with its
-place.
-"""
+"""Reading typed records: values, unification, and problems with their positions."""
 
 import time
 
@@ -20,32 +18,34 @@
   offices: *{} | {[string]: { weight: *1 | int }}
 }
 """
-GOOD = 'clauses: [{name: "draft", target: 2s}]'
+VALID = 'clauses: [{name: "draft", target: 2s}]'
 
 
-def lease(text):
+def read_configuration(text):
     return read(text, "f", SCHEMA, "#Lease")
 
 
-def wrong(text):
+def problems_in(text):
     try:
-        lease(text)
+        read_configuration(text)
     except Problems as error:
         return error.problems
-    raise AssertionError("nothing was wrong")
+    raise AssertionError("no problem was found")
 
 
 def test_defaults_units_and_references():
-    said = lease(GOOD + "\nbase: 1.5s // so wait follows\nsize: 64KiB")
+    values = read_configuration(VALID + "\nbase: 1.5s // wait refers to base\nsize: 64KiB")
     assert (
-        said["wait"] == said["base"] == 1500.0 and said["size"] == 65536 and said["share"] == 0.05
+        values["wait"] == values["base"] == 1500.0
+        and values["size"] == 65536
+        and values["share"] == 0.05
     )
-    assert said["clauses"] == [{"name": "draft", "target": 2000.0, "kind": "redeliverable"}]
+    assert values["clauses"] == [{"name": "draft", "target": 2000.0, "kind": "redeliverable"}]
 
 
-def test_a_place_written_twice_must_agree():
-    assert lease(GOOD + "\nwait: 2s\nwait: 2000ms")["wait"] == 2000
-    [problem] = wrong(GOOD + "\nwait: 2s\nwait: 3s")
+def test_values_written_twice_for_one_field_must_agree():
+    assert read_configuration(VALID + "\nwait: 2s\nwait: 2000ms")["wait"] == 2000
+    [problem] = problems_in(VALID + "\nwait: 2s\nwait: 3s")
     assert (
         problem.path == "wait"
         and problem.expected == "2s"
@@ -54,8 +54,8 @@
     )
 
 
-def test_all_problems_come_at_once_with_file_line_column_path_expected_and_found():
-    found = wrong('clauses: [{name: 5, target: -1s, kind: "often"}]\nbas: 3s\nshare: 900%')
+def test_all_problems_are_reported_together_with_position_path_expected_and_found():
+    found = problems_in('clauses: [{name: 5, target: -1s, kind: "often"}]\nbas: 3s\nshare: 900%')
     assert [(p.line, p.column, p.path) for p in found] == [
         (1, 18, "clauses.0.name"),
         (1, 29, "clauses.0.target"),
@@ -67,35 +67,36 @@
     assert found[2].expected == '"redeliverable" or "keyed"' and "base" in found[3].expected
 
 
-def test_what_is_missing_is_told_where_it_belongs():
-    [problem] = wrong('clauses: [\n  {name: "draft"}\n]')
+def test_a_missing_field_is_reported_at_the_record_that_lacks_it():
+    [problem] = problems_in('clauses: [\n  {name: "draft"}\n]')
     assert (problem.line, problem.path, problem.found) == (2, "clauses.0.target", "nothing")
 
 
-def test_closed_records_refuse_unknown_fields_and_patterns_take_any_name():
-    assert lease(GOOD + "\noffices: {harbour: {weight: 3}, meadow: {}}")["offices"]["meadow"] == {
-        "weight": 1
-    }
-    assert [p.path for p in wrong(GOOD + "\noffices: {harbour: {wieght: 3}}")] == [
+def test_closed_records_reject_unknown_fields_and_patterns_accept_any_name():
+    assert read_configuration(VALID + "\noffices: {harbour: {weight: 3}, meadow: {}}")["offices"][
+        "meadow"
+    ] == {"weight": 1}
+    assert [p.path for p in problems_in(VALID + "\noffices: {harbour: {wieght: 3}}")] == [
         "offices.harbour.wieght"
     ]
 
 
-def test_syntax_errors_are_all_told():
-    found = wrong("a: [5 6]\nb: }\n")
+def test_all_syntax_errors_are_reported():
+    found = problems_in("a: [5 6]\nb: }\n")
     assert {1, 2} <= {p.line for p in found}
 
 
-def test_reference_cycles_are_told_not_followed():
-    assert any("cycle" in p.found for p in wrong("a: b\nb: a\n" + GOOD))
-    assert wrong("#A: {b: #A}\na: #A\n" + GOOD)
+def test_reference_cycles_are_reported_and_not_followed():
+    assert any("cycle" in p.found for p in problems_in("a: b\nb: a\n" + VALID))
+    assert problems_in("#A: {b: #A}\na: #A\n" + VALID)
 
 
-def test_shown_text_reads_as_the_same():
-    said = lease(GOOD + "\nsize: 3MB")
-    assert lease(show(said)) == said
+def test_shown_text_is_read_as_the_same_value():
+    values = read_configuration(VALID + "\nsize: 3MB")
+    assert read_configuration(show(values)) == values
 
 
+# Files that would take too much time, memory or stack without the limits on parsing and evaluation.
 HOSTILE = [
     "[" * 1_000_000,
     "a: " + "[" * 39 + "]" * 39,
@@ -111,42 +112,42 @@
 ]
 
 
-def test_hostile_files_are_refused_within_seconds():
+def test_hostile_files_are_rejected_within_seconds():
     for text in HOSTILE:
-        begun = time.process_time()
-        wrong(text)
-        assert time.process_time() - begun < 5.0, text[:30]
+        started_s = time.process_time()
+        problems_in(text)
+        assert time.process_time() - started_s < 5.0, text[:30]
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.text(alphabet='ab#:{}[]()*|&<>=.,"1m s\n%?/', max_size=60))
-def test_any_text_is_read_or_refused(text):
+def test_any_text_is_read_or_rejected(text):
     try:
         read(text, "f")
     except Problems as error:
         assert error.problems
 
 
-def test_a_lease_that_mixes_two_shapes_is_refused_with_its_key(tmp_path):
-    good = 'name: "g", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, bounds: {}\n'
-    clause = 'clauses: [{name: "a", target: 1s, max_age: 2s%s}]\n'
-    plain = clause % "" + "ration: {}\nmay: {}\n"
-    mixes = {
-        "clauses.0.group": clause % ', group: "cell"' + "ration: {}\nmay: {}\n",
-        "ration.within": clause % "" + "ration: {free: 4, within: 5s}\nmay: {}\n",
-        "misses": plain + "misses: true\n",
-        "tells.copy": plain + 'tells: {copy: false}\nreleases: {feed: "127.0.0.1:2"}\n',
+def test_a_configuration_that_mixes_two_kinds_of_deployment_is_rejected_with_the_key(tmp_path):
+    common = 'name: "g", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, bounds: {}\n'
+    request_class = 'clauses: [{name: "a", target: 1s, max_age: 2s%s}]\n'
+    valid_rest = request_class % "" + "ration: {}\nmay: {}\n"
+    mixed_settings = {
+        "clauses.0.group": request_class % ', group: "cell"' + "ration: {}\nmay: {}\n",
+        "ration.within": request_class % "" + "ration: {free: 4, within: 5s}\nmay: {}\n",
+        "misses": valid_rest + "misses: true\n",
+        "tells.copy": valid_rest + 'tells: {copy: false}\nreleases: {feed: "127.0.0.1:2"}\n',
     }
     path = tmp_path / "g.lease"
-    path.write_text(good + plain)
-    assert read_config(path).limits.tells == (True, True)  # a file of the old shape stays as it was
-    path.write_text(good + plain + "tells: {copy: false, crowd: false}\n")
+    path.write_text(common + valid_rest)
+    assert read_config(path).limits.tells == (True, True)  # the default for files without `tells`
+    path.write_text(common + valid_rest + "tells: {copy: false, crowd: false}\n")
     assert read_config(path).lease.reports_copy is False and read_config(path).limits.tells == (
         False,
         False,
     )
-    for key, text in mixes.items():
-        path.write_text(good + text)
+    for key, text in mixed_settings.items():
+        path.write_text(common + text)
         try:
             read_config(path)
         except Problems as error:
