--- a/cherrydoor/cli/__init__.py
+++ b/cherrydoor/cli/__init__.py
@@ -1,10 +1,16 @@
-"""The command line. Each command imports what it needs when it runs, so that help comes at once."""
+"""The command line.
+
+Each command imports its modules only when it runs, so that help is shown without delay.
+"""
 
 import sys
 
 
 def main():
-    """The platform's gateway has little memory: it starts without the libraries of the other commands."""
+    """Runs the command line.
+
+    The platform's gateway has little memory, so it starts without the libraries of other commands.
+    """
     if sys.argv[1:] == ["platform"]:
         from cherrydoor.platform.process import main as run
 
--- a/cherrydoor/cli/commands.py
+++ b/cherrydoor/cli/commands.py
@@ -1,4 +1,4 @@
-"""Sub-commands of `cherrydoor`. What each prints and how it exits: docs/commands.md."""
+"""Sub-commands of `cherrydoor`. docs/commands.md describes their output and exit codes."""
 
 import json
 import sys
@@ -7,7 +7,7 @@
 import click
 
 from cherrydoor.cli import fakes, fleet, keys, rehearsals, releases
-from cherrydoor.cli.group import main, problems
+from cherrydoor.cli.group import exit_with_problems, main
 
 
 @main.command()
@@ -17,37 +17,46 @@
     multiple=True,
     required=True,
     type=click.Path(),
-    help="What the gateway is handed. Several leases make several gateways in this one process.",
+    help="Configuration file of the gateway. Several files run several gateways in one process.",
 )
-@click.option("--tied", is_flag=True, help="End when standard input does.")
+@click.option("--tied", is_flag=True, help="Exit when standard input is closed.")
 @click.option(
-    "--announce", is_flag=True, help="Print each door that is open, as a JSON object a line."
+    "--announce", is_flag=True, help="Print each listening port as a JSON object per line."
 )
 @click.option("--baseline", type=click.Choice(["random", "least-out"]), hidden=True)
 def gateway(leases, tied, announce, baseline):
-    """Run a gateway until SIGTERM, which has it answer what it holds and leave. SIGHUP checks the lease anew."""
+    """Run a gateway until SIGTERM.
+
+    SIGTERM starts a graceful shutdown: requests in flight are still answered. SIGHUP reads and
+    checks the configuration file again.
+    """
     from cherrydoor.gateway.daemon import main as run
     from cherrydoor.peer_services import join
 
     if baseline:
         from cherrydoor.rehearsal.baselines import ROUTER_FACTORIES
 
-        make = ROUTER_FACTORIES[baseline]
+        router_factory = ROUTER_FACTORIES[baseline]
     else:
-        from cherrydoor.routing import Router as make
+        from cherrydoor.routing import Router as router_factory
 
-    def tell(name, port):
+    def announce_listener(name, port):
         print(json.dumps({"is": "door", "gateway": name, "port": port}), flush=True)
 
-    sys.exit(run(leases, make, tied, tell if announce else None, join))
+    sys.exit(run(leases, router_factory, tied, announce_listener if announce else None, join))
 
 
 @main.command()
 @click.option(
-    "--trace", default=0.0, help="Ms between lines that set beliefs beside traffic; 0 for none."
+    "--trace",
+    default=0.0,
+    help="Ms between trace lines that compare the router's state with traffic; 0 for none.",
 )
 def platform(trace):
-    """Run the gateway on the platform, as PROXY_CONFIG tells it, until SIGTERM (docs/operate/platform.md)."""
+    """Run the gateway on the platform until SIGTERM.
+
+    Its configuration is given by PROXY_CONFIG; see docs/operate/platform.md.
+    """
     from cherrydoor.platform.process import main as run
 
     sys.exit(run(trace))
@@ -55,67 +64,74 @@
 
 @main.group()
 def lease():
-    """Check and show leases, the files that gateways are handed."""
+    """Check and show leases, the configuration files of gateways."""
 
 
 @lease.command()
 @click.argument("file", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print problems as JSON.")
 def check(file, as_json):
-    """Tell everything that is wrong with FILE; 0 if nothing is, 64 otherwise."""
+    """Report all problems of FILE. Exits with 0 if there are none, 64 otherwise."""
     from cherrydoor.config import Problems
     from cherrydoor.config.figures import read_config
 
     try:
         read_config(file)
     except Problems as error:
-        problems(error, as_json)
-    print("[]" if as_json else f"{file}: good")
+        exit_with_problems(error, as_json)
+    print("[]" if as_json else f"{file}: valid")
 
 
 @lease.command("show")
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="As JSON: durations in ms, sizes in bytes.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="Print as JSON, with durations in ms and sizes in bytes.",
+)
 def show_lease(file, as_json):
     """Print FILE with all defaults filled in."""
     from cherrydoor.config import Problems, show
     from cherrydoor.config.figures import read_file
 
     try:
-        said = read_file(file)
+        values = read_file(file)
     except Problems as error:
-        problems(error, as_json)
-    print(json.dumps(said, indent=1) if as_json else show(said))
+        exit_with_problems(error, as_json)
+    print(json.dumps(values, indent=1) if as_json else show(values))
 
 
 @main.command()
 @click.argument("door")
 @click.option("--function", default="deed-00001", show_default=True)
-@click.option("--clause", required=True, help="Event type.")
-@click.option("--party", default="", help="Customer.")
-@click.option("--mark", default="", help="Mark of a keyed event.")
-@click.option(
-    "--lasts", default=2500.0, show_default=True, help="Ms after which the client gives up."
-)
+@click.option("--clause", required=True, help="Request class.")
+@click.option("--party", default="", help="Tenant.")
+@click.option("--mark", default="", help="Idempotency key of a keyed request.")
+@click.option("--lasts", default=2500.0, show_default=True, help="Timeout of the request, in ms.")
 @click.option(
     "--document",
     default="",
-    help="By which versions are dealt out; each event has its own unless said.",
+    help="Affinity key, which selects the version; by default, each request has one of its own.",
 )
 @click.option(
     "--keys",
     "folder",
     type=click.Path(),
-    help="Folder of keys whose authorities are believed: speaks TLS.",
+    help="Connect over TLS and trust the authorities in this folder of keys.",
+)
+@click.option("--as", "name", help="Present the certificate of this name from that folder.")
+@click.option("--token", default="", help="Token to send in the hello.")
+@click.option(
+    "--body", default="", help="Body of the request, or - to read it from standard input."
 )
-@click.option("--as", "name", help="Shows the certificate of this name, from that folder.")
-@click.option("--token", default="", help="Shown in the hello.")
-@click.option("--body", default="", help="Text of the event, or - for standard input.")
 @click.option("--count", default=1, show_default=True)
 @click.option(
-    "--rate", default=10.0, show_default=True, help="Events a second where there are several."
+    "--rate", default=10.0, show_default=True, help="Requests per second, if there are several."
+)
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print each response as a JSON object per line."
 )
-@click.option("--json", "as_json", is_flag=True, help="An object a line for each answer.")
 def send(
     door,
     function,
@@ -132,9 +148,9 @@
     rate,
     as_json,
 ):
-    """Send an event to the gateway at DOOR, or several at a rate, and show the answers.
+    """Send one request, or several at a rate, to the gateway at DOOR and show the responses.
 
-    Exits with 0 where all were handled, 1 where some were not, 2 where the gateway cannot be reached.
+    Exits with 0 if all succeeded, 1 if some did not, 2 if the gateway cannot be reached.
     """
     from cherrydoor.cli.send import Sender
 
@@ -147,25 +163,27 @@
 
         try:
             _, _, trusted = read_authorities(Path(folder) / "authorities.pem")
-            chain = secret = b""
+            chain = private_key = b""
             if name:
-                _, _, chain, secret = read_pair(
+                _, _, chain, private_key = read_pair(
                     Path(folder) / f"{name}.pem", Path(folder) / f"{name}.key"
                 )
         except InvalidCredentialsError as error:
             print(error, file=sys.stderr)
             sys.exit(2)
-        tls = make_context(False, chain, secret, trusted)
+        tls = make_context(False, chain, private_key, trusted)
     answers = Sender(door, clause, function, party, mark, lasts, text, document, tls, token).run(
         count, rate
     )
     if answers is None:
-        print(f"no gateway at {door}", file=sys.stderr)
+        print(f"cannot connect to a gateway at {door}", file=sys.stderr)
         sys.exit(2)
-    for one in answers:
-        line = f"{one['fate']:14} {one['ms']:8.1f} ms  {one['reason']}{one['body'][:60]}"
-        print(json.dumps(one) if as_json else line)
-    sys.exit(0 if all(one["fate"] == "handled" for one in answers) else 1)
+    for answer in answers:
+        line = (
+            f"{answer['fate']:14} {answer['ms']:8.1f} ms  {answer['reason']}{answer['body'][:60]}"
+        )
+        print(json.dumps(answer) if as_json else line)
+    sys.exit(0 if all(answer["fate"] == "handled" for answer in answers) else 1)
 
 
 __all__ = ["fakes", "fleet", "keys", "main", "rehearsals", "releases"]
--- a/cherrydoor/cli/fakes.py
+++ b/cherrydoor/cli/fakes.py
@@ -1,4 +1,4 @@
-"""`cherrydoor host`, `store`, `list` and `feed`: stand-ins for what gateways meet."""
+"""`cherrydoor host`, `store`, `list` and `feed`: fakes of the services that gateways use."""
 
 import json
 import sys
@@ -11,14 +11,20 @@
 @main.command()
 @click.option("--store", "store_at", required=True, help="Address of the program store.")
 @click.option(
-    "--count", default=1, show_default=True, help="How many hosts, each on a port of its own."
+    "--count", default=1, show_default=True, help="Number of hosts, each on its own port."
 )
 @click.option("--cores", default=2, show_default=True)
-@click.option("--memory", default=8000.0, show_default=True, help="MB.")
-@click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
+@click.option("--memory", default=8000.0, show_default=True, help="Memory of a host in MB.")
+@click.option(
+    "--record", type=click.Path(), help="Folder for a record of the traffic on its sockets."
+)
 def host(store_at, count, cores, memory, record):
-    """Run stand-in hosts. Commands come as JSON lines: {"do": "silent"}, {"do": "drain", "hosts": [...]}, {"do":
-    "crash"}, {"do": "slow", "times": 3}, {"do": "pause", "ms": 200}, {"do": "lose", "share": 0.5}, {"do": "who"}."""
+    """Run fake hosts.
+
+    Commands are read from standard input as JSON lines: {"do": "silent"},
+    {"do": "drain", "hosts": [...]}, {"do": "crash"}, {"do": "slow", "times": 3},
+    {"do": "pause", "ms": 200}, {"do": "lose", "share": 0.5}, {"do": "who"}.
+    """
     from cherrydoor.fakes.command import main as run
 
     run(
@@ -32,35 +38,54 @@
 
 
 @main.command()
-@click.option("--port", default=0, help="0 takes a free one.")
-@click.option("--at-once", default=10, show_default=True, help="Fetches at full pace.")
-@click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
+@click.option("--port", default=0, help="Port; 0 takes a free one.")
+@click.option("--at-once", default=10, show_default=True, help="Concurrent fetches at full speed.")
+@click.option(
+    "--record", type=click.Path(), help="Folder for a record of the traffic on its sockets."
+)
 def store(port, at_once, record):
-    """Run a stand-in program store. Commands: {"do": "set", "slow": 4}, {"do": "set", "stopped": true}."""
+    """Run a fake program store.
+
+    Commands on standard input: {"do": "set", "slow": 4}, {"do": "set", "stopped": true}.
+    """
     from cherrydoor.fakes.command import main as run
 
     run("store", {"port": port, "record": record, "figures": {"at_once": at_once}})
 
 
 @main.command("list")
-@click.option("--port", default=0, help="0 takes a free one.")
+@click.option("--port", default=0, help="Port; 0 takes a free one.")
 @click.option(
-    "--host", "hosts", multiple=True, help="Address of a host that is ready from the start."
+    "--host",
+    "hosts",
+    multiple=True,
+    help="Address of a host that is listed as ready from the start.",
+)
+@click.option(
+    "--record", type=click.Path(), help="Folder for a record of the traffic on its sockets."
 )
-@click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
 def list_command(port, hosts, record):
-    """Run a stand-in list of hosts. Commands: {"do": "row", "host": "127.0.0.1:4001", "state": "draining"}."""
+    """Run a fake endpoint list.
+
+    Commands on standard input: {"do": "row", "host": "127.0.0.1:4001", "state": "draining"}.
+    """
     from cherrydoor.fakes.command import main as run
 
     run("roll", {"port": port, "record": record, "hosts": list(hosts)})
 
 
 @main.command()
-@click.option("--port", default=0, help="0 takes a free one.")
-@click.option("--record", type=click.Path(), help="Folder for what passes on its sockets.")
+@click.option("--port", default=0, help="Port; 0 takes a free one.")
+@click.option(
+    "--record", type=click.Path(), help="Folder for a record of the traffic on its sockets."
+)
 def feed(port, record):
-    """Run a stand-in release feed. Commands: {"do": "release", "functions": ["deed-00001"], "version": 2}, with
-    "state": "withdrawn" or "complete" where it is not announced but ended; {"do": "misses", "share": 0.5}."""
+    """Run a fake release feed.
+
+    Commands on standard input: {"do": "release", "functions": ["deed-00001"], "version": 2}, with
+    "state": "withdrawn" or "complete" to end the release instead of announcing it;
+    {"do": "misses", "share": 0.5}.
+    """
     from cherrydoor.fakes.command import main as run
 
     run("feed", {"port": port, "record": record})
@@ -71,21 +96,21 @@
     "kind", type=click.Choice(["hosts", "store", "roll", "crowd", "feed", "clients", "between"])
 )
 def stand_in(kind):
-    """One part of a rehearsal; its figures come as the first line of standard input."""
-    said = json.loads(sys.stdin.readline())
+    """Run one process of a scenario; the first line of standard input has its settings as JSON."""
+    settings = json.loads(sys.stdin.readline())
     if kind == "clients":
         import uvloop
 
         from cherrydoor.rehearsal.clients import play
 
-        uvloop.run(play(said))
+        uvloop.run(play(settings))
     elif kind == "between":
         import uvloop
 
         from cherrydoor.rehearsal.fault_injecting_proxy import play as proxy
 
-        uvloop.run(proxy(said))
+        uvloop.run(proxy(settings))
     else:
         from cherrydoor.fakes.command import main as run
 
-        run(kind, said)
+        run(kind, settings)
--- a/cherrydoor/cli/fleet.py
+++ b/cherrydoor/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`cherrydoor tenure`, `peers` and `custody`: what gateways of a fleet do together, asked of one that runs."""
+"""`cherrydoor tenure`, `peers`, `custody` and `site`: commands to a running gateway of a fleet."""
 
 import json
 
@@ -10,57 +10,65 @@
     "--control",
     required=True,
     type=click.Path(),
-    help="The gateway's socket, named by its lease as `peers.control`.",
+    help="The gateway's control socket, `peers.control` in its configuration.",
 )
 JSON = click.option("--json", "as_json", is_flag=True)
 
 
-def rows_of(rows, columns):
-    """Lines of a table; columns: (heading, width, what of a row)."""
+def format_table(rows, columns):
+    """Returns the text of a table.
+
+    Args:
+        rows: The rows, in the form that the columns expect.
+        columns: Triples of heading, width and a function that returns the column's value of a row.
+    """
     lines = [" ".join(f"{heading:{width}}" for heading, width, _ in columns)]
     for row in rows:
-        lines.append(" ".join(f"{what(row)!s:{width}}" for _, width, what in columns))
+        lines.append(" ".join(f"{value_of(row)!s:{width}}" for _, width, value_of in columns))
     return "\n".join(line.rstrip() for line in lines)
 
 
 @main.group()
 def tenure():
-    """Tasks of the whole fleet that one gateway holds at a time, under a number that only rises."""
+    """Leases of tasks that one gateway of the fleet holds at a time, each with a fencing token."""
 
 
 @tenure.command("show")
 @CONTROL
 @JSON
 def show_tenures(control, as_json):
-    """What this gateway holds and asks for, and what it has promised where it is a keeper."""
-    said = send_command(control, do="tenures")
+    """Show the leases that this gateway holds or requests, and its votes if it is a voter."""
+    answer = send_command(control, do="tenures")
     if as_json:
-        return print(json.dumps(said, indent=1))
-    print(f"{said['gateway']}, life {said['life']}; keepers: {' '.join(said['keepers']) or 'none'}")
+        return print(json.dumps(answer, indent=1))
+    print(
+        f"{answer['gateway']}, incarnation {answer['life']}; "
+        f"voters: {' '.join(answer['keepers']) or 'none'}"
+    )
     print(
-        rows_of(
-            said["held"],
+        format_table(
+            answer["held"],
             (
-                ("held", 40, lambda r: r["task"]),
-                ("number", 8, lambda r: r["number"]),
-                ("ms left", 8, lambda r: r["left"]),
+                ("task held", 40, lambda row: row["task"]),
+                ("token", 8, lambda row: row["number"]),
+                ("ms left", 8, lambda row: row["left"]),
             ),
         )
     )
-    for task in said["asked for"]:
-        print(f"{task:40} asked for")
-    if said["keeper"]:
-        kept = said["keeper"]
-        silent = f", silent for {kept['silent']:g} ms more" if kept["silent"] else ""
-        print(f"as a keeper: floor {kept['floor']}{silent}")
+    for task in answer["asked for"]:
+        print(f"{task:40} requested")
+    if answer["keeper"]:
+        votes = answer["keeper"]
+        silent = f", grants no lease for {votes['silent']:g} ms" if votes["silent"] else ""
+        print(f"as a voter: highest forgotten token {votes['floor']}{silent}")
         print(
-            rows_of(
-                kept["promises"],
+            format_table(
+                votes["promises"],
                 (
-                    ("promised", 40, lambda r: r["task"]),
-                    ("number", 8, lambda r: r["number"]),
-                    ("holder", 16, lambda r: r["holder"] or "-"),
-                    ("ms left", 8, lambda r: r["left"]),
+                    ("vote for task", 40, lambda row: row["task"]),
+                    ("token", 8, lambda row: row["number"]),
+                    ("holder", 16, lambda row: row["holder"] or "-"),
+                    ("ms left", 8, lambda row: row["left"]),
                 ),
             )
         )
@@ -71,100 +79,111 @@
 @JSON
 @click.argument("task")
 def yield_task(control, as_json, task):
-    """Hand TASK over at once; another gateway that asks for it gets it under a higher number."""
-    said = send_command(control, do="yield", task=task)
-    print(json.dumps(said, indent=1) if as_json else f"{task} is handed over")
+    """Release TASK at once.
+
+    Another gateway that requests it gets it with a higher fencing token.
+    """
+    answer = send_command(control, do="yield", task=task)
+    print(json.dumps(answer, indent=1) if as_json else f"{task}: released")
 
 
 @main.command("peers")
 @CONTROL
 @JSON
 def show_peers(control, as_json):
-    """Who is there as this gateway sees it, and which others are told what it has in hand."""
-    said = send_command(control, do="peers")
+    """Show the fleet's members as this gateway sees them, and its replicas."""
+    answer = send_command(control, do="peers")
     if as_json:
-        return print(json.dumps(said, indent=1))
+        return print(json.dumps(answer, indent=1))
     print(
-        f"{said['gateway']}, life {said['life']}; witnesses: {' '.join(said['witnesses']) or 'none'}"
+        f"{answer['gateway']}, incarnation {answer['life']}; "
+        f"replicas: {' '.join(answer['witnesses']) or 'none'}"
     )
     print(
-        rows_of(
-            said["members"],
+        format_table(
+            answer["members"],
             (
-                ("name", 16, lambda r: r["name"]),
-                ("state", 9, lambda r: r["state"]),
-                ("for s", 8, lambda r: r["since"] / 1000),
-                ("linked", 7, lambda r: "yes" if r["linked"] else "no"),
-                ("site", 12, lambda r: r["site"] or "-"),
-                ("life", 14, lambda r: r["life"]),
-                ("at", 22, lambda r: r["at"]),
+                ("name", 16, lambda row: row["name"]),
+                ("state", 9, lambda row: row["state"]),
+                ("since s", 8, lambda row: row["since"] / 1000),
+                ("linked", 7, lambda row: "yes" if row["linked"] else "no"),
+                ("zone", 12, lambda row: row["site"] or "-"),
+                ("incarnation", 14, lambda row: row["life"]),
+                ("address", 22, lambda row: row["at"]),
             ),
         )
     )
 
 
-def became(row):
+def outcome_text(row):
+    """Returns the fields of a takeover that have no column of their own."""
     return ", ".join(
-        f"{what} {value}" for what, value in row.items() if what not in ("giver", "life", "number")
+        f"{name} {value}" for name, value in row.items() if name not in ("giver", "life", "number")
     )
 
 
 @main.group()
 def custody():
-    """Work in hand that outlives its gateway."""
+    """Replicated in-flight requests, which other gateways take over if their gateway fails."""
 
 
 @custody.command("show")
 @CONTROL
 @JSON
 def show_custody(control, as_json):
-    """What is entrusted and to whom, what is kept for others, what was taken over and what became of it."""
-    said = send_command(control, do="custody")
+    """Show this gateway's replicas, the requests it holds for others, and all takeovers."""
+    answer = send_command(control, do="custody")
     if as_json:
-        return print(json.dumps(said, indent=1))
+        return print(json.dumps(answer, indent=1))
     print(
-        f"{said['gateway']}, life {said['life']}: {said['in hand']} events in hand, {said['bytes']} bytes; "
-        f"witnesses: {' '.join(said['witnesses']) or 'none'}; told after {said['told after ms']} ms at the 99th"
+        f"{answer['gateway']}, incarnation {answer['life']}: "
+        f"{answer['in hand']} requests in flight, {answer['bytes']} bytes; replicas: {' '.join(answer['witnesses']) or 'none'}; "
+        f"replication delay {answer['told after ms']} ms (99th percentile)"
     )
-    for what, count in [*said["counts"].items(), *said["kept counts"].items()]:
-        print(f"  {what}: {count}")
+    for name, count in [*answer["counts"].items(), *answer["kept counts"].items()]:
+        print(f"  {name}: {count}")
     print(
-        rows_of(
-            said["kept for others"],
+        format_table(
+            answer["kept for others"],
             (
-                ("kept for", 16, lambda r: r["giver"]),
-                ("life", 14, lambda r: r["life"]),
-                ("as witness", 10, lambda r: r["rank"]),
-                ("events", 7, lambda r: r["events"]),
-                ("bytes", 9, lambda r: r["bytes"]),
+                ("replica of", 16, lambda row: row["giver"]),
+                ("incarnation", 14, lambda row: row["life"]),
+                ("rank", 10, lambda row: row["rank"]),
+                ("entries", 7, lambda row: row["events"]),
+                ("bytes", 9, lambda row: row["bytes"]),
             ),
         )
     )
     print(
-        rows_of(
-            said["takeovers"],
+        format_table(
+            answer["takeovers"],
             (
-                ("taken over", 16, lambda r: r["giver"]),
-                ("life", 14, lambda r: r["life"]),
-                ("number", 7, lambda r: r["number"]),
-                ("what became of it", 20, became),
+                ("taken over", 16, lambda row: row["giver"]),
+                ("incarnation", 14, lambda row: row["life"]),
+                ("token", 7, lambda row: row["number"]),
+                ("outcome", 20, outcome_text),
             ),
         )
     )
-    print("claims: " + ", ".join(f"{count} {what}" for what, count in said["claims"].items()))
+    print(
+        "response claims: "
+        + ", ".join(f"{count} {name}" for name, count in answer["claims"].items())
+    )
 
 
 @main.group()
 def site():
-    """A site of the list drained for maintenance: its sessions go to neighbours, in waves by priority."""
+    """Zone drains: move the sessions of a zone to its neighbours, in waves by priority weight."""
+
 
+def add_site_command(name, help_text):
+    """Adds the sub-command of `site` with this name and help text."""
 
-def site_command(name, about):
     @CONTROL
     @JSON
     @click.argument("site")
     def act(control, as_json, site, dry_run=False, even=False, within=0.0):
-        said = send_command(
+        answer = send_command(
             control,
             do="site",
             what="plan" if dry_run else name,
@@ -173,69 +192,81 @@
             within=within,
         )
         if as_json:
-            return print(json.dumps(said, indent=1))
+            return print(json.dumps(answer, indent=1))
         if dry_run:
-            return show_plan(said)
+            return show_plan(answer)
         print(
-            f"{said['site']}: {said['state']}"
+            f"{answer['site']}: {answer['state']}"
             + (
-                f", wave {said['wave']} of tenure {said['number']}, conducted by "
-                f"{said['conductor']}"
-                if "wave" in said
+                f", wave {answer['wave']} under fencing token {answer['number']}, coordinated by "
+                f"{answer['conductor']}"
+                if "wave" in answer
                 else ""
             )
-            + (f"; {said['why']}" if said.get("why") else "")
+            + (f"; {answer['why']}" if answer.get("why") else "")
         )
-        for function, share in said.get("away", ()):
-            print(f"  {function:24} {share:6.0%} away")
-        if here := said.get("conductor here"):
-            print(", ".join(f"{what} {value}" for what, value in here.items() if what != "site"))
+        for function, share in answer.get("away", ()):
+            print(f"  {function:24} {share:6.0%} moved")
+        if coordinator := answer.get("conductor here"):
+            print(
+                ", ".join(
+                    f"{name} {value}" for name, value in coordinator.items() if name != "site"
+                )
+            )
 
-    act.__doc__ = about
+    act.__doc__ = help_text
     if name == "drain":
         act = click.option(
-            "--dry-run", is_flag=True, help="Show waves, copies and room; change nothing."
+            "--dry-run",
+            is_flag=True,
+            help="Show the planned waves, copies and capacity without changing anything.",
         )(act)
         act = click.option(
-            "--within", type=float, default=0.0, help="S in which it is to be over: larger waves."
+            "--within",
+            type=float,
+            default=0.0,
+            help="Target duration in seconds; a shorter one makes larger waves.",
         )(act)
         act = click.option(
             "--even",
             is_flag=True,
-            help="Also where neighbours have no room for all: the lowest are deferred.",
+            help="Drain even if the neighbours lack capacity: requests of the lowest priority are "
+            "rejected.",
         )(act)
     site.command(name)(act)
 
 
-def show_plan(said):
+def show_plan(answer):
+    """Prints the plan of a drain."""
     print(
-        f"{said['site']}: {said['asked']} events a second, room for {said['room']} at its neighbours"
+        f"{answer['site']}: {answer['asked']} requests per second, "
+        f"capacity for {answer['room']} at its neighbours"
     )
-    rows = [(number, step) for number, wave in enumerate(said["waves"], 1) for step in wave]
+    rows = [(number, step) for number, wave in enumerate(answer["waves"], 1) for step in wave]
     print(
-        rows_of(
+        format_table(
             rows,
             (
-                ("wave", 5, lambda r: r[0]),
-                ("function", 24, lambda r: r[1]["function"]),
-                ("share", 6, lambda r: f"{r[1]['share']:.0%}"),
-                ("benefit", 8, lambda r: r[1]["benefit"]),
-                ("copy", 12, lambda r: "to be opened" if r[1]["opens"] else "stands"),
+                ("wave", 5, lambda row: row[0]),
+                ("function", 24, lambda row: row[1]["function"]),
+                ("share", 6, lambda row: f"{row[1]['share']:.0%}"),
+                ("weight", 8, lambda row: row[1]["benefit"]),
+                ("copy", 12, lambda row: "to be loaded" if row[1]["opens"] else "loaded"),
             ),
         )
     )
-    if said["beyond"]:
+    if answer["beyond"]:
         print(
-            "not known to be borne, tried last with --even: "
-            + " ".join(one or "(rest)" for one in said["beyond"])
+            "beyond the known capacity, moved last and only with --even: "
+            + " ".join(function or "(rest)" for function in answer["beyond"])
         )
 
 
-for name, about in (
-    ("drain", "Drain SITE; refused where its neighbours have no room."),
-    ("show", "How far the drain of SITE is, as this gateway knows it."),
-    ("hold", "Take no further wave."),
-    ("resume", "End a hold."),
-    ("undo", "Bring the sessions of SITE back, in the same order reversed."),
+for name, help_text in (
+    ("drain", "Drain SITE. Refused if its neighbours lack capacity."),
+    ("show", "Show the progress of the drain of SITE, as this gateway knows it."),
+    ("hold", "Pause the drain of SITE before its next wave."),
+    ("resume", "Resume a paused drain."),
+    ("undo", "Move the sessions back to SITE, in reverse order."),
 ):
-    site_command(name, about)
+    add_site_command(name, help_text)
--- a/cherrydoor/cli/keys.py
+++ b/cherrydoor/cli/keys.py
@@ -1,32 +1,33 @@
-"""`cherrydoor keys`: a local authority in a folder, and what is in service."""
+"""`cherrydoor keys`: a local certificate authority in a folder, and a list of credentials."""
 
 import json
 import sys
 
 import click
 
-from cherrydoor.cli.group import main, problems
+from cherrydoor.cli.group import exit_with_problems, main
 
 
 @main.group()
 def keys():
-    """Make a local authority, certificates and tokens in a folder, and show what is in service and when it ends."""
+    """Create authorities, certificates and tokens in a folder, and show when they expire."""
 
 
-def in_folder(do):
-    """Runs do(folder) on the folder of keys; its faults in one line."""
+def run_and_print(action):
+    """Runs an action on a folder of keys and prints its result; an error is printed as one line."""
     from cherrydoor.tls.errors import LocalAuthorityError
 
     try:
-        said = do()
+        output = action()
     except (LocalAuthorityError, OSError, ValueError) as error:
         print(error, file=sys.stderr)
         sys.exit(1)
-    if said:
-        print(said)
+    if output:
+        print(output)
 
 
-def folder_of(path):
+def local_authority(path):
+    """Returns the local authority in a folder."""
     from cherrydoor.tls.local_authority import LocalAuthority
 
     return LocalAuthority(path)
@@ -39,18 +40,18 @@
     "--next",
     "more",
     is_flag=True,
-    help="One more, trusted beside the one there is: begins a change-over.",
+    help="Add an authority that is trusted next to the current one. This starts a key rotation.",
 )
 def authority(folder, days, more):
-    """Make an authority in FOLDER."""
-    in_folder(lambda: folder_of(folder).create_authority(days, more))
+    """Create an authority in FOLDER."""
+    run_and_print(lambda: local_authority(folder).create_authority(days, more))
 
 
 @keys.command()
 @click.argument("folder", type=click.Path())
 def retire(folder):
-    """Trust the oldest authority no more: ends a change-over."""
-    in_folder(lambda: folder_of(folder).retire())
+    """Stop trusting the oldest authority. This ends a key rotation."""
+    run_and_print(lambda: local_authority(folder).retire())
 
 
 @keys.command()
@@ -62,35 +63,41 @@
     "--for",
     "addresses",
     multiple=True,
-    help="Address or name by which it is reached; several are possible.",
+    help="Address or host name of its server; can be given several times.",
 )
 def issue(folder, kind, name, days, addresses):
-    """Issue NAME.pem and NAME.key by the newest authority. A client's NAME is the one it is known by in leases."""
-    in_folder(lambda: folder_of(folder).issue(kind, name, days, addresses))
+    """Issue NAME.pem and NAME.key, signed by the newest authority.
+
+    The NAME of a client is its name in the gateways' configuration.
+    """
+    run_and_print(lambda: local_authority(folder).issue(kind, name, days, addresses))
 
 
 @keys.command()
 @click.argument("folder", type=click.Path())
 @click.argument("names", nargs=-1, required=True)
 def revoke(folder, names):
-    """Put the certificates of NAMES on the list of revocations."""
-    in_folder(lambda: folder_of(folder).revoke(*names))
+    """Add the certificates of NAMES to the revocation list."""
+    run_and_print(lambda: local_authority(folder).revoke(*names))
 
 
 @keys.command("token-key")
 @click.argument("folder", type=click.Path())
 @click.argument("kid")
 @click.option(
-    "--office", "offices", multiple=True, help="For this client alone; several are possible."
+    "--office",
+    "offices",
+    multiple=True,
+    help="Limit the key to this client; can be given several times.",
 )
-@click.option("--drop", is_flag=True, help="Take it out: tokens of it are void.")
+@click.option("--drop", is_flag=True, help="Remove the key, which makes its tokens invalid.")
 def token_key(folder, kid, offices, drop):
-    """Make the key KID, by which tokens are signed."""
-    in_folder(
+    """Create the key KID, which signs tokens."""
+    run_and_print(
         lambda: (
-            folder_of(folder).drop_token_key(kid)
+            local_authority(folder).drop_token_key(kid)
             if drop
-            else folder_of(folder).token_key(kid, offices)
+            else local_authority(folder).token_key(kid, offices)
         )
     )
 
@@ -101,27 +108,33 @@
 @click.argument("office")
 @click.option("--days", default=30.0, show_default=True)
 def token(folder, kid, office, days):
-    """Print a token by which a client proves in its hello that it is OFFICE."""
-    in_folder(lambda: folder_of(folder).token(kid, office, days))
+    """Print a token with which a client proves in its hello that it is OFFICE."""
+    run_and_print(lambda: local_authority(folder).token(kid, office, days))
 
 
 @keys.command("show")
 @click.argument("folder", type=click.Path(), required=False)
 @click.option(
-    "--lease", "lease_file", type=click.Path(), help="What this lease names, in place of a folder."
+    "--lease",
+    "lease_file",
+    type=click.Path(),
+    help="Show the files named by this configuration file instead of a folder.",
 )
 @click.option("--json", "as_json", is_flag=True)
 def show_keys(folder, lease_file, as_json):
-    """Show what there is, and when each ends; 1 where something is wrong or has ended."""
+    """Show all credentials and when they expire.
+
+    Exits with 1 if one is invalid or has expired.
+    """
     from cherrydoor.config import Problems
     from cherrydoor.tls.inventory import list_credentials
 
     if (folder is None) == (lease_file is None):
-        raise click.UsageError("FOLDER or --lease FILE, one of them")
+        raise click.UsageError("expected either FOLDER or --lease FILE")
     try:
         rows = list_credentials(folder, lease_file)
     except Problems as error:
-        problems(error, as_json)
+        exit_with_problems(error, as_json)
     if as_json:
         print(json.dumps(rows, indent=1))
     else:
--- a/cherrydoor/cli/logs.py
+++ b/cherrydoor/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: lines for people at a terminal, JSON elsewhere."""
+"""Structured logs on standard error: readable lines on a terminal, otherwise JSON."""
 
 import logging
 import sys
@@ -7,7 +7,12 @@
 
 
 def set_up(level="info"):
-    shown = (
+    """Configures logging.
+
+    Args:
+        level: Lowest level that is logged.
+    """
+    renderers = (
         [structlog.dev.ConsoleRenderer()]
         if sys.stderr.isatty()
         else [structlog.processors.dict_tracebacks, structlog.processors.JSONRenderer()]
@@ -17,7 +22,7 @@
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
-            *shown,
+            *renderers,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.WriteLoggerFactory(sys.stderr),
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -1,4 +1,4 @@
-"""`cherrydoor send`: one client connection, events at a rate, the answers in the order in which they came."""
+"""`cherrydoor send`: sends requests at a rate over one client connection."""
 
 import asyncio
 import time
@@ -10,34 +10,49 @@
 
 
 class Sender:
+    """Sends requests over one connection. The answers are in the order in which they came."""
+
     def __init__(
-        self, door, clause, function, party, mark, lasts, body, document="", tls=None, token=""
+        self, door, clause, function, party, mark, timeout_ms, body, document="", tls=None, token=""
     ):
-        """document: "" gives each event one of its own; tls: an SSLContext where the door speaks TLS."""
+        """Stores what to send.
+
+        Args:
+            door: Address of the gateway, as host:port.
+            clause: Request class.
+            function: Name of the function.
+            party: Tenant.
+            mark: Idempotency key.
+            timeout_ms: Timeout of each request.
+            body: Body of each request.
+            document: Affinity key; "" gives each request one of its own.
+            tls: SSLContext for a gateway that uses TLS, otherwise None.
+            token: Token in the hello.
+        """
         self.host, _, port = door.rpartition(":")
-        self.port, self.lasts, self.answers, self.sent = int(port), lasts, [], {}
+        self.port, self.timeout_ms, self.answers, self.sent_ms = int(port), timeout_ms, [], {}
         self.tls, self.token = tls, token
-        self.make = lambda number, t: protocol.Request(
+        self.make_request = lambda number, sent_at_ms: protocol.Request(
             number,
             clause,
             function,
-            lasts,
-            t,
+            timeout_ms,
+            sent_at_ms,
             party,
             mark,
             body=body,
-            affinity_key=document or f"{t}/{number}",
+            affinity_key=document or f"{sent_at_ms}/{number}",
         )
 
     def run(self, count, rate):
-        """The answers as plain values; None where nobody listens."""
+        """Returns the answers as plain values; None if the gateway cannot be reached."""
         return uvloop.run(self.send(count, rate))
 
     async def send(self, count, rate):
         loop = asyncio.get_running_loop()
         self.changed = asyncio.Event()
         try:
-            _, end = await loop.create_connection(
+            _, connection = await loop.create_connection(
                 lambda: FramedConnection(
                     self,
                     protocol.TO_CLIENT,
@@ -56,47 +71,49 @@
         except OSError:
             return None
         for number in range(count):
-            self.sent[number] = time.monotonic() * 1000
-            end.write(self.make(number, self.sent[number]))
+            self.sent_ms[number] = time.monotonic() * 1000
+            connection.write(self.make_request(number, self.sent_ms[number]))
             if number + 1 < count:
                 await asyncio.sleep(1 / rate)
-        until = time.monotonic() + self.lasts / 1000 + 0.5
-        while self.sent and time.monotonic() < until:
+        deadline_s = time.monotonic() + self.timeout_ms / 1000 + 0.5
+        while self.sent_ms and time.monotonic() < deadline_s:
             self.changed.clear()
             try:
-                async with asyncio.timeout(max(0.01, until - time.monotonic())):
+                async with asyncio.timeout(max(0.01, deadline_s - time.monotonic())):
                     await self.changed.wait()
             except TimeoutError:
                 break
-        for number in list(self.sent):
-            self.add(number, "no answer", end.close_reason)
-        end.close()
+        for number in list(self.sent_ms):
+            self.add_answer(number, "no answer", connection.close_reason)
+        connection.close()
         return self.answers
 
-    def add(self, number, fate, reason, body=b"", stay=0.0):
-        took = time.monotonic() * 1000 - self.sent.pop(number)
+    def add_answer(self, number, fate, reason, body=b"", retry_after_ms=0.0):
+        took_ms = time.monotonic() * 1000 - self.sent_ms.pop(number)
         self.answers.append(
             {
                 "event": number,
                 "fate": fate,
-                "ms": round(took, 3),
+                "ms": round(took_ms, 3),
                 "reason": reason,
-                "stay_away": stay,
+                "stay_away": retry_after_ms,
                 "body": body.decode(errors="replace"),
             }
         )
 
-    def hello_received(self, end, hello):
+    def hello_received(self, connection, hello):
         pass
 
-    def message_received(self, end, message):
-        if type(message) is protocol.Response and message.id in self.sent:
-            self.add(
+    def message_received(self, connection, message):
+        if type(message) is protocol.Response and message.id in self.sent_ms:
+            self.add_answer(
                 message.id, message.outcome, message.reason, message.body, message.retry_after_ms
             )
             self.changed.set()
 
-    def connection_ended(self, end):
-        for number in list(self.sent):
-            self.add(number, "no answer", f"the connection is gone {end.close_reason}")
+    def connection_ended(self, connection):
+        for number in list(self.sent_ms):
+            self.add_answer(
+                number, "no answer", f"the connection was lost {connection.close_reason}"
+            )
         self.changed.set()
--- a/cherrydoor/config/parsing.py
+++ b/cherrydoor/config/parsing.py
@@ -33,7 +33,10 @@
 
     def __str__(self):
         position = f"{self.file}:{self.line}:{self.column}"
-        return f"{position}: {self.path + ': ' if self.path else ''}expected {self.expected}, found {self.found}"
+        return (
+            f"{position}: {self.path + ': ' if self.path else ''}"
+            f"expected {self.expected}, found {self.found}"
+        )
 
 
 class Problems(ValueError):
