--- a/cherrydoor/cli/fleet.py
+++ b/cherrydoor/cli/fleet.py
@@ -209,9 +209,7 @@
             print(f"  {function:24} {share:6.0%} moved")
         if coordinator := answer.get("conductor here"):
             print(
-                ", ".join(
-                    f"{name} {value}" for name, value in coordinator.items() if name != "site"
-                )
+                ", ".join(f"{key} {value}" for key, value in coordinator.items() if key != "site")
             )
 
     act.__doc__ = help_text
--- a/cherrydoor/cli/releases.py
+++ b/cherrydoor/cli/releases.py
@@ -45,14 +45,14 @@
             )
 
     act.__doc__ = help_text
-    command = click.argument("function", required=action != "show")(act)
+    callback = click.argument("function", required=action != "show")(act)
     if version:
-        command = click.argument("version", type=click.IntRange(1))(command)
-    command = click.option("--json", "as_json", is_flag=True)(command)
-    command = click.option(
+        callback = click.argument("version", type=click.IntRange(1))(callback)
+    callback = click.option("--json", "as_json", is_flag=True)(callback)
+    callback = click.option(
         "--control", required=True, type=click.Path(), help="The gateway's control socket."
-    )(command)
-    release.command(name)(command)
+    )(callback)
+    release.command(name)(callback)
 
 
 for name, action, help_text in (
