--- a/cherrydoor/cli/fleet.py
+++ b/cherrydoor/cli/fleet.py
@@ -137,7 +137,8 @@
         return print(json.dumps(answer, indent=1))
     print(
         f"{answer['gateway']}, incarnation {answer['life']}: "
-        f"{answer['in hand']} requests in flight, {answer['bytes']} bytes; replicas: {' '.join(answer['witnesses']) or 'none'}; "
+        f"{answer['in hand']} requests in flight, {answer['bytes']} bytes; "
+        f"synced replicas: {' '.join(answer['witnesses']) or 'none'}; "
         f"replication delay {answer['told after ms']} ms (99th percentile)"
     )
     for name, count in [*answer["counts"].items(), *answer["kept counts"].items()]:
--- a/cherrydoor/cli/send.py
+++ b/cherrydoor/cli/send.py
@@ -49,6 +49,7 @@
         return uvloop.run(self.send(count, rate))
 
     async def send(self, count, rate):
+        """Sends the requests and waits for their answers; see `run`."""
         loop = asyncio.get_running_loop()
         self.changed = asyncio.Event()
         try:
@@ -89,6 +90,7 @@
         return self.answers
 
     def add_answer(self, number, fate, reason, body=b"", retry_after_ms=0.0):
+        """Adds the answer to one request."""
         took_ms = time.monotonic() * 1000 - self.sent_ms.pop(number)
         self.answers.append(
             {
@@ -102,9 +104,10 @@
         )
 
     def hello_received(self, connection, hello):
-        pass
+        pass  # the gateway's hello needs no reaction
 
     def message_received(self, connection, message):
+        """Adds the answer that a response gives."""
         if type(message) is protocol.Response and message.id in self.sent_ms:
             self.add_answer(
                 message.id, message.outcome, message.reason, message.body, message.retry_after_ms
@@ -112,6 +115,7 @@
             self.changed.set()
 
     def connection_ended(self, connection):
+        """Ends all requests that are still in flight."""
         for number in list(self.sent_ms):
             self.add_answer(
                 number, "no answer", f"the connection was lost {connection.close_reason}"
--- a/cherrydoor/config/constraints.py
+++ b/cherrydoor/config/constraints.py
@@ -38,6 +38,7 @@
         self.kind, self.value, self.position, self.text = kind, value, position, text
 
     def equals(self, other):
+        """Returns whether two scalars are equal; an int may equal a number."""
         return self.value == other.value and (
             self.kind == other.kind or {self.kind, other.kind} == {"int", "number"}
         )
@@ -49,8 +50,9 @@
     def __init__(self, kind, position):
         self.kind, self.position, self.text = kind, position, kind
 
-    def accepts(self, atom):
-        return atom.kind == self.kind or self.kind == "number" and atom.kind == "int"
+    def accepts(self, scalar):
+        """Returns whether a scalar satisfies this constraint."""
+        return scalar.kind == self.kind or self.kind == "number" and scalar.kind == "int"
 
 
 class Bound:
@@ -64,11 +66,12 @@
             operator + limit.text,
         )
 
-    def accepts(self, atom):
-        found_value, limit_value, operator = atom.value, self.limit.value, self.operator
+    def accepts(self, scalar):
+        """Returns whether a scalar satisfies this constraint; only `!=` accepts other types."""
+        found_value, limit_value, operator = scalar.value, self.limit.value, self.operator
         if operator == "!=":
-            return not atom.equals(self.limit)
-        is_comparable = atom.kind == self.limit.kind or {atom.kind, self.limit.kind} == {
+            return not scalar.equals(self.limit)
+        is_comparable = scalar.kind == self.limit.kind or {scalar.kind, self.limit.kind} == {
             "int",
             "number",
         }
@@ -109,6 +112,7 @@
                 )
 
     def allows(self, name):
+        """Returns whether the record may have a field of this name."""
         return not self.closed or self.open or name in self.fields or bool(self.patterns)
 
 
@@ -144,11 +148,13 @@
 
 
 def label(tree):
+    """Returns the name of a field; it may be quoted in the text."""
     token = tree.children[0]
     return json.loads(token) if token.type == "STRING" else str(token)
 
 
 def scalar_of(token):
+    """Returns the scalar that a token of the file denotes."""
     text, position = str(token), (token.line, token.column)
     if token.type == "STRING":
         return Scalar("string", json.loads(text), position, text)
@@ -158,10 +164,10 @@
         value = float(number) * factor
         return Scalar(kind, round(value, 9) if kind != "size" else int(value), position, text)
     if token.type == "NUMBER":
-        whole = all(c in "-0123456789" for c in text)
+        is_integer = all(c in "-0123456789" for c in text)
         return Scalar(
-            "int" if whole else "number",
-            int(text[:400]) if whole else float(text),
+            "int" if is_integer else "number",
+            int(text[:400]) if is_integer else float(text),
             position,
             text[:40],
         )
--- a/cherrydoor/config/node.py
+++ b/cherrydoor/config/node.py
@@ -30,11 +30,17 @@
         self.positions = {}  # dotted path -> line and column, of values set in the file itself
 
     def step(self):
+        """Counts one step.
+
+        Raises:
+            EvaluationLimitError: The file needs more than MAX_STEPS steps.
+        """
         self.steps += 1
         if self.steps > MAX_STEPS:
             raise EvaluationLimitError
 
     def problem(self, position, path, expected, found):
+        """Adds a problem. Lines above SCHEMA_LINE_OFFSET are those of the schema."""
         file, line = (
             (self.schema_file, position[0] - SCHEMA_LINE_OFFSET)
             if position[0] > SCHEMA_LINE_OFFSET
@@ -110,6 +116,11 @@
             self.resolve_reference([str(t) for t in tree.children], env, terms, visited, position)
 
     def resolve_reference(self, names, env, terms, visited, position):
+        """Adds the terms of the type or field that a dotted name refers to.
+
+        The first name is looked up from the innermost scope outwards. A reference to a definition
+        is closed.
+        """
         if len(names) == 1 and names[0] in TYPES:
             terms.append(Type(names[0], position))
             return
@@ -131,6 +142,7 @@
                 self.collect_terms(tree, target_env, terms, (*visited, target))
 
     def build_record(self, structs):
+        """Creates the nodes of the fields from all record literals, without evaluating them."""
         self.kind, self.fields = "record", {}
         if len(self.path) > MAX_DEPTH:
             return self.conflict(structs[0].position, f"at most {MAX_DEPTH} levels", "more")
@@ -182,6 +194,7 @@
             self.fields[name] = Node(self.evaluation, (*self.path, name), expressions, position)
 
     def build_list(self, lists):
+        """Creates the nodes of the items from all list literals, without evaluating them."""
         self.kind, self.items = "list", []
         length = max(len(literal.items) for literal in lists)
         for literal in lists:
--- a/cherrydoor/config/parsing.py
+++ b/cherrydoor/config/parsing.py
@@ -51,6 +51,7 @@
 
 @lru_cache(maxsize=1)
 def parser():
+    """Returns the parser of the grammar, made once."""
     text = resources.files("cherrydoor.config").joinpath("grammar.lark").read_text()
     return Lark(text, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
--- a/cherrydoor/config/show.py
+++ b/cherrydoor/config/show.py
@@ -30,11 +30,13 @@
 
 
 def show_key(key):
+    """Returns a key, quoted unless it can be written without quotes."""
     is_plain = key[:1].isalpha() and all(c.isalnum() or c in "_-" for c in key)
     return key if is_plain and key not in ("true", "false", "null") else json.dumps(key)
 
 
 def show_value(value, depth):
+    """Returns the text of one value, starting on the current line."""
     indent, inner_indent = "  " * depth, "  " * (depth + 1)
     if isinstance(value, dict):
         return "{\n" + show(value, depth + 1) + f"\n{indent}}}" if value else "{}"
--- a/cherrydoor/config/unification.py
+++ b/cherrydoor/config/unification.py
@@ -42,6 +42,7 @@
         return self
 
     def resolve(self, terms):
+        """Selects an option of each disjunction among the terms, then unifies them."""
         while disjunction := next((t for t in terms if isinstance(t, Disjunction)), None):
             self.evaluation.step()
             scalars = [t for t in terms if isinstance(t, Scalar)]
@@ -127,6 +128,7 @@
         ] or options
 
     def describe(self, disjunction):
+        """Returns the options of a disjunction as text for a problem."""
         descriptions = []
         for _, tree in disjunction.options:
             terms, problem_count = [], len(self.evaluation.problems)
@@ -140,6 +142,7 @@
         return " or ".join(descriptions)
 
     def unify(self, terms):
+        """Unifies terms without disjunctions: records, lists, or scalars with types and bounds."""
         structs = [t for t in terms if isinstance(t, StructLiteral)]
         lists = [t for t in terms if isinstance(t, ListLiteral)]
         scalars = [t for t in terms if isinstance(t, Scalar)]
@@ -164,10 +167,12 @@
             self.check_types(constraints)
 
     def conflict(self, position, expected, found):
+        """Reports a problem and marks this node as having no value."""
         self.kind = "bad"
         self.evaluation.problem(position, self.path, expected, found)
 
     def unify_scalars(self, scalars, constraints):
+        """Sets the value if all scalars are equal and satisfy all constraints."""
         first = scalars[0]
         for other in scalars[1:]:
             if not first.equals(other):
@@ -178,6 +183,7 @@
         self.kind, self.scalar = "atom", first
 
     def check_types(self, constraints):
+        """Checks that types given without a value can agree."""
         types = [t for t in constraints if isinstance(t, Type)]
         for other in types[1:]:
             if {types[0].kind, other.kind} != {"int", "number"} and types[0].kind != other.kind:
