--- a/cherrydoor/fakes/__init__.py
+++ b/cherrydoor/fakes/__init__.py
@@ -1,1 +1,4 @@
-"""What the outside looks like: hosts, the program store, the list. They know only the frames."""
+"""Fakes of hosts, the function store, the endpoint list and the release feed; connection floods.
+
+They share only the wire protocol with the gateway.
+"""
--- a/cherrydoor/fakes/copies.py
+++ b/cherrydoor/fakes/copies.py
@@ -1,4 +1,4 @@
-"""What a host is, the copies of a function that it holds, and an event on them."""
+"""A fake host's properties, its copies of a function, and the attempts that run on them."""
 
 from collections import deque
 
@@ -6,7 +6,39 @@
 
 
 class HostSpec:
-    """What a host is: figures that its commands may change while it runs. Times in ms, memory in MB."""
+    """Properties of a host, which the command "change" may change while it runs.
+
+    Times are in ms, memory is in MB.
+
+    Attributes:
+        cores: Number of CPU cores.
+        speed: Speed of one core; 1 for a standard core.
+        memory: Memory for copies.
+        queue: Largest number of attempts in flight; further ones are rejected.
+        loads: Loads that run at a time; up to twice as many more are queued.
+        keep: Idle time after which copies are unloaded.
+        eager: Whether another copy is loaded when the copies cannot run all attempts in flight.
+        disk: Disk space for images, which outlive a crash; 0 keeps no images.
+        cold_from: Fraction of its capacity that a host has right after a cold start.
+        cold: Time from a cold start to full capacity; 0 for none.
+        multiple: Factor by which work may exceed the present capacity before the host crashes.
+        fall: Time over which that is judged; 0 if it never crashes by overload.
+        report: Interval of its load reports.
+        late: Delay after which a load report takes effect.
+        noise: Largest relative error of the reported attempts in flight.
+        tells_held: Whether results report the attempts in flight.
+        error_rate: Fraction of runs that fail.
+        remember: Time for which idempotency keys are remembered.
+        zone: Name of its zone.
+        cell: Number of its cell in the zone.
+        misses: Whether attempts are rejected with "missing", instead of loading the function, if no
+            copy is loaded or loading.
+        load_fail: Fraction of loads that fail.
+        tells_copy: Whether results state if a copy was loaded.
+        tells_crowd: Whether results report the function's concurrency.
+        tells_queue: Whether results report the attempts that are queued.
+        tells_tied: Whether results report the fraction of memory that cannot be freed.
+    """
 
     def __init__(
         self,
@@ -41,25 +73,56 @@
 
 
 class Copies:
-    """One function at one host: copies standing and loading, events on them and waiting for them."""
+    """Copies of one function on one host, and the attempts that run on them or wait for them.
+
+    Attributes:
+        facts: The function as the store describes it, a `FetchResult`; None before the first load.
+        loaded: Number of copies that are loaded.
+        loading: Number of copies that load or wait to load.
+        running: Number of attempts that run.
+        queued: Attempts that wait for a copy.
+        last_used_ms: When an attempt, a load or a load order last used them.
+        release: Number of the release that was loaded last.
+        load_orders: (connection, load order) of the orders not yet answered.
+    """
 
     def __init__(self, name):
-        self.name, self.facts, self.standing, self.loading, self.running = name, None, 0, 0, 0
-        self.waiting, self.used, self.release, self.asked = deque(), 0.0, 0, []
+        self.name, self.facts, self.loaded, self.loading, self.running = name, None, 0, 0, 0
+        self.queued, self.last_used_ms, self.release, self.load_orders = deque(), 0.0, 0, []
 
-    def held(self):
-        return self.running + len(self.waiting)
+    def in_flight(self):
+        return self.running + len(self.queued)
 
-    def idle(self):
+    def idle_copies(self):
+        """Returns the number of loaded copies that no running attempt needs."""
         lanes = self.facts.lanes if self.facts else 1
-        return self.standing - -(-self.running // lanes)
+        return self.loaded - -(-self.running // lanes)
 
 
 class RunningAttempt:
-    """An event at a host."""
+    """An attempt on a host, from its arrival to its result.
+
+    Attributes:
+        origin: Gateway that owns the request, and the incarnation in which it accepted it.
+        number: The host's own id for the attempt.
+        connection: Connection to which the result is sent.
+        launch: The `Attempt` message.
+        copies: Copies of its function.
+        copy: Value of `copy` in its result: 1 a copy was loaded, 2 it began a load, 3 it waited for
+            a load.
+        concurrency: Attempts for the same function on its arrival.
+        serial: Its job on the cores; None while it is queued.
+        ended: Whether it was answered or cancelled.
+        arrived_at_ms: When it arrived, on the monotonic clock.
+    """
 
-    def __init__(self, end, launch, copies, origin=("", 0), number=0):
-        """origin: the gateway that took the event, and its life; number: the host's own for this job."""
+    def __init__(self, connection, launch, copies, origin=("", 0), number=0):
         self.origin, self.number = origin, number
-        self.end, self.launch, self.copies, self.copy, self.concurrent = end, launch, copies, 1, 0
-        self.serial, self.ended, self.at = None, False, now()
+        self.connection, self.launch, self.copies, self.copy, self.concurrency = (
+            connection,
+            launch,
+            copies,
+            1,
+            0,
+        )
+        self.serial, self.ended, self.arrived_at_ms = None, False, now()
--- a/cherrydoor/fakes/cores.py
+++ b/cherrydoor/fakes/cores.py
@@ -1,62 +1,87 @@
-"""The cores of a stand-in host: jobs share them evenly, on a virtual clock that turns with their speed."""
+"""The CPU cores of a fake host, shared evenly by its jobs (processor sharing)."""
 
 from heapq import heappop, heappush
 
 
 class Cores:
-    """jobs: work in ms of a standard core; `speed(now)` the present speed of one core, 0 while it stands still.
+    """Runs jobs, whose work is in ms of CPU time on a standard core.
 
-    The virtual clock is the work that each running job has had; so a job ends when the clock has turned by its work,
-    and only one time is ever waited for. Between two calls the speed is held to be what it was.
+    The virtual clock counts the work that each job present since the beginning would have had. A
+    job ends when the clock has advanced by its work, so only the earliest end needs a timer.
+    Methods take the present time and the present speed of one core relative to a standard core, 0
+    during a pause. Between two calls the speed is taken to be that of the earlier one.
+
+    Attributes:
+        core_count: Number of cores.
+        heap: (virtual end time, serial, function to call at the end) of each job, the earliest
+            first.
+        virtual_ms: Reading of the virtual clock.
+        updated_at_ms: When the virtual clock was last advanced.
+        rate: Virtual ms per ms since then.
+        last_serial: Serial of the newest job.
+        dropped: Serials of cancelled jobs that are still in `heap`.
     """
 
-    def __init__(self, count, now):
-        self.count, self.heap, self.had, self.at, self.rate, self.serial = (
+    def __init__(self, count, now_ms):
+        (
+            self.core_count,
+            self.heap,
+            self.virtual_ms,
+            self.updated_at_ms,
+            self.rate,
+            self.last_serial,
+        ) = (
             count,
             [],
             0.0,
-            now,
+            now_ms,
             0.0,
             0,
         )
         self.dropped = set()
 
-    def advance(self, now, speed):
-        self.had += (now - self.at) * self.rate
-        self.at = now
+    def advance(self, now_ms, speed):
+        """Advances the virtual clock to the present, and sets its rate from then on."""
+        self.virtual_ms += (now_ms - self.updated_at_ms) * self.rate
+        self.updated_at_ms = now_ms
         running = len(self.heap) - len(self.dropped)
-        self.rate = speed * min(1.0, self.count / running) if running else 0.0
+        self.rate = speed * min(1.0, self.core_count / running) if running else 0.0
 
-    def add(self, now, speed, work, job):
-        self.advance(now, speed)
-        self.serial += 1
-        heappush(self.heap, (self.had + work, self.serial, job))
-        self.advance(now, speed)
-        return self.serial
+    def add(self, now_ms, speed, work_ms, job):
+        """Starts a job; returns its serial."""
+        self.advance(now_ms, speed)
+        self.last_serial += 1
+        heappush(self.heap, (self.virtual_ms + work_ms, self.last_serial, job))
+        self.advance(now_ms, speed)
+        return self.last_serial
 
-    def drop(self, now, speed, serial):
-        self.advance(now, speed)
+    def drop(self, now_ms, speed, serial):
+        """Cancels a job."""
+        self.advance(now_ms, speed)
         self.dropped.add(serial)
-        self.advance(now, speed)
+        self.advance(now_ms, speed)
 
-    def ended(self, now, speed):
-        """The jobs that are done by now, in order."""
-        self.advance(now, speed)
-        done = []
-        while self.heap and (self.heap[0][1] in self.dropped or self.heap[0][0] <= self.had + 1e-6):
+    def pop_finished(self, now_ms, speed):
+        """Removes and returns the jobs that have finished, in order."""
+        self.advance(now_ms, speed)
+        finished_jobs = []
+        while self.heap and (
+            self.heap[0][1] in self.dropped or self.heap[0][0] <= self.virtual_ms + 1e-6
+        ):
             _, serial, job = heappop(self.heap)
             if serial in self.dropped:
                 self.dropped.discard(serial)
             else:
-                done.append(job)
-        self.advance(now, speed)
-        return done
+                finished_jobs.append(job)
+        self.advance(now_ms, speed)
+        return finished_jobs
 
-    def next(self):
-        """Ms until the first one is done at the present rate; None where none is."""
+    def ms_until_next(self):
+        """Returns the time in ms until the next job ends at the present rate; None if none will."""
         if not self.heap or not self.rate:
             return None
-        return max(0.0, (self.heap[0][0] - self.had) / self.rate)
+        return max(0.0, (self.heap[0][0] - self.virtual_ms) / self.rate)
 
     def busy(self):
-        return min(1.0, (len(self.heap) - len(self.dropped)) / self.count)
+        """Returns the fraction of cores in use."""
+        return min(1.0, (len(self.heap) - len(self.dropped)) / self.core_count)
--- a/cherrydoor/fakes/ended_attempts.py
+++ b/cherrydoor/fakes/ended_attempts.py
@@ -1,9 +1,9 @@
-"""What a host does for requests that outlive their gateway.
+"""How a fake host handles the attempts of a gateway whose incarnation has ended.
 
-Attempts go on and are reported to the successor, and the ended incarnation is refused. An attempt
-belongs to the incarnation that accepted its request: the one that its connection's hello names, or
-the one that a successor's attempt names. Ended attempts are remembered for a while with their
-responses.
+The attempts continue and are reported to the successor; the ended incarnation is refused. An
+attempt belongs to the incarnation that accepted its request: the one named in the attempt message
+if a successor sent it, otherwise the one in the hello of its connection. Ended attempts are
+remembered with their responses for `ENDED_RETENTION_MS`.
 """
 
 from collections import deque
@@ -18,16 +18,16 @@
     InFlightCount,
 )
 
-ENDED_RETENTION_MS = 6000.0  # for which ended attempts are reported
-MAX_ENDED_ATTEMPTS = 4000  # that are remembered; the oldest go first
-MAX_ENDED_BYTES = 8 * 2**20  # of their responses, likewise
-FENCING_TOKEN_RETENTION_MS = 600000.0  # for which the token of a takeover is remembered
-OWNER_RETENTION_MS = 1000.0  # for which the owner of an ended attempt is counted
+ENDED_RETENTION_MS = 6000.0  # for which ended attempts are remembered
+MAX_ENDED_ATTEMPTS = 4000  # above which the oldest ones are forgotten
+MAX_ENDED_BYTES = 8 * 2**20  # of their responses, above which the oldest ones are forgotten
+FENCING_TOKEN_RETENTION_MS = 600000.0  # for which the fencing token of a takeover is remembered
+OWNER_RETENTION_MS = 1000.0  # for which the owner of an ended attempt is still reported
 MAX_OWNERS_REPORTED = 8
 
 
 class EndedAttempt:
-    """An attempt that has ended, as a successor is told of it."""
+    """An attempt that has ended, with what is reported to a successor."""
 
     def __init__(self, job, outcome, body):
         self.at_ms = now()
@@ -39,9 +39,9 @@
 
 
 class EndedAttempts:
-    """Attempts by owner at one host; the table of running ones is the host's.
+    """Mix-in of `Host` for attempts that outlive their gateway. `Host` sets the attributes below.
 
-    `ended_incarnations` is bounded by the names of gateways that were lost.
+    `ended_incarnations` is not pruned: it has one entry for each name of a gateway that was lost.
     """
 
     id: str
@@ -53,21 +53,29 @@
     respond: Any
 
     def forget_ended_attempts(self):
-        """Begin with nothing remembered."""
-        self.ended_incarnations = {}  # gateway -> its highest incarnation that is over
+        """Initialize the state: no attempt, incarnation or fencing token is remembered."""
+        self.ended_incarnations = {}  # gateway -> its highest incarnation that has ended
         self.ended_attempts = deque()
         self.ended_bytes = 0
         self.attempts_started = 0
-        # (gateway, incarnation) -> the highest fencing token of its takeover, and when that came
+        # (gateway, incarnation) -> the highest fencing token of its takeover, and when it arrived
         self.fencing_tokens = {}
 
-    def origin_of(self, end, launch):
-        """Return owner and incarnation that an attempt belongs to."""
-        return (launch.owner, launch.incarnation) if launch.owner else (end.name, end.incarnation)
+    def origin_of(self, connection, launch):
+        """Return the owner and the incarnation that an attempt belongs to."""
+        return (
+            (launch.owner, launch.incarnation)
+            if launch.owner
+            else (connection.name, connection.incarnation)
+        )
+
+    def is_refused(self, connection, launch=None):
+        """Return whether a connection or its attempt is refused.
 
-    def is_refused(self, end, launch=None):
-        """Return whether this is of an ended incarnation, or under a superseded fencing token."""
-        if 0 < end.incarnation <= self.ended_incarnations.get(end.name, 0):
+        It is if the connection's incarnation has ended, or if the attempt's fencing token is
+        superseded.
+        """
+        if 0 < connection.incarnation <= self.ended_incarnations.get(connection.name, 0):
             return True
         if launch is None or not launch.owner:
             return False
@@ -78,7 +86,7 @@
         return fencing_token
 
     def remember_ended(self, job, outcome, body):
-        """Keep an ended attempt for a successor; only of gateways that may have one."""
+        """Remember an ended attempt for a successor, if its gateway states an incarnation."""
         if not job.origin[1]:
             return
         self.ended_attempts.append(EndedAttempt(job, outcome, body))
@@ -91,14 +99,14 @@
         ):
             self.ended_bytes -= len(self.ended_attempts.popleft().body)
 
-    def end_incarnation(self, end, message):
-        """Accept nothing more of an ended incarnation, and report its attempts to its successor."""
+    def end_incarnation(self, connection, message):
+        """Refuse an ended incarnation from now on, and report its attempts to its successor."""
         origin = message.owner, message.incarnation
         highest_fencing_token = self._fencing_token(origin)
         self.record.add(
             "over",
             self.id,
-            end.name,
+            connection.name,
             message.id,
             number=message.fencing_token,
             text=message.owner,
@@ -106,7 +114,7 @@
             fate="refused" if highest_fencing_token > message.fencing_token else "",
         )
         if highest_fencing_token > message.fencing_token:
-            self.send(end, AttemptsReport(message.id, highest_fencing_token))
+            self.send(connection, AttemptsReport(message.id, highest_fencing_token))
             return
         oldest_ms = now() - FENCING_TOKEN_RETENTION_MS
         self.fencing_tokens = {
@@ -118,7 +126,9 @@
         self.ended_incarnations[message.owner] = max(
             message.incarnation, self.ended_incarnations.get(message.owner, 0)
         )
-        self.send(end, AttemptsReport(message.id, message.fencing_token, self._attempts_of(origin)))
+        self.send(
+            connection, AttemptsReport(message.id, message.fencing_token, self._attempts_of(origin))
+        )
         for other in [other for other in self.connections if self.is_refused(other)]:
             other.close(INCARNATION_ENDED)
 
@@ -142,16 +152,16 @@
         ]
         return running + ended
 
-    def report_in_flight(self, end, message):
-        """Report how many attempts run here, of whomever, and how many ever arrived."""
+    def report_in_flight(self, connection, message):
+        """Report the attempts in flight from all gateways, and how many have ever arrived."""
         owners = dict.fromkeys(
-            job.origin[0] or job.end.name for job in self.running_attempts.values()
+            job.origin[0] or job.connection.name for job in self.running_attempts.values()
         )
         owners |= dict.fromkeys(
             one.origin[0] for one in self.ended_attempts if one.at_ms > now() - OWNER_RETENTION_MS
         )
         self.send(
-            end,
+            connection,
             InFlightCount(
                 message.id,
                 len(self.running_attempts),
@@ -160,8 +170,8 @@
             ),
         )
 
-    def adopt_attempt(self, end, message):
-        """Send the attempt's outcome to the successor; it may have ended meanwhile."""
+    def adopt_attempt(self, connection, message):
+        """Redirect an attempt's outcome to the successor; send it at once if it has ended."""
         found = next(
             (
                 (key, job)
@@ -171,34 +181,41 @@
             None,
         )
         self.record.add(
-            "adopt", self.id, end.name, message.id, found[1].launch.request_id if found else 0
+            "adopt",
+            self.id,
+            connection.name,
+            message.id,
+            found[1].launch.request_id if found else 0,
         )
         if found is not None:
             key, job = found
             del self.running_attempts[key]
-            job.end, job.launch.id = end, message.id
-            self.running_attempts[end, message.id] = job
+            job.connection, job.launch.id = connection, message.id
+            self.running_attempts[connection, message.id] = job
             return
         ended = next((one for one in self.ended_attempts if one.number == message.attempt_id), None)
-        self._report_ended(end, message.id, ended)
+        self._report_ended(connection, message.id, ended)
 
-    def _report_ended(self, end, message_id, ended):
+    def _report_ended(self, connection, message_id, ended):
         if ended is None:
-            self.send(end, protocol.AttemptResult(message_id, "error"))
+            self.send(connection, protocol.AttemptResult(message_id, "error"))
             return
-        self.send(end, protocol.AttemptResult(message_id, ended.outcome, 1, body=ended.body))
+        self.send(connection, protocol.AttemptResult(message_id, ended.outcome, 1, body=ended.body))
+
+    def cancellable_attempt(self, connection, message):
+        """Return the attempt to cancel, or None.
 
-    def cancellable_attempt(self, end, message):
-        """Return the attempt that a connection, or another one of its incarnation, may cancel."""
-        job = self.running_attempts.get((end, message.id))
-        if job is None and end.incarnation:
+        It may have been sent on another connection of the same gateway and incarnation.
+        """
+        job = self.running_attempts.get((connection, message.id))
+        if job is None and connection.incarnation:
             job = next(
                 (
                     one
                     for one in self.running_attempts.values()
                     if one.launch.id == message.id
-                    and one.end.name == end.name
-                    and one.end.incarnation == end.incarnation
+                    and one.connection.name == connection.name
+                    and one.connection.incarnation == connection.incarnation
                 ),
                 None,
             )
--- a/cherrydoor/fakes/feed.py
+++ b/cherrydoor/fakes/feed.py
@@ -1,4 +1,4 @@
-"""The release feed: tells each follower of releases, late in its own way, and at times not at all."""
+"""The release feed, which sends releases to its followers with random delays and omissions."""
 
 import asyncio
 from zlib import crc32
@@ -9,11 +9,23 @@
 
 
 class Feed:
-    """`notice`: ms, least and most, from a release to a follower's hearing of it; `misses`: part of the followers that
-    hear nothing of a release until they follow anew."""
+    """Serves the release feed.
+
+    Attributes:
+        notice_ms: Range [min, max] of the time until a follower receives a release. A follower
+            receives updates in order.
+        missed_share: Fraction of the followers that do not receive a release before they follow
+            the feed again.
+        seed: Seed of the random delays and omissions.
+        draw_count: Number of random values drawn so far.
+        releases: The latest release of each function.
+        followers: Connections that follow the feed, each with the time for which its latest update
+            is scheduled.
+        revision: Number of updates sent so far.
+    """
 
     def __init__(self, record, notice=(50.0, 500.0), misses=0.0, seed=1):
-        self.record, self.notice, self.misses, self.seed, self.drawn = (
+        self.record, self.notice_ms, self.missed_share, self.seed, self.draw_count = (
             record,
             notice,
             misses,
@@ -27,51 +39,60 @@
             0,
         )
 
-    async def start(self, where="127.0.0.1", port=0):
+    async def start(self, address="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
             lambda: FramedConnection(
                 self,
                 protocol.TO_FEED,
                 lambda: protocol.Hello(protocol.VERSION, "feed", "feed", now()),
             ),
-            where,
+            address,
             port,
         )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def chance(self):
-        self.drawn += 1
-        return crc32(f"feed/{self.seed}/{self.drawn}".encode()) / 2.0**32
+    def random_fraction(self):
+        """Returns a pseudo-random number in [0, 1)."""
+        self.draw_count += 1
+        return crc32(f"feed/{self.seed}/{self.draw_count}".encode()) / 2.0**32
 
-    def hello_received(self, end, hello):
+    def hello_received(self, connection, hello):
         pass
 
-    def connection_ended(self, end):
-        self.followers.pop(end, None)
+    def connection_ended(self, connection):
+        self.followers.pop(connection, None)
 
-    def message_received(self, end, message):
+    def message_received(self, connection, message):
         if type(message) is protocol.Watch:
-            self.followers[end] = now()
-            self.tell(end, "whole", list(self.releases.values()))
+            self.followers[connection] = now()
+            self.send_update(connection, "whole", list(self.releases.values()))
 
-    def tell(self, end, how, releases):
-        if end in self.followers:
+    def send_update(self, connection, kind, releases):
+        """Sends an update, unless disconnected; kind is "whole" or "changes"."""
+        if connection in self.followers:
             self.revision += 1
-            end.write(protocol.ReleaseUpdate(self.revision, how, releases))
+            connection.write(protocol.ReleaseUpdate(self.revision, kind, releases))
 
     def release(self, functions, version, state="announced"):
-        """These functions' version is announced, withdrawn or complete from now on."""
-        found = [protocol.Release(function, version, state) for function in functions]
-        for one in found:
-            self.releases[one.function] = one
-            self.record.add("release", function=one.function, number=one.version, fate=state)
-        for end, last in list(self.followers.items()):
-            if self.chance() < self.misses:
-                self.record.add("release missed", peer=end.reader.hello.name)
+        """Sets the release of functions: this version is announced, withdrawn or complete."""
+        changed = [protocol.Release(function, version, state) for function in functions]
+        for release in changed:
+            self.releases[release.function] = release
+            self.record.add(
+                "release", function=release.function, number=release.version, fate=state
+            )
+        for connection, last_send_ms in list(self.followers.items()):
+            if self.random_fraction() < self.missed_share:
+                self.record.add("release missed", peer=connection.reader.hello.name)
                 continue
-            at = max(
-                last, now() + self.notice[0] + (self.notice[1] - self.notice[0]) * self.chance()
+            send_at_ms = max(
+                last_send_ms,
+                now()
+                + self.notice_ms[0]
+                + (self.notice_ms[1] - self.notice_ms[0]) * self.random_fraction(),
+            )
+            self.followers[connection] = send_at_ms
+            self.loop.call_later(
+                (send_at_ms - now()) / 1000, self.send_update, connection, "changes", changed
             )
-            self.followers[end] = at
-            self.loop.call_later((at - now()) / 1000, self.tell, end, "changes", found)
--- a/cherrydoor/fakes/loads.py
+++ b/cherrydoor/fakes/loads.py
@@ -1,4 +1,4 @@
-"""How a host loads functions, frees their memory, and answers orders to load."""
+"""How a fake host loads and unloads functions, and answers load orders."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class Loads:
-    """Loads of one host; its tables are the host's."""
+    """Mix-in of `Host` that loads and unloads copies of functions. `Host` sets the attributes."""
 
     id: str
     host_pool: Any
@@ -16,157 +16,177 @@
     loop: Any
     spec: Any
     cores: Any
-    chance: Any
-    speed: Any
+    random_fraction: Any
+    core_speed: Any
     reschedule: Any
     send: Any
     respond: Any
-    run_waiting: Any
+    run_queued: Any
     draining: bool
     up: bool
-    since: float
+    started_at_ms: float
     functions: dict
     running_attempts: dict
     images: dict
-    loads: set
+    active_loads: set
     load_queue: Any
 
-    def room(self, memory):
-        """Frees memory of idle copies, the one idle longest first; False where that is not enough."""
+    def free_memory_for(self, memory):
+        """Unloads idle copies, least recently used first; returns whether enough memory is free."""
         used = sum(
-            (c.standing + c.loading) * c.facts.memory for c in self.functions.values() if c.facts
+            (c.loaded + c.loading) * c.facts.memory for c in self.functions.values() if c.facts
         )
         idle = sorted(
-            (c for c in self.functions.values() if c.idle() > 0 and not c.waiting),
-            key=lambda c: c.used,
+            (c for c in self.functions.values() if c.idle_copies() > 0 and not c.queued),
+            key=lambda c: c.last_used_ms,
         )
         for copies in idle:
-            while used + memory > self.spec.memory and copies.idle() > 0:
-                copies.standing -= 1
+            while used + memory > self.spec.memory and copies.idle_copies() > 0:
+                copies.loaded -= 1
                 used -= copies.facts.memory
         return used + memory <= self.spec.memory
 
     def begin_load(self, copies):
-        """True if a load is under way or waits for its turn."""
+        """Starts or queues the load of one copy; returns False if neither is possible."""
         copies.facts = copies.facts or self.host_pool.facts(copies.name)
-        if len(self.loads) + len(self.load_queue) >= 3 * self.spec.loads or not self.room(
-            copies.facts.memory
-        ):
+        if len(self.active_loads) + len(
+            self.load_queue
+        ) >= 3 * self.spec.loads or not self.free_memory_for(copies.facts.memory):
             return False
         copies.loading += 1
-        if len(self.loads) >= self.spec.loads:
+        if len(self.active_loads) >= self.spec.loads:
             self.load_queue.append(copies)
         else:
-            self.fetch(copies)
+            self.fetch_image(copies)
         return True
 
-    def fetch(self, copies):
-        self.loads.add((copies, began := now()))
+    def fetch_image(self, copies):
+        """Starts a load, with the image on disk if it is of the current release."""
+        self.active_loads.add((copies, began_ms := now()))
         self.record.add("load", self.id, function=copies.name)
         image = self.images.get(copies.name)
         if image is not None and image.release == self.host_pool.releases.get(copies.name, 0):
-            return self.fetched(copies, began, image)
+            return self.image_fetched(copies, began_ms, image)
         self.host_pool.store.fetch(
             copies.name,
-            lambda facts, incarnation=self.since: (
-                self.up and incarnation == self.since and self.fetched(copies, began, facts)
+            lambda facts, incarnation=self.started_at_ms: (
+                self.up
+                and incarnation == self.started_at_ms
+                and self.image_fetched(copies, began_ms, facts)
             ),
         )
 
-    def fetched(self, copies, began, facts):
-        unfit = self.chance() < self.host_pool.faulty_versions.get(copies.name, {}).get(
-            "load_fail", 0.0
-        )
-        if facts.outcome != "handled" or self.chance() < self.spec.load_fail or unfit:
-            return self.load_over(copies, began, False)
+    def image_fetched(self, copies, began_ms, facts):
+        """Continues a load: starts the copy, first without and then with use of a CPU core."""
+        load_fails = self.random_fraction() < self.host_pool.faulty_versions.get(
+            copies.name, {}
+        ).get("load_fail", 0.0)
+        if facts.outcome != "handled" or self.random_fraction() < self.spec.load_fail or load_fails:
+            return self.load_ended(copies, began_ms, False)
         copies.facts = facts
         if self.spec.disk:
             self.images[copies.name] = facts
             if sum(i.memory for i in self.images.values()) > self.spec.disk:
                 self.images.pop(next(iter(self.images)))
-        core = facts.start * facts.core
-        incarnation = self.since
+        cpu_ms = facts.start * facts.core
+        incarnation = self.started_at_ms
 
-        def started():
-            self.cores.add(now(), self.speed(), core, lambda: self.load_over(copies, began, True))
+        def start_copy():
+            self.cores.add(
+                now(), self.core_speed(), cpu_ms, lambda: self.load_ended(copies, began_ms, True)
+            )
             self.reschedule()
 
         self.loop.call_later(
-            (facts.start - core) / 1000, lambda: self.up and incarnation == self.since and started()
+            (facts.start - cpu_ms) / 1000,
+            lambda: self.up and incarnation == self.started_at_ms and start_copy(),
         )
 
-    def load_over(self, copies, began, good):
-        self.loads.discard((copies, began))
+    def load_ended(self, copies, began_ms, succeeded):
+        """Answers what waited for the load, and starts the next one in the queue."""
+        self.active_loads.discard((copies, began_ms))
         copies.loading -= 1
-        copies.used = now()
-        if good:
-            copies.standing += 1
+        copies.last_used_ms = now()
+        if succeeded:
+            copies.loaded += 1
             copies.release = copies.facts.release
-        elif not copies.standing:
-            for job in copies.waiting:
-                self.running_attempts.pop((job.end, job.launch.id), None)
+        elif not copies.loaded:
+            for job in copies.queued:
+                self.running_attempts.pop((job.connection, job.launch.id), None)
                 self.respond(job, "missing" if self.spec.misses else "error", 4)
-            copies.waiting.clear()
-        if self.load_queue and len(self.loads) < self.spec.loads:
-            after = self.load_queue.popleft()
-            if after.waiting or after.asked:
-                self.fetch(after)
+            copies.queued.clear()
+        if self.load_queue and len(self.active_loads) < self.spec.loads:
+            next_copies = self.load_queue.popleft()
+            if next_copies.queued or next_copies.load_orders:
+                self.fetch_image(next_copies)
             else:
-                after.loading -= 1
-        for order in list(copies.asked):
-            self.settle(copies, order, good)
-        self.run_waiting(copies)
-        if good and copies.release != self.host_pool.releases.get(copies.name, 0):
+                next_copies.loading -= 1
+        for order in list(copies.load_orders):
+            self.answer_load_order(copies, order, succeeded)
+        self.run_queued(copies)
+        if succeeded and copies.release != self.host_pool.releases.get(copies.name, 0):
             self.loop.call_soon(self.unload_outdated, copies.name)
 
-    def ordered(self, end, order):
+    def load_order_received(self, connection, order):
+        """Starts the loads that an order needs; it is answered when they end."""
         self.record.add(
-            "order", self.id, end.name, order.id, function=order.function, number=order.copies
+            "order",
+            self.id,
+            connection.name,
+            order.id,
+            function=order.function,
+            number=order.copies,
         )
         copies = self.functions.get(order.function) or Copies(order.function)
         if not order.copies:
-            return self.send(end, protocol.LoadOrderResult(order.id, "handled", copies.standing))
-        self.functions[order.function], copies.used = copies, now()
+            return self.send(
+                connection, protocol.LoadOrderResult(order.id, "handled", copies.loaded)
+            )
+        self.functions[order.function], copies.last_used_ms = copies, now()
         while (
             not self.draining
-            and copies.standing + copies.loading < order.copies
+            and copies.loaded + copies.loading < order.copies
             and self.begin_load(copies)
         ):
             pass
-        copies.asked.append((end, order))
-        self.settle(
+        copies.load_orders.append((connection, order))
+        self.answer_load_order(
             copies,
-            (end, order),
-            copies.standing + copies.loading >= order.copies and not self.draining,
+            (connection, order),
+            copies.loaded + copies.loading >= order.copies and not self.draining,
         )
 
-    def settle(self, copies, asked, good):
-        end, order = asked
-        if copies.standing >= order.copies or not good or not copies.loading:
-            copies.asked.remove(asked)
-            stand = copies.standing >= order.copies
+    def answer_load_order(self, copies, pending, succeeded):
+        """Answers an order if it is fulfilled, if its load failed or if none is in progress."""
+        connection, order = pending
+        if copies.loaded >= order.copies or not succeeded or not copies.loading:
+            copies.load_orders.remove(pending)
+            enough_loaded = copies.loaded >= order.copies
             self.send(
-                end,
-                protocol.LoadOrderResult(order.id, "handled" if stand else "full", copies.standing),
+                connection,
+                protocol.LoadOrderResult(
+                    order.id, "handled" if enough_loaded else "full", copies.loaded
+                ),
             )
 
     def unload_outdated(self, name):
-        """The function is released anew: idle copies go now, those at work when they are done."""
+        """Unloads the copies of an earlier release, busy ones as soon as they are idle."""
         copies = self.functions.get(name)
         if copies and copies.release != self.host_pool.releases.get(name, 0):
-            copies.standing -= max(0, copies.idle())
-            if copies.standing:
+            copies.loaded -= max(0, copies.idle_copies())
+            if copies.loaded:
                 self.loop.call_later(0.05, self.unload_outdated, name)
-            elif copies.waiting and not copies.loading:
+            elif copies.queued and not copies.loading:
                 self.begin_load(copies)
 
     def discard_if_unused(self, copies):
-        if not (copies.standing or copies.loading or copies.held() or copies.asked):
+        """Removes the entry of a function that has neither copies nor attempts nor orders."""
+        if not (copies.loaded or copies.loading or copies.in_flight() or copies.load_orders):
             self.functions.pop(copies.name, None)
 
-    def sweep(self):
-        """Unloads what has been idle for long."""
+    def unload_idle_copies(self):
+        """Unloads copies that were not used for `spec.keep` ms."""
         for copies in list(self.functions.values()):
-            if copies.idle() > 0 and now() - copies.used > self.spec.keep:
-                copies.standing -= copies.idle()
+            if copies.idle_copies() > 0 and now() - copies.last_used_ms > self.spec.keep:
+                copies.loaded -= copies.idle_copies()
             self.discard_if_unused(copies)
--- a/cherrydoor/fakes/record.py
+++ b/cherrydoor/fakes/record.py
@@ -1,4 +1,7 @@
-"""What passed at a far end, kept as Parquet: one file a second or so, each whole by itself. docs/traffic.md."""
+"""Records the traffic of a fake or a client as Parquet files, about one a second: docs/traffic.md.
+
+Each file can be read without the others.
+"""
 
 import threading
 import time
@@ -29,39 +32,47 @@
     ]
 )
 NAMES = SCHEMA.names
-EVERY = 1.0  # s between files
-MOST = 50000  # rows that make one sooner
+FILE_INTERVAL_S = 1.0
+MAX_ROWS_PER_FILE = 50000  # not enforced: a file has all rows of its interval
 
 
 class Clocks:
-    """What all of this process goes by; an emulation puts its own in their place."""
+    """The clocks of this process, in seconds; an emulation replaces them by its virtual clocks."""
 
     steady, wall = time.monotonic, time.time
 
 
 def now():
-    """Ms on the machine's monotonic clock, the same for all processes of one machine."""
+    """Returns the monotonic time in ms, which is the same for all processes of one machine."""
     return Clocks.steady() * 1000
 
 
 def wall():
-    """Ms since 1970."""
+    """Returns the wall-clock time in ms since 1970."""
     return Clocks.wall() * 1000
 
 
 class Record:
-    """Rows of one process. Writing happens on a thread of its own, so that no loop waits for a disk.
-
-    Without a folder nothing is kept. Each file is written under another name and then renamed: what can be read is
-    whole, also after the process was killed.
+    """Rows of one process, written by a thread so that the event loop never waits for a disk.
+
+    Each file is written under a temporary name and then renamed, so a file with its final name is
+    complete even if the process was killed.
+
+    Attributes:
+        folder: Where the files are written; without one, nothing is recorded.
+        end: Kind of the process, the column "end" of its rows.
+        who: Name of the process, the column "who" of rows that state no other.
+        rows: Rows not yet written.
+        file_count: Number of files written.
+        over: Set to stop the thread.
     """
 
     def __init__(self, folder, end, who):
         self.folder, self.end, self.who = folder and Path(folder), end, who
-        self.rows, self.files, self.over = [], 0, threading.Event()
+        self.rows, self.file_count, self.over = [], 0, threading.Event()
         if self.folder:
             self.folder.mkdir(parents=True, exist_ok=True)
-            self.thread = threading.Thread(target=self.run, daemon=True)
+            self.thread = threading.Thread(target=self.write_periodically, daemon=True)
             self.thread.start()
 
     def add(
@@ -83,7 +94,10 @@
         text="",
         t=None,
     ):
-        """One row; t in ms on the monotonic clock, now unless given. What a, b and c are is told by `what`."""
+        """Adds a row of kind `what`, on which the meaning of a, b and c depends.
+
+        t is in ms on the monotonic clock, the present time if None.
+        """
         if self.folder:
             self.rows.append(
                 (
@@ -107,20 +121,22 @@
                 )
             )
 
-    def run(self):
-        while not self.over.wait(EVERY):
+    def write_periodically(self):
+        """Writes a file per interval until the record is closed."""
+        while not self.over.wait(FILE_INTERVAL_S):
             self.flush()
 
     def flush(self):
-        count = len(self.rows)  # the loop adds meanwhile, at the end
+        """Writes the rows so far to a file, if there are any."""
+        count = len(self.rows)  # the event loop may append rows meanwhile
         rows = self.rows[:count]
         del self.rows[:count]
         if not rows:
             return
-        name = f"{self.end}-{self.who}-{int(time.time() * 1000)}-{self.files:05d}.parquet".replace(
+        name = f"{self.end}-{self.who}-{int(time.time() * 1000)}-{self.file_count:05d}.parquet".replace(
             ":", "_"
         )
-        self.files += 1
+        self.file_count += 1
         columns = list(zip(*rows, strict=True))
         table = pa.table(
             [
@@ -131,11 +147,12 @@
             ],
             schema=SCHEMA,
         )
-        new = self.folder / (name + ".new")
-        pq.write_table(table, new, compression="zstd")
-        new.rename(self.folder / name)
+        unfinished = self.folder / (name + ".new")
+        pq.write_table(table, unfinished, compression="zstd")
+        unfinished.rename(self.folder / name)
 
     def close(self):
+        """Stops the thread and writes the remaining rows."""
         if self.folder:
             self.over.set()
             self.thread.join()
--- a/cherrydoor/fakes/store.py
+++ b/cherrydoor/fakes/store.py
@@ -1,4 +1,4 @@
-"""The program store: a fixed number of fetches at full pace, slower when crowded, refusals beyond a limit, stops."""
+"""The function store: fetches share its capacity, and are rejected above a limit."""
 
 import asyncio
 
@@ -11,79 +11,105 @@
 
 
 class Store:
-    """at_once: fetches that run at full pace; takes: how many are in hand at most, further ones are refused."""
+    """Serves functions to the hosts.
+
+    Attributes:
+        catalogue: Properties of each function.
+        full_speed_fetches: Fetches that run at full speed; more of them share that capacity.
+        max_in_flight: Largest number of fetches in flight; further ones are rejected.
+        cores: The capacity that fetches share.
+        releases: Number of the current release of each function; 0 if absent.
+        slowdown: Factor by which fetches are slowed down.
+        stopped: Whether fetches make no progress.
+        timer: Calls `reschedule` when the next fetch ends.
+        in_flight: Number of fetches in flight.
+    """
 
     def __init__(self, record, catalogue, at_once=8, takes=64):
-        self.record, self.catalogue, self.at_once, self.takes = record, catalogue, at_once, takes
+        self.record, self.catalogue, self.full_speed_fetches, self.max_in_flight = (
+            record,
+            catalogue,
+            at_once,
+            takes,
+        )
         self.loop, self.cores, self.releases = asyncio.get_running_loop(), Cores(at_once, now()), {}
-        self.slow, self.stopped, self.alarm, self.in_hand = 1.0, False, None, 0
+        self.slowdown, self.stopped, self.timer, self.in_flight = 1.0, False, None, 0
 
-    async def start(self, where="127.0.0.1", port=0):
+    async def start(self, address="127.0.0.1", port=0):
         self.server = await self.loop.create_server(
             lambda: FramedConnection(
                 self,
                 protocol.TO_STORE,
                 lambda: protocol.Hello(protocol.VERSION, "store", "store", now()),
             ),
-            where,
+            address,
             port,
         )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def speed(self):
-        return 0.0 if self.stopped else 1.0 / self.slow
+    def fetch_speed(self):
+        """Returns the present speed of a fetch, 1 at full speed."""
+        return 0.0 if self.stopped else 1.0 / self.slowdown
 
-    def hello_received(self, end, hello):
+    def hello_received(self, connection, hello):
         pass
 
-    def connection_ended(self, end):
+    def connection_ended(self, connection):
         pass
 
-    def message_received(self, end, fetch):
+    def message_received(self, connection, fetch):
         self.record.add(
             "fetch",
-            peer=end.reader.hello.name,
+            peer=connection.reader.hello.name,
             id=fetch.id,
             function=fetch.function,
-            a=self.in_hand,
+            a=self.in_flight,
         )
-        if self.in_hand >= self.takes:
+        if self.in_flight >= self.max_in_flight:
             self.record.add(
-                "fetch refused", peer=end.reader.hello.name, id=fetch.id, function=fetch.function
+                "fetch refused",
+                peer=connection.reader.hello.name,
+                id=fetch.id,
+                function=fetch.function,
             )
-            return end.write(protocol.FetchResult(fetch.id, "full"))
-        self.in_hand += 1
+            return connection.write(protocol.FetchResult(fetch.id, "full"))
+        self.in_flight += 1
         self.cores.add(
             now(),
-            self.speed(),
-            self.catalogue.fetch_time(fetch.function),
-            lambda: self.fetched(end, fetch),
+            self.fetch_speed(),
+            self.catalogue.fetch_ms(fetch.function),
+            lambda: self.fetch_ended(connection, fetch),
         )
         self.reschedule()
 
-    def fetched(self, end, fetch):
-        self.in_hand -= 1
+    def fetch_ended(self, connection, fetch):
+        """Sends the function to the host."""
+        self.in_flight -= 1
         facts = self.catalogue(fetch.function)
-        end.write(
+        connection.write(
             msgspec.structs.replace(
                 facts, id=fetch.id, release=self.releases.get(fetch.function, 0)
             )
         )
-        self.record.add("fetched", peer=end.reader.hello.name, id=fetch.id, function=fetch.function)
+        self.record.add(
+            "fetched", peer=connection.reader.hello.name, id=fetch.id, function=fetch.function
+        )
 
     def set(self, slow=None, stopped=None):
-        self.cores.advance(now(), self.speed())
-        self.slow = self.slow if slow is None else slow
+        """Slows fetches by a factor, and stops or resumes them; None leaves a value as it is."""
+        self.cores.advance(now(), self.fetch_speed())
+        self.slowdown = self.slowdown if slow is None else slow
         self.stopped = self.stopped if stopped is None else stopped
         self.reschedule()
 
     def reschedule(self):
-        if self.alarm:
-            self.alarm.cancel()
-            self.alarm = None
-        for job in self.cores.ended(now(), self.speed()):
+        """Completes the fetches that have ended, and sets the timer for the next one."""
+        if self.timer:
+            self.timer.cancel()
+            self.timer = None
+        for job in self.cores.pop_finished(now(), self.fetch_speed()):
             job()
-        wait = self.cores.next()
-        if self.alarm is None and wait is not None:
-            self.alarm = self.loop.call_later(wait / 1000 + 0.0001, self.reschedule)
+        wait_ms = self.cores.ms_until_next()
+        if self.timer is None and wait_ms is not None:
+            self.timer = self.loop.call_later(wait_ms / 1000 + 0.0001, self.reschedule)
--- a/tests/failover/test_hosts.py
+++ b/tests/failover/test_hosts.py
@@ -18,8 +18,8 @@
 
 
 class RunningJob:
-    def __init__(self, end, launch, number, origin):
-        self.end = end
+    def __init__(self, connection, launch, number, origin):
+        self.connection = connection
         self.launch = launch
         self.number = number
         self.origin = origin
@@ -35,17 +35,17 @@
         self.sent = []
         self.forget_ended_attempts()
 
-    def send(self, end, message):
-        self.sent.append((end.name, message))
+    def send(self, connection, message):
+        self.sent.append((connection.name, message))
 
-    def start(self, end, request_id):
+    def start(self, connection, request_id):
         launch = protocol.Attempt(request_id, request_id, "c", "file", "f", 1000.0)
         self.attempts_started += 1
-        self.connections[end] = None
-        self.running_attempts[end, launch.id] = RunningJob(
-            end, launch, self.attempts_started, self.origin_of(end, launch)
+        self.connections[connection] = None
+        self.running_attempts[connection, launch.id] = RunningJob(
+            connection, launch, self.attempts_started, self.origin_of(connection, launch)
         )
-        return self.running_attempts[end, launch.id]
+        return self.running_attempts[connection, launch.id]
 
     def end_incarnation(self, name, incarnation, fencing_token, successor="successor"):
         super().end_incarnation(
@@ -102,10 +102,10 @@
 
 
 def test_an_ended_attempt_is_reported_with_its_response_and_a_running_one_is_adopted():
-    host, end = HostUnderTest(), Connection("g", 5)
-    job = host.start(end, 1)
-    host.remember_ended(host.start(end, 2), "handled", b"x")
-    del host.running_attempts[end, 2]
+    host, connection = HostUnderTest(), Connection("g", 5)
+    job = host.start(connection, 1)
+    host.remember_ended(host.start(connection, 2), "handled", b"x")
+    del host.running_attempts[connection, 2]
     reported = {
         attempt.request_id: (attempt.outcome, attempt.body)
         for attempt in host.end_incarnation("g", 5, 1).attempts
@@ -113,4 +113,4 @@
     assert reported == {1: ("", b""), 2: ("handled", b"x")}
     successor = Connection("successor", 1)
     host.adopt_attempt(successor, failover.AdoptAttempt(77, job.number))
-    assert host.running_attempts[successor, 77] is job and job.end is successor
+    assert host.running_attempts[successor, 77] is job and job.connection is successor
