--- a/cherrydoor/rehearsal/cpu_starvation.py
+++ b/cherrydoor/rehearsal/cpu_starvation.py
@@ -1,22 +1,28 @@
-"""Whether the machine was too crowded to judge by: how long each process was ready to run and had no core.
+"""Measures how long each process of a run was ready to run but had no core.
 
-Linux tells it of each thread (`/proc/PID/task/TID/schedstat`, second figure, ns). A machine that was taken away as a
-whole shows as a pause of the sampling itself. Without either nothing is told and nothing is excused.
+The audit uses this to tell a gateway's own delay from a delay caused by an overloaded machine. Linux reports the time
+for each thread (`/proc/PID/task/TID/schedstat`, second field, in ns). When the whole machine was suspended, the
+sampling itself pauses, and that pause is recorded. Where neither is available, nothing is recorded and nothing excused.
 """
 
 import asyncio
 from pathlib import Path
 
-EVERY = 100.0  # ms between two looks
-LEAST = 20.0  # ms without a core, between two looks, that are noted
-PAUSE = 50.0  # ms by which a look comes late that are noted
+SAMPLE_INTERVAL_MS = 100.0
+# Shorter waits without a core, between two samples, are not recorded.
+MIN_RECORDED_WAIT_MS = 20.0
+# A sample that is late by less than this is not recorded as a pause.
+MIN_RECORDED_PAUSE_MS = 50.0
 
 
-def without_core(process):
-    """Ms for which the busiest-waiting thread of a process has been ready to run without a core; None if not told."""
+def without_core_ms(pid):
+    """Return how long, in ms, a process's threads have been ready to run without a core.
+
+    It is the total since the thread started, of the thread that waited longest; None if the kernel does not report it.
+    """
     found = []
     try:
-        for thread in Path(f"/proc/{process}/task").iterdir():
+        for thread in Path(f"/proc/{pid}/task").iterdir():
             found.append(int((thread / "schedstat").read_text().split()[1]) / 1e6)
     except (OSError, IndexError, ValueError):
         pass
@@ -24,30 +30,38 @@
 
 
 class CpuStarvationMonitor:
-    """Samples the processes of a rehearsal and notes in its record what they had to wait for a core."""
+    """Samples the processes of a run and records how long each waited for a core."""
 
     def __init__(self, record, now, processes):
-        """processes: gives the names and process ids to look at, anew at each look."""
-        self.record, self.now, self.processes, self.before = record, now, processes, {}
+        """Set the record to write to, the clock (ms), and the processes to watch.
+
+        Args:
+            record: Receives the rows `waited` and `paused`.
+            now: Returns the time in ms.
+            processes: Called for each sample; returns pairs of names and process id.
+        """
+        self.record, self.now, self.processes, self.previous_waits = record, now, processes, {}
 
     async def watch(self):
-        due = self.now() + EVERY
+        """Take a sample at each interval until cancelled."""
+        due = self.now() + SAMPLE_INTERVAL_MS
         while True:
             await asyncio.sleep(max(0.0, due - self.now()) / 1000)
-            late, due = self.now() - due, self.now() + EVERY
-            if late > PAUSE:
+            late, due = self.now() - due, self.now() + SAMPLE_INTERVAL_MS
+            if late > MIN_RECORDED_PAUSE_MS:
                 self.record.add("paused", a=late)
-            self.look()
+            self.sample()
 
-    def look(self):
-        seen = {}
-        for names, process in self.processes():
-            waited = without_core(process)
-            if waited is None:
+    def sample(self):
+        """Record how much longer each process has waited for a core since the previous sample."""
+        waits = {}
+        for names, pid in self.processes():
+            waited_ms = without_core_ms(pid)
+            if waited_ms is None:
                 continue
-            seen[process] = waited
-            more = waited - self.before.get(process, waited)
-            if more > LEAST:
+            waits[pid] = waited_ms
+            increase_ms = waited_ms - self.previous_waits.get(pid, waited_ms)
+            if increase_ms > MIN_RECORDED_WAIT_MS:
                 for name in names:
-                    self.record.add("waited", name, a=more, b=EVERY)
-        self.before = seen
+                    self.record.add("waited", name, a=increase_ms, b=SAMPLE_INTERVAL_MS)
+        self.previous_waits = waits
--- a/cherrydoor/rehearsal/effects.py
+++ b/cherrydoor/rehearsal/effects.py
@@ -1,102 +1,119 @@
-"""Rule 2 from traffic: no effect twice, no two launches of one event at once, nothing deferred that may have run."""
+"""Checks rule 2 on recorded traffic: no effect happens twice.
+
+It also requires that a request is never launched again or deferred when an earlier launch may have run, and that two
+launches of one request are never in flight at the same time.
+"""
 
 from collections import defaultdict
 from typing import Any
 
-from cherrydoor.rehearsal.seen import NEVER_RAN, SLACK, key
+from cherrydoor.rehearsal.seen import NEVER_RAN_OUTCOMES, SLACK_MS, launch_key
 
 
 class EffectAudit:
-    """Effects and launches as hosts had them; what was seen is the audit's."""
+    """Checks the effects and launches that hosts recorded; `Audit` sets the attributes."""
 
     seen: Any
     terms: dict
-    ends: Any
+    client_results: Any
     launches: Any
     outcomes: dict
     add_violation: Any
 
     def rule_2(self):
-        effects, kinds = defaultdict(list), self.terms["events"]
+        """Check effects by idempotency key, then the launches and the answer of each request."""
+        effects, classes = defaultdict(list), self.terms["events"]
         for row in self.seen.of("host", "effect"):
             effects[row["clause"], row["mark"]].append(row)
-        for (clause, mark), rows in effects.items():
-            if kinds[clause]["kind"] != "redeliverable" and len(rows) > 1:
+        for (request_class, idempotency_key), rows in effects.items():
+            if classes[request_class]["kind"] != "redeliverable" and len(rows) > 1:
                 self.add_violation(
                     2,
                     rows[1]["t"],
-                    f"an effect twice ({kinds[clause]['kind']}, {mark})",
+                    f"effect ran twice ({classes[request_class]['kind']}, {idempotency_key})",
                     rows[1]["peer"],
                     rows[1]["event"],
                 )
         ends = self.launch_ends()
-        for number, launches in self.launches.items():
+        for request_id, launches in self.launches.items():
             launches.sort(key=lambda r: r["t"])
-            kind = kinds[launches[0]["clause"]]
+            request_class = classes[launches[0]["clause"]]
             for before, after in zip(launches, launches[1:], strict=False):
-                both = (
-                    min(ends[key(before)], ends[key(after)]) - after["t"]
-                )  # 0 where one came dead on arrival
-                if not self.terms["twice"] and both > SLACK:
+                # Not positive if one of the two had already timed out when it reached its host.
+                overlap_ms = min(ends[launch_key(before)], ends[launch_key(after)]) - after["t"]
+                if not self.terms["twice"] and overlap_ms > SLACK_MS:
                     self.add_violation(
-                        2, after["t"], "two launches out at once", after["peer"], number
+                        2, after["t"], "two launches in flight at once", after["peer"], request_id
                     )
-                if kind["kind"] == "at-most-once" and not self.never_ran(before):
+                if request_class["kind"] == "at-most-once" and not self.never_ran(before):
                     self.add_violation(
                         2,
                         after["t"],
-                        "a further launch of what may have run",
+                        "another launch of an at-most-once request that may have run",
                         after["peer"],
-                        number,
+                        request_id,
                     )
                 if (
-                    kind["kind"] == "keyed"
+                    request_class["kind"] == "keyed"
                     and not self.never_ran(before)
-                    and (after["t"] - before["t"] > kind["memory"] + SLACK)
+                    and (after["t"] - before["t"] > request_class["memory"] + SLACK_MS)
                 ):
                     self.add_violation(
                         2,
                         after["t"],
-                        "a further launch past what hosts remember",
+                        "another launch after hosts may have forgotten the idempotency key",
                         after["peer"],
-                        number,
+                        request_id,
                     )
-            answer = next((r for r in self.ends.get(number, ()) if r["what"] == "answer"), None)
-            ran = [r for r in launches if not self.never_ran(r)]
+            answer = next(
+                (r for r in self.client_results.get(request_id, ()) if r["what"] == "answer"), None
+            )
+            may_have_run = [r for r in launches if not self.never_ran(r)]
+            # A client repeats a deferred request. That does no harm where repeats are allowed, or where all hosts
+            # recognise the idempotency key.
             harmless = (
-                kind["kind"] == "redeliverable"
-                or kind["kind"] == "keyed"
-                and kind["group"] == "all"
+                request_class["kind"] == "redeliverable"
+                or request_class["kind"] == "keyed"
+                and request_class["group"] == "all"
             )
-            if answer and answer["fate"] == "deferred" and ran and not harmless:
+            if answer and answer["fate"] == "deferred" and may_have_run and not harmless:
                 self.add_violation(
-                    2, answer["t"], "a deferral of what may have run", answer["peer"], number
+                    2,
+                    answer["t"],
+                    "deferral of a request that may have run",
+                    answer["peer"],
+                    request_id,
                 )
 
     def never_ran(self, launch):
-        outcome = self.outcomes.get(key(launch))
-        return outcome is not None and outcome["fate"] in NEVER_RAN
+        """Return whether the host answered the launch with an outcome that excludes that it ran."""
+        outcome = self.outcomes.get(launch_key(launch))
+        return outcome is not None and outcome["fate"] in NEVER_RAN_OUTCOMES
 
     def launch_ends(self):
-        """When each launch ended as its host saw it: answered, recalled, cut, or past its limit."""
+        """Return when each launch ended, in ms, as its host recorded it.
+
+        A launch ends with the first of these: its answer, its cancellation, the end of its connection, the end of its
+        host, or its time limit.
+        """
         found = {}
-        recalls = defaultdict(list)  # of what has run to its end the host knows the id alone
+        # By host, gateway and id alone: a host no longer knows the request of a launch that has finished.
+        recalls = defaultdict(list)
         for row in self.seen.of("host", "recall"):
             recalls[row["who"], row["peer"], row["id"]].append(row["t"])
-        lost = {
-            key(r): r["t"] for r in self.seen.of("host", "answer lost")
-        }  # it ran, and nobody was told
-        cuts = {key(r): r["t"] for r in self.seen.of("host", "cut")}
+        # The launch ran, but the gateway did not receive the answer.
+        lost = {launch_key(r): r["t"] for r in self.seen.of("host", "answer lost")}
+        cuts = {launch_key(r): r["t"] for r in self.seen.of("host", "cut")}
         downs = defaultdict(list)
         for row in self.seen.of("host", "host down"):
             downs[row["who"]].append(row["t"])
         for launches in self.launches.values():
             for row in launches:
-                k = key(row)
-                times = [row["t"] + row["a"], cuts.get(k, 1e18), lost.get(k, 1e18)]
-                times += [t for t in recalls.get(k[:3], ()) if t >= row["t"]]
-                if k in self.outcomes:
-                    times.append(self.outcomes[k]["t"])
+                key = launch_key(row)
+                times = [row["t"] + row["a"], cuts.get(key, 1e18), lost.get(key, 1e18)]
+                times += [t for t in recalls.get(key[:3], ()) if t >= row["t"]]
+                if key in self.outcomes:
+                    times.append(self.outcomes[key]["t"])
                 times += [t for t in downs[row["who"]] if t >= row["t"]]
-                found[k] = min(times)
+                found[key] = min(times)
         return found
--- a/cherrydoor/rehearsal/service.py
+++ b/cherrydoor/rehearsal/service.py
@@ -1,4 +1,4 @@
-"""How well the clients of a run were served, from what they noted themselves."""
+"""Measures how well the clients of a run were figures, from the rows that they recorded."""
 
 from collections import Counter
 from typing import Any
@@ -6,116 +6,138 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from cherrydoor.rehearsal.seen import key
+from cherrydoor.rehearsal.seen import launch_key
 
-WINDOW = 10000.0  # of the worst ten seconds
+# Length of the window in which the share within target is lowest (`worst_ten_seconds`).
+WORST_WINDOW_MS = 10000.0
 
 
 class ServiceLevels:
-    """Figures of service; what was seen is the audit's."""
+    """Computes the figures of service; `Audit` sets the attributes."""
 
     seen: Any
     terms: dict
-    ends: Any
+    client_results: Any
     begun: float
     warm: float
     launches: Any
     outcomes: dict
-    down: Any
-    stopped: Any
+    killed_intervals: Any
+    stopped_intervals: Any
 
     def service_levels(self):
-        kinds, firsts = self.terms["events"], {}
+        """Compute the share of requests answered within target, latencies, and benefit lost.
+
+        Requests that were due before the warm-up ended don't count. A request counts once, whatever its repeats; time
+        runs from when it was due to its first handled answer.
+
+        Returns:
+            The figures for the report, and a counter of requests due and in time by (second of the run, name).
+        """
+        classes, firsts = self.terms["events"], {}
         for what in ("sent", "unreachable"):
             for row in self.seen.of("client", what):
                 if row["text"] != "extra":
-                    one = firsts.setdefault(int(row["c"]), {"row": row, "tries": []})
-                    one["tries"].append(row["id"] if what == "sent" else None)
-        histograms = {name: HdrHistogram(1, 60_000_000, 3) for name in kinds}
-        times, in_time, party, seconds, worth = (
+                    first = firsts.setdefault(int(row["c"]), {"row": row, "tries": []})
+                    first["tries"].append(row["id"] if what == "sent" else None)
+        histograms = {name: HdrHistogram(1, 60_000_000, 3) for name in classes}
+        due_times, in_time, parties, seconds, due_and_lost = (
             [],
             [],
             [],
             Counter(),
-            {name: [0, 0] for name in kinds},
+            {name: [0, 0] for name in classes},
         )
-        for one in firsts.values():
-            row = one["row"]
+        for first in firsts.values():
+            row = first["row"]
             if row["a"] < self.begun + self.warm:
                 continue
             handled = [
                 r["t"]
-                for number in one["tries"]
-                if number is not None
-                for r in self.ends.get(number, ())
+                for request_id in first["tries"]
+                if request_id is not None
+                for r in self.client_results.get(request_id, ())
                 if r["what"] == "answer" and r["fate"] == "handled"
             ]
-            took = min(handled) - row["a"] if handled else None
-            if took is not None:
-                histograms[row["clause"]].record_value(max(1, int(took * 1000)))
-            times.append(row["a"])
-            in_time.append(took is not None and took <= kinds[row["clause"]]["target"])
-            party.append(row["party"])
-            worth[row["clause"]][0] += 1
-            worth[row["clause"]][1] += not in_time[-1]
-        due, good = np.array(times), np.array(in_time, float)
-        served: dict = {"share": float(good.mean()) if len(good) else 0.0, "events": len(good)}
-        served["benefit"] = {
-            "due": sum(count * kinds[name]["benefit"] for name, (count, _) in worth.items()),
-            "lost": sum(late * kinds[name]["benefit"] for name, (_, late) in worth.items()),
-            "lost of": {name: late / count for name, (count, late) in worth.items() if count},
+            took_ms = min(handled) - row["a"] if handled else None
+            if took_ms is not None:
+                histograms[row["clause"]].record_value(max(1, int(took_ms * 1000)))
+            due_times.append(row["a"])
+            in_time.append(took_ms is not None and took_ms <= classes[row["clause"]]["target"])
+            parties.append(row["party"])
+            due_and_lost[row["clause"]][0] += 1
+            due_and_lost[row["clause"]][1] += not in_time[-1]
+        due, good = np.array(due_times), np.array(in_time, float)
+        figures: dict = {"share": float(good.mean()) if len(good) else 0.0, "events": len(good)}
+        figures["benefit"] = {
+            "due": sum(
+                count * classes[name]["benefit"] for name, (count, _) in due_and_lost.items()
+            ),
+            "lost": sum(
+                lost * classes[name]["benefit"] for name, (_, lost) in due_and_lost.items()
+            ),
+            "lost of": {
+                name: lost / count for name, (count, lost) in due_and_lost.items() if count
+            },
         }
         if len(due):
             order = np.argsort(due)
             total, count = np.cumsum(good[order]), np.arange(1, len(due) + 1)
-            ordered, worst, at = due[order], 1.0, 0.0
-            for start in np.arange(ordered[0], max(ordered[0], ordered[-1] - WINDOW) + 1, 1000.0):
-                i, j = np.searchsorted(ordered, [start, start + WINDOW])
-                if j - i >= 10:
+            ordered, worst_share, worst_at = due[order], 1.0, 0.0
+            for start in np.arange(
+                ordered[0], max(ordered[0], ordered[-1] - WORST_WINDOW_MS) + 1, 1000.0
+            ):
+                i, j = np.searchsorted(ordered, [start, start + WORST_WINDOW_MS])
+                if j - i >= 10:  # a share of fewer requests says little
                     share = (total[j - 1] - (total[i - 1] if i else 0)) / (
                         count[j - 1] - (count[i - 1] if i else 0)
                     )
-                    if share < worst:
-                        worst, at = float(share), float(start - self.begun)
-            served |= {"worst_ten_seconds": worst, "worst_at": at}
-            names = sorted(set(party))
-            shares = {n: float(good[np.array(party) == n].mean()) for n in names}
-            served |= {"parties": shares, "worst_party": min(names, key=lambda n: shares[n])}
+                    if share < worst_share:
+                        worst_share, worst_at = float(share), float(start - self.begun)
+            figures |= {"worst_ten_seconds": worst_share, "worst_at": worst_at}
+            names = sorted(set(parties))
+            shares = {n: float(good[np.array(parties) == n].mean()) for n in names}
+            figures |= {"parties": shares, "worst_party": min(names, key=lambda n: shares[n])}
             for second, is_good in zip(
                 ((due - self.begun) // 1000).astype(int).tolist(), good, strict=True
             ):
                 seconds[second, "due"] += 1
                 seconds[second, "in time"] += int(is_good)
-        served["ms"] = {
+        figures["ms"] = {
             name: {f"p{p:g}": h.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 99.9)}
             | {"count": h.get_total_count()}
             for name, h in histograms.items()
         }
-        return served, seconds
+        return figures, seconds
 
     def admission_figures(self):
-        """How known clients came in, and what the flood got; {} on days without either.
+        """Count the connections that known clients tried and got, and those that the flood got.
+
+        Attempts to connect to a gateway that was down or stopped, or was just about to be, are left out: they say
+        nothing about admission.
 
-        A connect to a gateway that was down, stopped, or about to be, is nobody's refusal."""
+        Returns:
+            Figures by kind; {} on days without connects and flood.
+        """
         seen, found = self.seen, {}
-        for name, good, bad in (
+        for name, succeeded, failed in (
             ("connects", seen.of("client", "connected"), seen.of("client", "connect failed")),
             ("came back", seen.of("crowd", "came back"), []),
         ):
-            rows = [(r, True) for r in good if r["fate"] != "refused"]
+            rows = [(r, True) for r in succeeded if r["fate"] != "refused"]
             rows += [
                 (r, False)
-                for r in [*bad, *good]
+                for r in [*failed, *succeeded]
                 if r["what"] == "connect failed" or r["fate"] == "refused"
             ]
-            rows = [(r, ok) for r, ok in rows if ok or not self.away(r)]
+            rows = [(r, ok) for r, ok in rows if ok or not self.gateway_was_away(r)]
             if rows:
-                took = [r["a"] for r, ok in rows if ok] or [0.0]
+                took_ms = [r["a"] for r, ok in rows if ok] or [0.0]
                 found[name] = {
                     "tried": len(rows),
                     "let in": sum(ok for _, ok in rows),
-                    "p50": float(np.percentile(took, 50)),
-                    "p99": float(np.percentile(took, 99)),
+                    "p50": float(np.percentile(took_ms, 50)),
+                    "p99": float(np.percentile(took_ms, 99)),
                     "why not": dict(Counter(r["text"] for r, ok in rows if not ok).most_common(5)),
                 }
         if floods := seen.of("crowd", "flood"):
@@ -126,65 +148,79 @@
             }
         return found
 
-    def away(self, row):
-        """Whether its gateway was down or stopped at any time while it tried."""
+    def gateway_was_away(self, row):
+        """Return whether the gateway was down or stopped at any time while a client tried to connect.
+
+        The row's `a` is how long the attempt took, in ms. Each interval is widened by 100 ms at its start and 300 ms at
+        its end. Once the run is closing, all gateways are being shut down, so the answer is always yes.
+        """
         closing = [r["t"] for r in self.seen.of("conductor", "closing")]
         return (
             bool(closing)
             and row["t"] >= closing[0]
             or any(
                 begin - 100 <= row["t"] and row["t"] - row["a"] <= end + 300
-                for spans in (self.down, self.stopped)
-                for begin, end in spans.get(row["peer"], ())
+                for intervals in (self.killed_intervals, self.stopped_intervals)
+                for begin, end in intervals.get(row["peer"], ())
             )
         )
 
     def figures_during(self, kind):
-        """(share within target, p99 in ms, events) of what was due while that trouble lasted; None without it."""
+        """Return the figures of the requests that were due during the faults of one kind.
+
+        Returns:
+            The count of requests, the share within target and the 99th percentile in ms of those handled; None if the
+            run had no such fault.
+        """
         times = [r["t"] for r in self.seen.of("conductor", "trouble") if r["text"] == kind]
-        spans = list(zip(times[::2], times[1::2], strict=False))
-        if not spans:
+        # Rows alternate between the fault's begin and its end.
+        intervals = list(zip(times[::2], times[1::2], strict=False))
+        if not intervals:
             return None
-        took, good = [], 0
+        took_ms, in_time = [], 0
         for row in self.seen.of("client", "sent"):
             if (
                 row["number"]
                 or row["text"] == "extra"
-                or not any(a <= row["a"] <= b for a, b in spans)
+                or not any(begin <= row["a"] <= end for begin, end in intervals)
             ):
                 continue
-            # first tries: a repeat's answer would belong to another launch
+            # Repeats are skipped above: their answers belong to other launches.
             handled = [
                 r["t"] - row["a"]
-                for r in self.ends.get(row["event"], ())
+                for r in self.client_results.get(row["event"], ())
                 if r["what"] == "answer" and r["fate"] == "handled"
             ]
-            took.append(handled[0] if handled else float("inf"))
-            good += bool(handled) and handled[0] <= self.terms["events"][row["clause"]]["target"]
-        found = sorted(x for x in took if x < float("inf"))
+            took_ms.append(handled[0] if handled else float("inf"))
+            in_time += bool(handled) and handled[0] <= self.terms["events"][row["clause"]]["target"]
+        handled_ms = sorted(ms for ms in took_ms if ms < float("inf"))
         return {
-            "events": len(took),
-            "share": good / max(1, len(took)),
-            "p99": found[int(len(found) * 0.99)] if found else 0.0,
+            "events": len(took_ms),
+            "share": in_time / max(1, len(took_ms)),
+            "p99": handled_ms[int(len(handled_ms) * 0.99)] if handled_ms else 0.0,
         }
 
     def release_figures(self):
-        """Version -> launches, errors and, in s of the run, from when until when it was launched, over all gateways;
-        those with most errors first, twenty at most."""
+        """Return figures of the released versions, over all gateways.
+
+        Returns:
+            By version: launches, errors, and when it was first and last launched, in s from the start of the run.
+            Versions with most errors come first; at most twenty are listed.
+        """
         found = {}
         for launches in self.launches.values():
             for row in launches:
-                if "@" not in row["function"]:
+                if "@" not in row["function"]:  # the name holds no version
                     continue
-                one = found.setdefault(
+                version = found.setdefault(
                     row["function"], {"launches": 0, "errors": 0, "from": 1e18, "until": 0.0}
                 )
-                outcome, at = self.outcomes.get(key(row)), (row["t"] - self.begun) / 1000
-                one["launches"] += 1
-                one["errors"] += outcome is not None and outcome["fate"] == "error"
-                one["from"], one["until"] = (
-                    min(one["from"], round(at, 1)),
-                    max(one["until"], round(at, 1)),
+                outcome, at_s = self.outcomes.get(launch_key(row)), (row["t"] - self.begun) / 1000
+                version["launches"] += 1
+                version["errors"] += outcome is not None and outcome["fate"] == "error"
+                version["from"], version["until"] = (
+                    min(version["from"], round(at_s, 1)),
+                    max(version["until"], round(at_s, 1)),
                 )
         ranked = sorted(
             found.items(), key=lambda item: (-item[1]["errors"], -item[1]["launches"], item[0])
