--- a/cherrydoor/rehearsal/answers.py
+++ b/cherrydoor/rehearsal/answers.py
@@ -18,7 +18,7 @@
 class AnswerAudit:
     """Checks the answers that clients recorded; `Audit` sets the attributes."""
 
-    sent_requests: dict
+    sent: dict
     terms: dict
     client_results: Any
     launches: Any
@@ -33,7 +33,7 @@
 
     def rule_1(self):
         """Check that each request got one final answer in time and was not launched afterwards."""
-        for request_id, sent in self.sent_requests.items():
+        for request_id, sent in self.sent.items():
             gateway, until = sent["peer"], sent["t"] + sent["b"]
             rows = self.client_results.get(request_id, [])
             answers = [r for r in rows if r["what"] == "answer"]
@@ -59,7 +59,7 @@
                             1, launch["t"], "launch after the final answer", gateway, request_id
                         )
         for request_id, rows in self.client_results.items():
-            if request_id not in self.sent_requests:
+            if request_id not in self.sent:
                 self.add_violation(
                     1,
                     rows[0]["t"],
--- a/cherrydoor/rehearsal/audit.py
+++ b/cherrydoor/rehearsal/audit.py
@@ -34,13 +34,14 @@
             Path(folder) / "traffic" if (Path(folder) / "traffic").exists() else folder
         )
         terms_rows = seen.of("conductor", "terms")
-        begun_rows = seen.of("conductor", "begun")
-        if not terms_rows or not begun_rows:
+        begun = seen.of("conductor", "begun")
+        if not terms_rows or not begun:
             raise Unreadable('the conductor\'s rows lack a "terms" or a "begun" row')
-        self.terms, self.begun = json.loads(terms_rows[0]["text"]), begun_rows[0]["t"]
-        self.warm = begun_rows[0]["a"]
+        self.terms, self.begun = json.loads(terms_rows[0]["text"]), begun[0]["t"]
+        self.warm = begun[0]["a"]
         self.violations, self.excused, self.starved_of_cpu = [], Counter(), []
-        self.sent_requests = {row["id"]: row for row in seen.of("client", "sent")}
+        # request -> row of its sending; a repeat by the client is a request of its own
+        self.sent = {row["id"]: row for row in seen.of("client", "sent")}
         # request -> rows of how its client saw it start and end, in order of time
         self.client_results = defaultdict(list)
         for what in ("answer", "gave up", "withdrew", "cut", "started", "not known"):
@@ -88,9 +89,9 @@
             begin - SLACK_MS <= t <= end + after_ms for begin, end in intervals.get(gateway, ())
         )
 
-    def add_violation(self, rule, t_ms, description, gateway="", event=0):
+    def add_violation(self, rule, t, description, gateway="", event=0):
         """Add one violation; `event` is the request id, 0 if it concerns no single request."""
-        self.violations.append(Violation(rule, t_ms, description, gateway, event))
+        self.violations.append(Violation(rule, t, description, gateway, event))
 
     # ---- rule 3: drains are kept
     def rule_3(self):
@@ -98,8 +99,8 @@
 
         The period starts when the gateway acknowledges the list update by which the host is no longer ready.
         """
-        grace_ms = self.terms["grace"]
-        states_known = defaultdict(list)  # (gateway, host) -> (when, state)
+        # states_known: (gateway, host) -> (when, state)
+        grace_ms, states_known = self.terms["grace"], defaultdict(list)
         for (gateway, _), (t, rows, whole) in sorted(
             self.list_updates().items(), key=lambda item: item[1][0]
         ):
@@ -216,7 +217,7 @@
         for row in self.seen.of("host", "order"):
             if row["number"]:
                 orders[row["peer"]].append(row["t"])
-        for row in self.sent_requests.values():
+        for row in self.sent.values():
             requests[row["peer"]].append(row["t"])
         for gateway, times in orders.items():
             times.sort()
@@ -241,7 +242,7 @@
         """Return a violation as the report has it; `at` is in ms from the start of the run."""
         return {
             "rule": violation.rule,
-            "at": round(violation.t_ms - self.begun, 1),
+            "at": round(violation.t - self.begun, 1),
             "what": violation.description,
             "gateway": violation.gateway,
             "event": violation.event,
@@ -290,7 +291,7 @@
             {"what": r["text"], "at": r["t"] - self.begun, "begins": r["fate"] == "begins"}
             for r in seen.of("conductor", "trouble")
         ]
-        self.violations.sort(key=lambda violation: (violation.t_ms, violation.rule))
+        self.violations.sort(key=lambda violation: (violation.t, violation.rule))
         return {
             "day": self.terms["name"],
             "seed": self.terms["seed"],
--- a/cherrydoor/rehearsal/effects.py
+++ b/cherrydoor/rehearsal/effects.py
@@ -25,12 +25,12 @@
         effects, classes = defaultdict(list), self.terms["events"]
         for row in self.seen.of("host", "effect"):
             effects[row["clause"], row["mark"]].append(row)
-        for (request_class, idempotency_key), rows in effects.items():
-            if classes[request_class]["kind"] != "redeliverable" and len(rows) > 1:
+        for (class_name, idempotency_key), rows in effects.items():
+            if classes[class_name]["kind"] != "redeliverable" and len(rows) > 1:
                 self.add_violation(
                     2,
                     rows[1]["t"],
-                    f"effect ran twice ({classes[request_class]['kind']}, {idempotency_key})",
+                    f"effect ran twice ({classes[class_name]['kind']}, {idempotency_key})",
                     rows[1]["peer"],
                     rows[1]["event"],
                 )
--- a/cherrydoor/rehearsal/seen.py
+++ b/cherrydoor/rehearsal/seen.py
@@ -59,10 +59,10 @@
 class Violation:
     """One violation of a rule: the rule's number, the time, a description, and the gateway and request concerned."""
 
-    def __init__(self, rule, t_ms, description, gateway="", event=0):
-        self.rule, self.t_ms, self.description, self.gateway, self.event = (
+    def __init__(self, rule, t, description, gateway="", event=0):
+        self.rule, self.t, self.description, self.gateway, self.event = (
             rule,
-            t_ms,
+            t,
             description,
             gateway,
             event,
--- a/cherrydoor/rehearsal/takeover_audit.py
+++ b/cherrydoor/rehearsal/takeover_audit.py
@@ -15,7 +15,7 @@
     """Checks ended incarnations, as hosts were told of them, and drained zones; `Audit` sets the attributes."""
 
     seen: Any
-    sent_requests: dict
+    sent: dict
     terms: dict
     client_results: Any
     launches: Any
@@ -57,11 +57,7 @@
                     self.add_violation(
                         2, row["t"], "launch by an ended incarnation", row["peer"], request_id
                     )
-                owner = (
-                    self.sent_requests[request_id]["peer"]
-                    if request_id in self.sent_requests
-                    else row["peer"]
-                )
+                owner = self.sent[request_id]["peer"] if request_id in self.sent else row["peer"]
                 if row["peer"] != owner and any(
                     t < row["t"]
                     and row["c"] < fencing_token
@@ -93,7 +89,7 @@
 
         It is taken from the owner's first launch.
         """
-        owner = self.sent_requests[request_id]["peer"] if request_id in self.sent_requests else None
+        owner = self.sent[request_id]["peer"] if request_id in self.sent else None
         return next(
             (float(r["text"] or 0) for r in self.launches[request_id] if r["peer"] == owner), None
         )
@@ -132,7 +128,7 @@
         claims = {row["event"] for row in self.seen.of("client", "claims")}
         found: Counter = Counter()
         classes, took = self.terms["events"], []
-        for request_id, sent in self.sent_requests.items():
+        for request_id, sent in self.sent.items():
             rows = self.client_results.get(request_id, [])
             cut = next((r for r in rows if r["what"] == "cut"), None)
             if cut is None:
