--- a/cherrydoor/rehearsal/audit.py
+++ b/cherrydoor/rehearsal/audit.py
@@ -163,8 +163,8 @@
     def rule_4(self):
         """Check that the work sent to a host in slow start stays within what a host of that warm-up level can take.
 
-        A host's level rises evenly from `from` to 1 over `time` ms. It fails when it gets more than `multiple` times
-        its capacity at that level within `fall` ms.
+        A host's level rises evenly from `from` to 1 over `time` ms, and the host is checked for that time or until it
+        goes down. It fails when it gets more than `multiple` times its capacity at that level within `fall` ms.
         """
         cold = self.terms["cold"]
         if not cold["fall"] or not cold["multiple"]:
--- a/cherrydoor/rehearsal/service.py
+++ b/cherrydoor/rehearsal/service.py
@@ -1,4 +1,4 @@
-"""Measures how well the clients of a run were figures, from the rows that they recorded."""
+"""Measures how well the clients of a run were served, from the rows that they recorded."""
 
 from collections import Counter
 from typing import Any
@@ -34,19 +34,21 @@
         Returns:
             The figures for the report, and a counter of requests due and in time by (second of the run, name).
         """
+        # firsts: index of the request among the day's arrivals -> its first row, and the ids of all its tries
         classes, firsts = self.terms["events"], {}
         for what in ("sent", "unreachable"):
             for row in self.seen.of("client", what):
                 if row["text"] != "extra":
                     first = firsts.setdefault(int(row["c"]), {"row": row, "tries": []})
                     first["tries"].append(row["id"] if what == "sent" else None)
+        # in µs, up to 60 s
         histograms = {name: HdrHistogram(1, 60_000_000, 3) for name in classes}
         due_times, in_time, parties, seconds, due_and_lost = (
             [],
             [],
             [],
             Counter(),
-            {name: [0, 0] for name in classes},
+            {name: [0, 0] for name in classes},  # requests due, and those not answered in time
         )
         for first in firsts.values():
             row = first["row"]
@@ -113,8 +115,8 @@
     def admission_figures(self):
         """Count the connections that known clients tried and got, and those that the flood got.
 
-        Attempts to connect to a gateway that was down or stopped, or was just about to be, are left out: they say
-        nothing about admission.
+        Failed attempts to connect to a gateway that was down or stopped, or was just about to be, are left out: they
+        say nothing about admission.
 
         Returns:
             Figures by kind; {} on days without connects and flood.
@@ -173,7 +175,7 @@
             run had no such fault.
         """
         times = [r["t"] for r in self.seen.of("conductor", "trouble") if r["text"] == kind]
-        # Rows alternate between the fault's begin and its end.
+        # Rows of the fault's start and its end alternate.
         intervals = list(zip(times[::2], times[1::2], strict=False))
         if not intervals:
             return None
