--- a/cherrydoor/rehearsal/answers.py
+++ b/cherrydoor/rehearsal/answers.py
@@ -7,7 +7,8 @@
 
 from cherrydoor.rehearsal.seen import SLACK_MS, Violation
 
-# Waits for a core count towards a late answer if they fall this close to the end of the client's time.
+# Waits for a core can explain a late answer if they were recorded from this long before the end of the client's time to
+# this long after the answer came.
 CORE_WAIT_WINDOW_MS = 150.0
 
 # A gateway that was stopped or cut off may take this long, after it runs or is reachable again, to learn that its
@@ -115,7 +116,7 @@
     def add_time_violation(self, t, description, gateway, request_id, until, late_ms=0.0):
         """Add a violation of rule 1 that consists in time alone.
 
-        It goes to `starved_of_cpu` in place of `violations` when a lack of CPU explains it.
+        If a lack of CPU explains it, it is added to `starved_of_cpu` and not to `violations`.
         """
         if self.terms.get("spare") and self.was_starved_of_cpu(gateway, until, late_ms):
             self.starved_of_cpu.append(Violation(1, t, description, gateway, request_id))
--- a/cherrydoor/rehearsal/cpu_starvation.py
+++ b/cherrydoor/rehearsal/cpu_starvation.py
@@ -2,7 +2,7 @@
 
 The audit uses this to tell a gateway's own delay from a delay caused by an overloaded machine. Linux reports the time
 for each thread (`/proc/PID/task/TID/schedstat`, second field, in ns). When the whole machine was suspended, the
-sampling itself pauses, and that pause is recorded. Where neither is available, nothing is recorded and nothing excused.
+sampling itself pauses, and that pause is recorded. Without either, nothing is recorded and no late answer is excused.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
             now: Returns the time in ms.
             processes: Called for each sample; returns pairs of names and process id.
         """
-        self.record, self.now, self.processes, self.previous_waits = record, now, processes, {}
+        self.record, self.now, self.processes, self.previous_waits_ms = record, now, processes, {}
 
     async def watch(self):
         """Take a sample at each interval until cancelled."""
@@ -54,14 +54,14 @@
 
     def sample(self):
         """Record how much longer each process has waited for a core since the previous sample."""
-        waits = {}
+        waits_ms = {}
         for names, pid in self.processes():
             waited_ms = without_core_ms(pid)
             if waited_ms is None:
                 continue
-            waits[pid] = waited_ms
-            increase_ms = waited_ms - self.previous_waits.get(pid, waited_ms)
+            waits_ms[pid] = waited_ms
+            increase_ms = waited_ms - self.previous_waits_ms.get(pid, waited_ms)
             if increase_ms > MIN_RECORDED_WAIT_MS:
                 for name in names:
                     self.record.add("waited", name, a=increase_ms, b=SAMPLE_INTERVAL_MS)
-        self.previous_waits = waits
+        self.previous_waits_ms = waits_ms
