--- a/cherrydoor/rehearsal/__init__.py
+++ b/cherrydoor/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted days on loopback sockets: traffic, troubles, capture at the far ends, the audit and the report."""
+"""Plays scenarios on loopback sockets: traffic, faults, records of both ends, the audit and the report."""
--- a/cherrydoor/rehearsal/processes.py
+++ b/cherrydoor/rehearsal/processes.py
@@ -1,4 +1,4 @@
-"""One part of a rehearsal as a process of its own, and ports for them."""
+"""Child processes that play the parts of a rehearsal, and the ports that they listen on."""
 
 import asyncio
 import contextlib
@@ -12,28 +12,33 @@
 
 
 class RunFailedError(RuntimeError):
-    """The run could not be made; says why."""
+    """The scenario could not be played; the message states the reason."""
 
 
 class ManagedProcess:
-    """One process, in a group of its own. Its standard input is held open: when we die, it ends."""
+    """A child process in its own process group, commanded with JSON lines.
+
+    The child reads commands from its standard input and writes messages to its standard output.
+    Its standard input stays open as long as this process lives, so the child exits when this
+    process dies.
+    """
 
     def __init__(self, name, log_file):
-        self.name, self.log_file, self.process, self.waiting, self.tags = (
+        self.name, self.log_file, self.process, self.pending_results, self.last_tag = (
             name,
             log_file,
             None,
             {},
             0,
         )
-        self.said = asyncio.Queue()
+        self.messages = asyncio.Queue()
 
-    async def start(self, *words, given=None, descriptors=0):
+    async def start(self, *arguments, settings=None, descriptors=0):
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "cherrydoor",
-            *words,
+            *arguments,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=self.log_file,
@@ -44,76 +49,92 @@
             else None,
             env=os.environ | {"PYTHONPATH": os.pathsep.join(p for p in sys.path if p)},
         )
-        if given is not None:
-            self.process.stdin.write(json.dumps(given).encode() + b"\n")
-        self.task = asyncio.get_running_loop().create_task(self.listen())
+        if settings is not None:
+            self.process.stdin.write(json.dumps(settings).encode() + b"\n")
+        self.task = asyncio.get_running_loop().create_task(self.read_messages())
         return self
 
-    async def listen(self):
+    async def read_messages(self):
         while line := await self.process.stdout.readline():
-            said = json.loads(line)
-            future = self.waiting.pop(said.get("of"), None) if said["is"] == "done" else None
+            message = json.loads(line)
+            future = (
+                self.pending_results.pop(message.get("of"), None)
+                if message["is"] == "done"
+                else None
+            )
             if future:
-                future.set_result(said["result"])
-            elif said["is"] != "done":
-                self.said.put_nowait(said)
+                future.set_result(message["result"])
+            elif message["is"] != "done":
+                self.messages.put_nowait(message)
         code = await self.process.wait()
-        self.said.put_nowait({"is": "ended", "code": code})
-        for future in self.waiting.values():
-            future.set_exception(RunFailedError(f"{self.name} ended with {code}"))
+        self.messages.put_nowait({"is": "ended", "code": code})
+        for future in self.pending_results.values():
+            future.set_exception(RunFailedError(f"{self.name} exited with {code}"))
+
+    async def wait_for_message(self, kind, timeout_s=60.0):
+        """Returns the next message of that kind and discards the messages before it.
 
-    async def until(self, what, wait=60.0):
-        """The next thing of that kind that it says; RunFailedError where it says none in time or ends."""
+        Raises RunFailedError if the process sends none within `timeout_s` seconds, reports an error or exits.
+        """
         try:
             while True:
-                said = await asyncio.wait_for(self.said.get(), wait)
-                if said["is"] == what:
-                    return said
-                if said["is"] in ("ended", "wrong"):
-                    raise RunFailedError(f"{self.name}: {said}; see {self.log_file.name}")
+                message = await asyncio.wait_for(self.messages.get(), timeout_s)
+                if message["is"] == kind:
+                    return message
+                if message["is"] in ("ended", "wrong"):
+                    raise RunFailedError(f"{self.name}: {message}; see {self.log_file.name}")
         except TimeoutError:
-            raise RunFailedError(f"{self.name} says no {what!r} within {wait:g} s") from None
-
-    def command(self, do, **values):
-        """A command; the future gives its result."""
-        self.tags += 1
-        future = self.waiting[self.tags] = asyncio.get_running_loop().create_future()
+            raise RunFailedError(
+                f"{self.name} sent no {kind!r} message within {timeout_s:g} s"
+            ) from None
+
+    def command(self, command_name, **values):
+        """Sends a command; returns a future of its result."""
+        self.last_tag += 1
+        future = self.pending_results[self.last_tag] = asyncio.get_running_loop().create_future()
         self.process.stdin.write(
-            json.dumps({"do": do, "tag": self.tags, **values}).encode() + b"\n"
+            json.dumps({"do": command_name, "tag": self.last_tag, **values}).encode() + b"\n"
         )
         return future
 
-    def signal(self, number):
+    def signal(self, signal_number):
         if self.process and self.process.returncode is None:
-            with contextlib.suppress(ProcessLookupError):  # it ended a moment ago
-                os.killpg(self.process.pid, number)
+            with contextlib.suppress(ProcessLookupError):  # the process has just exited
+                os.killpg(self.process.pid, signal_number)
 
-    async def end(self, wait=5.0):
-        """Lets it end by itself, then makes it."""
+    async def stop(self, timeout_s=5.0):
+        """Closes the standard input of the process, which asks it to exit; kills it after `timeout_s` seconds.
+
+        Returns the exit code, or None if the process was never started.
+        """
         if self.process is None:
             return None
         self.process.stdin.close()
         try:
-            return await asyncio.wait_for(self.process.wait(), wait)
+            return await asyncio.wait_for(self.process.wait(), timeout_s)
         except TimeoutError:
             self.signal(signal.SIGKILL)
             return await self.process.wait()
 
 
 class Ports:
-    """Ports that no outgoing connection is given by chance, so that a part can come back on its own after a crash."""
+    """Listening ports from 12000 to 29999.
+
+    The system doesn't assign these ports to outgoing connections, so a process that crashed can
+    listen on its old port again.
+    """
 
     def __init__(self, seed):
-        self.next = 12000 + (os.getpid() * 97 + seed) % 15000
+        self.next_port = 12000 + (os.getpid() * 97 + seed) % 15000
 
     def take(self):
-        """A free one as an address; RunFailedError where there is none."""
+        """Returns the address of a free port; raises RunFailedError if there is none."""
         for _ in range(18000):
-            self.next = 12000 + (self.next - 11999) % 18000
-            with socket.socket() as one:
+            self.next_port = 12000 + (self.next_port - 11999) % 18000
+            with socket.socket() as candidate:
                 try:
-                    one.bind(("127.0.0.1", self.next))
+                    candidate.bind(("127.0.0.1", self.next_port))
                 except OSError:
                     continue
-            return f"127.0.0.1:{self.next}"
+            return f"127.0.0.1:{self.next_port}"
         raise RunFailedError("no port from 12000 to 30000 is free")
--- a/cherrydoor/rehearsal/scenario_runner.py
+++ b/cherrydoor/rehearsal/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Plays a day: starts every part as a process of its own, follows the steps of its troubles, and stops all of it."""
+"""Plays a scenario: starts each of its processes, carries out the steps of its faults and stops the processes."""
 
 import asyncio
 import json
@@ -15,26 +15,31 @@
 from cherrydoor.tls.local_authority import LocalAuthority
 
 
-def in_processes(count, together, floors):
-    """Gateway numbers by process. Those of one process are on one floor, so that a floor lost takes no other along.
+def in_processes(count, per_process, floors):
+    """Returns the gateway numbers of each process.
+
+    All gateways of a process are on the same floor, so a fault that stops the gateways of one floor
+    stops no gateway of another floor.
 
     >>> in_processes(7, 2, 3)
     [[0, 3], [6], [1, 4], [2, 5]]
     """
-    found = []
+    groups = []
     for floor in range(min(floors, count)):
-        here = list(range(floor, count, floors))
-        found += [here[i : i + together] for i in range(0, len(here), together)]
-    return found
+        on_floor = list(range(floor, count, floors))
+        groups += [on_floor[i : i + per_process] for i in range(0, len(on_floor), per_process)]
+    return groups
 
 
 class ScenarioRunner(FaultSteps):
-    def __init__(self, day, folder, tell=lambda text: None):
-        self.day, self.folder, self.report_progress = day, Path(folder), tell
+    """Plays one scenario (`day`) into a folder: records in `folder/traffic`, logs in `folder/parts.log`."""
+
+    def __init__(self, day, folder, report_progress=lambda text: None):
+        self.day, self.folder, self.report_progress = day, Path(folder), report_progress
         self.folder.mkdir(parents=True, exist_ok=True)
         self.traffic = self.folder / "traffic"
         if self.traffic.exists() and any(self.traffic.iterdir()):
-            raise RunFailedError(f"{self.traffic} holds traffic of another run")
+            raise RunFailedError(f"{self.traffic} already contains the traffic of another run")
         self.log_file = (self.folder / "parts.log").open("ab")
         self.record = Record(self.traffic, "conductor", "conductor")
         self.started, self.gateways, self.addresses, self.ids = [], {}, {}, {}
@@ -42,12 +47,12 @@
         self.replaced, self.feed_at, self.proxy, self.peer_addresses = set(), "", None, {}
 
     def new_process(self, name):
-        part = ManagedProcess(name, self.log_file)
-        self.started.append(part)
-        return part
+        process = ManagedProcess(name, self.log_file)
+        self.started.append(process)
+        return process
 
     async def play(self):
-        """The whole day; raises RunFailedError where it could not be played."""
+        """Plays the whole scenario; raises RunFailedError if it could not be played."""
         try:
             await self.begin()
             await self.follow()
@@ -55,50 +60,52 @@
         finally:
             for task in self.tasks:
                 task.cancel()
-            for part in self.started:
-                part.signal(signal.SIGCONT)
-                part.signal(
-                    signal.SIGTERM if part.process and part.process.returncode is None else 0
+            for process in self.started:
+                process.signal(signal.SIGCONT)
+                process.signal(
+                    signal.SIGTERM if process.process and process.process.returncode is None else 0
                 )
-            for part in self.started:
-                await part.end(3.0)
+            for process in self.started:
+                await process.stop(3.0)
             self.record.close()
             self.log_file.close()
 
     async def begin(self):
-        day, traffic = self.day, str(self.traffic)
+        """Starts the processes, waits until they are ready and sets the start time of the clients."""
+        day, record_folder = self.day, str(self.traffic)
         self.record.add("terms", text=json.dumps(terms(day)))
         catalogue = {
-            k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")
+            key: day["functions"][key]
+            for key in ("memory", "load", "work", "lanes", "fetch", "core")
         }
         self.store = await self.new_process("store").start(
             "stand-in",
             "store",
-            given={"record": traffic, "catalogue": catalogue, "figures": day["store"]},
+            settings={"record": record_folder, "catalogue": catalogue, "figures": day["store"]},
         )
-        at = (await self.store.until("ready"))["port"]
-        self.host_specs, names = host_specs(day), [self.ports.take() for _ in host_specs(day)]
+        store_port = (await self.store.wait_for_message("ready"))["port"]
+        self.host_specs, addresses = host_specs(day), [self.ports.take() for _ in host_specs(day)]
         await self.start_proxy()
-        binds = [await self.proxied(name) for name in names] if self.proxy else None
+        listen_addresses = [await self.proxied(name) for name in addresses] if self.proxy else None
         self.host_pool = await self.new_process("hosts").start(
             "stand-in",
             "hosts",
-            given={
-                "record": traffic,
+            settings={
+                "record": record_folder,
                 "catalogue": catalogue,
-                "store": f"127.0.0.1:{at}",
+                "store": f"127.0.0.1:{store_port}",
                 "seed": day["seed"],
                 "builds": self.host_specs,
-                "names": names,
-                "binds": binds,
+                "names": addresses,
+                "binds": listen_addresses,
                 "scopes": {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"},
             },
         )
         self.list = await self.new_process("list").start(
             "stand-in",
             "roll",
-            given={
-                "record": traffic,
+            settings={
+                "record": record_folder,
                 "figures": {
                     "notice": [1000 * n for n in day["list"]["notice"]],
                     "stale": day["list"]["stale"],
@@ -106,19 +113,19 @@
                 },
             },
         )
-        self.ids = dict(enumerate((await self.host_pool.until("ready"))["hosts"]))
-        self.list_at = f"127.0.0.1:{(await self.list.until('ready'))['port']}"
+        self.ids = dict(enumerate((await self.host_pool.wait_for_message("ready"))["hosts"]))
+        self.list_at = f"127.0.0.1:{(await self.list.wait_for_message('ready'))['port']}"
         for number, host in self.ids.items():
-            build = self.host_specs[number]
-            await self.set_endpoint(number, host, "ready", 0.0, build)
+            host_spec = self.host_specs[number]
+            await self.set_endpoint(number, host, "ready", 0.0, host_spec)
         self.make_keys()
         await self.assign_peer_addresses()
         if day["feed"]["gradual"]:
             self.feed = await self.new_process("feed").start(
                 "stand-in",
                 "feed",
-                given={
-                    "record": traffic,
+                settings={
+                    "record": record_folder,
                     "figures": {
                         "notice": [1000 * n for n in day["feed"]["notice"]],
                         "misses": day["feed"]["misses"],
@@ -126,27 +133,27 @@
                     },
                 },
             )
-            self.feed_at = f"127.0.0.1:{(await self.feed.until('ready'))['port']}"
-        count, together = day["gateways"]["count"], day["gateways"]["in_a_process"]
-        groups = in_processes(count, together, len(day["fleet"]["floors"]))
+            self.feed_at = f"127.0.0.1:{(await self.feed.wait_for_message('ready'))['port']}"
+        count, per_process = day["gateways"]["count"], day["gateways"]["in_a_process"]
+        groups = in_processes(count, per_process, len(day["fleet"]["floors"]))
         for i in range(0, len(groups), 8):
             await asyncio.gather(*(self.start_gateways(group) for group in groups[i : i + 8]))
         self.clients = await self.new_process("clients").start(
             "stand-in",
             "clients",
-            given={
-                "record": traffic,
+            settings={
+                "record": record_folder,
                 "day": day,
                 "doors": [self.addresses[g] for g in range(count)],
                 "comes": self.client_sources(),
             },
         )
-        if any(t["what"] in ("flood", "reconnect") for t in day["troubles"]):
+        if any(fault["what"] in ("flood", "reconnect") for fault in day["troubles"]):
             self.crowd = await self.new_process("crowd").start(
-                "stand-in", "crowd", given={"record": traffic}
+                "stand-in", "crowd", settings={"record": record_folder}
             )
-            await self.crowd.until("ready")
-        self.count = (await self.clients.until("ready", 120.0))["events"]
+            await self.crowd.wait_for_message("ready")
+        self.count = (await self.clients.wait_for_message("ready", 120.0))["events"]
         self.begun = now() + 500
         self.clients.command("go", at=self.begun)
         self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
@@ -157,32 +164,37 @@
         )
 
     async def start_proxy(self):
-        """A relay, on days on which gateways have fellows and links that trouble may strike."""
-        fellows = self.day.get("fellows") or {}
-        if fellows.get("keepers") and fellows["between"]:
+        """Starts the fault-injecting proxy if gateways have peers and the scenario lets faults disturb their links."""
+        peers = self.day.get("fellows") or {}
+        if peers.get("keepers") and peers["between"]:
             self.proxy = await self.new_process("between").start(
-                "stand-in", "between", given={"record": str(self.traffic), "seed": self.day["seed"]}
+                "stand-in",
+                "between",
+                settings={"record": str(self.traffic), "seed": self.day["seed"]},
             )
-            await self.proxy.until("ready")
+            await self.proxy.wait_for_message("ready")
 
-    async def proxied(self, at, label=""):
-        """Where the one must listen that is to be reached at this address through the relay."""
-        real = self.ports.take()
-        await self.proxy.command("port", to=label or at, target=real, at=at)
-        return real
+    async def proxied(self, address, label=""):
+        """Opens the proxy at `address`; returns the address at which the server behind it has to listen.
+
+        `label` names the target in the proxy's rules; by default it is the address.
+        """
+        listen_address = self.ports.take()
+        await self.proxy.command("port", to=label or address, target=listen_address, at=address)
+        return listen_address
 
     async def assign_peer_addresses(self):
-        """Doors for peers."""
+        """Assigns each gateway the address at which it listens for peers and the one at which peers reach it."""
         if (self.day.get("fellows") or {}).get("keepers"):
             for number in range(self.day["gateways"]["count"]):
-                at = self.ports.take()
+                address = self.ports.take()
                 self.peer_addresses[number] = (
-                    await self.proxied(at, f"g{number}") if self.proxy else at,
-                    at,
+                    await self.proxied(address, f"g{number}") if self.proxy else address,
+                    address,
                 )
 
     def make_keys(self):
-        """On days with TLS: an authority, and certificates of all gateways and offices."""
+        """Creates a certificate authority and the certificates of all gateways and offices, if the scenario uses TLS."""
         if not self.day["doors"]["tls"]:
             return
         self.keys = LocalAuthority(self.folder / "keys")
@@ -193,29 +205,29 @@
             self.keys.issue("client", office["name"])
 
     def client_sources(self):
-        """Office -> where it comes from and the keys it has; {} where nobody is known."""
+        """Returns each office's source address and key files by name; {} if the scenario has no known clients."""
         if not self.day["doors"]["known"]:
             return {}
         return {
-            o["name"]: {
-                "address": address_of(self.day, o["name"]),
-                "keys": client_keys(self.day, o["name"], self.folder),
+            office["name"]: {
+                "address": address_of(self.day, office["name"]),
+                "keys": client_keys(self.day, office["name"], self.folder),
             }
-            for o in self.day["offices"]
+            for office in self.day["offices"]
         }
 
     async def start_gateways(self, group):
-        """One process for a group of gateways; after a crash on the same ports."""
-        part, words = self.new_process("gateways " + " ".join(map(str, group))), []
+        """Starts one process for a group of gateways. After a crash they listen on their old ports again."""
+        process, arguments = self.new_process("gateways " + " ".join(map(str, group))), []
         for number in group:
-            door = self.addresses.get(number) or self.ports.take()
-            path = self.folder / f"g{number}.lease"
-            path.write_text(
+            address = self.addresses.get(number) or self.ports.take()
+            config_path = self.folder / f"g{number}.lease"
+            config_path.write_text(
                 show(
                     lease_values(
                         self.day,
                         number,
-                        door,
+                        address,
                         self.list_at,
                         self.folder,
                         self.feed_at,
@@ -224,101 +236,111 @@
                 )
                 + "\n"
             )
-            words += ["--lease", str(path)]
-        decides = self.day["gateways"]["decides"]
-        await part.start(
+            arguments += ["--lease", str(config_path)]
+        router = self.day["gateways"]["decides"]
+        await process.start(
             "gateway",
-            *words,
+            *arguments,
             "--tied",
             "--announce",
-            *(["--baseline", decides] if decides != "module" else []),
+            *(["--baseline", router] if router != "module" else []),
             descriptors=self.day["doors"]["descriptors"],
         )
         for _ in group:
-            said = await part.until("door")
-            number = int(said["gateway"][1:])
+            message = await process.wait_for_message("door")
+            number = int(message["gateway"][1:])
             self.addresses[number], self.gateways[number] = (
-                f"127.0.0.1:{said['port']}",
-                (part, group),
+                f"127.0.0.1:{message['port']}",
+                (process, group),
             )
             self.record.add("gateway up", f"g{number}")
 
     def monitored_processes(self):
-        """(names, process id) of the parts whose time counts: those that judge, and the gateways by their names."""
-        found: list = [
+        """Returns (names, process id) of each running process whose CPU starvation is recorded.
+
+        These are the processes whose records the audit judges by, and the gateways.
+        """
+        processes: list = [
             (("clients",), self.clients),
             (("hosts",), self.host_pool),
             (("list",), self.list),
         ]
-        found += [
-            (tuple(f"g{g}" for g in group), part)
-            for part, group in {
-                id(part): (part, group) for part, group in self.gateways.values()
+        processes += [
+            (tuple(f"g{gateway}" for gateway in group), process)
+            for process, group in {
+                id(process): (process, group) for process, group in self.gateways.values()
             }.values()
         ]
         return [
-            (names, part.process.pid) for names, part in found if part.process.returncode is None
+            (names, process.process.pid)
+            for names, process in processes
+            if process.process.returncode is None
         ]
 
-    async def set_endpoint(self, number, host, state, since, build):
-        self.endpoints[host] = (state, since, build)
+    async def set_endpoint(self, number, host, state, since, host_spec):
+        self.endpoints[host] = (state, since, host_spec)
         await self.list.command(
-            "row", host=host, state=state, since=since, zone=build["zone"], cell=build["cell"]
+            "row",
+            host=host,
+            state=state,
+            since=since,
+            zone=host_spec["zone"],
+            cell=host_spec["cell"],
         )
 
-    # ---- the steps
     async def follow(self):
+        """Carries out the steps of the fault plan, each at its time, until the scenario is over."""
         plan = FaultPlan(self.day)
-        for new, old in plan.replaces.items():
-            while old in plan.replaces:
-                old = plan.replaces[old]
-            plan.replaces[new] = old
+        for successor, replaced in plan.replaces.items():
+            while replaced in plan.replaces:
+                replaced = plan.replaces[replaced]
+            plan.replaces[successor] = replaced
         self.replaces = plan.replaces
-        whole, last = self.day["warm"] + self.day["length"], 0.0
+        total_ms, reported_ms = self.day["warm"] + self.day["length"], 0.0
         pending = list(plan.steps)
         while True:
-            t = now() - self.begun
-            while pending and pending[0][0] <= t:
-                _, what, values = pending.pop(0)
+            elapsed_ms = now() - self.begun
+            while pending and pending[0][0] <= elapsed_ms:
+                _, step, values = pending.pop(0)
                 task = asyncio.get_running_loop().create_task(
-                    getattr(self, "do_" + what.replace(" ", "_"))(**values)
+                    getattr(self, "do_" + step.replace(" ", "_"))(**values)
                 )
                 self.tasks.add(task)
             for task in [task for task in self.tasks if task.done()]:
                 self.tasks.discard(task)
                 task.result()
-            if t >= whole:
+            if elapsed_ms >= total_ms:
                 break
-            for part in (self.host_pool, self.store, self.list, self.clients):
-                if part.process.returncode is not None:
+            for process in (self.host_pool, self.store, self.list, self.clients):
+                if process.process.returncode is not None:
                     raise RunFailedError(
-                        f"{part.name} ended with {part.process.returncode}; see {self.log_file.name}"
+                        f"{process.name} exited with {process.process.returncode} during the scenario; see {self.log_file.name}"
                     )
-            if t - last > 5000:
-                last = t
-                self.report_progress(f"{t / 1000:5.0f} of {whole / 1000:.0f} s")
+            if elapsed_ms - reported_ms > 5000:
+                reported_ms = elapsed_ms
+                self.report_progress(f"{elapsed_ms / 1000:5.0f} of {total_ms / 1000:.0f} s")
             await asyncio.sleep(
-                min(0.05, max(0.001, (pending[0][0] - t) / 1000)) if pending else 0.05
+                min(0.05, max(0.001, (pending[0][0] - elapsed_ms) / 1000)) if pending else 0.05
             )
 
     async def finish(self):
-        """Waits for the last answers, then has every gateway drain and notes how each ended."""
-        await self.clients.until("over", 120.0)
+        """Waits for the last responses, then makes every gateway drain and records its exit code."""
+        await self.clients.wait_for_message("over", 120.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
-        parts = {id(part): part for part, _ in self.gateways.values()}.values()
-        for part in parts:
-            part.signal(signal.SIGTERM)
-        for part in parts:
-            code = await asyncio.wait_for(part.process.wait(), 30.0)
+        processes = {id(process): process for process, _ in self.gateways.values()}.values()
+        for process in processes:
+            process.signal(signal.SIGTERM)
+        for process in processes:
+            code = await asyncio.wait_for(process.process.wait(), 30.0)
             self.codes.append(code)
-            self.record.add("gateway ended", part.name, number=code)
+            self.record.add("gateway ended", process.name, number=code)
         if any(self.codes):
             raise RunFailedError(
-                f"gateways ended with {sorted(set(self.codes))}; see {self.log_file.name}"
+                f"gateways exited with {sorted(set(self.codes))}, expected 0; see {self.log_file.name}"
             )
 
 
-def rehearse(day, folder, tell=lambda text: None):
-    """Plays the day into the folder; the traffic is then in folder/traffic."""
-    asyncio.run(ScenarioRunner(day, folder, tell).play())
+def rehearse(day, folder, report_progress=lambda text: None):
+    """Plays the scenario `day`; the recorded traffic is in `folder/traffic` afterwards."""
+    asyncio.run(ScenarioRunner(day, folder, report_progress).play())
