--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -85,7 +85,7 @@
         """Sends all that is due and ends what has run out, then waits for the next."""
         t, arrivals = now(), self.arrivals
         while True:
-            due = self.begun + arrivals.at[self.next] if self.next < arrivals.count else None
+            due = self.begun + arrivals.at_ms[self.next] if self.next < arrivals.count else None
             alarm = self.heap[0][0] if self.heap else None
             if due is not None and due <= t and (alarm is None or due <= alarm):
                 i, self.next = self.next, self.next + 1
@@ -102,7 +102,7 @@
             self.ends.set_result(None)
 
     def first(self, i, due):
-        event = self.events[self.arrivals.clause[i]]
+        event = self.events[self.arrivals.request_class[i]]
         one = SentRequest(
             self.new_id(), i, 0, due, due + event["max_age"], self.arrivals.gateway[i]
         )
@@ -114,9 +114,9 @@
 
     def send(self, one):
         i, a = one.first, self.arrivals
-        event, t = self.events[a.clause[i]], now()
+        event, t = self.events[a.request_class[i]], now()
         there = self.connections[int(one.turn) % len(self.connections)]
-        conn = there[a.party[i]] if len(there) > 1 else there[0]
+        conn = there[a.tenant[i]] if len(there) > 1 else there[0]
         lasts = min(event["max_age"] * a.patience[i], one.deadline - t)
         if lasts <= 1:
             return
@@ -127,7 +127,7 @@
             number=one.index,
             function=function_name(a.function[i]),
             clause=event["name"],
-            party=self.offices[a.party[i]],
+            party=self.offices[a.tenant[i]],
             mark=f"m{i}",
             a=float(one.due),
             b=float(lasts),
@@ -150,15 +150,15 @@
                 row["mark"],
                 self.lanes(a.function[i]),
                 self.load(a.function[i]),
-                self.bodies[a.clause[i]],
+                self.bodies[a.request_class[i]],
                 claim_key=f"{self.chance('key', one.id):.17f}",
                 affinity_key=self.document(a.function[i], i),
             )
         )
         one.taker = conn.name, conn.incarnation
         self.later(one.until, self.gave_up, one)
-        if a.leaves[i] and one.index == 0:
-            self.later(t + float(a.leaves[i]), self.withdraw, one)
+        if a.withdraw_after_ms[i] and one.index == 0:
+            self.later(t + float(a.withdraw_after_ms[i]), self.withdraw, one)
 
     def document(self, function, i):
         """A session calls one function: so many of them for each."""
@@ -264,7 +264,11 @@
     def again(self, one, why, stay):
         """Repeats what may be repeated: redeliverable ones after any failure, keyed ones within the memory of a group
         that is all, others only where the answer says that it is harmless."""
-        event, clients, t = self.events[self.arrivals.clause[one.first]], self.day["clients"], now()
+        event, clients, t = (
+            self.events[self.arrivals.request_class[one.first]],
+            self.day["clients"],
+            now(),
+        )
         harmless = (
             why in ("deferred", "unreachable")
             or event["kind"] == "redeliverable"
--- a/cherrydoor/rehearsal/fault_steps.py
+++ b/cherrydoor/rehearsal/fault_steps.py
@@ -1,4 +1,4 @@
-"""What a conductor does at each step of a day's troubles."""
+"""The actions of a fault plan's steps: each method `do_NAME` carries out the steps called NAME."""
 
 import asyncio
 import json
@@ -9,7 +9,10 @@
 
 
 class FaultSteps:
-    """Steps by name, do_kill_gateway and so on; the parts are the conductor's."""
+    """Carries out steps by name, e.g. `do_kill_gateway` for "kill gateway".
+
+    ScenarioRunner inherits from this class and provides the attributes declared here.
+    """
 
     day: dict
     record: Any
@@ -38,15 +41,21 @@
         self.record.add("trouble", fate="begins" if on else "ends", text=name)
 
     async def do_hosts(self, do, hosts, values):
-        names = {} if hosts is None else {"hosts": [self.ids[h] for h in hosts if h in self.ids]}
-        await self.host_pool.command(do, **names, **values)
+        """Sends a command to the given hosts, or to the whole host pool if `hosts` is None."""
+        targets = (
+            {}
+            if hosts is None
+            else {"hosts": [self.ids[host] for host in hosts if host in self.ids]}
+        )
+        await self.host_pool.command(do, **targets, **values)
 
     async def do_crash(self, host):
+        """Crashes a host; after the list's detection delay, sets it to gone unless it is up again."""
         await self.host_pool.command("crash", hosts=[self.ids[host]])
         await asyncio.sleep(self.day["list"]["miss"] / 1000)
-        state, since, build = self.endpoints[self.ids[host]]
+        state, since, host_spec = self.endpoints[self.ids[host]]
         if (await self.host_pool.command("who"))[self.ids[host]]["up"] is False:
-            await self.set_endpoint(host, self.ids[host], "gone", since, build)
+            await self.set_endpoint(host, self.ids[host], "gone", since, host_spec)
 
     async def do_return(self, host):
         if host not in self.ids:
@@ -57,45 +66,53 @@
         )
 
     async def do_drain(self, host):
-        _, since, build = self.endpoints[self.ids[host]]
-        await self.set_endpoint(host, self.ids[host], "draining", since, build)
+        _, since, host_spec = self.endpoints[self.ids[host]]
+        await self.set_endpoint(host, self.ids[host], "draining", since, host_spec)
         await self.host_pool.command("drain", hosts=[self.ids[host]])
 
     async def do_leave(self, host):
-        _, since, build = self.endpoints[self.ids[host]]
+        """Stops a host and sets it to gone in the list at once."""
+        _, since, host_spec = self.endpoints[self.ids[host]]
         await self.host_pool.command("crash", hosts=[self.ids[host]])
-        await self.set_endpoint(host, self.ids[host], "gone", since, build)
+        await self.set_endpoint(host, self.ids[host], "gone", since, host_spec)
 
     async def do_join(self, host, replaces):
-        build = self.host_specs[self.replaces[host]]
-        name = self.ports.take()
-        binds = [await self.proxied(name)] if self.proxy else None
-        [name] = await self.host_pool.command(
-            "add", builds=[build], names=[name], cold=True, binds=binds
+        """Adds a cold host with the specification of the host that it replaces, at a new address."""
+        host_spec = self.host_specs[self.replaces[host]]
+        address = self.ports.take()
+        listen_addresses = [await self.proxied(address)] if self.proxy else None
+        [address] = await self.host_pool.command(
+            "add", builds=[host_spec], names=[address], cold=True, binds=listen_addresses
         )
-        self.ids[host] = name
-        await self.set_endpoint(host, name, "ready", wall(), build)
+        self.ids[host] = address
+        await self.set_endpoint(host, address, "ready", wall(), host_spec)
 
     async def do_store(self, **values):
         await self.store.command("set", **values)
 
     async def do_cut(self, gateways, on):
-        """From all peers and hosts, both ways; the record says of whom, for the judge."""
+        """Cuts gateways off from all peers and hosts in both directions, or reconnects them.
+
+        The record names the gateways, because the audit needs to know when which one was cut off.
+        """
         for gateway in gateways:
             self.record.add("gateway cut off" if on else "gateway reached", f"g{gateway}")
             await self.proxy.command("set", origin=f"g{gateway}", to="*", both=True, cut=on)
 
-    async def ask_gateway(self, said):
-        """The answer of the first gateway that runs and gives one; None where there is none."""
-        for number, (part, _) in sorted(self.gateways.items()):
-            if part.process.returncode is not None:
+    async def ask_gateway(self, command):
+        """Sends an operator's command to the running gateways in turn until one answers within 1 s.
+
+        Returns that answer, or None if no gateway answered.
+        """
+        for number, (child, _) in sorted(self.gateways.items()):
+            if child.process.returncode is not None:
                 continue
             try:
                 async with asyncio.timeout(1.0):
                     reader, writer = await asyncio.open_unix_connection(
                         str(self.folder / f"g{number}.control")
                     )
-                    writer.write(json.dumps(said).encode() + b"\n")
+                    writer.write(json.dumps(command).encode() + b"\n")
                     line = await reader.readline()
                     writer.close()
                     if line:
@@ -105,33 +122,49 @@
         return None
 
     async def do_site(self, site, word):
-        """An operator's word; what becomes of the drain is noted as gateways tell it."""
+        """Sends an operator's zone drain command; after "drain", records the drain's progress until it is over.
+
+        Progress is recorded as the gateways report it, each time the state, the wave or the coordinator changes.
+        """
         answer = await self.ask_gateway({"do": "site", "what": word, "site": site, "even": True})
         self.record.add("site", fate=word, text=site, function=str((answer or {}).get("error", "")))
-        last = None
+        recorded_state = None
         while (
             word == "drain"
-            and (said := await self.ask_gateway({"do": "site", "what": "show", "site": site}))
+            and (progress := await self.ask_gateway({"do": "site", "what": "show", "site": site}))
             is not None
         ):
-            state = said.get("state", ""), said.get("wave", 0), said.get("conductor", "")
-            if state != last:
-                self.record.add("site", peer=state[2], fate=state[0], number=state[1], text=site)
-                last = state
-            if state[0] == "over":
+            current_state = (
+                progress.get("state", ""),
+                progress.get("wave", 0),
+                progress.get("conductor", ""),
+            )
+            if current_state != recorded_state:
+                self.record.add(
+                    "site",
+                    peer=current_state[2],
+                    fate=current_state[0],
+                    number=current_state[1],
+                    text=site,
+                )
+                recorded_state = current_state
+            if current_state[0] == "over":
                 break
             await asyncio.sleep(0.1)
 
     async def do_kill_conductor(self, back):
-        """Whoever conducts a drain, and nobody else; it comes back later."""
+        """Kills the coordinator of a zone drain, and no gateway if no drain is running.
+
+        The coordinator starts again after `back` ms.
+        """
         for site in self.day["fleet"]["floors"]:
-            name = (await self.ask_gateway({"do": "site", "what": "show", "site": site}) or {}).get(
-                "conductor"
-            )
-            if name:
-                await self.do_kill_gateway(int(name[1:]))
+            coordinator = (
+                await self.ask_gateway({"do": "site", "what": "show", "site": site}) or {}
+            ).get("conductor")
+            if coordinator:
+                await self.do_kill_gateway(int(coordinator[1:]))
                 await asyncio.sleep(back / 1000)
-                return await self.do_start_gateway(int(name[1:]))
+                return await self.do_start_gateway(int(coordinator[1:]))
 
     async def do_noise(self, values):
         await self.proxy.command("set", origin="g*", to="g*", **values)
@@ -152,29 +185,33 @@
         )
 
     async def do_reconnect(self, count):
-        """At the gateways that run, an office's connections beside those that it has."""
-        up = [g for g, (part, _) in self.gateways.items() if part.process.returncode is None]
+        """Opens `count` more connections of each office at the running gateways, besides those it has."""
+        running = [
+            number
+            for number, (child, _) in self.gateways.items()
+            if child.process.returncode is None
+        ]
         await self.crowd.command(
             "come back",
-            doors={f"g{g}": self.addresses[g] for g in sorted(up)},
+            doors={f"g{number}": self.addresses[number] for number in sorted(running)},
             offices=self.client_sources(),
             count=count,
         )
 
     async def do_key_change(self, gateways, times):
-        """New certificates one after the other, with a half-written key between two."""
-        for turn in range(times):
+        """Issues new certificates `times` times, 0.4 s apart, with a truncated key file before each but the first."""
+        for change in range(times):
             for number in gateways:
-                if turn:
-                    path = self.folder / "keys" / f"g{number}.key"
-                    path.write_bytes(path.read_bytes()[:80])
-            await asyncio.sleep(0.4 if turn else 0)
+                if change:
+                    key_path = self.folder / "keys" / f"g{number}.key"
+                    key_path.write_bytes(key_path.read_bytes()[:80])
+            await asyncio.sleep(0.4 if change else 0)
             for number in gateways:
                 self.keys.issue("gateway", f"g{number}", addresses=["127.0.0.1"])
             await asyncio.sleep(0.4)
 
     async def do_release(self, functions, version, bad):
-        """A version is announced where there is a feed; where there is none all copies go void, as on other days."""
+        """Announces a version on the release feed; in a scenario without a feed, flushes all copies instead."""
         if not self.day["feed"]["gradual"]:
             return await self.do_flush(functions, version)
         if bad:
@@ -184,33 +221,33 @@
         await self.feed.command("release", functions=functions, version=version)
 
     def process_and_gateways(self, gateway):
-        part, group = self.gateways[gateway]
-        return part, group
+        child, group = self.gateways[gateway]
+        return child, group
 
     async def do_kill_gateway(self, gateway):
-        part, group = self.process_and_gateways(gateway)
-        if part.process.returncode is None:
-            for one in group:
-                self.record.add("gateway killed", f"g{one}")
-            part.signal(signal.SIGKILL)
-            await part.process.wait()
+        child, group = self.process_and_gateways(gateway)
+        if child.process.returncode is None:
+            for number in group:
+                self.record.add("gateway killed", f"g{number}")
+            child.signal(signal.SIGKILL)
+            await child.process.wait()
 
     async def do_start_gateway(self, gateway):
-        part, group = self.process_and_gateways(gateway)
-        if part.process.returncode is not None and part not in self.replaced:
-            self.replaced.add(
-                part
-            )  # its mates are to be started at the same moment, and come along
+        child, group = self.process_and_gateways(gateway)
+        if child.process.returncode is not None and child not in self.replaced:
+            # Other gateways of this process may have a start step at the same time. The first step
+            # restarts all of them.
+            self.replaced.add(child)
             await self.start_gateways(group)
 
     async def do_stop_gateway(self, gateway):
-        part, group = self.process_and_gateways(gateway)
-        for one in group:
-            self.record.add("gateway stopped", f"g{one}")
-        part.signal(signal.SIGSTOP)
+        child, group = self.process_and_gateways(gateway)
+        for number in group:
+            self.record.add("gateway stopped", f"g{number}")
+        child.signal(signal.SIGSTOP)
 
     async def do_continue_gateway(self, gateway):
-        part, group = self.process_and_gateways(gateway)
-        part.signal(signal.SIGCONT)
-        for one in group:
-            self.record.add("gateway continued", f"g{one}")
+        child, group = self.process_and_gateways(gateway)
+        child.signal(signal.SIGCONT)
+        for number in group:
+            self.record.add("gateway continued", f"g{number}")
--- a/cherrydoor/rehearsal/faults.py
+++ b/cherrydoor/rehearsal/faults.py
@@ -1,4 +1,4 @@
-"""Troubles to steps: a pure plan of who is told what and when, from the day's figures and its seed alone."""
+"""Plans the steps of a scenario's faults. The plan depends on nothing but the scenario's values and its seed."""
 
 from zlib import crc32
 
@@ -6,287 +6,324 @@
 
 
 class FaultPlan:
-    """The steps of one day, each (at in ms from the start, what, values), in order of time.
+    """The steps of one scenario in order of time, each (ms from the start, step name, values).
 
-    Hosts and gateways go by number; a host that takes another's place gets the next number.
+    Hosts and gateways are identified by number. A host that replaces another gets the next free number.
+    Each fault is planned by the method of its name, with `_` for `-`.
     """
 
     def __init__(self, day):
-        self.day, self.steps, self.drawn = day, [], 0
+        self.day, self.steps, self.draw_count = day, [], 0
         self.hosts, self.next_host = list(range(day["fleet"]["hosts"])), day["fleet"]["hosts"]
-        self.replaces = {}  # number of a successor -> the host whose build it takes
-        for trouble in sorted(day["troubles"], key=lambda t: t["at"]):
-            plan = getattr(self, trouble["what"].replace("-", "_"), None)
-            self.add(trouble["at"] + day["warm"], "trouble", name=trouble["what"], on=True)
-            self.add(
-                trouble["at"] + day["warm"] + trouble["lasts"],
+        # Key: number of a successor; value: number of the host whose specification it takes over.
+        self.replaces = {}
+        for fault in sorted(day["troubles"], key=lambda fault: fault["at"]):
+            add_steps = getattr(self, fault["what"].replace("-", "_"), None)
+            self.add_step(fault["at"] + day["warm"], "trouble", name=fault["what"], on=True)
+            self.add_step(
+                fault["at"] + day["warm"] + fault["lasts"],
                 "trouble",
-                name=trouble["what"],
+                name=fault["what"],
                 on=False,
             )
-            if plan and trouble["what"] not in day.get("without", ()):  # left out, but marked
-                plan(
-                    trouble,
-                    trouble["at"] + day["warm"],
-                    trouble["at"] + day["warm"] + trouble["lasts"],
+            # A fault that is left out is still marked in the record.
+            if add_steps and fault["what"] not in day.get("without", ()):
+                add_steps(
+                    fault,
+                    fault["at"] + day["warm"],
+                    fault["at"] + day["warm"] + fault["lasts"],
                 )
         self.steps.sort(key=lambda step: step[0])
 
-    def add(self, at, what, **values):
-        self.steps.append((at, what, values))
+    def add_step(self, at_ms, step, **values):
+        self.steps.append((at_ms, step, values))
 
-    def chance(self):
-        self.drawn += 1
-        return crc32(f"troubles/{self.day['seed']}/{self.drawn}".encode()) / 2.0**32
+    def next_random(self):
+        self.draw_count += 1
+        return crc32(f"troubles/{self.day['seed']}/{self.draw_count}".encode()) / 2.0**32
 
-    def targets(self, trouble, of=None):
-        """Those that the trouble names, where it names any; else a part chosen by the seed."""
-        if trouble.get("on"):
-            return [self.present_host(n) if of is None else n for n in trouble["on"]]
-        return self.sample(trouble["part"], of)
+    def targets(self, fault, candidates=None):
+        """Returns the hosts, or those of `candidates`, that the fault names; if it names none, a seeded sample."""
+        if fault.get("on"):
+            return [
+                self.present_host(number) if candidates is None else number
+                for number in fault["on"]
+            ]
+        return self.sample(fault["part"], candidates)
 
     def present_host(self, host):
-        """Who stands in that host's place by now."""
-        return next((new for new in reversed(self.hosts) if self.original(new) == host), host)
-
-    def sample(self, part, of=None):
-        """At least one of them, chosen by the seed."""
-        of = list(self.hosts if of is None else of)
-        ranked = sorted(of, key=lambda one: (self.chance(), one))
-        return sorted(ranked[: max(1, round(part * len(of)))])
-
-    def successor(self, host):
-        new, self.next_host = self.next_host, self.next_host + 1
-        self.replaces[new] = host
-        self.hosts[self.hosts.index(host)] = new
-        return new
-
-    def add_host_command(self, trouble, at, end, do, on, off):
-        hosts = self.targets(trouble)
-        self.add(at, "hosts", do=do, hosts=hosts, values=on)
-        self.add(end, "hosts", do=do, hosts=hosts, values=off)
-
-    # ---- each trouble of the table
-    def crash(self, trouble, at, end):
-        for host in self.targets(trouble):
-            self.add(at + 200 * self.chance(), "crash", host=host)
-            self.add(end + 500 * self.chance(), "return", host=host)
-
-    def rack_restart(self, trouble, at, end):
-        for host in self.targets(trouble):
-            self.add(at, "crash", host=host)
-            self.add(end, "return", host=host)
-
-    def slow(self, trouble, at, end):
-        self.add_host_command(trouble, at, end, "slow", {"times": trouble["size"]}, {"times": 1.0})
-
-    def ageing(self, trouble, at, end):
-        hosts = self.targets(trouble)
-        for i in range(1, 9):
-            self.add(
-                at + (end - at) * i / 9,
+        """Returns the host that has replaced the given one by now, or the host itself."""
+        return next(
+            (present for present in reversed(self.hosts) if self.original_host(present) == host),
+            host,
+        )
+
+    def sample(self, share, candidates=None):
+        """Returns a seeded sample of that share of the candidates (default: all hosts), at least one."""
+        candidates = list(self.hosts if candidates is None else candidates)
+        ranked = sorted(candidates, key=lambda candidate: (self.next_random(), candidate))
+        return sorted(ranked[: max(1, round(share * len(candidates)))])
+
+    def new_successor(self, host):
+        successor, self.next_host = self.next_host, self.next_host + 1
+        self.replaces[successor] = host
+        self.hosts[self.hosts.index(host)] = successor
+        return successor
+
+    def add_host_command(self, fault, start_ms, end_ms, command, begin_values, end_values):
+        hosts = self.targets(fault)
+        self.add_step(start_ms, "hosts", do=command, hosts=hosts, values=begin_values)
+        self.add_step(end_ms, "hosts", do=command, hosts=hosts, values=end_values)
+
+    # Each method below plans the fault of its name.
+    def crash(self, fault, start_ms, end_ms):
+        for host in self.targets(fault):
+            self.add_step(start_ms + 200 * self.next_random(), "crash", host=host)
+            self.add_step(end_ms + 500 * self.next_random(), "return", host=host)
+
+    def rack_restart(self, fault, start_ms, end_ms):
+        for host in self.targets(fault):
+            self.add_step(start_ms, "crash", host=host)
+            self.add_step(end_ms, "return", host=host)
+
+    def slow(self, fault, start_ms, end_ms):
+        self.add_host_command(
+            fault, start_ms, end_ms, "slow", {"times": fault["size"]}, {"times": 1.0}
+        )
+
+    def ageing(self, fault, start_ms, end_ms):
+        hosts = self.targets(fault)
+        for step in range(1, 9):
+            self.add_step(
+                start_ms + (end_ms - start_ms) * step / 9,
                 "hosts",
                 do="slow",
                 hosts=hosts,
-                values={"times": 1 + (trouble["size"] - 1) * i / 8},
+                values={"times": 1 + (fault["size"] - 1) * step / 8},
             )
-        self.add(end, "hosts", do="slow", hosts=hosts, values={"times": 1.0})
+        self.add_step(end_ms, "hosts", do="slow", hosts=hosts, values={"times": 1.0})
 
-    def pauses(self, trouble, at, end):
+    def pauses(self, fault, start_ms, end_ms):
         self.add_host_command(
-            trouble, at, end, "pause", {"ms": 150.0 * trouble["size"], "every": 1500.0}, {"ms": 0}
+            fault,
+            start_ms,
+            end_ms,
+            "pause",
+            {"ms": 150.0 * fault["size"], "every": 1500.0},
+            {"ms": 0},
         )
 
-    def late_reports(self, trouble, at, end):
+    def late_reports(self, fault, start_ms, end_ms):
         self.add_host_command(
-            trouble | {"part": 1.0, "on": None},
-            at,
-            end,
+            fault | {"part": 1.0, "on": None},
+            start_ms,
+            end_ms,
             "late",
-            {"ms": 1000.0 * trouble["size"]},
+            {"ms": 1000.0 * fault["size"]},
             {"ms": 0.0},
         )
 
-    def lost_answers(self, trouble, at, end):
+    def lost_answers(self, fault, start_ms, end_ms):
         self.add_host_command(
-            trouble, at, end, "lose", {"share": min(1.0, trouble["size"])}, {"share": 0.0}
+            fault, start_ms, end_ms, "lose", {"share": min(1.0, fault["size"])}, {"share": 0.0}
         )
 
-    def deaf(self, trouble, at, end):
-        """One event type is left unanswered, mostly; the others are served."""
+    def deaf(self, fault, start_ms, end_ms):
+        """Hosts leave a share of the requests of one request class unanswered and serve the other classes."""
         names = [event["name"] for event in self.day["events"]]
-        name = trouble.get("event") or names[0]
+        name = fault.get("event") or names[0]
         self.add_host_command(
-            trouble,
-            at,
-            end,
+            fault,
+            start_ms,
+            end_ms,
             "deaf",
-            {"clause": name, "share": min(1.0, trouble["size"])},
+            {"clause": name, "share": min(1.0, fault["size"])},
             {"clause": name},
         )
 
-    def silent(self, trouble, at, end):
-        self.add_host_command(trouble, at, end, "silent", {"on": True}, {"on": False})
+    def silent(self, fault, start_ms, end_ms):
+        self.add_host_command(fault, start_ms, end_ms, "silent", {"on": True}, {"on": False})
+
+    def refuse(self, fault, start_ms, end_ms):
+        self.add_host_command(fault, start_ms, end_ms, "refuse", {"on": True}, {"on": False})
 
-    def refuse(self, trouble, at, end):
-        self.add_host_command(trouble, at, end, "refuse", {"on": True}, {"on": False})
+    def floor_loss(self, fault, start_ms, end_ms):
+        """A floor loses all its hosts and, with `gateways`, its gateways.
 
-    def floor_loss(self, trouble, at, end):
-        """All hosts of a floor, at times with its gateways; silent ones come back as they were, dead ones cold."""
+        Silent hosts come back as they were, crashed hosts come back cold.
+        """
         floors = len(self.day["fleet"]["floors"])
-        on_floor = [h for h in self.hosts if self.original(h) % floors == trouble["floor"]]
-        if trouble["silent"]:
-            self.add(at, "hosts", do="silent", hosts=on_floor, values={"on": True})
-            self.add(end, "hosts", do="silent", hosts=on_floor, values={"on": False})
+        on_floor = [
+            host for host in self.hosts if self.original_host(host) % floors == fault["floor"]
+        ]
+        if fault["silent"]:
+            self.add_step(start_ms, "hosts", do="silent", hosts=on_floor, values={"on": True})
+            self.add_step(end_ms, "hosts", do="silent", hosts=on_floor, values={"on": False})
         else:
             for host in on_floor:
-                self.add(at, "crash", host=host)
-                self.add(end + 1500 * self.chance(), "return", host=host)
-        if trouble["gateways"]:
-            for gateway in range(trouble["floor"], self.day["gateways"]["count"], floors):
-                self.add(at, "kill gateway", gateway=gateway)
-                self.add(end, "start gateway", gateway=gateway)
-
-    def original(self, host):
+                self.add_step(start_ms, "crash", host=host)
+                self.add_step(end_ms + 1500 * self.next_random(), "return", host=host)
+        if fault["gateways"]:
+            for gateway in range(fault["floor"], self.day["gateways"]["count"], floors):
+                self.add_step(start_ms, "kill gateway", gateway=gateway)
+                self.add_step(end_ms, "start gateway", gateway=gateway)
+
+    def original_host(self, host):
         while host in self.replaces:
             host = self.replaces[host]
         return host
 
-    def deploy(self, trouble, at, end):
-        """In batches: drain, leave, and a cold successor on another port."""
-        hosts = self.targets(trouble)
+    def deploy(self, fault, start_ms, end_ms):
+        """A rolling deploy in batches: each host drains, leaves and is replaced by a cold one on another port."""
+        hosts = self.targets(fault)
         size = max(1, round(len(hosts) * 0.2))
-        batches = [hosts[i : i + size] for i in range(0, len(hosts), size)]
-        gap, drain = (end - at) / len(batches), 1000.0 * trouble["size"]
-        for i, batch in enumerate(batches):
+        batches = [hosts[index : index + size] for index in range(0, len(hosts), size)]
+        interval_ms, drain_ms = (end_ms - start_ms) / len(batches), 1000.0 * fault["size"]
+        for index, batch in enumerate(batches):
             for host in batch:
-                self.add(at + i * gap, "drain", host=host)
-                self.add(at + i * gap + drain, "leave", host=host)
-                self.add(
-                    at + i * gap + drain + 100, "join", host=self.successor(host), replaces=host
+                self.add_step(start_ms + index * interval_ms, "drain", host=host)
+                self.add_step(start_ms + index * interval_ms + drain_ms, "leave", host=host)
+                self.add_step(
+                    start_ms + index * interval_ms + drain_ms + 100,
+                    "join",
+                    host=self.new_successor(host),
+                    replaces=host,
                 )
 
-    def take_away(self, trouble, at, end):
-        """Hosts are taken with short notice, in waves; others come in their place later."""
-        hosts = self.targets(trouble)
-        for i, host in enumerate(hosts):
-            when = at + (end - at) * (i // max(1, len(hosts) // 3)) / 3
-            self.add(when, "drain", host=host)
-            self.add(when + 1000.0 * trouble["size"], "leave", host=host)
-            self.add(
-                when + 1000.0 * trouble["size"] + 4000,
+    def take_away(self, fault, start_ms, end_ms):
+        """Hosts are preempted at short notice, in waves of a third of them; each is replaced 4 s after it left."""
+        hosts = self.targets(fault)
+        for index, host in enumerate(hosts):
+            drain_at_ms = start_ms + (end_ms - start_ms) * (index // max(1, len(hosts) // 3)) / 3
+            self.add_step(drain_at_ms, "drain", host=host)
+            self.add_step(drain_at_ms + 1000.0 * fault["size"], "leave", host=host)
+            self.add_step(
+                drain_at_ms + 1000.0 * fault["size"] + 4000,
                 "join",
-                host=self.successor(host),
+                host=self.new_successor(host),
                 replaces=host,
             )
 
-    def gateway_crash(self, trouble, at, end):
-        for gateway in self.targets(trouble, range(self.day["gateways"]["count"])):
-            self.add(at, "kill gateway", gateway=gateway)
-            self.add(end, "start gateway", gateway=gateway)
-
-    def gateway_stall(self, trouble, at, end):
-        for gateway in self.targets(trouble, range(self.day["gateways"]["count"])):
-            self.add(at, "stop gateway", gateway=gateway)
-            self.add(end, "continue gateway", gateway=gateway)
-
-    def cut_off(self, trouble, at, end):
-        """Gateways that hear nobody and are heard by nobody: no peer, no host; clients reach them."""
-        gateways = self.targets(trouble, range(self.day["gateways"]["count"]))
-        self.add(at, "cut", gateways=gateways, on=True)
-        self.add(end, "cut", gateways=gateways, on=False)
-
-    def site_drain(self, trouble, at, end):
-        """The floor's sessions go to neighbours, by an operator's word to gateways; with a size below 1 its hosts are
-        set to drain in the list at once instead, as without any of this. Undone at the end."""
+    def gateway_crash(self, fault, start_ms, end_ms):
+        for gateway in self.targets(fault, range(self.day["gateways"]["count"])):
+            self.add_step(start_ms, "kill gateway", gateway=gateway)
+            self.add_step(end_ms, "start gateway", gateway=gateway)
+
+    def gateway_stall(self, fault, start_ms, end_ms):
+        for gateway in self.targets(fault, range(self.day["gateways"]["count"])):
+            self.add_step(start_ms, "stop gateway", gateway=gateway)
+            self.add_step(end_ms, "continue gateway", gateway=gateway)
+
+    def cut_off(self, fault, start_ms, end_ms):
+        """Gateways lose the links to all peers and hosts in both directions; clients still reach them."""
+        gateways = self.targets(fault, range(self.day["gateways"]["count"]))
+        self.add_step(start_ms, "cut", gateways=gateways, on=True)
+        self.add_step(end_ms, "cut", gateways=gateways, on=False)
+
+    def site_drain(self, fault, start_ms, end_ms):
+        """An operator's zone drain command moves the floor's sessions to neighbours; it is undone at the end.
+
+        With a size below 1 there is no command: all hosts of the floor are set to draining in the
+        list at once, as in a fleet without zone drains, and nothing is undone.
+        """
         floors = self.day["fleet"]["floors"]
-        site = floors[trouble["floor"]]
-        if trouble["size"] < 1:
+        site = floors[fault["floor"]]
+        if fault["size"] < 1:
             for host in [
-                h for h in self.hosts if self.original(h) % len(floors) == trouble["floor"]
+                host
+                for host in self.hosts
+                if self.original_host(host) % len(floors) == fault["floor"]
             ]:
-                self.add(at, "drain", host=host)
+                self.add_step(start_ms, "drain", host=host)
             return
-        self.add(at, "site", site=site, word="drain")
-        self.add(end, "site", site=site, word="undo")
+        self.add_step(start_ms, "site", site=site, word="drain")
+        self.add_step(end_ms, "site", site=site, word="undo")
 
-    def conductor_crash(self, trouble, at, end):
-        self.add(at, "kill conductor", back=end - at)
+    def conductor_crash(self, fault, start_ms, end_ms):
+        self.add_step(start_ms, "kill conductor", back=end_ms - start_ms)
 
-    def noise(self, trouble, at, end):
-        """Frames between gateways come late, twice and out of order, and a share (`part`) not at all."""
-        self.add(
-            at,
+    def noise(self, fault, start_ms, end_ms):
+        """Frames between gateways are delayed, duplicated, reordered and dropped (a tenth of `part`)."""
+        self.add_step(
+            start_ms,
             "noise",
             values={
                 "delay": 1.0,
-                "spread": 20.0 * trouble["size"],
+                "spread": 20.0 * fault["size"],
                 "double": 0.1,
                 "reorder": 0.1,
-                "drop": trouble["part"] / 10,
+                "drop": fault["part"] / 10,
             },
         )
-        self.add(end, "noise", values={})
+        self.add_step(end_ms, "noise", values={})
 
-    def slow_store(self, trouble, at, end):
-        self.add(at, "store", slow=trouble["size"])
-        self.add(end, "store", slow=1.0)
+    def slow_store(self, fault, start_ms, end_ms):
+        self.add_step(start_ms, "store", slow=fault["size"])
+        self.add_step(end_ms, "store", slow=1.0)
 
-    def store_stop(self, trouble, at, end):
-        self.add(at, "store", stopped=True)
-        self.add(end, "store", stopped=False)
+    def store_stop(self, fault, start_ms, end_ms):
+        self.add_step(start_ms, "store", stopped=True)
+        self.add_step(end_ms, "store", stopped=False)
 
-    def list_deaf(self, trouble, at, end):
-        self.add(at, "list", on=True)
-        self.add(end, "list", on=False)
+    def list_deaf(self, fault, start_ms, end_ms):
+        self.add_step(start_ms, "list", on=True)
+        self.add_step(end_ms, "list", on=False)
 
-    def release(self, trouble, at, end):
-        """A good version of `part` of the functions, the most-called first."""
-        self.add(
-            at, "release", functions=self.most_called(trouble["part"]), version=int(at), bad={}
+    def release(self, fault, start_ms, end_ms):
+        """Releases a good version of a share (`part`) of the functions, the most-called first."""
+        self.add_step(
+            start_ms,
+            "release",
+            functions=self.most_called(fault["part"]),
+            version=int(start_ms),
+            bad={},
         )
 
     mass_release = release
 
-    def bad_release(self, trouble, at, end):
-        """One that fails on a share of events (size 0 to 1), or one that is slow (times, above 1)."""
-        size = trouble["size"]
-        self.add(
-            at,
+    def bad_release(self, fault, start_ms, end_ms):
+        """Releases a bad version: up to size 1 it fails on that share of requests, above 1 it is slower by that factor."""
+        size = fault["size"]
+        self.add_step(
+            start_ms,
             "release",
-            functions=self.most_called(trouble["part"]),
-            version=int(at),
+            functions=self.most_called(fault["part"]),
+            version=int(start_ms),
             bad={"fail": size} if size <= 1 else {"slow": size},
         )
 
-    def most_called(self, part):
+    def most_called(self, share):
         count = self.day["functions"]["count"]
-        return [function_name(f) for f in range(max(1, round(part * count)))]
+        return [function_name(number) for number in range(max(1, round(share * count)))]
 
-    def flood(self, trouble, at, end):
-        self.add(at, "flood", per_second=100.0 * trouble["size"])
-        self.add(end, "flood", per_second=0.0)
+    def flood(self, fault, start_ms, end_ms):
+        self.add_step(start_ms, "flood", per_second=100.0 * fault["size"])
+        self.add_step(end_ms, "flood", per_second=0.0)
 
-    def reconnect(self, trouble, at, end):
-        self.add(at, "reconnect", count=max(1, int(trouble["size"])))
+    def reconnect(self, fault, start_ms, end_ms):
+        self.add_step(start_ms, "reconnect", count=max(1, int(fault["size"])))
 
-    def key_change(self, trouble, at, end):
-        self.add(
-            at,
+    def key_change(self, fault, start_ms, end_ms):
+        self.add_step(
+            start_ms,
             "key change",
-            times=max(1, int(trouble["size"])),
-            gateways=self.sample(trouble["part"], range(self.day["gateways"]["count"])),
+            times=max(1, int(fault["size"])),
+            gateways=self.sample(fault["part"], range(self.day["gateways"]["count"])),
         )
 
-    def flush(self, trouble, at, end):
+    def flush(self, fault, start_ms, end_ms):
         count = self.day["functions"]["count"]
-        functions = [function_name(f) for f in self.sample(trouble["part"], range(count))]
-        self.add(at, "flush", functions=functions, release=int(at))
+        functions = [function_name(number) for number in self.sample(fault["part"], range(count))]
+        self.add_step(start_ms, "flush", functions=functions, release=int(start_ms))
 
-    def failing(self, trouble, at, end):
+    def failing(self, fault, start_ms, end_ms):
         functions = [
-            function_name(f)
-            for f in self.sample(trouble["part"], range(self.day["functions"]["count"]))
+            function_name(number)
+            for number in self.sample(fault["part"], range(self.day["functions"]["count"]))
         ]
-        self.add(at, "hosts", do="fail", hosts=None, values={"functions": functions, "on": True})
-        self.add(end, "hosts", do="fail", hosts=None, values={"functions": functions, "on": False})
+        self.add_step(
+            start_ms, "hosts", do="fail", hosts=None, values={"functions": functions, "on": True}
+        )
+        self.add_step(
+            end_ms, "hosts", do="fail", hosts=None, values={"functions": functions, "on": False}
+        )
--- a/cherrydoor/rehearsal/scenario_runner.py
+++ b/cherrydoor/rehearsal/scenario_runner.py
@@ -34,8 +34,8 @@
 class ScenarioRunner(FaultSteps):
     """Plays one scenario (`day`) into a folder: records in `folder/traffic`, logs in `folder/parts.log`."""
 
-    def __init__(self, day, folder, report_progress=lambda text: None):
-        self.day, self.folder, self.report_progress = day, Path(folder), report_progress
+    def __init__(self, day, folder, on_progress=lambda text: None):
+        self.day, self.folder, self.report_progress = day, Path(folder), on_progress
         self.folder.mkdir(parents=True, exist_ok=True)
         self.traffic = self.folder / "traffic"
         if self.traffic.exists() and any(self.traffic.iterdir()):
@@ -47,9 +47,9 @@
         self.replaced, self.feed_at, self.proxy, self.peer_addresses = set(), "", None, {}
 
     def new_process(self, name):
-        process = ManagedProcess(name, self.log_file)
-        self.started.append(process)
-        return process
+        child = ManagedProcess(name, self.log_file)
+        self.started.append(child)
+        return child
 
     async def play(self):
         """Plays the whole scenario; raises RunFailedError if it could not be played."""
@@ -60,13 +60,13 @@
         finally:
             for task in self.tasks:
                 task.cancel()
-            for process in self.started:
-                process.signal(signal.SIGCONT)
-                process.signal(
-                    signal.SIGTERM if process.process and process.process.returncode is None else 0
+            for child in self.started:
+                child.signal(signal.SIGCONT)
+                child.signal(
+                    signal.SIGTERM if child.process and child.process.returncode is None else 0
                 )
-            for process in self.started:
-                await process.stop(3.0)
+            for child in self.started:
+                await child.stop(3.0)
             self.record.close()
             self.log_file.close()
 
@@ -84,9 +84,14 @@
             settings={"record": record_folder, "catalogue": catalogue, "figures": day["store"]},
         )
         store_port = (await self.store.wait_for_message("ready"))["port"]
-        self.host_specs, addresses = host_specs(day), [self.ports.take() for _ in host_specs(day)]
+        self.host_specs, host_addresses = (
+            host_specs(day),
+            [self.ports.take() for _ in host_specs(day)],
+        )
         await self.start_proxy()
-        listen_addresses = [await self.proxied(name) for name in addresses] if self.proxy else None
+        listen_addresses = (
+            [await self.proxied(address) for address in host_addresses] if self.proxy else None
+        )
         self.host_pool = await self.new_process("hosts").start(
             "stand-in",
             "hosts",
@@ -96,7 +101,7 @@
                 "store": f"127.0.0.1:{store_port}",
                 "seed": day["seed"],
                 "builds": self.host_specs,
-                "names": addresses,
+                "names": host_addresses,
                 "binds": listen_addresses,
                 "scopes": {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"},
             },
@@ -218,7 +223,7 @@
 
     async def start_gateways(self, group):
         """Starts one process for a group of gateways. After a crash they listen on their old ports again."""
-        process, arguments = self.new_process("gateways " + " ".join(map(str, group))), []
+        child, arguments = self.new_process("gateways " + " ".join(map(str, group))), []
         for number in group:
             address = self.addresses.get(number) or self.ports.take()
             config_path = self.folder / f"g{number}.lease"
@@ -238,7 +243,7 @@
             )
             arguments += ["--lease", str(config_path)]
         router = self.day["gateways"]["decides"]
-        await process.start(
+        await child.start(
             "gateway",
             *arguments,
             "--tied",
@@ -247,11 +252,11 @@
             descriptors=self.day["doors"]["descriptors"],
         )
         for _ in group:
-            message = await process.wait_for_message("door")
+            message = await child.wait_for_message("door")
             number = int(message["gateway"][1:])
             self.addresses[number], self.gateways[number] = (
                 f"127.0.0.1:{message['port']}",
-                (process, group),
+                (child, group),
             )
             self.record.add("gateway up", f"g{number}")
 
@@ -266,15 +271,15 @@
             (("list",), self.list),
         ]
         processes += [
-            (tuple(f"g{gateway}" for gateway in group), process)
-            for process, group in {
-                id(process): (process, group) for process, group in self.gateways.values()
+            (tuple(f"g{gateway}" for gateway in group), child)
+            for child, group in {
+                id(child): (child, group) for child, group in self.gateways.values()
             }.values()
         ]
         return [
-            (names, process.process.pid)
-            for names, process in processes
-            if process.process.returncode is None
+            (names, child.process.pid)
+            for names, child in processes
+            if child.process.returncode is None
         ]
 
     async def set_endpoint(self, number, host, state, since, host_spec):
@@ -311,10 +316,10 @@
                 task.result()
             if elapsed_ms >= total_ms:
                 break
-            for process in (self.host_pool, self.store, self.list, self.clients):
-                if process.process.returncode is not None:
+            for child in (self.host_pool, self.store, self.list, self.clients):
+                if child.process.returncode is not None:
                     raise RunFailedError(
-                        f"{process.name} exited with {process.process.returncode} during the scenario; see {self.log_file.name}"
+                        f"{child.name} exited with {child.process.returncode} during the scenario; see {self.log_file.name}"
                     )
             if elapsed_ms - reported_ms > 5000:
                 reported_ms = elapsed_ms
@@ -328,19 +333,19 @@
         await self.clients.wait_for_message("over", 120.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
-        processes = {id(process): process for process, _ in self.gateways.values()}.values()
-        for process in processes:
-            process.signal(signal.SIGTERM)
-        for process in processes:
-            code = await asyncio.wait_for(process.process.wait(), 30.0)
+        processes = {id(child): child for child, _ in self.gateways.values()}.values()
+        for child in processes:
+            child.signal(signal.SIGTERM)
+        for child in processes:
+            code = await asyncio.wait_for(child.process.wait(), 30.0)
             self.codes.append(code)
-            self.record.add("gateway ended", process.name, number=code)
+            self.record.add("gateway ended", child.name, number=code)
         if any(self.codes):
             raise RunFailedError(
                 f"gateways exited with {sorted(set(self.codes))}, expected 0; see {self.log_file.name}"
             )
 
 
-def rehearse(day, folder, report_progress=lambda text: None):
+def rehearse(day, folder, on_progress=lambda text: None):
     """Plays the scenario `day`; the recorded traffic is in `folder/traffic` afterwards."""
-    asyncio.run(ScenarioRunner(day, folder, report_progress).play())
+    asyncio.run(ScenarioRunner(day, folder, on_progress).play())
--- a/cherrydoor/rehearsal/traffic.py
+++ b/cherrydoor/rehearsal/traffic.py
@@ -1,88 +1,117 @@
-"""The arrivals of a day, drawn ahead from its seed: they do not wait for answers, and the same seed gives the same."""
+"""Draws the arrivals of a scenario from its seed before it starts.
+
+The load is an open loop: arrivals don't wait for responses. The same seed gives the same arrivals.
+"""
 
 import numpy as np
 
 
 class Arrivals:
-    """Lists of one length, in order of time: at (ms from the start), function, clause, party, gateway (numbers),
-    patience (share of the max age after which the try is given up), leaves (ms after which the client withdraws, 0
-    never), extra (True for repeats that clients send without need)."""
+    """All arrivals of a scenario as lists of equal length, sorted by time.
+
+    Attributes:
+        at_ms: Time of arrival, ms from the start.
+        function: Number of the function that is called.
+        request_class: Index of the request class.
+        tenant: Index of the tenant.
+        gateway: Number of the gateway that receives the request.
+        patience: Share of the maximum age after which the client gives up an attempt.
+        withdraw_after_ms: Time after which the client withdraws the request; 0 for never.
+        extra: True for a duplicate that an impatient client sends 30 ms after the first request.
+        count: Number of arrivals.
+    """
 
     def __init__(self, **columns):
-        order = np.argsort(columns["at"], kind="stable")
+        order = np.argsort(columns["at_ms"], kind="stable")
         for name, column in columns.items():
             setattr(self, name, np.asarray(column)[order].tolist())
 
         self.count = len(order)
 
 
-def rate_at(day, times):
-    """Events a second at each of the times (ms), without what troubles add."""
-    clients, whole = day["clients"], day["length"] + day["warm"]
-    base = np.full(len(times), float(clients["per_second"]))
+def rate_at(day, times_ms):
+    """Returns the arrivals per second at each of the times; bursts are included, all other faults are not."""
+    clients, total_ms = day["clients"], day["length"] + day["warm"]
+    per_second = np.full(len(times_ms), float(clients["per_second"]))
     if clients["shape"] == "wave":
-        base *= 1 + clients["swing"] * np.sin(2 * np.pi * times / (whole / 2))
-    for trouble in day["troubles"]:
-        if trouble["what"] == "burst":
-            since = times - trouble["at"] - day["warm"]
-            rise = np.clip(since / 500, 0, 1) * np.clip((trouble["lasts"] - since) / 500, 0, 1)
-            base *= 1 + (trouble["size"] - 1) * rise
-    return base
-
-
-def poisson(rng, day, floor=1.0):
-    """Times by thinning; bursty ones come in clumps of the same mean."""
-    whole = day["length"] + day["warm"]
-    grid = np.arange(0.0, whole, 10.0)
-    top = rate_at(day, grid).max() * 1.01 + floor
-    clump = 4 if day["clients"]["shape"] == "bursty" else 1
-    count = rng.poisson(top * whole / 1000 / clump)
-    at = np.sort(rng.uniform(0, whole, count))
-    at = at[rng.uniform(0, top, count) < rate_at(day, at)]
-    if clump > 1:
-        at = np.repeat(at, rng.poisson(clump, len(at)))
-        at = np.sort(np.minimum(at + rng.exponential(8.0, len(at)), whole - 0.001))
-    return at
-
-
-def zipf_of(rng, day, at):
-    """Function numbers: popularity by rank, and a part of the ranks changes hands each spell."""
+        per_second *= 1 + clients["swing"] * np.sin(2 * np.pi * times_ms / (total_ms / 2))
+    for fault in day["troubles"]:
+        if fault["what"] == "burst":
+            elapsed_ms = times_ms - fault["at"] - day["warm"]
+            ramp = np.clip(elapsed_ms / 500, 0, 1) * np.clip(
+                (fault["lasts"] - elapsed_ms) / 500, 0, 1
+            )
+            per_second *= 1 + (fault["size"] - 1) * ramp
+    return per_second
+
+
+def draw_times(rng, day, margin=1.0):
+    """Draws arrival times (ms) by thinning a Poisson process.
+
+    In the bursty shape arrivals come in batches, 4 on average, at the same mean rate.
+    """
+    total_ms = day["length"] + day["warm"]
+    grid_ms = np.arange(0.0, total_ms, 10.0)
+    peak_per_second = rate_at(day, grid_ms).max() * 1.01 + margin
+    batch = 4 if day["clients"]["shape"] == "bursty" else 1
+    count = rng.poisson(peak_per_second * total_ms / 1000 / batch)
+    at_ms = np.sort(rng.uniform(0, total_ms, count))
+    at_ms = at_ms[rng.uniform(0, peak_per_second, count) < rate_at(day, at_ms)]
+    if batch > 1:
+        at_ms = np.repeat(at_ms, rng.poisson(batch, len(at_ms)))
+        at_ms = np.sort(np.minimum(at_ms + rng.exponential(8.0, len(at_ms)), total_ms - 0.001))
+    return at_ms
+
+
+def draw_functions(rng, day, at_ms):
+    """Draws the function of each arrival by Zipf popularity; returns these numbers and the next unused number.
+
+    After each spell, a share (`turning`) of the popularity ranks passes to new functions.
+    """
     functions = day["functions"]
-    n = functions["count"]
-    weight = 1 / (np.arange(n) + 2.0) ** functions["zipf"]
-    edge = np.cumsum(weight / weight.sum())
-    rank = np.minimum(np.searchsorted(edge, rng.uniform(0, 1, len(at))), n - 1)
-    spells = int((day["length"] + day["warm"]) // functions["spell"]) + 1
-    holder, fresh = np.arange(n), n
-    chosen = np.empty(len(at), dtype=np.int64)
-    spell = (at // functions["spell"]).astype(int)
-    for s in range(spells):
-        if s:
-            turned = rng.uniform(0, 1, n) < functions["turning"]
-            holder = np.where(turned, np.arange(fresh, fresh + n), holder)
-            fresh += n
-        inside = spell == s
-        chosen[inside] = holder[rank[inside]]
-    return chosen, fresh
-
-
-def timers(rng, day, total):
-    """Functions called at a period, each through one gateway."""
-    functions, whole = day["functions"], day["length"] + day["warm"]
+    ranks = functions["count"]
+    weight = 1 / (np.arange(ranks) + 2.0) ** functions["zipf"]
+    cumulative = np.cumsum(weight / weight.sum())
+    rank = np.minimum(np.searchsorted(cumulative, rng.uniform(0, 1, len(at_ms))), ranks - 1)
+    spell_count = int((day["length"] + day["warm"]) // functions["spell"]) + 1
+    number_of_rank, next_number = np.arange(ranks), ranks
+    chosen = np.empty(len(at_ms), dtype=np.int64)
+    spell = (at_ms // functions["spell"]).astype(int)
+    for spell_index in range(spell_count):
+        if spell_index:
+            replaced = rng.uniform(0, 1, ranks) < functions["turning"]
+            number_of_rank = np.where(
+                replaced, np.arange(next_number, next_number + ranks), number_of_rank
+            )
+            next_number += ranks
+        in_spell = spell == spell_index
+        chosen[in_spell] = number_of_rank[rank[in_spell]]
+    return chosen, next_number
+
+
+def draw_timer_calls(rng, day, first_number):
+    """Draws the calls of functions called by timers at a fixed period, each through one gateway.
+
+    Returns the times (ms), the functions and the gateways. Functions are numbered from `first_number`.
+    """
+    functions, total_ms = day["functions"], day["length"] + day["warm"]
     per_second = day["clients"]["per_second"] * functions["timed"]
     count = int(round(per_second * functions["period"] / 1000))
-    at, function, gateway = [np.empty(0)], [np.empty(0, int)], [np.empty(0, int)]
-    for i in range(count):
+    at_ms, function, gateway = [np.empty(0)], [np.empty(0, int)], [np.empty(0, int)]
+    for index in range(count):
         period = functions["period"] * rng.uniform(0.8, 1.2)
-        times = np.arange(rng.uniform(0, period), whole, period)
-        at.append(times)
-        function.append(np.full(len(times), total + i))
-        gateway.append(np.full(len(times), rng.integers(day["gateways"]["count"])))
-    return np.concatenate(at), np.concatenate(function), np.concatenate(gateway)
+        times_ms = np.arange(rng.uniform(0, period), total_ms, period)
+        at_ms.append(times_ms)
+        function.append(np.full(len(times_ms), first_number + index))
+        gateway.append(np.full(len(times_ms), rng.integers(day["gateways"]["count"])))
+    return np.concatenate(at_ms), np.concatenate(function), np.concatenate(gateway)
 
 
 def draw_arrivals(day):
-    """All arrivals of a day. Each part has a random stream of its own, so that a trouble added moves no other."""
+    """Draws all arrivals of a scenario.
+
+    Each property has its own random stream, so an added fault doesn't change the other arrivals.
+    """
     streams = dict(
         zip(
             (
@@ -99,86 +128,98 @@
             strict=True,
         )
     )
-    at = poisson(streams["times"], day)
-    function, fresh = zipf_of(streams["functions"], day, at)
-    timed_at, timed_function, timed_gateway = timers(streams["timers"], day, fresh)
-    fresh += len(timed_at) + 1
-    n = day["gateways"]["count"]
-    weight = streams["gateways"].lognormal(0, day["clients"]["uneven"], n)
-    gateway = streams["gateways"].choice(n, len(at), p=weight / weight.sum())
-    function = troubled(streams["troubles"], day, at, function, fresh)
-    repeats = repeated(streams["troubles"], day, at)
-    at = np.concatenate([at, timed_at, at[repeats] + 30.0])
-    function = np.concatenate([function, timed_function, function[repeats]])
-    gateway = np.concatenate([gateway, timed_gateway, gateway[repeats]])
-    extra = np.zeros(len(at), bool)
-    extra[len(at) - len(repeats) :] = True
-    clauses = np.array([e["share"] for e in day["events"]], float)
-    offices = np.array([o["share"] for o in day["offices"]] or [1.0], float)
-    clause = streams["clauses"].choice(len(clauses), len(at), p=clauses / clauses.sum())
+    at_ms = draw_times(streams["times"], day)
+    function, next_number = draw_functions(streams["functions"], day, at_ms)
+    timer_at_ms, timer_function, timer_gateway = draw_timer_calls(
+        streams["timers"], day, next_number
+    )
+    next_number += len(timer_at_ms) + 1
+    gateways = day["gateways"]["count"]
+    gateway_weights = streams["gateways"].lognormal(0, day["clients"]["uneven"], gateways)
+    gateway = streams["gateways"].choice(
+        gateways, len(at_ms), p=gateway_weights / gateway_weights.sum()
+    )
+    function = apply_function_faults(streams["troubles"], day, at_ms, function, next_number)
+    repeated = repeated_requests(streams["troubles"], day, at_ms)
+    at_ms = np.concatenate([at_ms, timer_at_ms, at_ms[repeated] + 30.0])
+    function = np.concatenate([function, timer_function, function[repeated]])
+    gateway = np.concatenate([gateway, timer_gateway, gateway[repeated]])
+    extra = np.zeros(len(at_ms), bool)
+    extra[len(at_ms) - len(repeated) :] = True
+    class_shares = np.array([event["share"] for event in day["events"]], float)
+    office_shares = np.array([office["share"] for office in day["offices"]] or [1.0], float)
+    request_class = streams["clauses"].choice(
+        len(class_shares), len(at_ms), p=class_shares / class_shares.sum()
+    )
     if day["functions"]["typed"]:
-        clause = np.searchsorted(
-            np.cumsum(clauses / clauses.sum()), (function * 6271 + 7) % 1000 / 1000, side="right"
+        request_class = np.searchsorted(
+            np.cumsum(class_shares / class_shares.sum()),
+            (function * 6271 + 7) % 1000 / 1000,
+            side="right",
         )
-    owner = (function * 7919 + 13) % 1000 / 1000  # a function belongs to one office, as deeds do
-    party = np.searchsorted(np.cumsum(offices / offices.sum()), owner, side="right").clip(
-        0, len(offices) - 1
+    office_draw = (function * 7919 + 13) % 1000 / 1000  # each function belongs to one office
+    tenant = np.searchsorted(
+        np.cumsum(office_shares / office_shares.sum()), office_draw, side="right"
+    ).clip(0, len(office_shares) - 1)
+    least_patience = day["clients"]["try_share"]
+    patience = (
+        streams["patience"].uniform(least_patience, 1.0, len(at_ms))
+        if least_patience < 1
+        else np.ones(len(at_ms))
     )
-    share = day["clients"]["try_share"]
-    patience = streams["patience"].uniform(share, 1.0, len(at)) if share < 1 else np.ones(len(at))
-    leaves = np.where(
-        streams["patience"].uniform(0, 1, len(at)) < day["clients"]["impatient"],
-        streams["patience"].uniform(20, 600, len(at)),
+    withdraw_after_ms = np.where(
+        streams["patience"].uniform(0, 1, len(at_ms)) < day["clients"]["impatient"],
+        streams["patience"].uniform(20, 600, len(at_ms)),
         0.0,
     )
     return Arrivals(
-        at=at,
+        at_ms=at_ms,
         function=function,
-        clause=clause,
-        party=party,
+        request_class=request_class,
+        tenant=tenant,
         gateway=gateway,
         patience=patience,
-        leaves=leaves,
+        withdraw_after_ms=withdraw_after_ms,
         extra=extra,
     )
 
 
-def troubled(rng, day, at, function, fresh):
-    """Hot functions and scans take the place of a part of what is called while they last."""
+def apply_function_faults(rng, day, at_ms, function, next_number):
+    """Replaces a share of the functions called during a hot or scan fault by a few hot ones, or by a new one each."""
     function = function.copy()
-    for trouble in day["troubles"]:
-        if trouble["what"] not in ("hot", "scan"):
+    for fault in day["troubles"]:
+        if fault["what"] not in ("hot", "scan"):
             continue
-        since = at - day["warm"] - trouble["at"]
-        struck = (
-            (since >= 0)
-            & (since < trouble["lasts"])
-            & (rng.uniform(0, 1, len(at)) < trouble["part"])
+        elapsed_ms = at_ms - day["warm"] - fault["at"]
+        affected = (
+            (elapsed_ms >= 0)
+            & (elapsed_ms < fault["lasts"])
+            & (rng.uniform(0, 1, len(at_ms)) < fault["part"])
         )
-        count = int(struck.sum())
-        if trouble["what"] == "hot":
-            few = max(1, int(trouble["size"]))
-            function[struck] = fresh + rng.integers(0, few, count)
-            fresh += few
+        count = int(affected.sum())
+        if fault["what"] == "hot":
+            hot_count = max(1, int(fault["size"]))
+            function[affected] = next_number + rng.integers(0, hot_count, count)
+            next_number += hot_count
         else:
-            function[struck] = fresh + np.arange(count)
-            fresh += count
+            function[affected] = next_number + np.arange(count)
+            next_number += count
     return function
 
 
-def repeated(rng, day, at):
-    """Indices of events that impatient clients send again at once, beside the first."""
-    found = [np.empty(0, int)]
-    for trouble in day["troubles"]:
-        if trouble["what"] == "repeats":
-            since = at - day["warm"] - trouble["at"]
-            struck = (
-                (since >= 0)
-                & (since < trouble["lasts"])
-                & (rng.uniform(0, 1, len(at)) < trouble["part"])
+def repeated_requests(rng, day, at_ms):
+    """Returns the indices of the arrivals that impatient clients send a second time without waiting for a response."""
+    indices = [np.empty(0, int)]
+    for fault in day["troubles"]:
+        if fault["what"] == "repeats":
+            elapsed_ms = at_ms - day["warm"] - fault["at"]
+            affected = (
+                (elapsed_ms >= 0)
+                & (elapsed_ms < fault["lasts"])
+                & (rng.uniform(0, 1, len(at_ms)) < fault["part"])
             )
-            found.append(np.flatnonzero(struck))
-    return np.concatenate(found)
+            indices.append(np.flatnonzero(affected))
+    return np.concatenate(indices)
 
 
 def function_name(number):
--- a/tests/rehearsal/test_bench_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -132,7 +132,7 @@
     assert {1, 5} <= {v["host"] for _, what, v in steps if what == "drain"}, (
         "the very hosts that it names"
     )
-    assert 0.8 < len(draw_arrivals(day).at) / (day["clients"]["per_second"] * 28) < 1.6 and left
+    assert 0.8 < len(draw_arrivals(day).at_ms) / (day["clients"]["per_second"] * 28) < 1.6 and left
 
 
 def test_scaled_in_size_and_time(tmp_path):
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -172,12 +172,12 @@
     day.write_text(LITTLE)
     one, same, other = read_day(day), read_day(day), read_day(day, seed=2)
     assert (
-        draw_arrivals(one).at == draw_arrivals(same).at
+        draw_arrivals(one).at_ms == draw_arrivals(same).at_ms
         and draw_arrivals(one).function == draw_arrivals(same).function
     )
     assert FaultPlan(one).steps == FaultPlan(same).steps
     assert (
-        draw_arrivals(one).at != draw_arrivals(other).at
+        draw_arrivals(one).at_ms != draw_arrivals(other).at_ms
         and FaultPlan(one).steps != FaultPlan(other).steps
     )
 
@@ -188,7 +188,7 @@
     struck = {"what": "hot", "at": 1000.0, "lasts": 5000.0, "part": 0.2, "size": 2.0}
     hot = calm | {"troubles": [*calm["troubles"], struck]}
     assert (
-        draw_arrivals(calm).at == draw_arrivals(hot).at
+        draw_arrivals(calm).at_ms == draw_arrivals(hot).at_ms
         and draw_arrivals(calm).function != draw_arrivals(hot).function
     )
 
