--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -1,7 +1,8 @@
-"""Clients in an open loop: they send what was drawn when it is due, whatever became of the rest, and note what comes.
+"""Open-loop clients: they send each drawn request when it is due, whatever became of earlier ones.
 
-One process plays all clients of a day, with one connection to each gateway. Time counts from when an event was due;
-how late it really went is noted with it, so that a reader can tell whether to believe the rest.
+One process plays all clients of a scenario, with one connection to each gateway, or one for each
+office if clients are known. Latency counts from the time a request was due. The record also tells
+when it was really sent, so that a reader can judge whether the clients kept up.
 """
 
 import asyncio
@@ -18,308 +19,385 @@
 
 
 class SentRequest:
-    """One event as sent: the first try of it, or a repeat."""
+    """One attempt of a client's request: the first attempt or a retry. Times are ms on the record's clock.
+
+    Attributes:
+        id: The attempt's id on the wire.
+        arrival: Index of the arrival that it belongs to.
+        attempt: 0 for the first attempt, 1 for the first retry, and so on.
+        due_ms: When the arrival was due.
+        attempt_deadline_ms: When the client gives this attempt up.
+        deadline_ms: When the request reaches its maximum age.
+        gateway: Number of the gateway it goes to, modulo the number of gateways.
+        connection: The connection on which a response is awaited, None if none is.
+        awaited_id: Id under which the response is awaited: the attempt's own or a claim's.
+        owner: Name and incarnation of the gateway that the attempt was sent to.
+    """
 
     __slots__ = (
         "id",
-        "first",
-        "index",
-        "due",
-        "until",
-        "deadline",
-        "turn",
-        "conn",
-        "asks",
-        "taker",
+        "arrival",
+        "attempt",
+        "due_ms",
+        "attempt_deadline_ms",
+        "deadline_ms",
+        "gateway",
+        "connection",
+        "awaited_id",
+        "owner",
     )
 
-    def __init__(self, number, first, index, due, deadline, turn):
-        self.id, self.first, self.index, self.due = number, first, index, due
-        self.deadline, self.turn, self.until, self.conn = deadline, turn, 0.0, None
-        self.asks, self.taker = (
-            number,
-            ("", 0),
-        )  # the id under which its answer is awaited; who took it, which life
+    def __init__(self, request_id, arrival, attempt, due_ms, deadline_ms, gateway):
+        self.id, self.arrival, self.attempt, self.due_ms = request_id, arrival, attempt, due_ms
+        self.deadline_ms, self.gateway, self.attempt_deadline_ms, self.connection = (
+            deadline_ms,
+            gateway,
+            0.0,
+            None,
+        )
+        self.awaited_id, self.owner = request_id, ("", 0)
 
 
 class Clients:
-    def __init__(self, day, doors, record, sources=None):
+    """All clients of a scenario.
+
+    `sources` has each office's source address and key files by name; without it clients are unknown.
+    """
+
+    def __init__(self, day, addresses, record, sources=None):
         self.day, self.record, self.loop = day, record, asyncio.get_running_loop()
         self.arrivals, self.events = draw_arrivals(day), day["events"]
-        self.offices = [o["name"] for o in day["offices"]] or [""]
+        self.offices = [office["name"] for office in day["offices"]] or [""]
         sources = sources or {}
         self.connections = [
             [
                 Connection(
-                    self, i, address, office, sources.get(office, {"address": "", "keys": {}})
+                    self, gateway, address, office, sources.get(office, {"address": "", "keys": {}})
                 )
                 for office in (self.offices if sources else [""])
             ]
-            for i, address in enumerate(doors)
+            for gateway, address in enumerate(addresses)
         ]
-        self.bodies = [b"b" * e["body"] for e in self.events]
-        self.heap, self.serial, self.next, self.ids, self.ends = (
+        self.bodies = [b"b" * event["body"] for event in self.events]
+        self.timers, self.last_timer, self.next_arrival, self.last_id, self.ends = (
             [],
             0,
             0,
             0,
             self.loop.create_future(),
         )
-        self.names = [f"g{i}" for i in range(len(doors))]
-        self.begun, self.streams = 0.0, set()
+        self.gateway_names = [f"g{gateway}" for gateway in range(len(addresses))]
+        self.started_ms, self.streams = 0.0, set()
 
-    def chance(self, *what):
-        return crc32(repr((self.day["seed"], *what)).encode()) / 2.0**32
+    def random_for(self, *key):
+        """Returns a number from 0 to 1 that depends on the seed and the key alone."""
+        return crc32(repr((self.day["seed"], *key)).encode()) / 2.0**32
 
-    def go(self, at):
-        """Starts the day at that time of the machine's monotonic clock."""
-        self.begun = at
-        self.record.add("begun", t=at)
-        self.loop.call_later(max(0.0, at - now()) / 1000, self.tick)
+    def go(self, start_ms):
+        """Starts the scenario at that time of the machine's monotonic clock, ms."""
+        self.started_ms = start_ms
+        self.record.add("begun", t=start_ms)
+        self.loop.call_later(max(0.0, start_ms - now()) / 1000, self.tick)
 
-    def later(self, at, what, *args):
-        self.serial += 1
-        heappush(self.heap, (at, self.serial, what, args))
+    def schedule(self, at_ms, callback, *arguments):
+        self.last_timer += 1
+        heappush(self.timers, (at_ms, self.last_timer, callback, arguments))
 
     def tick(self):
-        """Sends all that is due and ends what has run out, then waits for the next."""
-        t, arrivals = now(), self.arrivals
+        """Sends the requests and runs the timers that are due, then schedules itself for the next of them."""
+        now_ms, arrivals = now(), self.arrivals
         while True:
-            due = self.begun + arrivals.at_ms[self.next] if self.next < arrivals.count else None
-            alarm = self.heap[0][0] if self.heap else None
-            if due is not None and due <= t and (alarm is None or due <= alarm):
-                i, self.next = self.next, self.next + 1
-                self.first(i, float(due))
-            elif alarm is not None and alarm <= t:
-                _, _, what, args = heappop(self.heap)
-                what(*args)
+            arrival_ms = (
+                self.started_ms + arrivals.at_ms[self.next_arrival]
+                if self.next_arrival < arrivals.count
+                else None
+            )
+            timer_ms = self.timers[0][0] if self.timers else None
+            if (
+                arrival_ms is not None
+                and arrival_ms <= now_ms
+                and (timer_ms is None or arrival_ms <= timer_ms)
+            ):
+                arrival, self.next_arrival = self.next_arrival, self.next_arrival + 1
+                self.send_first(arrival, float(arrival_ms))
+            elif timer_ms is not None and timer_ms <= now_ms:
+                _, _, callback, arguments = heappop(self.timers)
+                callback(*arguments)
             else:
                 break
-        upcoming = [x for x in (due, alarm) if x is not None]
+        upcoming = [time_ms for time_ms in (arrival_ms, timer_ms) if time_ms is not None]
         if upcoming:
             self.loop.call_later(max(0.0, min(upcoming) - now()) / 1000, self.tick)
         elif not self.ends.done():
             self.ends.set_result(None)
 
-    def first(self, i, due):
-        event = self.events[self.arrivals.request_class[i]]
-        one = SentRequest(
-            self.new_id(), i, 0, due, due + event["max_age"], self.arrivals.gateway[i]
+    def send_first(self, arrival, due_ms):
+        event = self.events[self.arrivals.request_class[arrival]]
+        request = SentRequest(
+            self.new_id(),
+            arrival,
+            0,
+            due_ms,
+            due_ms + event["max_age"],
+            self.arrivals.gateway[arrival],
         )
-        self.send(one)
+        self.send(request)
 
     def new_id(self):
-        self.ids += 1
-        return self.ids
-
-    def send(self, one):
-        i, a = one.first, self.arrivals
-        event, t = self.events[a.request_class[i]], now()
-        there = self.connections[int(one.turn) % len(self.connections)]
-        conn = there[a.tenant[i]] if len(there) > 1 else there[0]
-        lasts = min(event["max_age"] * a.patience[i], one.deadline - t)
-        if lasts <= 1:
+        self.last_id += 1
+        return self.last_id
+
+    def send(self, request):
+        arrival, arrivals = request.arrival, self.arrivals
+        event, now_ms = self.events[arrivals.request_class[arrival]], now()
+        connections = self.connections[int(request.gateway) % len(self.connections)]
+        connection = (
+            connections[arrivals.tenant[arrival]] if len(connections) > 1 else connections[0]
+        )
+        remaining_ms = min(
+            event["max_age"] * arrivals.patience[arrival], request.deadline_ms - now_ms
+        )
+        if remaining_ms <= 1:
             return
         row = dict(
-            peer=self.names[conn.number],
-            id=one.id,
-            event=one.id,
-            number=one.index,
-            function=function_name(a.function[i]),
+            peer=self.gateway_names[connection.gateway],
+            id=request.id,
+            event=request.id,
+            number=request.attempt,
+            function=function_name(arrivals.function[arrival]),
             clause=event["name"],
-            party=self.offices[a.tenant[i]],
-            mark=f"m{i}",
-            a=float(one.due),
-            b=float(lasts),
-            c=float(i),
+            party=self.offices[arrivals.tenant[arrival]],
+            mark=f"m{arrival}",
+            a=float(request.due_ms),
+            b=float(remaining_ms),
+            c=float(arrival),
         )
-        if conn.end is None or conn.leaving:
-            self.record.add("unreachable", t=t, **row)
-            return self.again(one, "unreachable", 0.0)
-        one.conn, one.until = conn, t + lasts
-        conn.open[one.id] = one
-        self.record.add("sent", t=t, text="extra" if a.extra[i] else "", **row)
-        conn.end.write(
+        if connection.end is None or connection.draining:
+            self.record.add("unreachable", t=now_ms, **row)
+            return self.retry(request, "unreachable", 0.0)
+        request.connection, request.attempt_deadline_ms = connection, now_ms + remaining_ms
+        connection.pending[request.id] = request
+        self.record.add("sent", t=now_ms, text="extra" if arrivals.extra[arrival] else "", **row)
+        connection.end.write(
             protocol.Request(
-                one.id,
+                request.id,
                 event["name"],
                 row["function"],
-                lasts,
-                t,
+                remaining_ms,
+                now_ms,
                 row["party"],
                 row["mark"],
-                self.lanes(a.function[i]),
-                self.load(a.function[i]),
-                self.bodies[a.request_class[i]],
-                claim_key=f"{self.chance('key', one.id):.17f}",
-                affinity_key=self.document(a.function[i], i),
+                self.concurrency(arrivals.function[arrival]),
+                self.mean_load_ms(arrivals.function[arrival]),
+                self.bodies[arrivals.request_class[arrival]],
+                claim_key=f"{self.random_for('key', request.id):.17f}",
+                affinity_key=self.affinity_key(arrivals.function[arrival], arrival),
             )
         )
-        one.taker = conn.name, conn.incarnation
-        self.later(one.until, self.gave_up, one)
-        if a.withdraw_after_ms[i] and one.index == 0:
-            self.later(t + float(a.withdraw_after_ms[i]), self.withdraw, one)
+        request.owner = connection.name, connection.incarnation
+        self.schedule(request.attempt_deadline_ms, self.attempt_timed_out, request)
+        if arrivals.withdraw_after_ms[arrival] and request.attempt == 0:
+            self.schedule(
+                now_ms + float(arrivals.withdraw_after_ms[arrival]), self.withdraw, request
+            )
 
-    def document(self, function, i):
-        """A session calls one function: so many of them for each."""
+    def affinity_key(self, function, arrival):
+        """Returns the session's key. Each session calls one function; `documents` is the number of sessions of each."""
         count = self.day["clients"].get("documents", 0)
-        return f"{function_name(function)}/{i % count}" if count else ""
+        return f"{function_name(function)}/{arrival % count}" if count else ""
 
-    def lanes(self, function):
+    def concurrency(self, function):
         lanes = self.day["functions"]["lanes"]
         return float(lanes[crc32(f"lanes/{function_name(function)}".encode()) % len(lanes)])
 
-    def load(self, function):
-        least, most = self.day["functions"]["load"]
-        return (least + most) / 2
+    def mean_load_ms(self, function):
+        shortest_ms, longest_ms = self.day["functions"]["load"]
+        return (shortest_ms + longest_ms) / 2
 
-    def close(self, one):
-        conn, one.conn = one.conn, None
-        conn.open.pop(one.asks, None)
-        return self.names[conn.number]
+    def close_attempt(self, request):
+        connection, request.connection = request.connection, None
+        connection.pending.pop(request.awaited_id, None)
+        return self.gateway_names[connection.gateway]
 
-    def answered(self, conn, answer):
-        one = conn.open.get(answer.id)
+    def response_received(self, connection, response):
+        request = connection.pending.get(response.id)
         self.record.add(
             "answer",
-            peer=self.names[conn.number],
-            id=answer.id,
-            event=one.id if one else answer.id,
-            fate=answer.outcome,
-            a=answer.retry_after_ms,
-            number=int(one is not None),
-            text=answer.reason,
-            clause="claimed" if one is not None and one.asks != one.id else "",
+            peer=self.gateway_names[connection.gateway],
+            id=response.id,
+            event=request.id if request else response.id,
+            fate=response.outcome,
+            a=response.retry_after_ms,
+            number=int(request is not None),
+            text=response.reason,
+            clause="claimed" if request is not None and request.awaited_id != request.id else "",
         )
-        if one is None:
+        if request is None:
             return
-        self.close(one)
-        self.streams.discard(one.id)
-        if answer.outcome != "handled":
-            self.again(one, answer.outcome, answer.retry_after_ms)
+        self.close_attempt(request)
+        self.streams.discard(request.id)
+        if response.outcome != "handled":
+            self.retry(request, response.outcome, response.retry_after_ms)
 
-    def started(self, conn, message):
-        self.record.add("started", peer=self.names[conn.number], id=message.id, event=message.id)
+    def stream_started(self, connection, message):
+        self.record.add(
+            "started", peer=self.gateway_names[connection.gateway], id=message.id, event=message.id
+        )
         self.streams.add(message.id)
 
-    def gave_up(self, one):
-        if one.conn is None or one.id in self.streams:
+    def attempt_timed_out(self, request):
+        if request.connection is None or request.id in self.streams:
             return
-        conn = one.conn
-        self.record.add("gave up", peer=self.close(one), id=one.id, event=one.id)
-        if conn.end and one.asks == one.id:
-            conn.end.write(protocol.CancelRequest(one.id))
-        self.again(one, "gave up", 0.0)
-
-    def withdraw(self, one):
-        if one.conn is not None:
-            conn = one.conn
-            self.record.add("withdrew", peer=self.close(one), id=one.id, event=one.id)
-            if conn.end and one.asks == one.id:
-                conn.end.write(protocol.CancelRequest(one.id))
-
-    def cut(self, conn, one):
-        self.record.add("cut", peer=self.close(one), id=one.id, event=one.id)
-        if not self.reclaim(one):
-            self.again(one, "cut", 0.0)
-
-    def reclaim(self, one):
-        """Claims the answer at another gateway, where work in hand outlives its own; False where nobody is there."""
-        t, doors = now(), [door[0] for door in self.connections]
-        there = [
-            conn
-            for conn in doors
-            if conn.end is not None and not conn.leaving and conn.name != one.taker[0]
+        connection = request.connection
+        self.record.add(
+            "gave up", peer=self.close_attempt(request), id=request.id, event=request.id
+        )
+        if connection.end and request.awaited_id == request.id:
+            connection.end.write(protocol.CancelRequest(request.id))
+        self.retry(request, "gave up", 0.0)
+
+    def withdraw(self, request):
+        if request.connection is not None:
+            connection = request.connection
+            self.record.add(
+                "withdrew", peer=self.close_attempt(request), id=request.id, event=request.id
+            )
+            if connection.end and request.awaited_id == request.id:
+                connection.end.write(protocol.CancelRequest(request.id))
+
+    def connection_lost(self, connection, request):
+        self.record.add("cut", peer=self.close_attempt(request), id=request.id, event=request.id)
+        if not self.claim_response(request):
+            self.retry(request, "cut", 0.0)
+
+    def claim_response(self, request):
+        """Claims the response at another gateway, which may have taken over the request of the lost one.
+
+        Returns False if there is nothing to claim with: the gateway does not replicate requests in
+        flight, no other gateway is connected, or less than 60 ms remain.
+        """
+        now_ms, first_connections = now(), [connections[0] for connections in self.connections]
+        candidates = [
+            connection
+            for connection in first_connections
+            if connection.end is not None
+            and not connection.draining
+            and connection.name != request.owner[0]
         ]
-        if not one.taker[1] or not there or one.until - t < 60.0:
+        if not request.owner[1] or not candidates or request.attempt_deadline_ms - now_ms < 60.0:
             return False
-        conn = there[int(self.chance("claim", one.id, one.asks) * len(there))]
-        one.asks, one.conn = self.new_id(), conn
-        conn.open[one.asks] = one
+        connection = candidates[
+            int(self.random_for("claim", request.id, request.awaited_id) * len(candidates))
+        ]
+        request.awaited_id, request.connection = self.new_id(), connection
+        connection.pending[request.awaited_id] = request
         self.record.add(
-            "claims", peer=self.names[conn.number], id=one.asks, event=one.id, text=one.taker[0]
+            "claims",
+            peer=self.gateway_names[connection.gateway],
+            id=request.awaited_id,
+            event=request.id,
+            text=request.owner[0],
         )
-        conn.end.write(
+        connection.end.write(
             custody.ClaimResponse(
-                one.asks,
-                one.taker[0],
-                one.taker[1],
-                one.id,
-                f"{self.chance('key', one.id):.17f}",
-                one.until - t,
-                t,
+                request.awaited_id,
+                request.owner[0],
+                request.owner[1],
+                request.id,
+                f"{self.random_for('key', request.id):.17f}",
+                request.attempt_deadline_ms - now_ms,
+                now_ms,
             )
         )
         return True
 
-    def unknown(self, conn, message):
-        """Nobody knows of it: it may have run or not."""
-        one = conn.open.get(message.id)
-        if one is not None:
+    def response_unknown(self, connection, message):
+        """Handles the answer that no gateway knows the claimed request, which may have been run or not."""
+        request = connection.pending.get(message.id)
+        if request is not None:
             self.record.add(
-                "not known", peer=self.close(one), id=one.id, event=one.id, text=message.reason
+                "not known",
+                peer=self.close_attempt(request),
+                id=request.id,
+                event=request.id,
+                text=message.reason,
             )
-            self.again(one, "cut", 0.0)
+            self.retry(request, "cut", 0.0)
 
-    def again(self, one, why, stay):
-        """Repeats what may be repeated: redeliverable ones after any failure, keyed ones within the memory of a group
-        that is all, others only where the answer says that it is harmless."""
-        event, clients, t = (
-            self.events[self.arrivals.request_class[one.first]],
+    def retry(self, request, reason, retry_after_ms):
+        """Schedules a retry if the request may be repeated and has retries and time left.
+
+        A redeliverable request may be repeated after any failure. A keyed one may be repeated while
+        its idempotency key is remembered, if all hosts form one deduplication group. Any other may
+        be repeated only if it certainly did not run, i.e. was deferred or could not be sent.
+        """
+        event, clients, now_ms = (
+            self.events[self.arrivals.request_class[request.arrival]],
             self.day["clients"],
             now(),
         )
-        harmless = (
-            why in ("deferred", "unreachable")
+        may_repeat = (
+            reason in ("deferred", "unreachable")
             or event["kind"] == "redeliverable"
             or (
                 event["kind"] == "keyed"
                 and event["group"] == "all"
-                and t - one.due < 0.8 * event["memory"]
+                and now_ms - request.due_ms < 0.8 * event["memory"]
             )
         )
-        if one.index >= clients["retries"] or not harmless:
+        if request.attempt >= clients["retries"] or not may_repeat:
             return
-        wait = clients["wait"] * 2**one.index * (0.5 + self.chance("wait", one.id))
-        if why == "deferred" and self.chance("heed", one.first) < clients["heed"]:
-            wait = max(wait, stay)
-        if t + wait < one.deadline - 50:
-            # a repeat goes to another gateway where this one was out of reach
-            turn = one.turn + (1 if why in ("unreachable", "cut") else 0)
-            self.later(
-                t + wait,
+        delay_ms = (
+            clients["wait"] * 2**request.attempt * (0.5 + self.random_for("wait", request.id))
+        )
+        if reason == "deferred" and self.random_for("heed", request.arrival) < clients["heed"]:
+            delay_ms = max(delay_ms, retry_after_ms)
+        if now_ms + delay_ms < request.deadline_ms - 50:
+            # The retry goes to another gateway if this one could not be reached.
+            gateway = request.gateway + (1 if reason in ("unreachable", "cut") else 0)
+            self.schedule(
+                now_ms + delay_ms,
                 self.send,
-                SentRequest(self.new_id(), one.first, one.index + 1, one.due, one.deadline, turn),
+                SentRequest(
+                    self.new_id(),
+                    request.arrival,
+                    request.attempt + 1,
+                    request.due_ms,
+                    request.deadline_ms,
+                    gateway,
+                ),
             )
 
 
-async def play(said):
-    record = Record(said["record"], "client", "clients")
-    clients = Clients(said["day"], said["doors"], record, said.get("comes"))
+async def play(settings):
+    record = Record(settings["record"], "client", "clients")
+    clients = Clients(settings["day"], settings["doors"], record, settings.get("comes"))
     tasks = [
-        asyncio.get_running_loop().create_task(one.keep())
-        for door in clients.connections
-        for one in door
+        asyncio.get_running_loop().create_task(connection.keep())
+        for connections in clients.connections
+        for connection in connections
     ]
-    while any(one.end is None for door in clients.connections for one in door):
+    while any(
+        connection.end is None for connections in clients.connections for connection in connections
+    ):
         await asyncio.sleep(0.02)
     gc.collect()
     gc.freeze()
     emit("ready", events=clients.arrivals.count)
 
-    def handle_command(name, values):
-        if name == "go":
+    def handle_command(command, values):
+        if command == "go":
             clients.go(values["at"])
-        elif name == "count":
-            return clients.next
+        elif command == "count":
+            return clients.next_arrival
         else:
-            raise ValueError(f"unknown: {name}")
+            raise ValueError(f"unknown client command {command!r}; expected go or count")
 
-    def over(_):
+    def finish(_):
         record.flush()
-        emit("over", sent=clients.ids)
+        emit("over", sent=clients.last_id)
 
-    clients.ends.add_done_callback(over)
+    clients.ends.add_done_callback(finish)
     await serve_commands(handle_command)
     for task in tasks:
         task.cancel()
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to one gateway, made anew for as long as the day lasts."""
+"""A client's connection to one gateway, reopened whenever it is lost until the scenario ends."""
 
 import asyncio
 
@@ -10,71 +10,75 @@
 
 
 class Connection:
-    """To one gateway; tried again and again while it is down."""
+    """A connection to one gateway. While the gateway can't be reached, connecting is retried every 100 ms.
 
-    def __init__(self, clients, number, address, office, source):
-        """source: the address that it comes from ("" for any), and the keys of its TLS ({} for none)."""
-        self.clients, self.number, self.end, self.open, self.office = (
+    `end` is the open framed connection, None while there is none.
+    """
+
+    def __init__(self, clients, gateway, address, office, source):
+        """source: `address`, the local address to connect from ("" for any), and `keys`, the TLS key files ({} for none)."""
+        self.clients, self.gateway, self.end, self.pending, self.office = (
             clients,
-            number,
+            gateway,
             None,
             {},
             office,
         )
         self.host, _, port = address.rpartition(":")
-        self.port, self.leaving, self.name, self.incarnation = int(port), False, "", 0
-        self.more = {"ssl": client_tls_context(source["keys"])}
+        self.port, self.draining, self.name, self.incarnation = int(port), False, "", 0
+        self.options = {"ssl": client_tls_context(source["keys"])}
         if source["address"]:
-            self.more["local_addr"] = (source["address"], 0)
+            self.options["local_addr"] = (source["address"], 0)
 
     async def keep(self):
+        """Connects, waits until the connection is closed, and connects again; runs until it is cancelled."""
         while True:
             try:
-                self.gone, self.begun = asyncio.get_running_loop().create_future(), now()
+                self.closed, self.started_ms = asyncio.get_running_loop().create_future(), now()
                 await asyncio.get_running_loop().create_connection(
                     lambda: FramedConnection(self, custody.TO_CLIENT, self.hello),
                     self.host,
                     self.port,
-                    **self.more,
+                    **self.options,
                 )
-                await self.gone
+                await self.closed
             except OSError as error:
                 self.failed(str(error))
                 await asyncio.sleep(0.1)
 
-    def failed(self, why):
+    def failed(self, reason):
         self.clients.record.add(
             "connect failed",
-            peer=f"g{self.number}",
+            peer=f"g{self.gateway}",
             party=self.office,
-            a=now() - self.begun,
-            text=why,
+            a=now() - self.started_ms,
+            text=reason,
         )
 
     def hello(self):
-        return protocol.Hello(protocol.VERSION, "client", f"c{self.number}", now())
+        return protocol.Hello(protocol.VERSION, "client", f"c{self.gateway}", now())
 
     def hello_received(self, end, hello):
-        self.end, self.leaving, self.name, self.incarnation = (
+        self.end, self.draining, self.name, self.incarnation = (
             end,
             False,
             hello.name,
             hello.incarnation,
         )
         self.clients.record.add(
-            "connected", peer=hello.name, party=self.office, a=now() - self.begun
+            "connected", peer=hello.name, party=self.office, a=now() - self.started_ms
         )
 
     def message_received(self, end, message):
         kind = type(message)
         if kind is protocol.Response:
-            self.clients.answered(self, message)
+            self.clients.response_received(self, message)
         elif kind is custody.ResponseUnknown:
-            self.clients.unknown(self, message)
+            self.clients.response_unknown(self, message)
         elif kind is protocol.Draining:
-            self.leaving = True
+            self.draining = True
         elif kind is protocol.StreamStarted:
-            self.clients.started(self, message)
+            self.clients.stream_started(self, message)
 
     def connection_ended(self, end):
         if self.end is end:
@@ -82,10 +86,10 @@
         if (
             end.reader.fault is None
             and end.close_reason.startswith("peer: ")
-            and now() - self.begun < 1000
+            and now() - self.started_ms < 1000
         ):
             self.failed(end.close_reason)
-        for one in list(self.open.values()):
-            self.clients.cut(self, one)
-        if not self.gone.done():
-            self.gone.set_result(None)
+        for request in list(self.pending.values()):
+            self.clients.connection_lost(self, request)
+        if not self.closed.done():
+            self.closed.set_result(None)
