--- a/cherrydoor/rehearsal/fault_injecting_proxy.py
+++ b/cherrydoor/rehearsal/fault_injecting_proxy.py
@@ -1,9 +1,13 @@
-"""A relay between processes that does to their frames what networks do: by command and seed it delays, drops one way or
-both, holds and lets go later, doubles, reorders, resets, and cuts groups apart.
+"""A proxy between processes that injects network faults into their frames, by command and with a seed.
 
-Each target has a port of its own here; who comes is told by the name in its hello, the first frame. A rule is for what
-goes from one name to another, * for any; the last one that fits counts. What is held or cut stays open and silent, as a
-network does it; a reset is seen by both ends. A frame is dropped whole, so that what follows can still be read.
+It delays, drops, duplicates and reorders frames, holds them until a later rule releases them, resets
+connections, and partitions groups of processes. Faults apply to one direction or to both.
+
+Each target has its own port at the proxy. The name in the hello, which is the first frame of a
+connection, tells which process connected. A rule applies to frames from one name to another, where
+names may be patterns such as `*`; the last matching rule counts. A connection that is held or cut
+stays open and silent, as it would in a network partition; both ends see a reset. Frames are dropped
+whole, so that the receiver can still read those that follow.
 """
 
 import asyncio
@@ -15,26 +19,27 @@
 from cherrydoor.fakes.record import Record, now
 from cherrydoor.protocol.codec import PREFIX
 
-CALM = {
-    "delay": 0.0,
-    "spread": 0.0,
-    "drop": 0.0,
-    "double": 0.0,
-    "reorder": 0.0,
-    "cut": False,
-    "hold": False,
+NO_FAULTS = {
+    "delay": 0.0,  # ms
+    "spread": 0.0,  # ms, the longest random delay on top of "delay"
+    "drop": 0.0,  # probability that a frame is dropped
+    "double": 0.0,  # probability that it is sent twice
+    "reorder": 0.0,  # probability that later frames may overtake it
+    "cut": False,  # no frame gets through
+    "hold": False,  # frames wait until a later rule releases them
 }
 
 
 class OneWayLink:
-    """Frames of one connection in one direction."""
+    """One direction of a connection, from the process named `origin` to the one named `target`."""
 
-    def __init__(self, proxy, origin, to, writer):
-        self.proxy, self.origin, self.to, self.writer = proxy, origin, to, writer
-        self.held, self.last, self.loop = [], 0.0, asyncio.get_running_loop()
+    def __init__(self, proxy, origin, target, writer):
+        self.proxy, self.origin, self.target, self.writer = proxy, origin, target, writer
+        self.held, self.last_send_s, self.loop = [], 0.0, asyncio.get_running_loop()
 
-    def pass_on(self, frame):
-        rule, rng = self.proxy.rule(self.origin, self.to), self.proxy.rng
+    def forward(self, frame):
+        """Sends a frame on, with the faults of the rule that applies."""
+        rule, rng = self.proxy.rule(self.origin, self.target), self.proxy.rng
         if rule["cut"]:
             return self.proxy.count("cut")
         if rule["drop"] and rng.random() < rule["drop"]:
@@ -42,24 +47,24 @@
         if rule["hold"]:
             self.proxy.count("held")
             return self.held.append(frame)
-        times = 1 + (rng.random() < rule["double"])
-        self.proxy.counts["doubled"] = self.proxy.counts.get("doubled", 0) + times - 1
-        for _ in range(times):
-            late = (rule["delay"] + rule["spread"] * rng.random()) / 1000
-            at = self.loop.time() + late
+        copies = 1 + (rng.random() < rule["double"])
+        self.proxy.counts["doubled"] = self.proxy.counts.get("doubled", 0) + copies - 1
+        for _ in range(copies):
+            delay_s = (rule["delay"] + rule["spread"] * rng.random()) / 1000
+            send_at_s = self.loop.time() + delay_s
             if rule["reorder"] and rng.random() < rule["reorder"]:
                 self.proxy.count("reordered")
-                self.loop.call_at(at + 0.05 * rng.random(), self.write, frame)
-            elif late or self.last > self.loop.time():
-                self.last = max(self.last + 1e-6, at)
-                self.loop.call_at(self.last, self.write, frame)
+                self.loop.call_at(send_at_s + 0.05 * rng.random(), self.write, frame)
+            elif delay_s or self.last_send_s > self.loop.time():
+                self.last_send_s = max(self.last_send_s + 1e-6, send_at_s)
+                self.loop.call_at(self.last_send_s, self.write, frame)
             else:
                 self.write(frame)
 
     def release_held(self):
         held, self.held = self.held, []
         for frame in held:
-            self.pass_on(frame)
+            self.forward(frame)
 
     def write(self, frame):
         if not self.writer.is_closing():
@@ -67,6 +72,8 @@
 
 
 class FaultInjectingProxy:
+    """The proxy's ports, connections, rules, and counts of injected faults."""
+
     def __init__(self, seed=1):
         self.rng, self.rules, self.pairs, self.counts, self.servers = (
             random.Random(seed),
@@ -76,121 +83,145 @@
             [],
         )
 
-    def count(self, what):
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, event):
+        self.counts[event] = self.counts.get(event, 0) + 1
 
-    def rule(self, origin, to):
-        for one, other, values in reversed(self.rules):
-            if fnmatchcase(origin, one) and fnmatchcase(to, other):
+    def rule(self, origin, target):
+        """Returns the last rule that matches frames from `origin` to `target`, both given by name."""
+        for origin_pattern, target_pattern, values in reversed(self.rules):
+            if fnmatchcase(origin, origin_pattern) and fnmatchcase(target, target_pattern):
                 return values
-        return CALM
+        return NO_FAULTS
 
     async def port(self, to, target, at=""):
-        """Opens a port in front of a target; its address."""
+        """Opens a port in front of a target; returns the port's address.
+
+        Args:
+            to: Name of the target, by which rules refer to it.
+            target: Address of the target.
+            at: Address to listen at; by default any free port of 127.0.0.1.
+        """
         host, _, port = (at or "127.0.0.1:0").rpartition(":")
         server = await asyncio.start_server(
-            lambda r, w: self.accept(r, w, to, target), host, int(port), limit=2**26
+            lambda reader, writer: self.accept(reader, writer, to, target),
+            host,
+            int(port),
+            limit=2**26,
         )
         self.servers.append(server)
         return f"{host}:{server.sockets[0].getsockname()[1]}"
 
-    async def accept(self, reader, writer, to, target):
-        other = None
+    async def accept(self, reader, writer, target_name, target):
+        """Connects an incoming connection to the target and forwards frames in both directions."""
+        upstream = None
         try:
-            first = await frame_of(reader)
-            origin = str(msgpack.decode(first[PREFIX:]).get("name", ""))
-            if self.rule(origin, to)["cut"]:
-                return await asyncio.sleep(3600)  # nothing comes up, and nothing is said
+            hello = await read_frame(reader)
+            origin = str(msgpack.decode(hello[PREFIX:]).get("name", ""))
+            if self.rule(origin, target_name)["cut"]:
+                return await asyncio.sleep(3600)  # the connection stays open and silent
             host, _, port = target.rpartition(":")
-            other_reader, other = await asyncio.open_connection(host, int(port), limit=2**26)
-            there, back = OneWayLink(self, origin, to, other), OneWayLink(self, to, origin, writer)
-            pair = (origin, to, writer, other, there, back)
+            upstream_reader, upstream = await asyncio.open_connection(host, int(port), limit=2**26)
+            to_target, to_origin = (
+                OneWayLink(self, origin, target_name, upstream),
+                OneWayLink(self, target_name, origin, writer),
+            )
+            pair = (origin, target_name, writer, upstream, to_target, to_origin)
             self.pairs.append(pair)
-            other.write(first)
+            upstream.write(hello)
             try:
-                await asyncio.gather(pump(reader, there), pump(other_reader, back, hello=True))
+                await asyncio.gather(
+                    forward_frames(reader, to_target),
+                    forward_frames(upstream_reader, to_origin, hello=True),
+                )
             finally:
                 self.pairs.remove(pair)
         except asyncio.CancelledError:
-            pass  # the rehearsal ends
+            pass  # the run has ended
         except (OSError, asyncio.IncompleteReadError, ValueError, AttributeError):
-            writer.transport.abort()  # nobody there: it is told as a refusal would be
+            writer.transport.abort()  # nothing listens there: reset, like a refused connection
         finally:
-            for one in (writer, other):
-                if one is not None:
-                    one.transport.abort() if self.stopped(writer, other) else one.close()
+            for closing in (writer, upstream):
+                if closing is not None:
+                    closing.transport.abort() if self.is_any_closing(
+                        writer, upstream
+                    ) else closing.close()
 
-    def stopped(self, *writers):
-        return any(w is not None and w.transport.is_closing() for w in writers)
+    def is_any_closing(self, *writers):
+        return any(writer is not None and writer.transport.is_closing() for writer in writers)
 
-    # ---- commands
     def set(self, origin, to, both=False, **values):
-        """From now on; what was held is let go where the new rule does not hold it."""
-        for one, other in ((origin, to), (to, origin)) if both else ((origin, to),):
-            self.rules.append((one, other, {**CALM, **values}))
-        for *_, there, back in list(self.pairs):
-            for way in (there, back):
-                if way.held and not self.rule(way.origin, way.to)["hold"]:
-                    way.release_held()
+        """Adds a rule, which applies from now on.
+
+        Frames that were held are released unless the new rules hold them too. `both` adds the rule for
+        the opposite direction as well; `values` are the fields of NO_FAULTS that differ.
+        """
+        for sender, receiver in ((origin, to), (to, origin)) if both else ((origin, to),):
+            self.rules.append((sender, receiver, {**NO_FAULTS, **values}))
+        for *_, to_target, to_origin in list(self.pairs):
+            for link in (to_target, to_origin):
+                if link.held and not self.rule(link.origin, link.target)["hold"]:
+                    link.release_held()
 
     def calm(self):
-        """No rule any more."""
+        """Removes all rules and releases all held frames."""
         self.rules.clear()
         self.set("*", "*")
 
     def cut(self, ones, others):
-        """Cuts two groups of names apart, both ways."""
-        for one in ones:
-            for other in others:
-                self.set(one, other, True, cut=True)
+        """Partitions two groups of names from each other, in both directions."""
+        for name in ones:
+            for other_name in others:
+                self.set(name, other_name, True, cut=True)
 
     def reset(self, origin, to):
-        """Both ends of what stands between them see it end at once."""
-        for one, other, writer, beyond, *_ in list(self.pairs):
-            if fnmatchcase(one, origin) and fnmatchcase(other, to):
+        """Resets the connections from matching origins to matching targets, at both ends and at once."""
+        for pair_origin, pair_target, writer, upstream, *_ in list(self.pairs):
+            if fnmatchcase(pair_origin, origin) and fnmatchcase(pair_target, to):
                 writer.transport.abort()
-                beyond.transport.abort()
+                upstream.transport.abort()
 
 
-async def frame_of(reader):
+async def read_frame(reader):
     prefix = await reader.readexactly(PREFIX)
     return prefix + await reader.readexactly(int.from_bytes(prefix, "big"))
 
 
-async def pump(reader, way, hello=False):
-    """Frames until the end, which the other side is then told. A hello goes through as it is, unless cut."""
+async def forward_frames(reader, link, hello=False):
+    """Forwards frames until the connection ends, then closes the other side.
+
+    Unless the link is cut, the first frame of the answering side, its hello, is forwarded unchanged.
+    """
     try:
         while True:
-            frame = await frame_of(reader)
-            if hello and not way.proxy.rule(way.origin, way.to)["cut"]:
-                way.write(frame)
+            frame = await read_frame(reader)
+            if hello and not link.proxy.rule(link.origin, link.target)["cut"]:
+                link.write(frame)
                 hello = False
             else:
-                way.pass_on(frame)
+                link.forward(frame)
     finally:
-        while way.proxy.rule(way.origin, way.to)[
-            "cut"
-        ]:  # an end is not heard of through a cut either
+        # A cut also hides the end of the connection from the other side.
+        while link.proxy.rule(link.origin, link.target)["cut"]:
             await asyncio.sleep(0.05)
-        way.writer.close()
+        link.writer.close()
 
 
-async def play(said):
-    """As a process of a rehearsal."""
+async def play(settings):
+    """Runs the proxy as a process of a rehearsal."""
     from cherrydoor.fakes.command import emit, serve_commands
 
-    record = Record(said.get("record"), "between", "between")
-    proxy = FaultInjectingProxy(said.get("seed", 1))
+    record = Record(settings.get("record"), "between", "between")
+    proxy = FaultInjectingProxy(settings.get("seed", 1))
 
-    async def handle_command(name, values):
-        if name == "port":
+    async def handle_command(command, values):
+        if command == "port":
             return await proxy.port(**values)
-        if name not in ("set", "calm", "cut", "reset", "counts"):
-            raise ValueError(f"unknown: {name}")
-        if name == "counts":
+        if command not in ("set", "calm", "cut", "reset", "counts"):
+            raise ValueError(f"unknown proxy command {command!r}")
+        if command == "counts":
             return proxy.counts
-        record.add("rule", text=f"{name} {values}", a=now())
-        getattr(proxy, name)(**values)
+        record.add("rule", text=f"{command} {values}", a=now())
+        getattr(proxy, command)(**values)
 
     emit("ready")
     await serve_commands(handle_command)
