--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -1,6 +1,6 @@
-"""Two ways to choose a host that nobody would run, to compare the router's choice with.
+"""Baselines for the router's choice of a host: a random host, and the host with the fewest requests in flight.
 
-Everything else stays the router's own: the rules, health, retries and rejections.
+They exist only for comparison. The rules, health, retries and rejections are the router's own.
 """
 
 from cherrydoor.routing import Router, messages
@@ -10,10 +10,10 @@
 
 
 class _AllHosts(HostChooser):
-    """Chooses from all hosts, whatever ranges they own."""
+    """Chooses from all hosts, regardless of the ranges that they own."""
 
     def candidates(self, request: Request) -> list[Host]:
-        """Ready hosts, by id, that the request may go to and has not been at."""
+        """Returns the ready hosts that may run the request and have not been tried, sorted by id."""
         now = self._context.now
         tried = [attempt.host for attempt in request.attempts]
         hosts = [
@@ -28,7 +28,7 @@
     """Chooses any ready host."""
 
     def choose(self, request: Request) -> Choice:
-        """A random host."""
+        """Returns a random candidate."""
         hosts = self.candidates(request)
         if not hosts:
             return NO_CHOICE
@@ -36,24 +36,24 @@
 
 
 class LeastInFlight(_AllHosts):
-    """Chooses the ready host with the fewest own requests in flight, ties by id."""
+    """Chooses the ready host with the fewest in-flight requests of this gateway; ties go to the lowest id."""
 
     def choose(self, request: Request) -> Choice:
-        """The host with the fewest requests in flight."""
+        """Returns the candidate with the fewest requests in flight."""
         hosts = self.candidates(request)
         return Choice(
             min(hosts, key=lambda host: (len(host.in_flight), host.id), default=None), None
         )
 
 
-def random_choice(settings: messages.Settings) -> Router:
-    """A router that chooses any ready host."""
+def random_router(settings: messages.Settings) -> Router:
+    """Returns a router that chooses any ready host."""
     return Router(settings, chooser=RandomChoice)
 
 
-def least_out(settings: messages.Settings) -> Router:
-    """A router that chooses the ready host with the fewest own requests in flight."""
+def least_in_flight_router(settings: messages.Settings) -> Router:
+    """Returns a router that chooses the ready host with the fewest in-flight requests of this gateway."""
     return Router(settings, chooser=LeastInFlight)
 
 
-ROUTER_FACTORIES = {"module": Router, "random": random_choice, "least-out": least_out}
+ROUTER_FACTORIES = {"module": Router, "random": random_router, "least-out": least_in_flight_router}
--- a/cherrydoor/rehearsal/bench_day.py
+++ b/cherrydoor/rehearsal/bench_day.py
@@ -1,7 +1,7 @@
-"""Days drawn by the users' simulator, read into ours: fleet, traffic and troubles, scaled in size and in time.
+"""Converts scenarios of the users' simulator: fleet, traffic and faults, scaled in size and in time.
 
-What the simulator has and our hosts lack is left out and told in `left`: jitter of the net, waiting on other systems,
-thrash, connection caps, weights. Times there are microseconds.
+Features of the simulator that the fake hosts lack are left out: network jitter, waiting for other
+systems, thrashing, connection limits and weights. Times in the simulator's files are in microseconds.
 """
 
 import json
@@ -9,7 +9,8 @@
 
 from cherrydoor.config.records import Problem, Problems
 
-KINDS = {
+# The name of a fault in a scenario, by its kind in the simulator.
+FAULT_OF_KIND = {
     "deploy": "deploy",
     "report_late": "late-reports",
     "crash": "crash",
@@ -29,21 +30,27 @@
     "mass_restart": "rack-restart",
     "preempt": "take-away",
 }
-EFFECTS = {"safe": "redeliverable", "keyed": "keyed", "unsafe": "at-most-once"}
+# The kind of an event in a scenario, by its effect in the simulator.
+KIND_OF_EFFECT = {"safe": "redeliverable", "keyed": "keyed", "unsafe": "at-most-once"}
 
 
 def bench_day(path, size=1.0, speed=1.0):
-    """The plain values of a day, as read_day gives them, and what was left out.
+    """Reads a scenario of the simulator; returns its values as read_day does, and what was left out.
 
-    size: share of hosts, gateways and traffic (0 to 1]; speed: share of real time, 0.5 plays twice as slowly, so that
-    all spans are twice as long and rates half.
+    Args:
+        path: The simulator's JSON file.
+        size: Share of the hosts, gateways and traffic, above 0 and up to 1.
+        speed: Speed relative to real time. At 0.5 all times are twice as long and all rates half.
+
+    Raises:
+        Problems: If the file can't be read or is not a scenario of the simulator.
     """
     try:
-        said = json.loads(Path(path).read_text())
-        return convert(said, size, speed)
+        simulated = json.loads(Path(path).read_text())
+        return convert(simulated, size, speed)
     except (OSError, ValueError, UnicodeDecodeError) as error:
         raise Problems(
-            [Problem(str(path), 1, 1, "", "a day drawn by the simulator", str(error))]
+            [Problem(str(path), 1, 1, "", "a scenario written by the simulator", str(error))]
         ) from None
     except (KeyError, IndexError, TypeError) as error:
         raise Problems(
@@ -53,122 +60,135 @@
                     1,
                     1,
                     str(error),
-                    "a day drawn by the simulator",
+                    "a scenario written by the simulator",
                     f"{type(error).__name__}",
                 )
             ]
         ) from None
 
 
-def convert(said, size, speed):
-    def ms(us):
-        return float(us) / 1000 / speed
+def convert(simulated, size, speed):
+    """Converts the values of a simulator's file; see bench_day."""
+
+    def ms(time_us):
+        return float(time_us) / 1000 / speed
 
-    tier, fam, clients, found = said["tiers"][0], said["fam"], said["clients"], said["discovery"]
-    kinds, zones = tier["kinds"], said["zones"]
-    first = [s for s in said["servers"] if s["up"]]
-    count = max(len(zones), round(len(first) * size))
-    gateways = max(1, round(len(said["balancers"]) * size))
-    servers = first[:count]
-    builds = [
+    tier, family, clients, discovery = (
+        simulated["tiers"][0],
+        simulated["fam"],
+        simulated["clients"],
+        simulated["discovery"],
+    )
+    host_kinds, zones = tier["kinds"], simulated["zones"]
+    servers_up = [server for server in simulated["servers"] if server["up"]]
+    host_count = max(len(zones), round(len(servers_up) * size))
+    gateway_count = max(1, round(len(simulated["balancers"]) * size))
+    servers = servers_up[:host_count]
+    host_specs = [
         dict(
-            cores=kinds[s["kind"]]["cores"],
-            speed=s["speed"] * speed,
-            memory=fam["memory"][s["kind"]],
-            queue=kinds[s["kind"]]["slots"] + kinds[s["kind"]]["queue"],
-            loads=fam["loads_at_once"],
-            keep=ms(fam["keep"]),
-            eager=bool(fam["self_load"]),
-            disk=fam["disk"] * fam["memory"][s["kind"]],
-            cold_from=kinds[s["kind"]]["cold_from"],
-            cold=ms(kinds[s["kind"]]["cold"]),
-            multiple=said["fall_multiple"],
-            fall=ms(said["fall_for"]),
+            cores=host_kinds[server["kind"]]["cores"],
+            speed=server["speed"] * speed,
+            memory=family["memory"][server["kind"]],
+            queue=host_kinds[server["kind"]]["slots"] + host_kinds[server["kind"]]["queue"],
+            loads=family["loads_at_once"],
+            keep=ms(family["keep"]),
+            eager=bool(family["self_load"]),
+            disk=family["disk"] * family["memory"][server["kind"]],
+            cold_from=host_kinds[server["kind"]]["cold_from"],
+            cold=ms(host_kinds[server["kind"]]["cold"]),
+            multiple=simulated["fall_multiple"],
+            fall=ms(simulated["fall_for"]),
             report=ms(tier["report_period"]),
             late=ms(tier["report_delay"]),
             noise=tier["report_noise"],
             tells_held="inflight" in tier["report_fields"] and tier["report_how"] == "answers",
-            error_rate=kinds[s["kind"]]["error_rate"],
-            load_fail=fam["load_fail"],
-            misses=not fam["self_load"],
+            error_rate=host_kinds[server["kind"]]["error_rate"],
+            load_fail=family["load_fail"],
+            misses=not family["self_load"],
             remember=5000.0 / speed,
-            zone=zones[s["zone"]],
-            cell=s["cell"],
+            zone=zones[server["zone"]],
+            cell=server["cell"],
         )
-        for s in servers
+        for server in servers
     ]
-    capacity = sum(b["cores"] * b["speed"] for b in builds)
-    classes = said["classes"]
-    work = sum(c["work"] * c["share"] for c in classes) / sum(c["share"] for c in classes) / 1000
-    per_second = said["traffic"]["load"] * capacity * 1000 / work
-    sort = fam["sorts"][0]
-    memory = sum(b["memory"] for b in builds)
-    functions = max(8, round(fam["catalog"] * memory / sort["memory"] * 0.8))
-    load = sort["load"] / 1000
-    tenants = said["tenants"]
-    # a twentieth of the events is taken to load something on a day on which most functions are found loaded
-    fetches = fam["store_headroom"] * per_second * 0.05 * load / 1000
+    capacity = sum(host["cores"] * host["speed"] for host in host_specs)
+    request_classes = simulated["classes"]
+    mean_work_ms = (
+        sum(request_class["work"] * request_class["share"] for request_class in request_classes)
+        / sum(request_class["share"] for request_class in request_classes)
+        / 1000
+    )
+    per_second = simulated["traffic"]["load"] * capacity * 1000 / mean_work_ms
+    function_kind = family["sorts"][0]
+    total_memory_mb = sum(host["memory"] for host in host_specs)
+    function_count = max(
+        8, round(family["catalog"] * total_memory_mb / function_kind["memory"] * 0.8)
+    )
+    load_ms = function_kind["load"] / 1000
+    tenants = simulated["tenants"]
+    # Assumes that one request in twenty loads a copy, since most requests find their function loaded.
+    loads_at_once = family["store_headroom"] * per_second * 0.05 * load_ms / 1000
     day = {
-        "name": f"{said['site']}-{said['kind']}",
+        "name": f"{simulated['site']}-{simulated['kind']}",
         "about": f"drawn by the simulator, {size:g} of its size, {speed:g} of real time",
-        "seed": int(said["noise"]) % 2**31,
-        "length": ms(said["length"]),
+        "seed": int(simulated["noise"]) % 2**31,
+        "length": ms(simulated["length"]),
         "warm": 8000.0,
-        "grace": ms(said["drain_grace"]),
+        "grace": ms(simulated["drain_grace"]),
         "spare": 50.0,
         "events": [
             {
-                "name": c["name"],
-                "share": c["share"],
-                "target": ms(c["aim"]),
-                "max_age": ms(c["deadline"]),
-                "kind": EFFECTS[c["effect"]],
-                "group": c["group"],
-                "memory": ms(c["window"]),
-                "stream": c["stream"],
+                "name": request_class["name"],
+                "share": request_class["share"],
+                "target": ms(request_class["aim"]),
+                "max_age": ms(request_class["deadline"]),
+                "kind": KIND_OF_EFFECT[request_class["effect"]],
+                "group": request_class["group"],
+                "memory": ms(request_class["window"]),
+                "stream": request_class["stream"],
                 "body": 200,
                 "benefit": 1.0,
             }
-            for c in classes
+            for request_class in request_classes
         ],
         "offices": [
             {
-                "name": t["name"],
-                "share": t["traffic"],
-                "per_second": t["quota"] * capacity * 1000 / work,
+                "name": tenant["name"],
+                "share": tenant["traffic"],
+                "per_second": tenant["quota"] * capacity * 1000 / mean_work_ms,
             }
-            for t in tenants
+            for tenant in tenants
         ],
         "fleet": {
-            "hosts": count,
+            "hosts": host_count,
             "floors": zones,
             "kinds": [],
             "cells": 4,
-            "misses": not fam["self_load"],
-            "tells_copy": bool(fam.get("tells_warm", True)),
-            "tells_crowd": bool(fam.get("tells_crowd", True)),
+            "misses": not family["self_load"],
+            "tells_copy": bool(family.get("tells_warm", True)),
+            "tells_crowd": bool(family.get("tells_crowd", True)),
         },
-        "builds": builds,
+        "builds": host_specs,
         "cold": {
             "from": tier["stated_cold_from"],
             "time": ms(tier["stated_cold"]),
-            "multiple": said["fall_multiple"],
-            "fall": ms(said["fall_for"]),
+            "multiple": simulated["fall_multiple"],
+            "fall": ms(simulated["fall_for"]),
         },
         "functions": {
-            "count": functions,
-            "zipf": fam["zipf"],
-            "turning": fam["turning"],
-            "spell": ms(fam["spell"]),
-            "timed": fam["timed"],
+            "count": function_count,
+            "zipf": family["zipf"],
+            "turning": family["turning"],
+            "spell": ms(family["spell"]),
+            "timed": family["timed"],
             "typed": False,
-            "period": ms(fam["keep"]),
-            "lanes": [sort["lanes"]],
-            "memory": [sort["memory"] * 0.6, sort["memory"] * 1.4],
-            "load": [load / speed * 0.6, load / speed * 1.4],
-            "work": [work * 0.6, work * 1.4],
-            "fetch": fam["fetch_share"],
-            "core": fam["start_core"],
+            "period": ms(family["keep"]),
+            "lanes": [function_kind["lanes"]],
+            "memory": [function_kind["memory"] * 0.6, function_kind["memory"] * 1.4],
+            "load": [load_ms / speed * 0.6, load_ms / speed * 1.4],
+            "work": [mean_work_ms * 0.6, mean_work_ms * 1.4],
+            "fetch": family["fetch_share"],
+            "core": family["start_core"],
         },
         "clients": {
             "per_second": per_second,
@@ -182,71 +202,89 @@
             "uneven": 0.5,
         },
         "gateways": {
-            "count": gateways,
-            "in_a_process": max(1, -(-gateways // 6)),
+            "count": gateway_count,
+            "in_a_process": max(1, -(-gateway_count // 6)),
             "decides": "module",
         },
         "store": {
-            "at_once": max(2, round(fetches * fam["fetch_share"])),
-            "takes": max(8, round(fam["store_takes"] * fetches)),
+            "at_once": max(2, round(loads_at_once * family["fetch_share"])),
+            "takes": max(8, round(family["store_takes"] * loads_at_once)),
         },
         "list": {
-            "notice": [max(0.05, ms(found["notice"]) / 2000), ms(found["notice"]) / 1000],
-            "miss": ms(found["silent_notice"]),
+            "notice": [max(0.05, ms(discovery["notice"]) / 2000), ms(discovery["notice"]) / 1000],
+            "miss": ms(discovery["silent_notice"]),
             "stale": 0.0,
         },
         "may": {
-            "launches": said["allow"]["max_attempts"],
-            "twice": said["allow"]["second_copies"],
-            "recall": said["allow"]["cancel"],
-            "probe": said["allow"]["probes"],
-            "order": fam["orders"],
-            "advice": ms(clients["max_retry_after"]) if said["allow"]["retry_after"] else 0.0,
-            "asks": found["ask"],
+            "launches": simulated["allow"]["max_attempts"],
+            "twice": simulated["allow"]["second_copies"],
+            "recall": simulated["allow"]["cancel"],
+            "probe": simulated["allow"]["probes"],
+            "order": family["orders"],
+            "advice": ms(clients["max_retry_after"]) if simulated["allow"]["retry_after"] else 0.0,
+            "asks": discovery["ask"],
         },
         "ration": {
-            "free": fam["load_free"],
-            "share": fam["load_share"],
-            "within": ms(fam["load_window"]) if fam["load_free"] or fam["load_share"] else 0.0,
+            "free": family["load_free"],
+            "share": family["load_share"],
+            "within": ms(family["load_window"])
+            if family["load_free"] or family["load_share"]
+            else 0.0,
         },
-        "linger": ms(fam["stated_keep"]),
+        "linger": ms(family["stated_keep"]),
         "feed": {"gradual": False, "notice": [0.05, 0.5], "misses": 0.0},
         "doors": {"tls": False, "known": 0, "places": 4096, "descriptors": 0, "standing": 20000.0},
         "troubles": [
-            t for t in (trouble(t, said, count, gateways, ms) for t in said["troubles"]) if t
+            fault
+            for fault in (
+                convert_fault(fault, simulated, host_count, gateway_count, ms)
+                for fault in simulated["troubles"]
+            )
+            if fault
         ],
     }
-    left = [
-        "jitter and delay of the net",
-        "thrash of hosts that hold too many",
-        "caps on connections",
+    left_out = [
+        "network jitter and delay",
+        "thrashing of hosts that hold too many copies",
+        "connection limits",
+    ]
+    left_out += [
+        f"trouble {fault['kind']}"
+        for fault in simulated["troubles"]
+        if fault["kind"] not in FAULT_OF_KIND
     ]
-    left += [f"trouble {t['kind']}" for t in said["troubles"] if t["kind"] not in KINDS]
-    return day, left
+    return day, left_out
 
 
-def trouble(one, said, hosts, gateways, ms):
-    """One trouble in our words; the hosts or gateways it strikes are the simulator's own, as far as they are there."""
-    what = KINDS.get(one["kind"])
-    if what is None or ms(one["at"]) >= ms(said["length"]):
+def convert_fault(simulated_fault, simulated, hosts, gateways, ms):
+    """Converts one fault; returns None if it has no counterpart, begins too late or has no target left.
+
+    It affects the hosts or gateways that the simulator names, as far as the scaled fleet has them.
+    """
+    fault_name = FAULT_OF_KIND.get(simulated_fault["kind"])
+    if fault_name is None or ms(simulated_fault["at"]) >= ms(simulated["length"]):
         return None
-    size, extra, on = one["size"], one["extra"], list(one["on"])
-    given = {
-        "at": ms(one["at"]),
-        "lasts": max(100.0, ms(one["len"])),
-        "what": what,
+    size, extra, targets = (
+        simulated_fault["size"],
+        simulated_fault["extra"],
+        list(simulated_fault["on"]),
+    )
+    fault = {
+        "at": ms(simulated_fault["at"]),
+        "lasts": max(100.0, ms(simulated_fault["len"])),
+        "what": fault_name,
         "part": 0.2,
         "size": 2.0,
         "gateways": False,
         "silent": False,
         "floor": 0,
     }
-    if what in ("gateway-crash", "gateway-stall"):
-        on = [n for n in on if n < gateways]
-    elif what == "deploy":
-        on = [n for step in one["steps"] for n in step["stop"]]
-    on = [n for n in on if n < hosts]
-    if what in (
+    if fault_name in ("gateway-crash", "gateway-stall"):
+        targets = [number for number in targets if number < gateways]
+    elif fault_name == "deploy":
+        targets = [number for step in simulated_fault["steps"] for number in step["stop"]]
+    targets = [number for number in targets if number < hosts]
+    if fault_name in (
         "crash",
         "slow",
         "pauses",
@@ -258,27 +296,27 @@
         "gateway-crash",
         "gateway-stall",
     ):
-        if not on:
+        if not targets:
             return None
-        given["on"] = on
-    if what in ("burst", "slow", "slow-store", "ageing"):
-        given["size"] = max(1.01, size)
-    elif what == "pauses":
-        given["size"] = max(0.1, size / 150000)
-    elif what == "late-reports":
-        given["size"] = size * ms(1000.0)
-    elif what in ("deploy", "take-away"):
-        given["size"] = max(0.2, extra * ms(1000.0))
-    elif what == "lost-answers":
-        given["size"] = min(1.0, max(0.05, size))
-    elif what in ("flush", "repeats"):
-        given["part"] = min(1.0, max(0.01, size))
-    elif what in ("hot", "scan"):
-        given["part"], given["size"] = min(1.0, max(0.01, size)), max(1.0, extra)
-    elif what == "floor-loss":
-        given["floor"], given["gateways"], given["silent"] = (
-            one["which"] % len(said["zones"]),
+        fault["on"] = targets
+    if fault_name in ("burst", "slow", "slow-store", "ageing"):
+        fault["size"] = max(1.01, size)
+    elif fault_name == "pauses":
+        fault["size"] = max(0.1, size / 150000)
+    elif fault_name == "late-reports":
+        fault["size"] = size * ms(1000.0)
+    elif fault_name in ("deploy", "take-away"):
+        fault["size"] = max(0.2, extra * ms(1000.0))
+    elif fault_name == "lost-answers":
+        fault["size"] = min(1.0, max(0.05, size))
+    elif fault_name in ("flush", "repeats"):
+        fault["part"] = min(1.0, max(0.01, size))
+    elif fault_name in ("hot", "scan"):
+        fault["part"], fault["size"] = min(1.0, max(0.01, size)), max(1.0, extra)
+    elif fault_name == "floor-loss":
+        fault["floor"], fault["gateways"], fault["silent"] = (
+            simulated_fault["which"] % len(simulated["zones"]),
             size > 0.5,
             extra > 0.5,
         )
-    return given
+    return fault
--- a/cherrydoor/rehearsal/day.py
+++ b/cherrydoor/rehearsal/day.py
@@ -1,4 +1,8 @@
-"""A day as read: what the conductor starts, what the clients send, and the terms that the audit judges by."""
+"""Reads scenario files (`.day`) and derives from a scenario what the run needs.
+
+That is: the specifications of hosts, the configuration of each gateway, the addresses and key files
+of clients, and the terms by which the audit judges the run.
+"""
 
 from pathlib import Path
 
@@ -8,67 +12,79 @@
 SHIPPED = Path(__file__).parent / "days"
 
 
-def find(name):
-    """The file of a shipped day by its name, else the path itself."""
+def scenario_path(name):
+    """Returns the path of the shipped scenario of that name; if there is none, `name` is the path."""
     shipped = SHIPPED / f"{name}.day"
     return shipped if shipped.exists() else Path(name)
 
 
 def read_day(name, **changes):
-    """The plain values of a day file. `changes` replace top values, such as seed; Problems where it is wrong."""
-    path = find(name)
-    said = bare(read_file(path, "#Day", "scenario.schema"))
-    said.update({key: value for key, value in changes.items() if value is not None})
-    found = [
+    """Reads a scenario by the name of a shipped one or by its path; returns its values, times in ms.
+
+    `changes` replace top-level values such as the seed, except those that are None. Raises Problems if
+    the file is not a valid scenario.
+    """
+    path = scenario_path(name)
+    scenario = bare(read_file(path, "#Day", "scenario.schema"))
+    scenario.update({key: value for key, value in changes.items() if value is not None})
+    problems = [
         Problem(
             str(path),
             1,
             1,
-            f"troubles.{i}.at",
-            f"less than the day's {said['length'] / 1000:g} s",
-            f"{trouble['at'] / 1000:g} s",
+            f"troubles.{index}.at",
+            f"less than the scenario's length of {scenario['length'] / 1000:g} s",
+            f"{fault['at'] / 1000:g} s",
         )
-        for i, trouble in enumerate(said["troubles"])
-        if trouble["at"] >= said["length"]
+        for index, fault in enumerate(scenario["troubles"])
+        if fault["at"] >= scenario["length"]
     ]
-    names = ["", *(event["name"] for event in said["events"])]
-    found += [
+    request_classes = ["", *(event["name"] for event in scenario["events"])]
+    problems += [
         Problem(
-            str(path), 1, 1, f"troubles.{i}.event", "one of the day's event types", trouble["event"]
+            str(path),
+            1,
+            1,
+            f"troubles.{index}.event",
+            "the name of an event of the scenario",
+            fault["event"],
         )
-        for i, trouble in enumerate(said["troubles"])
-        if trouble["event"] not in names
+        for index, fault in enumerate(scenario["troubles"])
+        if fault["event"] not in request_classes
     ]
-    found += [
+    problems += [
         Problem(
             str(path),
             1,
             1,
-            f"troubles.{i}.floor",
-            f"one of {len(said['fleet']['floors'])} floors",
-            "more",
+            f"troubles.{index}.floor",
+            f"one of {len(scenario['fleet']['floors'])} floors",
+            "a higher number",
         )
-        for i, trouble in enumerate(said["troubles"])
-        if trouble["floor"] >= len(said["fleet"]["floors"])
+        for index, fault in enumerate(scenario["troubles"])
+        if fault["floor"] >= len(scenario["fleet"]["floors"])
     ]
-    if found:
-        raise Problems(found)
-    return said
+    if problems:
+        raise Problems(problems)
+    return scenario
 
 
 def host_specs(day):
-    """One build a host, in the order of their numbers: kinds by share, floors in turn."""
-    if "builds" in day:  # a day drawn elsewhere says each
+    """Returns the specification of each host by number: kinds by their share, floors in turn."""
+    if "builds" in day:  # a scenario of the simulator has each host's specification
         return day["builds"]
-    fleet, cold, found = day["fleet"], day["cold"], []
-    total = sum(kind["share"] for kind in fleet["kinds"])
-    owed = [0.0] * len(fleet["kinds"])
-    for i in range(fleet["hosts"]):
-        owed = [o + kind["share"] / total for o, kind in zip(owed, fleet["kinds"], strict=True)]
-        k = owed.index(max(owed))
-        owed[k] -= 1
-        kind, floors = fleet["kinds"][k], fleet["floors"]
-        found.append(
+    fleet, cold, specs = day["fleet"], day["cold"], []
+    total_share = sum(kind["share"] for kind in fleet["kinds"])
+    due_hosts = [0.0] * len(fleet["kinds"])
+    for number in range(fleet["hosts"]):
+        due_hosts = [
+            due + kind["share"] / total_share
+            for due, kind in zip(due_hosts, fleet["kinds"], strict=True)
+        ]
+        kind_index = due_hosts.index(max(due_hosts))
+        due_hosts[kind_index] -= 1
+        kind, zones = fleet["kinds"][kind_index], fleet["floors"]
+        specs.append(
             dict(
                 cores=kind["cores"],
                 speed=kind["speed"],
@@ -85,8 +101,8 @@
                 report=fleet["report"],
                 noise=fleet["noise"],
                 **{
-                    k: fleet[k]
-                    for k in (
+                    key: fleet[key]
+                    for key in (
                         "tells_held",
                         "tells_queue",
                         "tells_tied",
@@ -97,90 +113,94 @@
                 error_rate=fleet["error_rate"],
                 load_fail=fleet["load_fail"],
                 misses=fleet["misses"],
-                remember=max((e["memory"] for e in day["events"]), default=0.0),
-                zone=floors[i % len(floors)],
-                cell=i // len(floors) // fleet["cells"],
+                remember=max((event["memory"] for event in day["events"]), default=0.0),
+                zone=zones[number % len(zones)],
+                cell=number // len(zones) // fleet["cells"],
             )
         )
-    return found
+    return specs
 
 
 def peer_settings(day, number, folder, peer_addresses):
-    """What the lease says of peers and tenures; {} where each gateway is alone. peer_addresses: gateway number ->
-    (where its door for peers is, where others reach it)."""
-    said = day.get("fellows") or {}
-    if not said.get("keepers"):
+    """Returns the sections of a gateway's configuration on peers and leases; {} if gateways have no peers.
+
+    peer_addresses: for each gateway number, the address at which it listens for peers and the one at
+    which peers reach it.
+    """
+    peers = day.get("fellows") or {}
+    if not peers.get("keepers"):
         return {}
     return {
         "peers": {
             "door": peer_addresses[number][0],
             "at": peer_addresses[number][1],
-            "next": said["next"],
+            "next": peers["next"],
             "keepers": [
-                {"name": f"g{i}", "at": peer_addresses[i][1]} for i in range(said["keepers"])
+                {"name": f"g{voter}", "at": peer_addresses[voter][1]}
+                for voter in range(peers["keepers"])
             ],
-            "beat": ms(min(200.0, said["silent"] / 4)),
-            "silent": ms(said["silent"]),
+            "beat": duration(min(200.0, peers["silent"] / 4)),
+            "silent": duration(peers["silent"]),
             "control": str(folder / f"g{number}.control"),
         },
         "tenures": {
             "promises": str(folder / f"g{number}.promises"),
-            "term": ms(said["term"]),
-            "margin": ms(said["term"] / 20),
-            "longest": ms(1.25 * said["term"]),
+            "term": duration(peers["term"]),
+            "margin": duration(peers["term"] / 20),
+            "longest": duration(1.25 * peers["term"]),
         },
     }
 
 
-def lease_values(day, number, door, listing, folder, feed="", peer_addresses=None):
-    """The lease of one gateway of the day, as plain values."""
-    may, floors = day["may"], day["fleet"]["floors"]
+def lease_values(day, number, address, list_address, folder, feed_address="", peer_addresses=None):
+    """Returns the configuration of one gateway as plain values."""
+    allowed, zones = day["may"], day["fleet"]["floors"]
     return {
         "name": f"g{number}",
         "number": number,
         "gateways": day["gateways"]["count"],
         "seed": day["seed"] * 1000 + number,
-        "zone": floors[number % len(floors)],
-        "door": door,
-        "list": listing,
-        "asks": may["asks"],
+        "zone": zones[number % len(zones)],
+        "door": address,
+        "list": list_address,
+        "asks": allowed["asks"],
         "saved": str(folder / f"g{number}.hosts"),
         "clauses": [
-            {k: e[k] for k in ("name", "kind", "stream", "benefit")}
-            | {k: ms(e[k]) for k in ("target", "max_age", "memory")}
-            | ({"group": e["group"]} if e["kind"] == "keyed" else {})
-            for e in day["events"]
+            {key: event[key] for key in ("name", "kind", "stream", "benefit")}
+            | {key: duration(event[key]) for key in ("target", "max_age", "memory")}
+            | ({"group": event["group"]} if event["kind"] == "keyed" else {})
+            for event in day["events"]
         ],
         "parties": [
-            {"name": o["name"], "per_second": o["per_second"]}
-            for o in day["offices"]
-            if o["per_second"]
+            {"name": office["name"], "per_second": office["per_second"]}
+            for office in day["offices"]
+            if office["per_second"]
         ],
         "cold": {
             "from": day["cold"]["from"],
-            "time": ms(day["cold"]["time"]),
+            "time": duration(day["cold"]["time"]),
             "multiple": day["cold"]["multiple"],
-            "fall": ms(day["cold"]["fall"]),
+            "fall": duration(day["cold"]["fall"]),
         },
         "ration": {
             "free": day["ration"]["free"],
             "share": day["ration"]["share"],
-            "within": ms(day["ration"]["within"]),
+            "within": duration(day["ration"]["within"]),
         },
-        "may": {k: may[k] for k in ("launches", "twice", "recall", "probe", "order")}
-        | {"advice": ms(may["advice"])},
-        "bounds": {"spare": ms(day["spare"])} | doors(day)[0],
-        **doors(day)[1],
-        **keys_of(day, number, folder),
+        "may": {key: allowed[key] for key in ("launches", "twice", "recall", "probe", "order")}
+        | {"advice": duration(allowed["advice"])},
+        "bounds": {"spare": duration(day["spare"])} | connection_settings(day)[0],
+        **connection_settings(day)[1],
+        **tls_settings(day, number, folder),
         **(
             {
                 "releases": {
-                    "feed": feed,
+                    "feed": feed_address,
                     "saved": str(folder / f"g{number}.releases"),
                     "control": str(folder / f"g{number}.sock"),
                 }
             }
-            if feed
+            if feed_address
             else {}
         ),
         **peer_settings(day, number, folder, peer_addresses),
@@ -188,39 +208,40 @@
             "copy": day["fleet"].get("tells_copy", True),
             "crowd": day["fleet"].get("tells_crowd", True),
         },
-        "linger": ms(day["linger"]),
+        "linger": duration(day["linger"]),
         "misses": day["fleet"]["misses"],
     }
 
 
 def address_of(day, office):
-    """Where an office's connections come from, on days on which offices are known."""
-    return f"127.200.{1 + [o['name'] for o in day['offices']].index(office)}.1"
+    """Returns the source address of an office's connections, for scenarios with known clients."""
+    return f"127.200.{1 + [other['name'] for other in day['offices']].index(office)}.1"
 
 
-def doors(day):
-    """What the lease says of connections and of known clients."""
-    said = day.get("doors") or {}
-    if not said.get("known"):
+def connection_settings(day):
+    """Returns the configuration's values for `bounds` and its section on known clients; both {} without these."""
+    settings = day.get("doors") or {}
+    if not settings.get("known"):
         return {}, {}
-    return {"connections": said["places"]}, {
+    return {"connections": settings["places"]}, {
         "admission": {
             "known": [
                 {
-                    "name": o["name"],
-                    "places": said["known"],
-                    "most": 2 * said["known"],
-                    "addresses": [address_of(day, o["name"]) + "/32"],
+                    "name": office["name"],
+                    "places": settings["known"],
+                    "most": 2 * settings["known"],
+                    "addresses": [address_of(day, office["name"]) + "/32"],
                 }
-                for o in day["offices"]
+                for office in day["offices"]
             ]
         }
     }
 
 
-def keys_of(day, number, folder):
-    said = day.get("doors") or {}
-    if not said.get("tls"):
+def tls_settings(day, number, folder):
+    """Returns the configuration's section on TLS keys; {} if the scenario doesn't use TLS."""
+    settings = day.get("doors") or {}
+    if not settings.get("tls"):
         return {}
     keys = folder / "keys"
     return {
@@ -229,14 +250,14 @@
             "key": str(keys / f"g{number}.key"),
             "authorities": str(keys / "authorities.pem"),
             "revoked": str(keys / "revoked.pem"),
-            "look": ms(200.0),
-            "standing": ms(said["standing"]),
+            "look": duration(200.0),
+            "standing": duration(settings["standing"]),
         }
     }
 
 
 def client_keys(day, office, folder):
-    """The files by which an office's connections are sealed; {} where they are not."""
+    """Returns the key files of an office's TLS connections; {} if the scenario doesn't use TLS."""
     if not (day.get("doors") or {}).get("tls"):
         return {}
     keys = folder / "keys"
@@ -247,14 +268,15 @@
     }
 
 
-def ms(value):
+def duration(value_ms):
+    """Returns the time as a value that is written with its unit in a configuration."""
     from cherrydoor.config.records import Duration
 
-    return Duration(value)
+    return Duration(value_ms)
 
 
 def terms(day):
-    """What the audit judges by: the rules' figures and nothing of how they are kept."""
+    """Returns what the audit judges by: the figures in the rules, and nothing about how gateways keep them."""
     return {
         "name": day["name"],
         "seed": day["seed"],
@@ -267,12 +289,12 @@
         "ration": day["ration"],
         "decides": day["gateways"]["decides"],
         "events": {
-            e["name"]: {
-                k: e[k]
-                for k in ("target", "max_age", "kind", "group", "memory", "stream", "benefit")
+            event["name"]: {
+                key: event[key]
+                for key in ("target", "max_age", "kind", "group", "memory", "stream", "benefit")
             }
-            for e in day["events"]
+            for event in day["events"]
         },
-        "offices": {o["name"]: o for o in day["offices"]},
-        "builds": {k: day["cold"][k] for k in ("from", "time", "multiple", "fall")},
+        "offices": {office["name"]: office for office in day["offices"]},
+        "builds": {key: day["cold"][key] for key in ("from", "time", "multiple", "fall")},
     }
--- a/tests/rehearsal/test_bench_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cherrydoor.config import Problems
-from cherrydoor.rehearsal.bench_day import KINDS, bench_day
+from cherrydoor.rehearsal.bench_day import FAULT_OF_KIND, bench_day
 from cherrydoor.rehearsal.faults import FaultPlan
 from cherrydoor.rehearsal.traffic import draw_arrivals
 
@@ -126,8 +126,8 @@
 
 
 def test_every_trouble_it_names_becomes_one_of_ours_and_can_be_played(tmp_path):
-    day, left = bench_day(written(tmp_path, *KINDS))
-    assert {t["what"] for t in day["troubles"]} == set(KINDS.values())
+    day, left = bench_day(written(tmp_path, *FAULT_OF_KIND))
+    assert {t["what"] for t in day["troubles"]} == set(FAULT_OF_KIND.values())
     steps = FaultPlan(day).steps
     assert {1, 5} <= {v["host"] for _, what, v in steps if what == "drain"}, (
         "the very hosts that it names"
