--- a/tests/rehearsal/test_bench_day.py
+++ b/tests/rehearsal/test_bench_day.py
@@ -1,4 +1,4 @@
-"""Days drawn elsewhere are read whole, or refused with a reason."""
+"""Scenarios of the simulator are converted as a whole, or refused with the reason."""
 
 import json
 
@@ -10,7 +10,7 @@
 from cherrydoor.rehearsal.traffic import draw_arrivals
 
 
-def drawn(troubles):
+def simulated(faults):
     kind = {
         "cores": 2,
         "slots": 8,
@@ -97,15 +97,15 @@
             "load_window": 5_000_000,
             "stated_keep": 8_000_000,
         },
-        "troubles": troubles,
+        "troubles": faults,
     }
 
 
-def written(tmp_path, *kinds):
-    file = tmp_path / "day.json"
-    file.write_text(
+def write_scenario(tmp_path, *kinds):
+    path = tmp_path / "day.json"
+    path.write_text(
         json.dumps(
-            drawn(
+            simulated(
                 [
                     {
                         "kind": kind,
@@ -122,34 +122,39 @@
             )
         )
     )
-    return file
+    return path
 
 
-def test_every_trouble_it_names_becomes_one_of_ours_and_can_be_played(tmp_path):
-    day, left = bench_day(written(tmp_path, *FAULT_OF_KIND))
-    assert {t["what"] for t in day["troubles"]} == set(FAULT_OF_KIND.values())
-    steps = FaultPlan(day).steps
-    assert {1, 5} <= {v["host"] for _, what, v in steps if what == "drain"}, (
-        "the very hosts that it names"
+def test_every_fault_of_the_simulator_is_converted_and_can_be_played(tmp_path):
+    scenario, left_out = bench_day(write_scenario(tmp_path, *FAULT_OF_KIND))
+    assert {fault["what"] for fault in scenario["troubles"]} == set(FAULT_OF_KIND.values())
+    steps = FaultPlan(scenario).steps
+    assert {1, 5} <= {values["host"] for _, step, values in steps if step == "drain"}, (
+        "the hosts that the simulator names"
+    )
+    assert (
+        0.8 < len(draw_arrivals(scenario).at_ms) / (scenario["clients"]["per_second"] * 28) < 1.6
+        and left_out
     )
-    assert 0.8 < len(draw_arrivals(day).at_ms) / (day["clients"]["per_second"] * 28) < 1.6 and left
 
 
-def test_scaled_in_size_and_time(tmp_path):
-    whole, _ = bench_day(written(tmp_path, "crash"))
-    half, _ = bench_day(written(tmp_path, "crash"), 0.5, 0.5)
+def test_scenario_is_scaled_in_size_and_time(tmp_path):
+    full_size, _ = bench_day(write_scenario(tmp_path, "crash"))
+    half_size, _ = bench_day(write_scenario(tmp_path, "crash"), 0.5, 0.5)
     assert (
-        half["fleet"]["hosts"] == 4
-        and half["length"] == 2 * whole["length"]
-        and half["grace"] == 2000
+        half_size["fleet"]["hosts"] == 4
+        and half_size["length"] == 2 * full_size["length"]
+        and half_size["grace"] == 2000
+    )
+    assert half_size["clients"]["per_second"] == pytest.approx(
+        full_size["clients"]["per_second"] / 4
     )
-    assert half["clients"]["per_second"] == pytest.approx(whole["clients"]["per_second"] / 4)
-    assert half["troubles"][0]["on"] == [0, 2]
+    assert half_size["troubles"][0]["on"] == [0, 2]
 
 
-def test_an_unknown_trouble_is_told_and_what_is_no_day_refused(tmp_path):
-    day, left = bench_day(written(tmp_path, "earthquake"))
-    assert day["troubles"] == [] and "trouble earthquake" in left
+def test_an_unknown_fault_is_reported_and_an_invalid_file_refused(tmp_path):
+    scenario, left_out = bench_day(write_scenario(tmp_path, "earthquake"))
+    assert scenario["troubles"] == [] and "trouble earthquake" in left_out
     (tmp_path / "no.json").write_text('{"v": 1}')
     for name in ("no.json", "none.json"):
         with pytest.raises(Problems):
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -1,5 +1,5 @@
-"""A whole day in little: processes start, troubles strike, the audit judges, nothing is left
-running.
+"""Plays small scenarios with real processes: faults are injected, the audit finds no broken rule,
+and no process is left running.
 """
 
 import json
@@ -42,9 +42,9 @@
 """
 
 
-def cherrydoor(*words):
+def cherrydoor(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "cherrydoor", *words],
+        [sys.executable, "-m", "cherrydoor", *arguments],
         capture_output=True,
         text=True,
         timeout=120,
@@ -52,22 +52,24 @@
     )
 
 
-def test_a_little_bad_day_keeps_every_rule(tmp_path):
-    day = tmp_path / "little.day"
-    day.write_text(LITTLE)
-    done = cherrydoor("rehearse", str(day), "--out", str(tmp_path / "out"), "--json", "--quiet")
-    assert done.returncode == 0, done.stderr + done.stdout[-2000:]
-    found = json.loads(done.stdout)
-    assert found["broken"] == [] and found["answers"]["handled"] > 50 and found["loads"] > 0
+def test_small_scenario_with_faults_breaks_no_rule(tmp_path):
+    path = tmp_path / "little.day"
+    path.write_text(LITTLE)
+    run = cherrydoor("rehearse", str(path), "--out", str(tmp_path / "out"), "--json", "--quiet")
+    assert run.returncode == 0, run.stderr + run.stdout[-2000:]
+    report = json.loads(run.stdout)
+    assert report["broken"] == [] and report["answers"]["handled"] > 50 and report["loads"] > 0
     assert (tmp_path / "out" / "report.svg").stat().st_size > 1000
-    again = cherrydoor("audit", str(tmp_path / "out"), "--json")
-    assert again.returncode == 0 and json.loads(again.stdout) == found
+    audit = cherrydoor("audit", str(tmp_path / "out"), "--json")
+    assert audit.returncode == 0 and json.loads(audit.stdout) == report
 
 
-def test_a_little_day_of_the_other_shape_keeps_every_rule(tmp_path):
-    """Answers tell neither copies nor crowds, a rack drops repeats of a keyed type, and hosts leave it unanswered."""
-    day = tmp_path / "other.day"
-    day.write_text("""
+def test_small_scenario_with_sparse_reports_and_cell_deduplication_breaks_no_rule(tmp_path):
+    """Responses report neither copies nor the requests of the same function, hosts deduplicate a keyed
+    class within their cell only, and some leave that class unanswered.
+    """
+    path = tmp_path / "other.day"
+    path.write_text("""
 name: "other"
 length: 5s
 warm: 1s
@@ -92,21 +94,23 @@
   {at: 2500ms, what: "gateway-crash", lasts: 500ms, part: 20%}
 ]
 """)
-    done = cherrydoor("rehearse", str(day), "--out", str(tmp_path / "out"), "--json", "--quiet")
-    assert done.returncode == 0, done.stderr + done.stdout[-2000:]
-    found = json.loads(done.stdout)
+    run = cherrydoor("rehearse", str(path), "--out", str(tmp_path / "out"), "--json", "--quiet")
+    assert run.returncode == 0, run.stderr + run.stdout[-2000:]
+    report = json.loads(run.stdout)
     assert (
-        found["broken"] == []
-        and found["answers"]["handled"] > 50
-        and found["answers"]["dead-lettered"] > 0
+        report["broken"] == []
+        and report["answers"]["handled"] > 50
+        and report["answers"]["dead-lettered"] > 0
     )
 
 
-def test_a_little_crash_at_the_gate_keeps_every_rule_and_every_known_client(tmp_path):
-    day = tmp_path / "gate.day"
-    first = LITTLE.index("troubles:")
-    day.write_text(
-        LITTLE[:first]
+def test_small_scenario_with_a_connection_flood_breaks_no_rule_and_admits_every_known_client(
+    tmp_path,
+):
+    path = tmp_path / "gate.day"
+    faults_at = LITTLE.index("troubles:")
+    path.write_text(
+        LITTLE[:faults_at]
         + """
 offices: [{name: "harbour", share: 2}, {name: "meadow", share: 1}]
 doors: {tls: true, known: 10, places: 40, descriptors: 160}
@@ -118,34 +122,34 @@
 ]
 """
     )
-    done = cherrydoor("rehearse", str(day), "--out", str(tmp_path / "out"), "--json", "--quiet")
-    assert done.returncode == 0, done.stderr + done.stdout[-2000:]
-    found = json.loads(done.stdout)
-    assert found["broken"] == [] and found["answers"]["handled"] > 50
-    for one in (found["doors"]["connects"], found["doors"]["came back"]):
-        assert one["let in"] == one["tried"] > 5, one
-    assert found["doors"]["flood"]["opened"] > 300
+    run = cherrydoor("rehearse", str(path), "--out", str(tmp_path / "out"), "--json", "--quiet")
+    assert run.returncode == 0, run.stderr + run.stdout[-2000:]
+    report = json.loads(run.stdout)
+    assert report["broken"] == [] and report["answers"]["handled"] > 50
+    for connections in (report["doors"]["connects"], report["doors"]["came back"]):
+        assert connections["let in"] == connections["tried"] > 5, connections
+    assert report["doors"]["flood"]["opened"] > 300
 
 
-def test_a_day_that_cannot_be_read_or_run_exits_with_2(tmp_path):
+def test_a_scenario_that_cannot_be_read_or_run_exits_with_2(tmp_path):
     assert cherrydoor("rehearse", "no-such-day").returncode == 2
-    day = tmp_path / "bad.day"
-    day.write_text(LITTLE.replace("hosts: 4", "hosts: 0"))
-    done = cherrydoor("rehearse", str(day))
-    assert done.returncode == 2 and "fleet.hosts" in done.stderr and "Traceback" not in done.stderr
-    day.write_text(LITTLE)
+    path = tmp_path / "bad.day"
+    path.write_text(LITTLE.replace("hosts: 4", "hosts: 0"))
+    run = cherrydoor("rehearse", str(path))
+    assert run.returncode == 2 and "fleet.hosts" in run.stderr and "Traceback" not in run.stderr
+    path.write_text(LITTLE)
     (tmp_path / "out" / "traffic").mkdir(parents=True)
     (tmp_path / "out" / "traffic" / "x").touch()
     with pytest.raises(RunFailedError):
-        ScenarioRunner(read_day(day), tmp_path / "out")
+        ScenarioRunner(read_day(path), tmp_path / "out")
 
 
-def test_interrupted_it_leaves_nothing_running(tmp_path):
-    day = tmp_path / "little.day"
-    day.write_text(LITTLE)
-    words = ["rehearse", str(day), "--out", str(tmp_path / "out")]
+def test_an_interrupted_rehearsal_leaves_no_process_running(tmp_path):
+    path = tmp_path / "little.day"
+    path.write_text(LITTLE)
+    arguments = ["rehearse", str(path), "--out", str(tmp_path / "out")]
     running = subprocess.Popen(
-        [sys.executable, "-m", "cherrydoor", *words],
+        [sys.executable, "-m", "cherrydoor", *arguments],
         stderr=subprocess.PIPE,
         env=os.environ | {"PYTHONPATH": os.getcwd()},
     )
@@ -155,8 +159,12 @@
     running.send_signal(signal.SIGINT)
     running.communicate(timeout=60)
     assert running.returncode == 2
-    left = [p for p in os.listdir("/proc") if p.isdigit() and str(tmp_path) in command_line(p)]
-    assert left == []
+    still_running = [
+        process
+        for process in os.listdir("/proc")
+        if process.isdigit() and str(tmp_path) in command_line(process)
+    ]
+    assert still_running == []
 
 
 def command_line(process):
@@ -167,33 +175,35 @@
         return ""
 
 
-def test_the_same_seed_gives_the_same_day_and_another_another(tmp_path):
-    day = tmp_path / "little.day"
-    day.write_text(LITTLE)
-    one, same, other = read_day(day), read_day(day), read_day(day, seed=2)
+def test_the_same_seed_gives_the_same_scenario_and_another_seed_a_different_one(tmp_path):
+    path = tmp_path / "little.day"
+    path.write_text(LITTLE)
+    scenario, same_seed, other_seed = read_day(path), read_day(path), read_day(path, seed=2)
     assert (
-        draw_arrivals(one).at_ms == draw_arrivals(same).at_ms
-        and draw_arrivals(one).function == draw_arrivals(same).function
+        draw_arrivals(scenario).at_ms == draw_arrivals(same_seed).at_ms
+        and draw_arrivals(scenario).function == draw_arrivals(same_seed).function
     )
-    assert FaultPlan(one).steps == FaultPlan(same).steps
+    assert FaultPlan(scenario).steps == FaultPlan(same_seed).steps
     assert (
-        draw_arrivals(one).at_ms != draw_arrivals(other).at_ms
-        and FaultPlan(one).steps != FaultPlan(other).steps
+        draw_arrivals(scenario).at_ms != draw_arrivals(other_seed).at_ms
+        and FaultPlan(scenario).steps != FaultPlan(other_seed).steps
     )
 
 
-def test_a_trouble_added_moves_no_other_arrival(tmp_path):
-    day = read_day("quick")
-    calm = day | {"troubles": [t for t in day["troubles"] if t["what"] != "burst"]}
-    struck = {"what": "hot", "at": 1000.0, "lasts": 5000.0, "part": 0.2, "size": 2.0}
-    hot = calm | {"troubles": [*calm["troubles"], struck]}
+def test_an_added_fault_changes_no_arrival_time(tmp_path):
+    scenario = read_day("quick")
+    without_burst = scenario | {
+        "troubles": [fault for fault in scenario["troubles"] if fault["what"] != "burst"]
+    }
+    hot_fault = {"what": "hot", "at": 1000.0, "lasts": 5000.0, "part": 0.2, "size": 2.0}
+    with_hot = without_burst | {"troubles": [*without_burst["troubles"], hot_fault]}
     assert (
-        draw_arrivals(calm).at_ms == draw_arrivals(hot).at_ms
-        and draw_arrivals(calm).function != draw_arrivals(hot).function
+        draw_arrivals(without_burst).at_ms == draw_arrivals(with_hot).at_ms
+        and draw_arrivals(without_burst).function != draw_arrivals(with_hot).function
     )
 
 
-def test_every_trouble_can_be_scripted(tmp_path):
+def test_every_fault_of_the_schema_can_be_planned_and_carried_out(tmp_path):
     schema = (SHIPPED.parent.parent / "config" / "scenario.schema").read_text()
     names = schema.split("what: ")[1].splitlines()[0].replace('"', "").split(" | ")
     text = (
@@ -202,25 +212,27 @@
         + "\n".join(f'{{at: 100ms, lasts: 1s, what: "{name}"}}' for name in names)
         + "]"
     )
-    day = tmp_path / "all.day"
-    day.write_text(text)
-    said = read_day(day)
-    plan = FaultPlan(said)
-    does = {what for _, what, _ in plan.steps}
-    handled = {name[3:].replace("_", " ") for name in dir(ScenarioRunner) if name.startswith("do_")}
-    assert does <= handled and len(names) == 34
-    assert {t["what"] for t in said["troubles"]} - {
-        n.replace("_", "-") for n in dir(FaultPlan)
+    path = tmp_path / "all.day"
+    path.write_text(text)
+    scenario = read_day(path)
+    plan = FaultPlan(scenario)
+    planned = {step for _, step, _ in plan.steps}
+    carried_out = {
+        name[3:].replace("_", " ") for name in dir(ScenarioRunner) if name.startswith("do_")
+    }
+    assert planned <= carried_out and len(names) == 34
+    assert {fault["what"] for fault in scenario["troubles"]} - {
+        name.replace("_", "-") for name in dir(FaultPlan)
     } == {
         "burst",
         "hot",
         "scan",
         "repeats",
-    }, "these four are in the traffic itself"
+    }, "draw_arrivals applies these four"
 
 
-def test_a_trouble_after_the_end_is_refused(tmp_path):
-    day = tmp_path / "late.day"
-    day.write_text(LITTLE.replace("at: 500ms", "at: 500s"))
+def test_a_fault_after_the_end_of_the_scenario_is_refused(tmp_path):
+    path = tmp_path / "late.day"
+    path.write_text(LITTLE.replace("at: 500ms", "at: 500s"))
     with pytest.raises(Problems, match="troubles.0.at"):
-        read_day(day)
+        read_day(path)
--- a/tests/rehearsal/traffic.py
+++ b/tests/rehearsal/traffic.py
@@ -1,5 +1,6 @@
-"""A small truthful run, written as the far ends would, for the audit to judge; tests doctor one
-row of it.
+"""A small run without violations, recorded as clients, hosts and the endpoint list would record it.
+
+Tests change single rows of it and check which violation the audit reports.
 """
 
 import json
@@ -40,7 +41,10 @@
 
 
 class Run:
-    """Rows by end; `row` changes or drops those that a test wants otherwise."""
+    """The rows of a run, each with the `end` that records it.
+
+    Tests add rows, change those that `find` returns, or remove them with `drop`.
+    """
 
     def __init__(self):
         self.rows, self.launch_ids = [], 0
@@ -49,20 +53,22 @@
         for host in ("h1", "h2"):
             self.add("host", "host up", 500.0, who=host, a=2.0)
         self.tell(600.0, 1, "g0", {"h1": "ready", "h2": "ready"}, whole=True)
-        for i in range(30):
-            self.event(i, 2000.0 + 100 * i, ("draft", "sign", "archive")[i % 3])
+        for number in range(30):
+            self.event(number, 2000.0 + 100 * number, ("draft", "sign", "archive")[number % 3])
 
     def add(self, end, what, t, who="", **more):
         self.rows.append({"end": end, "what": what, "t": t, "who": who or end, **more})
         return self.rows[-1]
 
     def tell(self, t, revision, gateway, states, whole=False):
+        """Adds an update of the endpoint list to one gateway, which receives it 5 ms later."""
         for host, state in states.items():
             self.add("list", "row", t, peer=gateway, id=revision, function=host, fate=state)
         self.add("list", "told", t, peer=gateway, id=revision, fate="whole" if whole else "changes")
         self.add("list", "heard", t + 5, peer=gateway, id=revision)
 
     def event(self, number, t, clause="draft", fate="handled", host="h1", took=100.0):
+        """Adds a request, its run on the host, and the response after `took` ms."""
         self.add(
             "client",
             "sent",
@@ -83,7 +89,7 @@
 
     def launch(self, number, t, clause="draft", host="h1", took=90.0, fate="handled", work=50.0):
         self.launch_ids += 1
-        same = {
+        row = {
             "who": host,
             "peer": "g0",
             "id": self.launch_ids,
@@ -92,25 +98,28 @@
             "clause": clause,
             "mark": f"m{number}",
         }
-        self.add("host", "launch", t, a=2400.0, b=work, **same)
+        self.add("host", "launch", t, a=2400.0, b=work, **row)
         if fate:
             if fate == "handled":
-                self.add("host", "effect", t + took, **same)
-            self.add("host", "outcome", t + took, fate=fate, **same)
+                self.add("host", "effect", t + took, **row)
+            self.add("host", "outcome", t + took, fate=fate, **row)
 
     def find(self, what, event):
-        return next(r for r in self.rows if r["what"] == what and r.get("event") == event)
+        return next(row for row in self.rows if row["what"] == what and row.get("event") == event)
 
     def drop(self, what, event):
         self.rows.remove(self.find(what, event))
 
     def judge(self, folder):
-        """(rule, event) of everything broken, and the whole report."""
-        for end in {r["end"] for r in self.rows}:
+        """Records the run into the folder and audits it.
+
+        Returns (rule, event) of each violation, and the whole report.
+        """
+        for end in {row["end"] for row in self.rows}:
             record = Record(folder / "traffic", end, end)
             for row in self.rows:
                 if row["end"] == end:
-                    record.add(**{k: v for k, v in row.items() if k != "end"})
+                    record.add(**{key: value for key, value in row.items() if key != "end"})
             record.close()
-        found = audit(folder)
-        return [(b["rule"], b["event"]) for b in found["broken"]], found
+        report = audit(folder)
+        return [(violation["rule"], violation["event"]) for violation in report["broken"]], report
