--- a/cherrydoor/rehearsal/__init__.py
+++ b/cherrydoor/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Plays scenarios on loopback sockets: traffic, faults, records of both ends, the audit and the report."""
+"""Plays scenarios on loopback sockets: traffic, faults, records, the audit and the report."""
--- a/cherrydoor/rehearsal/baselines.py
+++ b/cherrydoor/rehearsal/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines for the router's choice of a host: a random host, and the host with the fewest requests in flight.
+"""Baselines for the router's choice of a host: a random one, and the one with fewest in flight.
 
 They exist only for comparison. The rules, health, retries and rejections are the router's own.
 """
@@ -13,7 +13,7 @@
     """Chooses from all hosts, regardless of the ranges that they own."""
 
     def candidates(self, request: Request) -> list[Host]:
-        """Returns the ready hosts that may run the request and have not been tried, sorted by id."""
+        """Returns the ready hosts that may run the request and were not tried yet, sorted by id."""
         now = self._context.now
         tried = [attempt.host for attempt in request.attempts]
         hosts = [
@@ -36,7 +36,10 @@
 
 
 class LeastInFlight(_AllHosts):
-    """Chooses the ready host with the fewest in-flight requests of this gateway; ties go to the lowest id."""
+    """Chooses the ready host with the fewest in-flight requests of this gateway.
+
+    Ties go to the lowest id.
+    """
 
     def choose(self, request: Request) -> Choice:
         """Returns the candidate with the fewest requests in flight."""
@@ -52,7 +55,7 @@
 
 
 def least_in_flight_router(settings: messages.Settings) -> Router:
-    """Returns a router that chooses the ready host with the fewest in-flight requests of this gateway."""
+    """Returns a router that chooses the host with the fewest requests in flight."""
     return Router(settings, chooser=LeastInFlight)
 
 
--- a/cherrydoor/rehearsal/bench_day.py
+++ b/cherrydoor/rehearsal/bench_day.py
@@ -1,7 +1,8 @@
-"""Converts scenarios of the users' simulator: fleet, traffic and faults, scaled in size and in time.
+"""Converts scenarios of the users' simulator: fleet, traffic and faults, scaled in size and time.
 
 Features of the simulator that the fake hosts lack are left out: network jitter, waiting for other
-systems, thrashing, connection limits and weights. Times in the simulator's files are in microseconds.
+systems, thrashing, connection limits and weights. Times in the simulator's files are in
+microseconds.
 """
 
 import json
@@ -35,7 +36,7 @@
 
 
 def bench_day(path, size=1.0, speed=1.0):
-    """Reads a scenario of the simulator; returns its values as read_day does, and what was left out.
+    """Reads a scenario of the simulator; returns its values as read_day does, and what is left out.
 
     Args:
         path: The simulator's JSON file.
@@ -126,7 +127,7 @@
     )
     load_ms = function_kind["load"] / 1000
     tenants = simulated["tenants"]
-    # Assumes that one request in twenty loads a copy, since most requests find their function loaded.
+    # Assumes that one request in twenty loads a copy; most requests find their function loaded.
     loads_at_once = family["store_headroom"] * per_second * 0.05 * load_ms / 1000
     day = {
         "name": f"{simulated['site']}-{simulated['kind']}",
@@ -257,7 +258,7 @@
 
 
 def convert_fault(simulated_fault, simulated, hosts, gateways, ms):
-    """Converts one fault; returns None if it has no counterpart, begins too late or has no target left.
+    """Converts one fault; returns None if it has no counterpart, no target or begins too late.
 
     It affects the hosts or gateways that the simulator names, as far as the scaled fleet has them.
     """
--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -19,7 +19,7 @@
 
 
 class SentRequest:
-    """One attempt of a client's request: the first attempt or a retry. Times are ms on the record's clock.
+    """One attempt of a client's request. Times are ms on the record's clock.
 
     Attributes:
         id: The attempt's id on the wire.
@@ -61,7 +61,8 @@
 class Clients:
     """All clients of a scenario.
 
-    `sources` has each office's source address and key files by name; without it clients are unknown.
+    `sources` has each office's source address and key files by name; without it clients are
+    unknown.
     """
 
     def __init__(self, day, addresses, record, sources=None):
@@ -104,7 +105,7 @@
         heappush(self.timers, (at_ms, self.last_timer, callback, arguments))
 
     def tick(self):
-        """Sends the requests and runs the timers that are due, then schedules itself for the next of them."""
+        """Sends the requests and runs the timers that are due, then schedules the next tick."""
         now_ms, arrivals = now(), self.arrivals
         while True:
             arrival_ms = (
@@ -202,7 +203,7 @@
             )
 
     def affinity_key(self, function, arrival):
-        """Returns the session's key. Each session calls one function; `documents` is the number of sessions of each."""
+        """Returns the session's key. `documents` is the number of sessions of each function."""
         count = self.day["clients"].get("documents", 0)
         return f"{function_name(function)}/{arrival % count}" if count else ""
 
@@ -271,7 +272,7 @@
             self.retry(request, "cut", 0.0)
 
     def claim_response(self, request):
-        """Claims the response at another gateway, which may have taken over the request of the lost one.
+        """Claims the response at another gateway, which may have taken over the request.
 
         Returns False if there is nothing to claim with: the gateway does not replicate requests in
         flight, no other gateway is connected, or less than 60 ms remain.
@@ -312,7 +313,7 @@
         return True
 
     def response_unknown(self, connection, message):
-        """Handles the answer that no gateway knows the claimed request, which may have been run or not."""
+        """Retries a request whose response can't be claimed. It may have been run or not."""
         request = connection.pending.get(message.id)
         if request is not None:
             self.record.add(
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -10,13 +10,16 @@
 
 
 class Connection:
-    """A connection to one gateway. While the gateway can't be reached, connecting is retried every 100 ms.
+    """A connection to one gateway, retried every 100 ms while the gateway can't be reached.
 
     `end` is the open framed connection, None while there is none.
     """
 
     def __init__(self, clients, gateway, address, office, source):
-        """source: `address`, the local address to connect from ("" for any), and `keys`, the TLS key files ({} for none)."""
+        """Args:
+        source: `address`, the local address to connect from ("" for any), and `keys`, the TLS
+            key files ({} for none).
+        """
         self.clients, self.gateway, self.end, self.pending, self.office = (
             clients,
             gateway,
@@ -31,7 +34,7 @@
             self.options["local_addr"] = (source["address"], 0)
 
     async def keep(self):
-        """Connects, waits until the connection is closed, and connects again; runs until it is cancelled."""
+        """Connects, and connects again whenever the connection is closed; runs until cancelled."""
         while True:
             try:
                 self.closed, self.started_ms = asyncio.get_running_loop().create_future(), now()
--- a/cherrydoor/rehearsal/day.py
+++ b/cherrydoor/rehearsal/day.py
@@ -13,16 +13,16 @@
 
 
 def scenario_path(name):
-    """Returns the path of the shipped scenario of that name; if there is none, `name` is the path."""
+    """Returns the path of the shipped scenario of that name; without one, `name` is the path."""
     shipped = SHIPPED / f"{name}.day"
     return shipped if shipped.exists() else Path(name)
 
 
 def read_day(name, **changes):
-    """Reads a scenario by the name of a shipped one or by its path; returns its values, times in ms.
+    """Reads a scenario, given by shipped name or by path; returns its values, times in ms.
 
-    `changes` replace top-level values such as the seed, except those that are None. Raises Problems if
-    the file is not a valid scenario.
+    `changes` replace top-level values such as the seed, except those that are None. Raises
+    Problems if the file is not a valid scenario.
     """
     path = scenario_path(name)
     scenario = bare(read_file(path, "#Day", "scenario.schema"))
@@ -122,10 +122,10 @@
 
 
 def peer_settings(day, number, folder, peer_addresses):
-    """Returns the sections of a gateway's configuration on peers and leases; {} if gateways have no peers.
+    """Returns a gateway's configuration sections on peers and leases; {} without peers.
 
-    peer_addresses: for each gateway number, the address at which it listens for peers and the one at
-    which peers reach it.
+    peer_addresses: for each gateway number, the address at which it listens for peers and the one
+    at which peers reach it.
     """
     peers = day.get("fellows") or {}
     if not peers.get("keepers"):
@@ -219,7 +219,10 @@
 
 
 def connection_settings(day):
-    """Returns the configuration's values for `bounds` and its section on known clients; both {} without these."""
+    """Returns two parts of a configuration: values for `bounds` and the section on known clients.
+
+    Both are {} if the scenario has no known clients.
+    """
     settings = day.get("doors") or {}
     if not settings.get("known"):
         return {}, {}
@@ -276,7 +279,7 @@
 
 
 def terms(day):
-    """Returns what the audit judges by: the figures in the rules, and nothing about how gateways keep them."""
+    """Returns what the audit judges by: the rules' figures, not how gateways keep the rules."""
     return {
         "name": day["name"],
         "seed": day["seed"],
--- a/cherrydoor/rehearsal/fault_injecting_proxy.py
+++ b/cherrydoor/rehearsal/fault_injecting_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy between processes that injects network faults into their frames, by command and with a seed.
+"""A proxy between processes that injects network faults, by command and with a seed.
 
-It delays, drops, duplicates and reorders frames, holds them until a later rule releases them, resets
-connections, and partitions groups of processes. Faults apply to one direction or to both.
+It delays, drops, duplicates and reorders frames, holds them until a later rule releases them,
+resets connections, and partitions groups of processes. Faults apply to one direction or to both.
 
 Each target has its own port at the proxy. The name in the hello, which is the first frame of a
 connection, tells which process connected. A rule applies to frames from one name to another, where
@@ -87,7 +87,7 @@
         self.counts[event] = self.counts.get(event, 0) + 1
 
     def rule(self, origin, target):
-        """Returns the last rule that matches frames from `origin` to `target`, both given by name."""
+        """Returns the last rule that matches frames from `origin` to `target`, given by name."""
         for origin_pattern, target_pattern, values in reversed(self.rules):
             if fnmatchcase(origin, origin_pattern) and fnmatchcase(target, target_pattern):
                 return values
@@ -152,8 +152,8 @@
     def set(self, origin, to, both=False, **values):
         """Adds a rule, which applies from now on.
 
-        Frames that were held are released unless the new rules hold them too. `both` adds the rule for
-        the opposite direction as well; `values` are the fields of NO_FAULTS that differ.
+        Frames that were held are released unless the new rules hold them too. `both` adds the rule
+        for the opposite direction as well; `values` are the fields of NO_FAULTS that differ.
         """
         for sender, receiver in ((origin, to), (to, origin)) if both else ((origin, to),):
             self.rules.append((sender, receiver, {**NO_FAULTS, **values}))
@@ -174,7 +174,7 @@
                 self.set(name, other_name, True, cut=True)
 
     def reset(self, origin, to):
-        """Resets the connections from matching origins to matching targets, at both ends and at once."""
+        """Resets connections from matching origins to matching targets, at both ends at once."""
         for pair_origin, pair_target, writer, upstream, *_ in list(self.pairs):
             if fnmatchcase(pair_origin, origin) and fnmatchcase(pair_target, to):
                 writer.transport.abort()
@@ -189,7 +189,7 @@
 async def forward_frames(reader, link, hello=False):
     """Forwards frames until the connection ends, then closes the other side.
 
-    Unless the link is cut, the first frame of the answering side, its hello, is forwarded unchanged.
+    Unless the link is cut, the hello of the answering side is forwarded without faults.
     """
     try:
         while True:
--- a/cherrydoor/rehearsal/fault_steps.py
+++ b/cherrydoor/rehearsal/fault_steps.py
@@ -50,7 +50,7 @@
         await self.host_pool.command(do, **targets, **values)
 
     async def do_crash(self, host):
-        """Crashes a host; after the list's detection delay, sets it to gone unless it is up again."""
+        """Crashes a host; sets it to gone after the list's detection delay, unless it is up."""
         await self.host_pool.command("crash", hosts=[self.ids[host]])
         await asyncio.sleep(self.day["list"]["miss"] / 1000)
         state, since, host_spec = self.endpoints[self.ids[host]]
@@ -77,7 +77,7 @@
         await self.set_endpoint(host, self.ids[host], "gone", since, host_spec)
 
     async def do_join(self, host, replaces):
-        """Adds a cold host with the specification of the host that it replaces, at a new address."""
+        """Adds a cold host at a new address with the specification of the replaced host."""
         host_spec = self.host_specs[self.replaces[host]]
         address = self.ports.take()
         listen_addresses = [await self.proxied(address)] if self.proxy else None
@@ -122,9 +122,9 @@
         return None
 
     async def do_site(self, site, word):
-        """Sends an operator's zone drain command; after "drain", records the drain's progress until it is over.
+        """Sends an operator's zone drain command and follows a drain until it is over.
 
-        Progress is recorded as the gateways report it, each time the state, the wave or the coordinator changes.
+        Each change of the state, the wave or the coordinator is recorded as the gateways report it.
         """
         answer = await self.ask_gateway({"do": "site", "what": word, "site": site, "even": True})
         self.record.add("site", fate=word, text=site, function=str((answer or {}).get("error", "")))
@@ -185,7 +185,7 @@
         )
 
     async def do_reconnect(self, count):
-        """Opens `count` more connections of each office at the running gateways, besides those it has."""
+        """Opens `count` additional connections of each office at the running gateways."""
         running = [
             number
             for number, (child, _) in self.gateways.items()
@@ -199,7 +199,10 @@
         )
 
     async def do_key_change(self, gateways, times):
-        """Issues new certificates `times` times, 0.4 s apart, with a truncated key file before each but the first."""
+        """Issues new certificates `times` times, at least 0.4 s apart.
+
+        Before each but the first, the key file is truncated for 0.4 s, as if it were half written.
+        """
         for change in range(times):
             for number in gateways:
                 if change:
@@ -211,7 +214,7 @@
             await asyncio.sleep(0.4)
 
     async def do_release(self, functions, version, bad):
-        """Announces a version on the release feed; in a scenario without a feed, flushes all copies instead."""
+        """Announces a version on the release feed; without a feed, flushes all copies instead."""
         if not self.day["feed"]["gradual"]:
             return await self.do_flush(functions, version)
         if bad:
--- a/cherrydoor/rehearsal/faults.py
+++ b/cherrydoor/rehearsal/faults.py
@@ -1,4 +1,4 @@
-"""Plans the steps of a scenario's faults. The plan depends on nothing but the scenario's values and its seed."""
+"""Plans the steps of a scenario's faults from the values of the scenario and its seed alone."""
 
 from zlib import crc32
 
@@ -8,8 +8,8 @@
 class FaultPlan:
     """The steps of one scenario in order of time, each (ms from the start, step name, values).
 
-    Hosts and gateways are identified by number. A host that replaces another gets the next free number.
-    Each fault is planned by the method of its name, with `_` for `-`.
+    Hosts and gateways are identified by number. A host that replaces another gets the next free
+    number. Each fault is planned by the method of its name, with `_` for `-`.
     """
 
     def __init__(self, day):
@@ -43,7 +43,10 @@
         return crc32(f"troubles/{self.day['seed']}/{self.draw_count}".encode()) / 2.0**32
 
     def targets(self, fault, candidates=None):
-        """Returns the hosts, or those of `candidates`, that the fault names; if it names none, a seeded sample."""
+        """Returns the hosts, or those of `candidates`, that a fault affects.
+
+        These are the ones it names or, if it names none, a seeded sample.
+        """
         if fault.get("on"):
             return [
                 self.present_host(number) if candidates is None else number
@@ -59,7 +62,7 @@
         )
 
     def sample(self, share, candidates=None):
-        """Returns a seeded sample of that share of the candidates (default: all hosts), at least one."""
+        """Returns a seeded sample of the candidates (default: all hosts), at least one."""
         candidates = list(self.hosts if candidates is None else candidates)
         ranked = sorted(candidates, key=lambda candidate: (self.next_random(), candidate))
         return sorted(ranked[: max(1, round(share * len(candidates)))])
@@ -129,7 +132,7 @@
         )
 
     def deaf(self, fault, start_ms, end_ms):
-        """Hosts leave a share of the requests of one request class unanswered and serve the other classes."""
+        """Hosts leave a share of the requests of one class unanswered, and of no other class."""
         names = [event["name"] for event in self.day["events"]]
         name = fault.get("event") or names[0]
         self.add_host_command(
@@ -174,7 +177,7 @@
         return host
 
     def deploy(self, fault, start_ms, end_ms):
-        """A rolling deploy in batches: each host drains, leaves and is replaced by a cold one on another port."""
+        """Hosts drain and leave in batches and are replaced by cold ones on other ports."""
         hosts = self.targets(fault)
         size = max(1, round(len(hosts) * 0.2))
         batches = [hosts[index : index + size] for index in range(0, len(hosts), size)]
@@ -191,7 +194,7 @@
                 )
 
     def take_away(self, fault, start_ms, end_ms):
-        """Hosts are preempted at short notice, in waves of a third of them; each is replaced 4 s after it left."""
+        """Hosts are preempted at short notice in waves of a third, each replaced 4 s later."""
         hosts = self.targets(fault)
         for index, host in enumerate(hosts):
             drain_at_ms = start_ms + (end_ms - start_ms) * (index // max(1, len(hosts) // 3)) / 3
@@ -215,13 +218,13 @@
             self.add_step(end_ms, "continue gateway", gateway=gateway)
 
     def cut_off(self, fault, start_ms, end_ms):
-        """Gateways lose the links to all peers and hosts in both directions; clients still reach them."""
+        """Gateways are cut off from peers and hosts in both directions, but not from clients."""
         gateways = self.targets(fault, range(self.day["gateways"]["count"]))
         self.add_step(start_ms, "cut", gateways=gateways, on=True)
         self.add_step(end_ms, "cut", gateways=gateways, on=False)
 
     def site_drain(self, fault, start_ms, end_ms):
-        """An operator's zone drain command moves the floor's sessions to neighbours; it is undone at the end.
+        """An operator's zone drain moves the floor's sessions to neighbours; undone at the end.
 
         With a size below 1 there is no command: all hosts of the floor are set to draining in the
         list at once, as in a fleet without zone drains, and nothing is undone.
@@ -243,7 +246,10 @@
         self.add_step(start_ms, "kill conductor", back=end_ms - start_ms)
 
     def noise(self, fault, start_ms, end_ms):
-        """Frames between gateways are delayed, duplicated, reordered and dropped (a tenth of `part`)."""
+        """Frames between gateways are delayed, duplicated and reordered.
+
+        A tenth of `part` is the share of frames that are dropped.
+        """
         self.add_step(
             start_ms,
             "noise",
@@ -282,7 +288,10 @@
     mass_release = release
 
     def bad_release(self, fault, start_ms, end_ms):
-        """Releases a bad version: up to size 1 it fails on that share of requests, above 1 it is slower by that factor."""
+        """Releases a bad version.
+
+        Up to size 1 it fails on that share of requests, above 1 it is slower by that factor.
+        """
         size = fault["size"]
         self.add_step(
             start_ms,
--- a/cherrydoor/rehearsal/processes.py
+++ b/cherrydoor/rehearsal/processes.py
@@ -74,7 +74,7 @@
     async def wait_for_message(self, kind, timeout_s=60.0):
         """Returns the next message of that kind and discards the messages before it.
 
-        Raises RunFailedError if the process sends none within `timeout_s` seconds, reports an error or exits.
+        Raises RunFailedError if the process sends none in time, reports an error or exits.
         """
         try:
             while True:
@@ -103,7 +103,7 @@
                 os.killpg(self.process.pid, signal_number)
 
     async def stop(self, timeout_s=5.0):
-        """Closes the standard input of the process, which asks it to exit; kills it after `timeout_s` seconds.
+        """Asks the process to exit by closing its standard input; kills it after `timeout_s`.
 
         Returns the exit code, or None if the process was never started.
         """
--- a/cherrydoor/rehearsal/scenario_runner.py
+++ b/cherrydoor/rehearsal/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: starts each of its processes, carries out the steps of its faults and stops the processes."""
+"""Plays a scenario: starts its processes, carries out its faults, stops the processes."""
 
 import asyncio
 import json
@@ -32,7 +32,10 @@
 
 
 class ScenarioRunner(FaultSteps):
-    """Plays one scenario (`day`) into a folder: records in `folder/traffic`, logs in `folder/parts.log`."""
+    """Plays one scenario (`day`).
+
+    It writes the records to `folder/traffic` and the logs of all processes to `folder/parts.log`.
+    """
 
     def __init__(self, day, folder, on_progress=lambda text: None):
         self.day, self.folder, self.report_progress = day, Path(folder), on_progress
@@ -71,7 +74,7 @@
             self.log_file.close()
 
     async def begin(self):
-        """Starts the processes, waits until they are ready and sets the start time of the clients."""
+        """Starts the processes, waits until they are ready and sets the clients' start time."""
         day, record_folder = self.day, str(self.traffic)
         self.record.add("terms", text=json.dumps(terms(day)))
         catalogue = {
@@ -169,7 +172,7 @@
         )
 
     async def start_proxy(self):
-        """Starts the fault-injecting proxy if gateways have peers and the scenario lets faults disturb their links."""
+        """Starts the fault-injecting proxy if gateways have peers and `between` is set."""
         peers = self.day.get("fellows") or {}
         if peers.get("keepers") and peers["between"]:
             self.proxy = await self.new_process("between").start(
@@ -180,7 +183,7 @@
             await self.proxy.wait_for_message("ready")
 
     async def proxied(self, address, label=""):
-        """Opens the proxy at `address`; returns the address at which the server behind it has to listen.
+        """Opens the proxy at `address`; returns the address at which the server behind it listens.
 
         `label` names the target in the proxy's rules; by default it is the address.
         """
@@ -189,7 +192,7 @@
         return listen_address
 
     async def assign_peer_addresses(self):
-        """Assigns each gateway the address at which it listens for peers and the one at which peers reach it."""
+        """Assigns each gateway the addresses at which peers reach it and at which it listens."""
         if (self.day.get("fellows") or {}).get("keepers"):
             for number in range(self.day["gateways"]["count"]):
                 address = self.ports.take()
@@ -199,7 +202,7 @@
                 )
 
     def make_keys(self):
-        """Creates a certificate authority and the certificates of all gateways and offices, if the scenario uses TLS."""
+        """With TLS, creates an authority and the certificates of all gateways and offices."""
         if not self.day["doors"]["tls"]:
             return
         self.keys = LocalAuthority(self.folder / "keys")
@@ -210,7 +213,7 @@
             self.keys.issue("client", office["name"])
 
     def client_sources(self):
-        """Returns each office's source address and key files by name; {} if the scenario has no known clients."""
+        """Returns each office's source address and key files by name; {} without known clients."""
         if not self.day["doors"]["known"]:
             return {}
         return {
@@ -222,7 +225,7 @@
         }
 
     async def start_gateways(self, group):
-        """Starts one process for a group of gateways. After a crash they listen on their old ports again."""
+        """Starts one process for a group of gateways; after a crash, on their old ports."""
         child, arguments = self.new_process("gateways " + " ".join(map(str, group))), []
         for number in group:
             address = self.addresses.get(number) or self.ports.take()
@@ -319,7 +322,8 @@
             for child in (self.host_pool, self.store, self.list, self.clients):
                 if child.process.returncode is not None:
                     raise RunFailedError(
-                        f"{child.name} exited with {child.process.returncode} during the scenario; see {self.log_file.name}"
+                        f"{child.name} exited with {child.process.returncode} during the scenario; "
+                        f"see {self.log_file.name}"
                     )
             if elapsed_ms - reported_ms > 5000:
                 reported_ms = elapsed_ms
@@ -329,7 +333,7 @@
             )
 
     async def finish(self):
-        """Waits for the last responses, then makes every gateway drain and records its exit code."""
+        """Waits for the last responses, drains the gateways and records their exit codes."""
         await self.clients.wait_for_message("over", 120.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
@@ -342,7 +346,8 @@
             self.record.add("gateway ended", child.name, number=code)
         if any(self.codes):
             raise RunFailedError(
-                f"gateways exited with {sorted(set(self.codes))}, expected 0; see {self.log_file.name}"
+                f"gateways exited with {sorted(set(self.codes))}, expected 0; "
+                f"see {self.log_file.name}"
             )
 
 
--- a/cherrydoor/rehearsal/traffic.py
+++ b/cherrydoor/rehearsal/traffic.py
@@ -30,7 +30,7 @@
 
 
 def rate_at(day, times_ms):
-    """Returns the arrivals per second at each of the times; bursts are included, all other faults are not."""
+    """Returns the arrivals per second at each time, with bursts but no other faults."""
     clients, total_ms = day["clients"], day["length"] + day["warm"]
     per_second = np.full(len(times_ms), float(clients["per_second"]))
     if clients["shape"] == "wave":
@@ -64,7 +64,7 @@
 
 
 def draw_functions(rng, day, at_ms):
-    """Draws the function of each arrival by Zipf popularity; returns these numbers and the next unused number.
+    """Draws each arrival's function by Zipf popularity; returns them and the next unused number.
 
     After each spell, a share (`turning`) of the popularity ranks passes to new functions.
     """
@@ -92,7 +92,7 @@
 def draw_timer_calls(rng, day, first_number):
     """Draws the calls of functions called by timers at a fixed period, each through one gateway.
 
-    Returns the times (ms), the functions and the gateways. Functions are numbered from `first_number`.
+    Returns times (ms), functions and gateways. Functions are numbered from `first_number`.
     """
     functions, total_ms = day["functions"], day["length"] + day["warm"]
     per_second = day["clients"]["per_second"] * functions["timed"]
@@ -185,7 +185,10 @@
 
 
 def apply_function_faults(rng, day, at_ms, function, next_number):
-    """Replaces a share of the functions called during a hot or scan fault by a few hot ones, or by a new one each."""
+    """Replaces the functions of a share of the arrivals during hot and scan faults.
+
+    A hot fault replaces them by a few functions, a scan by a different function each.
+    """
     function = function.copy()
     for fault in day["troubles"]:
         if fault["what"] not in ("hot", "scan"):
@@ -208,7 +211,7 @@
 
 
 def repeated_requests(rng, day, at_ms):
-    """Returns the indices of the arrivals that impatient clients send a second time without waiting for a response."""
+    """Returns the indices of arrivals that clients send twice without waiting for a response."""
     indices = [np.empty(0, int)]
     for fault in day["troubles"]:
         if fault["what"] == "repeats":
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -65,8 +65,8 @@
 
 
 def test_small_scenario_with_sparse_reports_and_cell_deduplication_breaks_no_rule(tmp_path):
-    """Responses report neither copies nor the requests of the same function, hosts deduplicate a keyed
-    class within their cell only, and some leave that class unanswered.
+    """Responses report neither copies nor the requests of the same function, hosts deduplicate a
+    keyed class within their cell only, and some leave that class unanswered.
     """
     path = tmp_path / "other.day"
     path.write_text("""
