--- a/cherrydoor/rehearsal/fault_steps.py
+++ b/cherrydoor/rehearsal/fault_steps.py
@@ -50,7 +50,10 @@
         await self.host_pool.command(do, **targets, **values)
 
     async def do_crash(self, host):
-        """Crashes a host; sets it to gone after the list's detection delay, unless it is up."""
+        """Crashes a host.
+
+        After the list's detection delay its endpoint is set to gone, unless it is up again.
+        """
         await self.host_pool.command("crash", hosts=[self.ids[host]])
         await asyncio.sleep(self.day["list"]["miss"] / 1000)
         state, since, host_spec = self.endpoints[self.ids[host]]
--- a/cherrydoor/rehearsal/faults.py
+++ b/cherrydoor/rehearsal/faults.py
@@ -39,6 +39,7 @@
         self.steps.append((at_ms, step, values))
 
     def next_random(self):
+        """Returns the next number from 0 to 1 of the plan's own seeded sequence."""
         self.draw_count += 1
         return crc32(f"troubles/{self.day['seed']}/{self.draw_count}".encode()) / 2.0**32
 
@@ -62,12 +63,16 @@
         )
 
     def sample(self, share, candidates=None):
-        """Returns a seeded sample of the candidates (default: all hosts), at least one."""
+        """Returns a seeded sample of that share of the candidates, at least one.
+
+        The candidates are all hosts by default.
+        """
         candidates = list(self.hosts if candidates is None else candidates)
         ranked = sorted(candidates, key=lambda candidate: (self.next_random(), candidate))
         return sorted(ranked[: max(1, round(share * len(candidates)))])
 
     def new_successor(self, host):
+        """Returns the number of a new host that replaces the given one in later faults."""
         successor, self.next_host = self.next_host, self.next_host + 1
         self.replaces[successor] = host
         self.hosts[self.hosts.index(host)] = successor
@@ -78,7 +83,7 @@
         self.add_step(start_ms, "hosts", do=command, hosts=hosts, values=begin_values)
         self.add_step(end_ms, "hosts", do=command, hosts=hosts, values=end_values)
 
-    # Each method below plans the fault of its name.
+    # Each method below that takes a fault plans the fault of its name.
     def crash(self, fault, start_ms, end_ms):
         for host in self.targets(fault):
             self.add_step(start_ms + 200 * self.next_random(), "crash", host=host)
@@ -194,7 +199,10 @@
                 )
 
     def take_away(self, fault, start_ms, end_ms):
-        """Hosts are preempted at short notice in waves of a third, each replaced 4 s later."""
+        """Hosts are preempted at short notice in waves of a third.
+
+        Each is replaced 4 s after it left.
+        """
         hosts = self.targets(fault)
         for index, host in enumerate(hosts):
             drain_at_ms = start_ms + (end_ms - start_ms) * (index // max(1, len(hosts) // 3)) / 3
@@ -224,7 +232,7 @@
         self.add_step(end_ms, "cut", gateways=gateways, on=False)
 
     def site_drain(self, fault, start_ms, end_ms):
-        """An operator's zone drain moves the floor's sessions to neighbours; undone at the end.
+        """An operator drains a zone, which moves its sessions to neighbours, and undoes this later.
 
         With a size below 1 there is no command: all hosts of the floor are set to draining in the
         list at once, as in a fleet without zone drains, and nothing is undone.
--- a/cherrydoor/rehearsal/processes.py
+++ b/cherrydoor/rehearsal/processes.py
@@ -34,6 +34,11 @@
         self.messages = asyncio.Queue()
 
     async def start(self, *arguments, settings=None, descriptors=0):
+        """Starts `python -m cherrydoor` with the arguments.
+
+        `settings` are sent as the first line of its standard input; `descriptors` limits its open
+        files, 0 leaves the limit as it is.
+        """
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -120,8 +125,8 @@
 class Ports:
     """Listening ports from 12000 to 29999.
 
-    The system doesn't assign these ports to outgoing connections, so a process that crashed can
-    listen on its old port again.
+    They lie below the ports that Linux by default assigns to outgoing connections, so a process
+    that crashed can listen on its old port again.
     """
 
     def __init__(self, seed):
--- a/cherrydoor/rehearsal/scenario_runner.py
+++ b/cherrydoor/rehearsal/scenario_runner.py
@@ -106,7 +106,11 @@
                 "builds": self.host_specs,
                 "names": host_addresses,
                 "binds": listen_addresses,
-                "scopes": {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"},
+                "scopes": {
+                    event["name"]: event["group"]
+                    for event in day["events"]
+                    if event["kind"] == "keyed"
+                },
             },
         )
         self.list = await self.new_process("list").start(
