--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -1,8 +1,9 @@
 """Open-loop clients: they send each drawn request when it is due, whatever became of earlier ones.
 
-One process plays all clients of a scenario, with one connection to each gateway, or one per office to
-each gateway if the scenario has known clients. Latency counts from the time a request was due. The record also tells
-when it was really sent, so that a reader can judge whether the clients kept up.
+One process plays all clients of a scenario. It has one connection to each gateway, or one per office
+to each gateway if the scenario has known clients. Latency counts from the time a request was due.
+The record also tells when it was really sent, so that a reader can judge whether the clients kept
+up.
 """
 
 import asyncio
