--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -1,9 +1,9 @@
 """Open-loop clients: they send each drawn request when it is due, whatever became of earlier ones.
 
-One process plays all clients of a scenario. It has one connection to each gateway, or one per office
-to each gateway if the scenario has known clients. Latency counts from the time a request was due.
-The record also tells when it was really sent, so that a reader can judge whether the clients kept
-up.
+One process plays all clients of a scenario. It has one connection to each gateway, or one per
+office to each gateway if the scenario has known clients. Latency counts from the time a request was
+due. The record also tells when it was really sent, so that a reader can judge whether the clients
+kept up.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 from cherrydoor.fakes.command import emit, serve_commands
 from cherrydoor.fakes.record import Record, now
-from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import failover
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.connection import Connection
 from cherrydoor.rehearsal.traffic import draw_arrivals, function_name
@@ -301,7 +301,7 @@
             text=request.owner[0],
         )
         connection.end.write(
-            custody.ClaimResponse(
+            failover.ClaimResponse(
                 request.awaited_id,
                 request.owner[0],
                 request.owner[1],
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -5,7 +5,7 @@
 from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.connection_flood import client_tls_context
 from cherrydoor.fakes.record import now
-from cherrydoor.protocol import failover as custody
+from cherrydoor.protocol import failover
 from cherrydoor.protocol import messages as protocol
 
 
@@ -39,7 +39,7 @@
             try:
                 self.closed, self.started_ms = asyncio.get_running_loop().create_future(), now()
                 await asyncio.get_running_loop().create_connection(
-                    lambda: FramedConnection(self, custody.TO_CLIENT, self.hello),
+                    lambda: FramedConnection(self, failover.TO_CLIENT, self.hello),
                     self.host,
                     self.port,
                     **self.options,
@@ -76,7 +76,7 @@
         kind = type(message)
         if kind is protocol.Response:
             self.clients.response_received(self, message)
-        elif kind is custody.ResponseUnknown:
+        elif kind is failover.ResponseUnknown:
             self.clients.response_unknown(self, message)
         elif kind is protocol.Draining:
             self.draining = True
