--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -1,4 +1,8 @@
-"""A gateway of the daemon's own text on the world's time and pipes."""
+"""A gateway that uses virtual time and the in-memory network of the world.
+
+Its code is that of the daemon; the clock, the listener, the resource measurements and the vote
+store are replaced.
+"""
 
 import asyncio
 from typing import Any
@@ -14,7 +18,7 @@
 
 
 class Clock:
-    """A gateway's clock on the world's time."""
+    """A gateway's clock: Unix time in ms, which follows the virtual time of the world."""
 
     def __init__(self, world):
         self.world, self.offset_ms = world, world.wall_time() * 1000 - world.time() * 1000
@@ -24,7 +28,7 @@
 
 
 class UnlimitedResources:
-    """Nothing is short here."""
+    """Resource measurements of a process that is never short of CPU, memory or descriptors."""
 
     def measure(self):
         return UsageMeasured(0.0, 0.0, 0.0)
@@ -40,10 +44,15 @@
 
 
 class PipeConnection:
-    """A connection on its way in, on a pipe in place of a socket."""
+    """An incoming connection on a pipe; has the methods of one on a socket."""
 
-    def __init__(self, service, make, pipe):
-        self.listeners, self.make, self.pipe, self.protocol = service.listeners, make, pipe, None
+    def __init__(self, service, make_protocol, pipe):
+        self.listeners, self.make_protocol, self.pipe, self.protocol = (
+            service.listeners,
+            make_protocol,
+            pipe,
+            None,
+        )
         self.connection = AdmittedConnection(
             pipe.other.address, service.listeners.clock.now(), self
         )
@@ -51,18 +60,19 @@
     def start_handshake(self):
         self.pipe.world.call_soon(
             lambda: (
-                self.pipe.closing or self.pipe.world.connect_protocol(self.pipe, self.make(self))
+                self.pipe.closing
+                or self.pipe.world.connect_protocol(self.pipe, self.make_protocol(self))
             )
         )
 
-    def admit(self, largest):
-        self.protocol.admitted(largest)
+    def admit(self, longest_frame_bytes):
+        self.protocol.admitted(longest_frame_bytes)
 
-    def refuse(self, word, retry_after_ms):
+    def refuse(self, reason, retry_after_ms):
         if self.protocol is not None:
-            return self.protocol.close(word, retry_after_ms)
+            return self.protocol.close(reason, retry_after_ms)
         self.pipe.protocol = asyncio.BaseProtocol()
-        self.pipe.write(rejection_bytes(word, -(-retry_after_ms // 10) * 10.0))
+        self.pipe.write(rejection_bytes(reason, -(-retry_after_ms // 10) * 10.0))
         self.pipe.close()
 
     def pause(self):
@@ -73,25 +83,33 @@
 
 
 class MemoryVoteStore:
-    """A keeper's file, in the world's memory: what was synced outlives the gateway."""
+    """A voter's vote store in the memory of the emulation; it outlives the gateway as a file does.
+
+    Attributes:
+        disk: Stored votes by path, shared by all gateways.
+    """
 
     def __init__(self, disk, path, name):
         self.disk, self.path = disk, path
 
     def read(self):
-        kept = self.disk.get(self.path)
-        return msgspec.json.decode(kept, type=Votes) if kept else None
+        stored = self.disk.get(self.path)
+        return msgspec.json.decode(stored, type=Votes) if stored else None
 
-    def save(self, promises, then):
-        self.disk[self.path] = msgspec.json.encode(promises)
-        then()
+    def save(self, votes, on_saved):
+        self.disk[self.path] = msgspec.json.encode(votes)
+        on_saved()
 
     def close(self):
         pass
 
 
 class PausableLoop:
-    """The world's loop as one gateway has it: what would be called while it stands still is called as it goes on."""
+    """The event loop as one gateway sees it.
+
+    Callbacks that come due while the gateway is paused run when it continues; callbacks of a killed
+    gateway don't run.
+    """
 
     def __init__(self, gateway, world):
         self.gateway, self.world, self.delayed = gateway, world, []
@@ -99,32 +117,45 @@
     def __getattr__(self, name):
         return getattr(self.world, name)
 
-    def guarded(self, what, args):
-        if self.gateway.dead:
+    def guarded(self, callback, args):
+        if self.gateway.killed:
             return
         if self.gateway.paused:
-            self.delayed.append((what, args))
+            self.delayed.append((callback, args))
         else:
-            what(*args)
+            callback(*args)
 
-    def call_later(self, delay, what, *args):
-        return self.world.call_later(delay, self.guarded, what, args)
+    def call_later(self, delay, callback, *args):
+        return self.world.call_later(delay, self.guarded, callback, args)
 
-    def call_soon(self, what, *args):
-        return self.world.call_soon(self.guarded, what, args)
+    def call_soon(self, callback, *args):
+        return self.world.call_soon(self.guarded, callback, args)
 
     def run_delayed(self):
         delayed, self.delayed = self.delayed, []
-        for what, args in delayed:
-            self.world.call_soon(what, *args)
+        for callback, args in delayed:
+            self.world.call_soon(callback, *args)
 
 
 class EmulatedGateway(GatewayService):
-    """A gateway of the daemon's own text; dead or standing still where the day says so."""
-
-    def __init__(self, world, config, gate, disk=None):
-        """disk: what keepers have synced, by path; None leaves the gateway alone."""
-        self.world, self.dead, self.paused, self.late, self.listener = (
+    """A gateway that the scenario can kill, as SIGKILL does, or pause, as SIGSTOP does.
+
+    Attributes:
+        killed: Whether it was killed.
+        paused: Whether it is paused.
+        tick_missed: Whether a tick came due during the pause.
+    """
+
+    def __init__(self, world, config, make_router, disk=None):
+        """Prepares a gateway that `start` opens.
+
+        Args:
+            world: The event loop of the emulation.
+            config: The gateway's configuration.
+            make_router: Makes the router of the gateway.
+            disk: Stored votes by path; None runs the gateway without peers.
+        """
+        self.world, self.killed, self.paused, self.tick_missed, self.listener = (
             world,
             False,
             False,
@@ -133,7 +164,7 @@
         )
         super().__init__(
             config,
-            gate,
+            make_router,
             UnlimitedResources(),
             None,
             Clock(world),
@@ -149,60 +180,66 @@
         )
         self.loop: Any = PausableLoop(self, world)
 
-    def listen(self, where, make, context):
-        host, port = where
+    def listen(self, listen_address, make_protocol, tls_context):
+        host, port = listen_address
 
         def accept(pipe):
             pipe.frozen = self.paused
-            self.listeners.post(ConnectionAccepted(PipeConnection(self, make, pipe).connection))
+            self.listeners.post(
+                ConnectionAccepted(PipeConnection(self, make_protocol, pipe).connection)
+            )
 
         self.listener = self.world.listen(host, port, accept)
         return self.listener.getsockname()[1]
 
-    def post(self, what, *args):
-        if not self.dead:
-            super().post(what, *args)
+    def post(self, handler, *arguments):
+        if not self.killed:
+            super().post(handler, *arguments)
 
     def tick(self):
-        if self.dead:
+        if self.killed:
             return
         if self.paused:
-            self.late = True
+            self.tick_missed = True
             return
         super().tick()
 
     def set_timer(self):
-        if not self.dead:
+        if not self.killed:
             super().set_timer()
 
     def transports(self):
-        """All its transports."""
-        found = [end.transport for end in self.client_listener.connections]
+        """Returns the transports of all connections of the gateway."""
+        found = [connection.transport for connection in self.client_listener.connections]
         found += [
-            caller.handler.protocol.transport
-            for caller in list(self.listeners.controller.pending.unidentified)
-            if caller.handler.protocol
+            connection.handler.protocol.transport
+            for connection in list(self.listeners.controller.pending.unidentified)
+            if connection.handler.protocol
         ]
         found += [
-            link.writer.transport
+            connection.writer.transport
             for host in self.dispatcher.hosts.values()
-            for link in host.connections
-            if link.writer
+            for connection in host.connections
+            if connection.writer
         ]
         found += [
-            end.transport
-            for end in (self.endpoint_watch.connection, self.releases and self.releases.connection)
-            if end
+            connection.transport
+            for connection in (
+                self.endpoint_watch.connection,
+                self.releases and self.releases.connection,
+            )
+            if connection
         ]
         found += (
-            [end.transport for end in self.peer_services.peers.connections.values()]
+            [connection.transport for connection in self.peer_services.peers.connections.values()]
             if self.peer_services
             else []
         )
-        return [wire for wire in found if wire is not None]
+        return [transport for transport in found if transport is not None]
 
     def kill(self):
-        self.dead = True
+        """Ends the gateway at once, as SIGKILL does: its connections are reset."""
+        self.killed = True
         self.listener.close()
         self.listeners.timer.cancel()
         self.endpoint_watch.task.cancel()
@@ -210,19 +247,20 @@
             task.cancel()
         if self.timer:
             self.timer.cancel()
-        for wire in self.transports():
-            wire.abort()
+        for transport in self.transports():
+            transport.abort()
         if self.peer_services:
             self.peer_services.abort()
 
-    def set_paused(self, still):
-        self.paused = still
-        for wire in self.transports():
-            wire.frozen = still
-            if not still:
-                self.world.call_soon(wire.release)
-        if not still:
+    def set_paused(self, paused):
+        """Pauses the gateway or continues it, and then runs what came due during the pause."""
+        self.paused = paused
+        for transport in self.transports():
+            transport.frozen = paused
+            if not paused:
+                self.world.call_soon(transport.release)
+        if not paused:
             self.loop.run_delayed()
-        if not still and self.late:
-            self.late = False
+        if not paused and self.tick_missed:
+            self.tick_missed = False
             self.world.call_soon(self.tick)
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -1,4 +1,7 @@
-"""Plays a day as rehearsals do, in one process and in virtual time. What is judged is the same traffic."""
+"""Runs a scenario as a rehearsal does, but in one process and in virtual time.
+
+The recorded traffic has the same form, so the same audit reads it.
+"""
 
 import asyncio
 import json
@@ -27,12 +30,17 @@
 from cherrydoor.rehearsal.scenario_runner import RunFailedError, ScenarioRunner, in_processes
 from cherrydoor.routing import Router
 
-# they are of sockets, descriptors and TLS, or of a relay between fellows
-LEFT_OUT = ("flood", "reconnect", "key-change", "cut-off", "noise")
+# Faults of sockets, descriptors and TLS, and those that need the fault-injecting proxy between
+# peers.
+UNSUPPORTED_FAULTS = ("flood", "reconnect", "key-change", "cut-off", "noise")
 
 
 class InProcessCommands:
-    """What a rehearsal's conductor takes for a process: a command is obeyed at once."""
+    """Stands for a process of a rehearsal: commands are handled at once, by a function.
+
+    Attributes:
+        returncode: Always None, as of a process that runs.
+    """
 
     returncode = None
 
@@ -49,23 +57,27 @@
 
 
 class Emulation(ScenarioRunner):
-    """A day's conductor whose parts are all here."""
+    """A scenario runner that keeps all parts in this process instead of starting processes."""
 
     def __init__(self, day, folder, tell=lambda text: None):
+        """Prepares a run, without TLS, the proxy between peers and the unsupported faults."""
         if day["doors"]["tls"]:
             day = day | {"doors": day["doors"] | {"tls": False}}
         if day.get("fellows", {}).get("between"):
             day = day | {"fellows": day["fellows"] | {"between": False}}
-        super().__init__(day | {"without": [*day.get("without", ()), *LEFT_OUT]}, folder, tell)
+        super().__init__(
+            day | {"without": [*day.get("without", ()), *UNSUPPORTED_FAULTS]}, folder, tell
+        )
         self.world: Any = asyncio.get_running_loop()
         self.records, self.services, self.disk = [self.record], {}, {}
-        self.ports: Any = self  # ports are the world's
+        self.ports: Any = self  # the scenario runner calls `ports.take()`
 
     def take(self):
-        """A free port as an address; ids of hosts go up with time, as in rehearsals."""
+        """Returns an address with a free port; port numbers ascend, as in rehearsals."""
         return f"127.0.0.1:{self.world.take_port()}"
 
     def open_record(self, end, who):
+        """Returns a traffic record for one part; it is closed when the run ends."""
         record = Record(self.traffic, end, who)
         self.records.append(record)
         return record
@@ -86,7 +98,10 @@
         day = self.day
         self.record.add("terms", text=json.dumps(terms(day)))
         catalogue = Catalogue(
-            **{k: day["functions"][k] for k in ("memory", "load", "work", "lanes", "fetch", "core")}
+            **{
+                key: day["functions"][key]
+                for key in ("memory", "load", "work", "lanes", "fetch", "core")
+            }
         )
         store = await Store(self.open_record("store", "store"), catalogue, **day["store"]).start()
         self.store = InProcessCommands(
@@ -98,7 +113,11 @@
             ),
         )
         host_pool = HostPool(self.open_record("host", "farm"), catalogue, day["seed"])
-        host_pool.scopes = {e["name"]: e["group"] for e in day["events"] if e["kind"] == "keyed"}
+        host_pool.scopes = {
+            request_class["name"]: request_class["group"]
+            for request_class in day["events"]
+            if request_class["kind"] == "keyed"
+        }
         await self.world.create_connection(
             lambda: FramedConnection(
                 host_pool.store,
@@ -112,12 +131,12 @@
             InProcessCommands("hosts", HostCommands(host_pool)),
             host_specs(day),
         )
-        for number, build in enumerate(self.host_specs):
-            self.ids[number] = (await host_pool.add(self.take(), HostSpec(**build))).id
+        for number, host_spec in enumerate(self.host_specs):
+            self.ids[number] = (await host_pool.add(self.take(), HostSpec(**host_spec))).id
         host_pool.sweep()
         endpoint_list = await EndpointListServer(
             self.open_record("list", "list"),
-            [1000 * n for n in day["list"]["notice"]],
+            [1000 * delay_s for delay_s in day["list"]["notice"]],
             day["list"]["stale"],
             day["seed"],
         ).start()
@@ -132,7 +151,7 @@
         if day["feed"]["gradual"]:
             feed = await Feed(
                 self.open_record("feed", "feed"),
-                [1000 * n for n in day["feed"]["notice"]],
+                [1000 * delay_s for delay_s in day["feed"]["notice"]],
                 day["feed"]["misses"],
                 day["seed"],
             ).start()
@@ -146,16 +165,20 @@
             await self.start_gateways(group)
         clients = Clients(
             day,
-            [self.addresses[g] for g in range(count)],
+            [self.addresses[number] for number in range(count)],
             self.open_record("client", "clients"),
             self.client_sources(),
         )
-        for door in clients.connections:
-            for one in door:
-                self.tasks.add(self.world.create_task(one.keep()))
-        while any(one.end is None for door in clients.connections for one in door):
+        for gateway_connections in clients.connections:
+            for connection in gateway_connections:
+                self.tasks.add(self.world.create_task(connection.keep()))
+        while any(
+            connection.end is None
+            for gateway_connections in clients.connections
+            for connection in gateway_connections
+        ):
             await asyncio.sleep(0.02)
-        self.clients, self.over = InProcessCommands("clients", None), clients.ends
+        self.clients, self.clients_done = InProcessCommands("clients", None), clients.ends
         self.begun = now() + 500
         clients.go(self.begun)
         self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
@@ -169,13 +192,19 @@
     async def start_gateways(self, group):
         decides = self.day["gateways"]["decides"]
         for number in group:
-            door = self.addresses.get(number) or self.take()
-            said = lease_values(
-                self.day, number, door, self.list_at, self.folder, self.feed_at, self.peer_addresses
+            address = self.addresses.get(number) or self.take()
+            settings = lease_values(
+                self.day,
+                number,
+                address,
+                self.list_at,
+                self.folder,
+                self.feed_at,
+                self.peer_addresses,
             )
-            for part in ("releases", "peers"):
-                said.get(part, {}).pop("control", None)
-            text = show(said)
+            for section in ("releases", "peers"):
+                settings.get(section, {}).pop("control", None)
+            text = show(settings)
             config = GatewayConfig(
                 read(text, f"g{number}.lease", schema("gateway.schema"), "#Lease")
             )
@@ -184,58 +213,62 @@
             )
             await service.start()
             self.addresses[number], self.gateways[number] = (
-                door,
+                address,
                 (InProcessCommands(f"g{number}", None), group),
             )
             self.record.add("gateway up", f"g{number}")
 
     async def ask_gateway(self, said):
-        """As an operator's socket answers, by the first gateway that runs."""
+        """Returns the response of the first running gateway to an operator's command, or None."""
         for _, service in sorted(self.services.items()):
-            if not service.dead and not service.paused and service.peer_services:
+            if not service.killed and not service.paused and service.peer_services:
                 return service.peer_services.run_command(said)
         return None
 
     async def do_kill_gateway(self, gateway):
-        for one in self.gateways[gateway][1]:
-            if not self.services[one].dead:
-                self.record.add("gateway killed", f"g{one}")
-                self.services[one].kill()
+        for number in self.gateways[gateway][1]:
+            if not self.services[number].killed:
+                self.record.add("gateway killed", f"g{number}")
+                self.services[number].kill()
 
     async def do_start_gateway(self, gateway):
         group = self.gateways[gateway][1]
-        if self.services[gateway].dead:
-            await asyncio.sleep(0.8)  # as long as a process takes
-            if self.services[gateway].dead:
+        if self.services[gateway].killed:
+            await asyncio.sleep(0.8)  # about the time that a gateway process takes to start
+            if self.services[gateway].killed:
                 await self.start_gateways(group)
 
     async def do_stop_gateway(self, gateway):
-        for one in self.gateways[gateway][1]:
-            self.record.add("gateway stopped", f"g{one}")
-            self.services[one].set_paused(True)
+        for number in self.gateways[gateway][1]:
+            self.record.add("gateway stopped", f"g{number}")
+            self.services[number].set_paused(True)
 
     async def do_continue_gateway(self, gateway):
-        for one in self.gateways[gateway][1]:
-            self.services[one].set_paused(False)
-            self.record.add("gateway continued", f"g{one}")
+        for number in self.gateways[gateway][1]:
+            self.services[number].set_paused(False)
+            self.record.add("gateway continued", f"g{number}")
 
     async def finish(self):
-        await asyncio.wait_for(self.over, 600.0)
+        await asyncio.wait_for(self.clients_done, 600.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
         for service in self.services.values():
             service.drain("the gateway is leaving")
         codes = await asyncio.gather(
-            *(service.done for service in self.services.values() if not service.dead)
+            *(service.done for service in self.services.values() if not service.killed)
         )
         if any(codes):
             raise RunFailedError(f"gateways ended with {sorted(set(codes))}")
 
 
 def emulate(day, folder, tell=lambda text: None):
-    """Plays the day into the folder, its traffic then in folder/traffic; RunFailedError where it cannot be played."""
+    """Runs the scenario in virtual time; the traffic is recorded in `folder`/traffic.
+
+    Raises:
+        RunFailedError: The scenario could not be run to its end.
+    """
     world = World(day["seed"])
-    before = Clocks.steady, Clocks.wall
+    real_clocks = Clocks.steady, Clocks.wall
     Clocks.steady, Clocks.wall = world.time, world.wall_time
     asyncio.set_event_loop(world)
     try:
@@ -245,8 +278,8 @@
 
         world.run_until_complete(play())
     finally:
-        Clocks.steady, Clocks.wall = before
-        for task in (left := asyncio.all_tasks(world)):
+        Clocks.steady, Clocks.wall = real_clocks
+        for task in (unfinished := asyncio.all_tasks(world)):
             task.cancel()
-        world.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        world.run_until_complete(asyncio.gather(*unfinished, return_exceptions=True))
         asyncio.set_event_loop(None)
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -93,7 +93,7 @@
     async def story():
         await world.create_future()
 
-    with pytest.raises(RuntimeError, match="nothing is left to happen"):
+    with pytest.raises(RuntimeError, match="deadlock: no timer or ready callback is left"):
         world.run_until_complete(story())
 
 
