--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -212,15 +212,15 @@
         """Returns the transports of all connections of the gateway."""
         found = [connection.transport for connection in self.client_listener.connections]
         found += [
-            connection.handler.protocol.transport
-            for connection in list(self.listeners.controller.pending.unidentified)
-            if connection.handler.protocol
+            incoming.handler.protocol.transport
+            for incoming in list(self.listeners.controller.pending.unidentified)
+            if incoming.handler.protocol
         ]
         found += [
-            connection.writer.transport
+            host_connection.writer.transport
             for host in self.dispatcher.hosts.values()
-            for connection in host.connections
-            if connection.writer
+            for host_connection in host.connections
+            if host_connection.writer
         ]
         found += [
             connection.transport
@@ -235,7 +235,7 @@
             if self.peer_services
             else []
         )
-        return [transport for transport in found if transport is not None]
+        return [pipe for pipe in found if pipe is not None]
 
     def kill(self):
         """Ends the gateway at once, as SIGKILL does: its connections are reset."""
@@ -247,20 +247,20 @@
             task.cancel()
         if self.timer:
             self.timer.cancel()
-        for transport in self.transports():
-            transport.abort()
+        for pipe in self.transports():
+            pipe.abort()
         if self.peer_services:
             self.peer_services.abort()
 
-    def set_paused(self, paused):
+    def set_paused(self, is_paused):
         """Pauses the gateway or continues it, and then runs what came due during the pause."""
-        self.paused = paused
-        for transport in self.transports():
-            transport.frozen = paused
-            if not paused:
-                self.world.call_soon(transport.release)
-        if not paused:
+        self.paused = is_paused
+        for pipe in self.transports():
+            pipe.frozen = is_paused
+            if not is_paused:
+                self.world.call_soon(pipe.release)
+        if not is_paused:
             self.loop.run_delayed()
-        if not paused and self.tick_missed:
+        if not is_paused and self.tick_missed:
             self.tick_missed = False
             self.world.call_soon(self.tick)
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -165,7 +165,7 @@
             await self.start_gateways(group)
         clients = Clients(
             day,
-            [self.addresses[number] for number in range(count)],
+            [self.addresses[gateway] for gateway in range(count)],
             self.open_record("client", "clients"),
             self.client_sources(),
         )
