--- a/cherrydoor/emulator/client_listener.py
+++ b/cherrydoor/emulator/client_listener.py
@@ -210,7 +210,7 @@
 
     def transports(self):
         """Returns the transports of all connections of the gateway."""
-        found = [connection.transport for connection in self.client_listener.connections]
+        found = [transport_owner.transport for transport_owner in self.client_listener.connections]
         found += [
             incoming.handler.protocol.transport
             for incoming in list(self.listeners.controller.pending.unidentified)
@@ -223,15 +223,18 @@
             if host_connection.writer
         ]
         found += [
-            connection.transport
-            for connection in (
+            transport_owner.transport
+            for transport_owner in (
                 self.endpoint_watch.connection,
                 self.releases and self.releases.connection,
             )
-            if connection
+            if transport_owner
         ]
         found += (
-            [connection.transport for connection in self.peer_services.peers.connections.values()]
+            [
+                transport_owner.transport
+                for transport_owner in self.peer_services.peers.connections.values()
+            ]
             if self.peer_services
             else []
         )
--- a/tests/emulator/test_takeovers.py
+++ b/tests/emulator/test_takeovers.py
@@ -1,4 +1,4 @@
-"""Takeovers in virtual time: seeded histories of the daemon's own text, in seconds, judged as
+"""Takeovers in virtual time: seeded scenarios with the daemon's code, checked by the audit as
 rehearsals are.
 """
 
@@ -7,9 +7,11 @@
 from cherrydoor.rehearsal.day import read_day
 
 
-def play(folder, seed):
+def run_scenario(folder, seed):
+    """Emulates the scenario and returns the audit's report."""
     day = read_day("heirs", seed=seed)
-    # no keeper among them, and never one with both of its witnesses: what is then lost is told and not judged
+    # No voter is struck, and never a gateway together with both of its replicas: the audit reports
+    # requests that are lost then, but doesn't count them as broken rules.
     day |= {
         "length": 12000.0,
         "warm": 2000.0,
@@ -45,10 +47,18 @@
     return audit(folder)
 
 
-def test_gateways_killed_and_stopped_under_load_break_no_rule_and_their_work_is_answered(tmp_path):
-    """Seed 1 had an effect twice: a host went by the number of a later life that was declared over first."""
+def test_gateways_killed_and_paused_under_load_break_no_rule_and_their_requests_are_answered(
+    tmp_path,
+):
+    """A host must not execute a keyed request twice after incarnations ended out of order.
+
+    With seed 1 an effect occurred twice: a later incarnation of a gateway was declared over before
+    an earlier one, and the host went by the number of the later one.
+    """
     for seed in (1, 2):
-        found = play(tmp_path / str(seed), seed)
-        over = found["taken over"]
-        assert found["broken"] == [] and over["cut off"] > 3 and over["lives over"] >= 3
-        assert over.get("no answer", 0) == 0
+        report = run_scenario(tmp_path / str(seed), seed)
+        taken_over = report["taken over"]
+        assert (
+            report["broken"] == [] and taken_over["cut off"] > 3 and taken_over["lives over"] >= 3
+        )
+        assert taken_over.get("no answer", 0) == 0
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -1,4 +1,4 @@
-"""Virtual time and days played in it."""
+"""The event loop with virtual time and an in-memory network, and scenarios run on it."""
 
 import asyncio
 import hashlib
@@ -15,7 +15,8 @@
 from cherrydoor.rehearsal.day import read_day
 
 
-def played(folder, text=LITTLE, seed=1):
+def run_scenario(folder, text=LITTLE, seed=1):
+    """Emulates the scenario and returns the audit's report."""
     folder.mkdir(parents=True, exist_ok=True)
     day = folder / "little.day"
     day.write_text(text)
@@ -23,17 +24,17 @@
     return audit(folder / "out")
 
 
-def test_a_day_passes_at_once_keeps_every_rule_and_answers_each_event_once(tmp_path):
-    found = played(tmp_path)
-    assert found["broken"] == [] and found["answers"]["handled"] > 50 and found["loads"] > 0
-    assert found["launches"] >= found["effects"] >= found["answers"]["handled"]
-    assert found["lag_ms"]["p100"] < 0.001, "in virtual time nobody is late"
+def test_an_emulated_scenario_breaks_no_rule_and_answers_each_request_once(tmp_path):
+    report = run_scenario(tmp_path)
+    assert report["broken"] == [] and report["answers"]["handled"] > 50 and report["loads"] > 0
+    assert report["launches"] >= report["effects"] >= report["answers"]["handled"]
+    assert report["lag_ms"]["p100"] < 0.001, "in virtual time no client sends late"
 
 
-def test_the_same_seed_gives_the_same_run_whatever_the_hash_seed(tmp_path):
-    told = []
-    for hashing in ("1", "2"):
-        folder = tmp_path / hashing
+def test_the_same_seed_gives_the_same_run_with_any_hash_seed(tmp_path):
+    digests = []
+    for hash_seed in ("1", "2"):
+        folder = tmp_path / hash_seed
         folder.mkdir()
         (folder / "little.day").write_text(LITTLE)
         done = subprocess.run(
@@ -50,27 +51,31 @@
             capture_output=True,
             text=True,
             timeout=120,
-            env=os.environ | {"PYTHONPATH": os.getcwd(), "PYTHONHASHSEED": hashing},
+            env=os.environ | {"PYTHONPATH": os.getcwd(), "PYTHONHASHSEED": hash_seed},
         )
         assert done.returncode == 0, done.stderr
-        told.append(hashlib.sha256(done.stdout.encode()).hexdigest())
-    assert told[0] == told[1]
-    assert played(tmp_path / "3", seed=2)["line"] != played(tmp_path / "4", seed=3)["line"]
+        digests.append(hashlib.sha256(done.stdout.encode()).hexdigest())
+    assert digests[0] == digests[1]
+    assert (
+        run_scenario(tmp_path / "3", seed=2)["line"] != run_scenario(tmp_path / "4", seed=3)["line"]
+    )
 
 
-def test_time_jumps_and_bytes_come_in_order_after_their_delay():
-    world, heard = World(), []
+def test_time_jumps_and_bytes_arrive_in_order_after_a_delay():
+    world, received = World(), []
 
-    class Ear(asyncio.BaseProtocol):
+    class ReceivingProtocol(asyncio.BaseProtocol):
         def data_received(self, data):
-            heard.append((world.time(), data))
+            received.append((world.time(), data))
 
         def connection_lost(self, error):
-            heard.append((world.time(), "lost"))
+            received.append((world.time(), "lost"))
 
-    async def story():
-        server = await world.create_server(Ear, "127.0.0.1", 0)
-        pipe, _ = await world.create_connection(Ear, "127.0.0.1", server.getsockname()[1])
+    async def scenario():
+        server = await world.create_server(ReceivingProtocol, "127.0.0.1", 0)
+        pipe, _ = await world.create_connection(
+            ReceivingProtocol, "127.0.0.1", server.getsockname()[1]
+        )
         await asyncio.sleep(3600)
         for i in range(5):
             pipe.write(bytes([i]))
@@ -78,26 +83,29 @@
         pipe.close()
         await asyncio.sleep(1)
         with pytest.raises(ConnectionRefusedError):
-            await world.create_connection(Ear, "127.0.0.1", 1)
+            await world.create_connection(ReceivingProtocol, "127.0.0.1", 1)
 
-    world.run_until_complete(story())
+    world.run_until_complete(scenario())
+    assert (
+        b"".join(data for _, data in received if data != "lost") == bytes(range(5))
+        and received[-1][1] == "lost"
+    )
     assert (
-        b"".join(x for _, x in heard if x != "lost") == bytes(range(5)) and heard[-1][1] == "lost"
+        all(at_s >= 3600.0001 for at_s, data in received if data != "lost") and world.time() < 3602
     )
-    assert all(t >= 3600.0001 for t, x in heard if x != "lost") and world.time() < 3602
 
 
-def test_what_waits_for_nothing_is_an_error_and_no_standstill():
+def test_waiting_for_a_future_that_nothing_completes_raises_instead_of_hanging():
     world = World()
 
-    async def story():
+    async def scenario():
         await world.create_future()
 
     with pytest.raises(RuntimeError, match="deadlock: no timer or ready callback is left"):
-        world.run_until_complete(story())
+        world.run_until_complete(scenario())
 
 
-def test_a_gateway_killed_and_one_that_stands_still(tmp_path):
+def test_a_killed_gateway_and_a_paused_gateway_break_no_rule(tmp_path):
     text = (
         LITTLE[: LITTLE.index("troubles:")]
         + """troubles: [
@@ -106,6 +114,6 @@
 ]
 """
     )
-    found = played(tmp_path, text)
-    assert found["broken"] == [] and sum(found["line"]["due"]) > 100
-    assert any("killed" in why for why in found["excused"]) or found["answers"]["handled"]
+    report = run_scenario(tmp_path, text)
+    assert report["broken"] == [] and sum(report["line"]["due"]) > 100
+    assert any("killed" in reason for reason in report["excused"]) or report["answers"]["handled"]
