--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -59,16 +59,19 @@
 class Emulation(ScenarioRunner):
     """A scenario runner that keeps all parts in this process instead of starting processes."""
 
-    def __init__(self, day, folder, tell=lambda text: None):
+    def __init__(self, day, folder, report_progress=lambda text: None):
         """Prepares a run, without TLS, the proxy between peers and the unsupported faults."""
         if day["doors"]["tls"]:
             day = day | {"doors": day["doors"] | {"tls": False}}
         if day.get("fellows", {}).get("between"):
             day = day | {"fellows": day["fellows"] | {"between": False}}
         super().__init__(
-            day | {"without": [*day.get("without", ()), *UNSUPPORTED_FAULTS]}, folder, tell
+            day | {"without": [*day.get("without", ()), *UNSUPPORTED_FAULTS]},
+            folder,
+            report_progress,
         )
         self.world: Any = asyncio.get_running_loop()
+        # `disk` holds the stored votes of all gateways, by path.
         self.records, self.services, self.disk = [self.record], {}, {}
         self.ports: Any = self  # the scenario runner calls `ports.take()`
 
@@ -184,12 +187,14 @@
         self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
 
     def handle_list_command(self, endpoint_list, name, values):
+        """Mutes the endpoint list, or sets one of its rows."""
         if name == "deaf":
             endpoint_list.muted = values["on"]
         else:
             endpoint_list.set(msgspec.convert(values, protocol.Endpoint))
 
     async def start_gateways(self, group):
+        """Starts these gateways; after a kill, on the same ports and with the stored votes."""
         decides = self.day["gateways"]["decides"]
         for number in group:
             address = self.addresses.get(number) or self.take()
@@ -249,6 +254,11 @@
             self.record.add("gateway continued", f"g{number}")
 
     async def finish(self):
+        """Waits for the last responses, then drains all gateways.
+
+        Raises:
+            RunFailedError: A gateway ended with a non-zero exit code.
+        """
         await asyncio.wait_for(self.clients_done, 600.0)
         await asyncio.sleep(0.3)
         self.record.add("closing")
@@ -261,7 +271,7 @@
             raise RunFailedError(f"gateways ended with {sorted(set(codes))}")
 
 
-def emulate(day, folder, tell=lambda text: None):
+def emulate(day, folder, report_progress=lambda text: None):
     """Runs the scenario in virtual time; the traffic is recorded in `folder`/traffic.
 
     Raises:
@@ -274,7 +284,7 @@
     try:
 
         async def play():
-            await Emulation(day, Path(folder), tell).play()
+            await Emulation(day, Path(folder), report_progress).play()
 
         world.run_until_complete(play())
     finally:
--- a/tests/emulator/test_drains.py
+++ b/tests/emulator/test_drains.py
@@ -1,5 +1,6 @@
-"""A site's drain in virtual time while pieces break: a store that stops, a site's own loss, a
-mass release.
+"""Zone drains in virtual time while other faults occur.
+
+The store stops, the drained zone or its neighbour is lost, or many functions are released.
 """
 
 import asyncio
@@ -10,9 +11,9 @@
 
 
 def day(*troubles, **more):
-    """floor-out, shorter; the drain begins at 3 s of it and is undone at 28 s."""
-    said = read_day("floor-out", seed=3)
-    one = {
+    """Returns floor-out, shortened, with these faults; its drain starts at 3 s and ends at 28 s."""
+    scenario = read_day("floor-out", seed=3)
+    default_fault = {
         "lasts": 5000.0,
         "part": 0.2,
         "size": 2.0,
@@ -22,109 +23,123 @@
         "event": "",
     }
     return (
-        said
+        scenario
         | {
             "length": 36000.0,
             "warm": 6000.0,
-            "gateways": said["gateways"] | {"count": 6},
-            "clients": said["clients"] | {"per_second": 70},
+            "gateways": scenario["gateways"] | {"count": 6},
+            "clients": scenario["clients"] | {"per_second": 70},
             "troubles": [
-                one | {"at": 3000.0, "what": "site-drain", "lasts": 25000.0},
-                *(one | trouble for trouble in troubles),
+                default_fault | {"at": 3000.0, "what": "site-drain", "lasts": 25000.0},
+                *(default_fault | trouble for trouble in troubles),
             ],
         }
         | more
     )
 
 
-def played(folder, said):
-    """(the judge, its report, [(s, state, wave)] of the drain as gateways told it)."""
-    play.emulate(said, folder)
-    judge = Audit(folder)
-    found = judge.report()
+def run_scenario(folder, scenario):
+    """Returns the audit, its report, and [(s, state, wave)] of the drain as gateways reported it."""
+    play.emulate(scenario, folder)
+    audit = Audit(folder)
+    report = audit.report()
     waves = [
-        (round((row["t"] - judge.begun - judge.warm) / 1000, 1), row["fate"], row["number"])
-        for row in judge.seen.of("conductor", "site")
+        (round((row["t"] - audit.begun - audit.warm) / 1000, 1), row["fate"], row["number"])
+        for row in audit.seen.of("conductor", "site")
     ]
-    return judge, found, waves
+    return audit, report, waves
 
 
-def at_site(judge, since, until):
-    """Launches at hosts of the drained site between two moments of the day, in s."""
+def attempts_in_zone(audit, since_s, until_s):
+    """Returns the number of attempts at hosts of the drained zone between two times."""
     hosts = {
-        row["who"] for row in judge.seen.of("host", "host up") if row["text"].startswith("floor-1")
+        row["who"] for row in audit.seen.of("host", "host up") if row["text"].startswith("floor-1")
     }
-    begun = judge.begun + judge.warm
+    begun = audit.begun + audit.warm
     return sum(
         1
-        for row in judge.seen.of("host", "launch")
-        if row["who"] in hosts and begun + 1000 * since < row["t"] < begun + 1000 * until
+        for row in audit.seen.of("host", "launch")
+        if row["who"] in hosts and begun + 1000 * since_s < row["t"] < begun + 1000 * until_s
     )
 
 
-def empties(waves):
-    return next((at for at, state, _ in waves if state == "empty"), None)
+def empty_at(waves):
+    """Returns the time in seconds at which the zone was first reported empty, or None."""
+    return next((at_s for at_s, state, _ in waves if state == "empty"), None)
 
 
-def test_a_site_is_emptied_by_its_hosts_own_count_and_given_back(tmp_path):
-    judge, found, waves = played(tmp_path, day())
-    at = empties(waves)
-    assert found["broken"] == [] and at and found["service"]["share"] > 0.99
-    assert at_site(judge, at, 28.0) == 0 < at_site(judge, 32.0, 36.0)
+def test_a_zone_is_empty_by_its_hosts_own_counts_and_serves_again_after_the_drain(tmp_path):
+    audit, report, waves = run_scenario(tmp_path, day())
+    empty_at_s = empty_at(waves)
+    assert report["broken"] == [] and empty_at_s and report["service"]["share"] > 0.99
+    assert attempts_in_zone(audit, empty_at_s, 28.0) == 0 < attempts_in_zone(audit, 32.0, 36.0)
     assert [state for _, state, _ in waves][-1] == "over"
 
 
-def test_a_store_that_stops_holds_waves_up_and_what_stands_goes_on(tmp_path):
-    judge, found, waves = played(
+def test_a_stopped_store_delays_waves_and_loaded_copies_keep_serving(tmp_path):
+    audit, report, waves = run_scenario(
         tmp_path, day({"at": 2500.0, "what": "store-stop", "lasts": 9000.0})
     )
     assert (
-        found["broken"] == [] and 11.5 < empties(waves) < 27.0 and found["service"]["share"] > 0.97
+        report["broken"] == []
+        and 11.5 < empty_at(waves) < 27.0
+        and report["service"]["share"] > 0.97
     )
 
 
-def test_the_site_that_is_drained_dies_in_the_middle(tmp_path):
-    """Its hosts are gone, and with them what kept it from being empty; what they had in hand is launched elsewhere."""
-    judge, found, waves = played(
+def test_the_drained_zone_is_lost_during_its_drain(tmp_path):
+    """The drain must end although the zone's hosts can't report that they are empty.
+
+    Nothing is in flight on lost hosts; their requests are retried in other zones.
+    """
+    audit, report, waves = run_scenario(
         tmp_path, day({"at": 5500.0, "what": "floor-loss", "lasts": 15000.0})
     )
-    assert found["broken"] == [] and empties(waves) and found["service"]["share"] > 0.95
+    assert report["broken"] == [] and empty_at(waves) and report["service"]["share"] > 0.95
 
 
-def test_a_neighbour_lost_in_the_middle_is_waited_for(tmp_path):
-    judge, found, waves = played(
+def test_a_drain_pauses_while_a_neighbour_zone_is_lost(tmp_path):
+    audit, report, waves = run_scenario(
         tmp_path, day({"at": 5500.0, "what": "floor-loss", "lasts": 8000.0, "floor": 1})
     )
-    assert found["broken"] == [] and 13.5 < empties(waves) < 28.0
-    assert not [at for at, state, _ in waves if state == "moving" and 7.0 < at < 13.0], (
-        "no wave went out meanwhile"
+    assert report["broken"] == [] and 13.5 < empty_at(waves) < 28.0
+    assert not [at_s for at_s, state, _ in waves if state == "moving" and 7.0 < at_s < 13.0], (
+        "a wave started while the neighbour was lost"
     )
 
 
-def test_a_mass_release_meanwhile_is_loaded_ahead_where_sessions_have_moved(tmp_path):
-    said = day({"at": 9000.0, "what": "mass-release", "lasts": 8000.0, "part": 0.4})
-    judge, found, waves = played(tmp_path, said | {"feed": said["feed"] | {"gradual": True}})
-    at = empties(waves)
-    assert found["broken"] == [] and at < 20.0 and found["service"]["share"] > 0.97
-    assert at_site(judge, at, 28.0) == 0
+def test_a_mass_release_during_a_drain_is_preloaded_where_sessions_have_moved(tmp_path):
+    scenario = day({"at": 9000.0, "what": "mass-release", "lasts": 8000.0, "part": 0.4})
+    audit, report, waves = run_scenario(
+        tmp_path, scenario | {"feed": scenario["feed"] | {"gradual": True}}
+    )
+    empty_at_s = empty_at(waves)
+    assert report["broken"] == [] and empty_at_s < 20.0 and report["service"]["share"] > 0.97
+    assert attempts_in_zone(audit, empty_at_s, 28.0) == 0
 
 
-class Again(play.Emulation):
-    """An operator who drains the site anew as soon as it is said to be given back."""
+class EmulationWithSecondDrain(play.Emulation):
+    """The operator drains the zone again as soon as its drain is reported as over."""
 
     async def do_site(self, site, word):
         await super().do_site(site, word)
-        if word == "drain":  # that one is over now
+        if word == "drain":  # `super().do_site` returns once that drain is over
             await self.ask_gateway({"do": "site", "what": "drain", "site": site, "even": True})
             await asyncio.sleep(6.0)
-            said = await self.ask_gateway({"do": "site", "what": "show", "site": site})
-            self.record.add("site", fate=f"then {said['state']}", text=site, number=said["number"])
-
-
-def test_a_drain_asked_for_as_soon_as_the_last_is_over_goes_on(tmp_path, monkeypatch):
-    """Seen on reading: who had conducted the last one let go of its tenure later, and of the new one with it."""
-    monkeypatch.setattr(play, "Emulation", Again)
-    said = day()
-    said["troubles"][0]["lasts"] = 9000.0
-    judge, found, waves = played(tmp_path, said)
-    assert found["broken"] == [] and waves[-1][1] in ("then moving", "then emptying", "then empty")
+            answer = await self.ask_gateway({"do": "site", "what": "show", "site": site})
+            self.record.add(
+                "site", fate=f"then {answer['state']}", text=site, number=answer["number"]
+            )
+
+
+def test_a_drain_requested_right_after_the_previous_one_continues(tmp_path, monkeypatch):
+    """The coordinator of the previous drain must not release the lease of the new one.
+
+    It released its lease some time after its drain was over, and with it the lease of the new
+    drain, which then stopped.
+    """
+    monkeypatch.setattr(play, "Emulation", EmulationWithSecondDrain)
+    scenario = day()
+    scenario["troubles"][0]["lasts"] = 9000.0
+    audit, report, waves = run_scenario(tmp_path, scenario)
+    assert report["broken"] == [] and waves[-1][1] in ("then moving", "then emptying", "then empty")
--- a/tests/emulator/test_takeovers.py
+++ b/tests/emulator/test_takeovers.py
@@ -53,7 +53,7 @@
     """A host must not execute a keyed request twice after incarnations ended out of order.
 
     With seed 1 an effect occurred twice: a later incarnation of a gateway was declared over before
-    an earlier one, and the host went by the number of the later one.
+    an earlier one, and the host judged the earlier one by the number of the later one.
     """
     for seed in (1, 2):
         report = run_scenario(tmp_path / str(seed), seed)
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -87,11 +87,12 @@
 
     world.run_until_complete(scenario())
     assert (
-        b"".join(data for _, data in received if data != "lost") == bytes(range(5))
+        b"".join(chunk for _, chunk in received if chunk != "lost") == bytes(range(5))
         and received[-1][1] == "lost"
     )
     assert (
-        all(at_s >= 3600.0001 for at_s, data in received if data != "lost") and world.time() < 3602
+        all(at_s >= 3600.0001 for at_s, chunk in received if chunk != "lost")
+        and world.time() < 3602
     )
 
 
