--- a/tests/emulator/test_drains.py
+++ b/tests/emulator/test_drains.py
@@ -42,12 +42,12 @@
     """Returns the audit, its report, and [(s, state, wave)] of the drain as gateways reported it."""
     play.emulate(scenario, folder)
     audit = Audit(folder)
-    report = audit.report()
+    audit_report = audit.report()
     waves = [
         (round((row["t"] - audit.begun - audit.warm) / 1000, 1), row["fate"], row["number"])
         for row in audit.seen.of("conductor", "site")
     ]
-    return audit, report, waves
+    return audit, audit_report, waves
 
 
 def attempts_in_zone(audit, since_s, until_s):
@@ -69,21 +69,21 @@
 
 
 def test_a_zone_is_empty_by_its_hosts_own_counts_and_serves_again_after_the_drain(tmp_path):
-    audit, report, waves = run_scenario(tmp_path, day())
+    audit, audit_report, waves = run_scenario(tmp_path, day())
     empty_at_s = empty_at(waves)
-    assert report["broken"] == [] and empty_at_s and report["service"]["share"] > 0.99
+    assert audit_report["broken"] == [] and empty_at_s and audit_report["service"]["share"] > 0.99
     assert attempts_in_zone(audit, empty_at_s, 28.0) == 0 < attempts_in_zone(audit, 32.0, 36.0)
     assert [state for _, state, _ in waves][-1] == "over"
 
 
 def test_a_stopped_store_delays_waves_and_loaded_copies_keep_serving(tmp_path):
-    audit, report, waves = run_scenario(
+    audit, audit_report, waves = run_scenario(
         tmp_path, day({"at": 2500.0, "what": "store-stop", "lasts": 9000.0})
     )
     assert (
-        report["broken"] == []
+        audit_report["broken"] == []
         and 11.5 < empty_at(waves) < 27.0
-        and report["service"]["share"] > 0.97
+        and audit_report["service"]["share"] > 0.97
     )
 
 
@@ -92,17 +92,19 @@
 
     Nothing is in flight on lost hosts; their requests are retried in other zones.
     """
-    audit, report, waves = run_scenario(
+    audit, audit_report, waves = run_scenario(
         tmp_path, day({"at": 5500.0, "what": "floor-loss", "lasts": 15000.0})
     )
-    assert report["broken"] == [] and empty_at(waves) and report["service"]["share"] > 0.95
+    assert (
+        audit_report["broken"] == [] and empty_at(waves) and audit_report["service"]["share"] > 0.95
+    )
 
 
 def test_a_drain_pauses_while_a_neighbour_zone_is_lost(tmp_path):
-    audit, report, waves = run_scenario(
+    audit, audit_report, waves = run_scenario(
         tmp_path, day({"at": 5500.0, "what": "floor-loss", "lasts": 8000.0, "floor": 1})
     )
-    assert report["broken"] == [] and 13.5 < empty_at(waves) < 28.0
+    assert audit_report["broken"] == [] and 13.5 < empty_at(waves) < 28.0
     assert not [at_s for at_s, state, _ in waves if state == "moving" and 7.0 < at_s < 13.0], (
         "a wave started while the neighbour was lost"
     )
@@ -110,11 +112,15 @@
 
 def test_a_mass_release_during_a_drain_is_preloaded_where_sessions_have_moved(tmp_path):
     scenario = day({"at": 9000.0, "what": "mass-release", "lasts": 8000.0, "part": 0.4})
-    audit, report, waves = run_scenario(
+    audit, audit_report, waves = run_scenario(
         tmp_path, scenario | {"feed": scenario["feed"] | {"gradual": True}}
     )
     empty_at_s = empty_at(waves)
-    assert report["broken"] == [] and empty_at_s < 20.0 and report["service"]["share"] > 0.97
+    assert (
+        audit_report["broken"] == []
+        and empty_at_s < 20.0
+        and audit_report["service"]["share"] > 0.97
+    )
     assert attempts_in_zone(audit, empty_at_s, 28.0) == 0
 
 
@@ -141,5 +147,9 @@
     monkeypatch.setattr(play, "Emulation", EmulationWithSecondDrain)
     scenario = day()
     scenario["troubles"][0]["lasts"] = 9000.0
-    audit, report, waves = run_scenario(tmp_path, scenario)
-    assert report["broken"] == [] and waves[-1][1] in ("then moving", "then emptying", "then empty")
+    audit, audit_report, waves = run_scenario(tmp_path, scenario)
+    assert audit_report["broken"] == [] and waves[-1][1] in (
+        "then moving",
+        "then emptying",
+        "then empty",
+    )
