--- a/bench/leader_election.py
+++ b/bench/leader_election.py
@@ -1,7 +1,8 @@
-"""How long a task is without a leaseholder: `python -m bench.leader_election [ROUNDS]`.
+"""Measures how long a task has no leaseholder: `python -m bench.leader_election [ROUNDS]`.
 
-Six gateways as processes, three voters, a term of 800 ms, suspected after 700 ms; asked over
-control sockets every 30 ms, so figures are that coarse.
+Six gateway processes, three of them voters, with a lease term of 800 ms; a silent gateway is
+suspected after 700 ms. Control sockets are polled every 30 ms, which is the resolution of the
+figures.
 """
 
 import asyncio
@@ -20,32 +21,36 @@
 TASK = "bench"
 GATEWAYS = 6
 VOTERS = 3
-SETTLE_S = 1.0  # for a gateway that goes on to learn that its lease has ended
+SETTLE_S = 1.0  # until a gateway that continues has learnt that its lease has ended
 DEFAULT_ROUNDS = 5
 
 
 class Round:
-    """One round on one fleet; `found_ms` holds the time without a leaseholder after each fault."""
+    """One round on one fleet.
+
+    Attributes:
+        found_ms: Fault -> time without a leaseholder after it.
+    """
 
     def __init__(self, fleet: Any) -> None:
-        """Measures on a fleet that has started."""
+        """Prepares a round on a fleet that has started."""
         self.fleet = fleet
         self.leaseholder: Any = None
         self.token = 0
         self.found_ms: dict[str, int] = {}
 
     def others(self) -> list[Any]:
-        """Returns the gateways but the leaseholder."""
+        """Returns all gateways except the leaseholder."""
         return [gate for gate in self.fleet.gates if gate is not self.leaseholder]
 
     async def measure(self, name: str, among: list[Any] | None = None) -> None:
-        """Waits for the next leaseholder, and notes how long that took."""
+        """Waits for the next leaseholder, and stores how long that took."""
         begun = time.monotonic()
         self.leaseholder, self.token = await self.fleet.holder(TASK, self.token, among)
         self.found_ms[name] = round(1000 * (time.monotonic() - begun))
 
     async def play(self) -> dict[str, int]:
-        """Lets the leaseholder stop, be cut off, be killed and leave in turn."""
+        """Stops, cuts off, kills and drains the leaseholder in turn, and returns the times."""
         await self.fleet.together()
         begun = time.monotonic()
         for gate in self.fleet.gates[VOTERS:]:
@@ -70,7 +75,7 @@
 
 
 async def play() -> dict[str, int]:
-    """Plays one round on a fleet of its own."""
+    """Runs one round on a new fleet."""
     with tempfile.TemporaryDirectory() as folder:
         async with Fleet(Path(folder), GATEWAYS, VOTERS) as fleet:
             return await Round(fleet).play()
--- a/bench/links.py
+++ b/bench/links.py
@@ -1,7 +1,7 @@
-"""Frames and bytes sent to peers, by the size of the fleet: `python -m bench.links [N ...]`.
+"""Counts frames and bytes sent to peers, by fleet size: `python -m bench.links [GATEWAYS ...]`.
 
-Emulated: a calm day with three voters and two replicas each, two requests a second and gateway;
-counted over the last seconds.
+Emulates a scenario without faults: three voters, two replicas of each gateway, two requests per
+second at each gateway. Counts after the warm-up.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from cherrydoor.fakes.record import Clocks
 from cherrydoor.rehearsal.day import read_day
 
-DAY = """
+SCENARIO = """
 name: "links"
 length: 4s
 warm: 2s
@@ -38,13 +38,13 @@
 
 WARM_UP_S = 2.0  # before counting begins
 REQUESTS_PER_GATEWAY = 2
-VOTERS = 3  # as in DAY
+VOTERS = 3  # as in SCENARIO
 FEWEST_HOSTS = 8
 DEFAULT_FLEETS = ("8", "50", "200")
 
 
 class Sent(NamedTuple):
-    """What one gateway has sent to peers so far, and how many it is linked to."""
+    """What one gateway has sent to peers so far, and the number of its peer connections."""
 
     frames: int
     bytes: int
@@ -52,7 +52,7 @@
 
 
 class Rate(NamedTuple):
-    """What one gateway sends to peers in a second."""
+    """What one gateway sends to peers per second."""
 
     frames: float
     bytes: float
@@ -74,7 +74,7 @@
         return found
 
     async def follow(self) -> None:
-        """Counts around what is left of the scenario."""
+        """Follows the scenario, and counts from the end of the warm-up to the end of the scenario."""
         await asyncio.sleep(WARM_UP_S)
         self.first = self.sent()
         begun_s = self.world.time()
@@ -105,13 +105,13 @@
 
 
 def measure(gateways: int) -> dict[str, Any]:
-    """Returns the figures of one size: means of the other gateways, and the busiest voter's."""
+    """Returns the figures of one fleet size: means of non-voters, and those of the busiest voter."""
     begun = time.time()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "links.day"
         hosts = max(FEWEST_HOSTS, gateways // 2)
         rate = REQUESTS_PER_GATEWAY * gateways
-        path.write_text(DAY % {"count": gateways, "rate": rate, "hosts": hosts})
+        path.write_text(SCENARIO % {"count": gateways, "rate": rate, "hosts": hosts})
         emulation = emulate(World(1), path, Path(folder) / "out")
     rates = {}
     for number, last in emulation.last.items():
--- a/bench/replication_cost.py
+++ b/bench/replication_cost.py
@@ -1,8 +1,8 @@
-"""What replication costs the gateway that does it: `python -m bench.replication_cost`.
+"""Measures what replication costs a gateway: `python -m bench.replication_cost`.
 
-One gateway of three serves the same requests alone, with peers and no replica, and with two
-replicas, in turn and several times over. CPU is that process's own; times are the client's, in an
-open loop at a fixed rate.
+One gateway of three serves the same requests without peers, with peers but no replicas, and with
+two replicas; the three runs are repeated in turn. CPU time is that of this gateway's process.
+Response times are the client's, which sends in an open loop at a fixed rate.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 import numpy as np
 import uvloop
 
-from bench.gateway import Answering, Listed
+from bench.gateway import AnsweringHosts, StaticEndpointList
 from cherrydoor.connection import FramedConnection
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.rehearsal.processes import Ports
@@ -49,7 +49,7 @@
 
 
 class Cost(NamedTuple):
-    """What one run measured."""
+    """The results of one run."""
 
     cpu_us_per_request: float
     p50_ms: float
@@ -62,14 +62,14 @@
 
 
 def cpu_ms(process_id):
-    """CPU time of a process so far."""
+    """Returns the CPU time of a process so far."""
     fields = Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()
     user_ticks, system_ticks = int(fields[11]), int(fields[12])
     return 1000 * (user_ticks + system_ticks) / os.sysconf("SC_CLK_TCK")
 
 
 class Client:
-    """A client in an open loop."""
+    """A client that sends requests in an open loop."""
 
     def __init__(self, body):
         self.body = body
@@ -97,10 +97,10 @@
         pass
 
     async def load(self, seconds):
-        """Send requests at the fixed rate for so long."""
-        begun_ms, first = now_ms(), self.last_id
+        """Sends requests at the fixed rate for this time."""
+        begun_ms, first_id = now_ms(), self.last_id
         while (elapsed_ms := now_ms() - begun_ms) < 1000 * seconds:
-            while self.last_id < first + REQUESTS_PER_SECOND * elapsed_ms / 1000:
+            while self.last_id < first_id + REQUESTS_PER_SECOND * elapsed_ms / 1000:
                 self.send()
                 elapsed_ms = now_ms() - begun_ms
             await asyncio.sleep(0.002)
@@ -126,7 +126,7 @@
 
 
 async def listen(peer, accepted, role, name):
-    """A server for one kind of end, and its address."""
+    """Returns a server for one kind of peer, and its address."""
     server = await asyncio.get_running_loop().create_server(
         lambda: FramedConnection(peer, accepted, hello(role, name)), "127.0.0.1", 0
     )
@@ -134,18 +134,18 @@
 
 
 async def start_hosts():
-    """Servers of hosts and of the endpoint list, and the list's address."""
+    """Returns the servers of hosts and of the endpoint list, and the list's address."""
     servers, endpoints = [], []
     for _ in range(HOSTS):
-        server, address = await listen(Answering(HOST_WORK_MS), protocol.TO_HOST, "host", "h")
+        server, address = await listen(AnsweringHosts(HOST_WORK_MS), protocol.TO_HOST, "host", "h")
         servers.append(server)
         endpoints.append(protocol.Endpoint(address, "ready", 0.0, "z", 0))
-    server, address = await listen(Listed(endpoints), protocol.TO_LIST, "list", "l")
+    server, address = await listen(StaticEndpointList(endpoints), protocol.TO_LIST, "list", "l")
     return [*servers, server], address
 
 
 def configurations(replicas, folder, list_address, ports):
-    """Paths of the gateways' configurations, and the first gateway's address."""
+    """Returns the paths of the gateways' configurations, and the first gateway's address."""
     addresses = [ports.take() for _ in range(GATEWAYS)]
     peer_addresses = [ports.take() for _ in range(GATEWAYS)]
     voters = ", ".join(f'{{name: "g{i}", at: "{at}"}}' for i, at in enumerate(peer_addresses))
@@ -179,7 +179,7 @@
 
 
 async def measure(replicas, folder, body):
-    """The cost at the first gateway; replicas None: without peers."""
+    """Returns the cost at the first gateway; without peers if `replicas` is None."""
     ports = Ports(os.getpid() + (replicas or 0))
     servers, list_address = await start_hosts()
     paths, address = configurations(replicas, folder, list_address, ports)
--- a/bench/takeovers.py
+++ b/bench/takeovers.py
@@ -1,8 +1,8 @@
-"""What becomes of requests in flight when gateways are killed, by the number of replicas.
+"""Counts the outcomes of requests in flight when gateways are killed, by the number of replicas.
 
-`python -m bench.takeovers [SEEDS]`. The same scenario and seeds for each: ten gateways, twelve
-hosts, requests of all three kinds of retry safety. What is counted is the audit's, from what hosts
-and clients recorded.
+`python -m bench.takeovers [SEEDS]`. All numbers of replicas run with the same scenario and seeds:
+ten gateways, twelve hosts, requests of all three kinds of retry safety. The audit counts the
+outcomes in what hosts and clients recorded.
 """
 
 import json
@@ -16,7 +16,7 @@
 KILLED_PERCENTS = (13, 30, 70)
 REPLICA_COUNTS = (0, 1, 2, 3)
 VOTERS = 3  # where there are replicas
-# Prefixes of figures that have a column of their own, or none.
+# Prefixes of figures that are not summed: they have their own column, or none.
 NOT_SUMMED = ("cut off", "p50", "p99")
 SCENARIO = """
 name: "heirs-%(next)d-%(part)d"
@@ -43,7 +43,7 @@
 
 
 def play(voters, replicas, killed_percent, seed):
-    """The report of one run."""
+    """Returns the report of one run."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "day.day"
         path.write_text(SCENARIO % {"keepers": voters, "next": replicas, "part": killed_percent})
@@ -57,13 +57,13 @@
 
 
 def cut_off(report):
-    """Requests whose client lost its connection, or that a killed gateway had."""
+    """Returns the number of requests whose client lost its connection, or of a killed gateway."""
     found = sum(count for name, count in report["taken over"].items() if name == "cut off")
     return found or report["excused"].get("held by a gateway that was killed", 0)
 
 
 def row_of(killed_percent, replicas, seeds):
-    """What all seeds gave together."""
+    """Returns the sums over all seeds."""
     sums, broken, medians_ms = Counter(), [], []
     for seed in seeds:
         report = play(VOTERS if replicas else 0, replicas, killed_percent, seed)
@@ -77,7 +77,7 @@
                 sums[name] += count
         if "p50 ms to an answer" in taken_over:
             medians_ms.append(taken_over["p50 ms to an answer"])
-        broken += [one["what"] for one in report["broken"]]
+        broken += [violation["what"] for violation in report["broken"]]
     return {
         "killed %": killed_percent,
         "replicas": replicas,
