--- a/bench/admission.py
+++ b/bench/admission.py
@@ -1,8 +1,8 @@
-"""Measures admission in one run; `make bench-doors` prints the tables of docs/measurements.md.
+"""Measures admission control; `make bench-doors` prints the tables of docs/measurements.md.
 
-What a rejection, an accepted hello and a handshake cost the gateway, and what a million addresses
-leave in memory. The gateway is a process of its own and reports its CPU time when asked; the
-connections come from here.
+Measures the CPU time that a rejection, an accepted hello and a handshake cost the gateway, and the
+memory that remains in use after connections from a million addresses. The gateway is a separate
+process and reports its CPU time when asked; this process opens the connections.
 """
 
 import asyncio
@@ -32,10 +32,10 @@
 from cherrydoor.protocol import messages as protocol
 from cherrydoor.tls import files
 
-COUNT = 3000  # connections in each row
-PARALLEL = 20  # connections open at a time
+CONNECTIONS_PER_ROW = 3000
+CONCURRENT_CONNECTIONS = 20
 ADDRESSES = 1_000_000
-HOLD_S = 0.005  # for which a client keeps its connection
+HOLD_S = 0.005  # from the response to its hello until a client closes its connection
 
 SETTINGS = (
     'name: "g0", number: 0, gateways: 1, list: "127.0.0.1:1", cold: {}, ration: {}, may: {}, '
@@ -51,12 +51,12 @@
 
 @dataclass
 class Row:
-    """One measurement: what runs against which gateway.
+    """One row of the table: a gateway, and the connections that are opened to it.
 
     Attributes:
         settings: The gateway's configuration.
-        act: Opens the connections to a port, and gives what they came to.
-        bare: A bare asyncio server in place of the gateway.
+        act: Opens the connections to a port, and returns their result.
+        bare: Whether a bare asyncio server takes the place of the gateway.
     """
 
     name: str
@@ -66,31 +66,31 @@
 
 
 def cpu_seconds():
-    """CPU time of this process."""
+    """Returns the CPU time of this process."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
 def resident_bytes():
-    """Memory of this process."""
+    """Returns the resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class NoOwner:
-    """The owner of connections on the bare server: does nothing."""
+    """The owner of connections on the bare server; ignores all messages."""
 
     def hello_received(self, end, hello):
-        """A hello has come."""
+        """Ignores the hello."""
 
     def message_received(self, end, message):
-        """A message has come."""
+        """Ignores the message."""
 
     def connection_ended(self, end):
-        """The connection is closed."""
+        """Ignores the closed connection."""
 
 
 async def start_bare_server():
-    """An asyncio server that takes hellos and nothing else; its port."""
+    """Starts an asyncio server that only accepts hellos; returns its port."""
     server = await asyncio.get_running_loop().create_server(
         lambda: FramedConnection(
             NoOwner(), protocol.FROM_CLIENT, lambda: protocol.Hello(1, "gateway")
@@ -103,7 +103,7 @@
 
 
 async def start_gateway(settings):
-    """A gateway with these settings; its port."""
+    """Starts a gateway with these settings; returns its port."""
     from cherrydoor.config import read
     from cherrydoor.config.figures import GatewayConfig, schema
     from cherrydoor.gateway.service import GatewayService
@@ -116,7 +116,7 @@
 
 
 def server_process(pipe, settings, bare):
-    """Serves until the pipe brings False; sends the port, then the CPU time for each True."""
+    """Sends the port, then the CPU time for each True on the pipe; ends at False."""
 
     async def serve():
         loop = asyncio.get_running_loop()
@@ -137,31 +137,31 @@
 
 
 class BenchClient:
-    """A client that closes shortly after its hello was answered."""
+    """A client that closes its connection shortly after the response to its hello."""
 
     def __init__(self):
         self.closed = asyncio.get_running_loop().create_future()
         self.admitted = False
 
     def hello_received(self, end, hello):
-        """The gateway has answered the hello."""
+        """Sends a message, and closes the connection after `HOLD_S`."""
         self.admitted = True
         end.write(protocol.CancelRequest(1))
         asyncio.get_running_loop().call_later(HOLD_S, end.close)
 
     def message_received(self, end, message):
-        """Nothing else is expected."""
+        """Ignores the message; none is expected."""
 
     def connection_ended(self, end):
-        """The connection is closed."""
+        """Completes `closed`."""
         if not self.closed.done():
             self.closed.set_result(end)
 
 
 async def connect(port, count, context):
-    """Opens so many connections, some at a time; (admitted, seconds)."""
+    """Opens `count` connections; returns (how many were admitted, seconds)."""
     admitted = 0
-    begun_at = time.monotonic()
+    begun_at_s = time.monotonic()
 
     async def connect_in_turn(share):
         nonlocal admitted
@@ -182,12 +182,14 @@
                 continue
             admitted += client.admitted
 
-    await asyncio.gather(*(connect_in_turn(count // PARALLEL) for _ in range(PARALLEL)))
-    return admitted, time.monotonic() - begun_at
+    await asyncio.gather(
+        *(connect_in_turn(count // CONCURRENT_CONNECTIONS) for _ in range(CONCURRENT_CONNECTIONS))
+    )
+    return admitted, time.monotonic() - begun_at_s
 
 
 def connect_rejected(port, count):
-    """Opens raw connections that are rejected; how many were sent the reason."""
+    """Opens raw connections that are rejected; returns how many received the reason."""
     rejections_read = 0
     for _ in range(count):
         with socket.create_connection(("127.0.0.1", port)) as sock:
@@ -196,24 +198,24 @@
 
 
 def measure(row):
-    """(CPU seconds of the server while the row ran, what it came to)."""
+    """Returns (CPU seconds of the server while the row ran, result of its connections)."""
     context = multiprocessing.get_context("spawn")
-    ours, theirs = context.Pipe()
-    process = context.Process(target=server_process, args=(theirs, row.settings, row.bare))
+    our_end, their_end = context.Pipe()
+    process = context.Process(target=server_process, args=(their_end, row.settings, row.bare))
     process.start()
-    port = ours.recv()
-    ours.send(True)
-    before = ours.recv()
-    found = row.act(port)
-    ours.send(True)
-    used = ours.recv() - before
-    ours.send(False)
+    port = our_end.recv()
+    our_end.send(True)
+    before = our_end.recv()
+    result = row.act(port)
+    our_end.send(True)
+    used = our_end.recv() - before
+    our_end.send(False)
     process.join(10)
-    return used, found
+    return used, result
 
 
 def addresses_seen(count):
-    """(bytes held, network prefixes) after so many addresses, ten thousand a second."""
+    """Returns (bytes in use, network prefixes) after `count` addresses, ten thousand per second."""
     controller = AdmissionController(ClientLimits(400), 0.0)
     now = 0.0
     before = resident_bytes()
@@ -230,7 +232,7 @@
 
 
 def rows_of(folder):
-    """The rows, with keys that are made in this folder."""
+    """Returns the rows; creates their keys in this folder."""
     keys = Folder(folder)
     keys.authority()
     keys.issue("gateway", "g0", addresses=["127.0.0.1"])
@@ -244,7 +246,7 @@
     )
 
     def admitted(context=None):
-        return lambda port: uvloop.run(connect(port, COUNT, context))
+        return lambda port: uvloop.run(connect(port, CONNECTIONS_PER_ROW, context))
 
     without_certificate = files.context(False, b"", b"", trusted)
     with_certificate = files.context(False, *chain, trusted)
@@ -255,7 +257,7 @@
         Row(
             "rejected by rate",
             SETTINGS + RATE_LIMITED,
-            lambda port: connect_rejected(port, COUNT),
+            lambda port: connect_rejected(port, CONNECTIONS_PER_ROW),
         ),
         Row("handshake, no certificate", open_to_all + tls, admitted(without_certificate)),
         Row("handshake with certificate", open_to_all + tls, admitted(with_certificate)),
@@ -263,19 +265,19 @@
 
 
 def text_of(value):
-    """A figure as the table shows it."""
+    """Returns a figure as the table shows it."""
     return f"{round(value, 1) if isinstance(value, float) else value}"
 
 
 def main():
-    """Measures all rows and prints them, with --json as one object."""
+    """Measures all rows and prints them; with --json, as one object."""
     results = {}
     with tempfile.TemporaryDirectory() as folder:
         for row in rows_of(folder):
-            used, found = measure(row)
-            results[row.name] = {"us": used / COUNT * 1e6, "found": found}
-        held, prefixes = addresses_seen(ADDRESSES)
-        results["a million addresses"] = {"kB": held / 1000, "prefixes": prefixes}
+            used, result = measure(row)
+            results[row.name] = {"us": used / CONNECTIONS_PER_ROW * 1e6, "found": result}
+        used_bytes, prefixes = addresses_seen(ADDRESSES)
+        results["a million addresses"] = {"kB": used_bytes / 1000, "prefixes": prefixes}
     if "--json" in sys.argv:
         print(json.dumps(results, indent=1))
     else:
--- a/bench/drains.py
+++ b/bench/drains.py
@@ -1,18 +1,18 @@
 """Drains a zone in four ways, at three loads, emulated.
 
 Run ``python -m bench.drains [GATEWAYS [LOAD,... [SEED,...]]]``. With a fourth argument, sockets,
-it is rehearsed on sockets: the ways hard and priority alone, as the daemon has no other.
+the scenario is rehearsed on sockets, with the ways hard and priority only: the daemon has no others.
 
 - hard: the zone's hosts are set to drain in the endpoint list at once, without a coordinated drain.
-- at once: one wave, its copies ordered first.
+- at once: one wave; its copies are loaded first.
 - random: waves in the order of a hash.
-- priority: as the daemon does it.
+- priority: waves in the daemon's order, by priority weight.
 
-A load is a share of what the remaining hosts can serve. Each way has the same requests and
-functions by seed. Printed, a line each: priority weight lost of what was due, the share in time
-before the drain and in its worst ten seconds, loads, the most concurrent fetches of the store (10
-are its limit), seconds until gateways hold the zone to be empty, and of the requests with the
-highest weight the share that is late.
+A load is a share of the capacity of the remaining hosts. With the same seed, all ways have the same
+requests and functions. Prints one line for each run: the share of the priority weight that was
+lost; the share of requests in time before the drain and in its worst ten seconds; the number of
+loads; the most concurrent fetches from the store (its limit is 10); the seconds until gateways
+report the zone as empty; and the share of late requests among those with the highest weight.
 """
 
 import json
@@ -32,8 +32,8 @@
 DRAIN_AT_S = 8
 SCENARIO_LENGTH_S = 44
 WORST_WINDOW_S = 10
-HOST_CAPACITY_PER_S = 40.0  # requests a second: two cores, 50 ms of work
-UNLIMITED_COPIES = 10**9  # for one wave to hold all
+HOST_CAPACITY_PER_S = 40.0  # requests per second: two cores, 50 ms of work each
+UNLIMITED_COPIES = 10**9  # so that one wave holds all copies
 WAYS = ("priority", "hard", "at once", "random")
 WAYS_ON_SOCKETS = ("priority", "hard")
 SCENARIO = """
@@ -61,20 +61,20 @@
 
 
 def hash_order(group):
-    """A move order that knows nothing of priority."""
+    """Returns a position in the move order that does not depend on priority."""
     return crc32(group.function.encode())
 
 
 def plan_one_wave(groups, capacity_per_s, wave_share=1.0):
-    """Everything in one wave, whatever share is asked for."""
+    """Returns a plan with everything in one wave; ignores `wave_share`."""
     return wave_plan.plan_waves(groups, capacity_per_s, 1.0, UNLIMITED_COPIES)
 
 
 @contextmanager
 def planned(way):
-    """Drains are planned that way meanwhile."""
-    plan_before = reported_loads.plan_waves
-    order_before = session_groups.move_order
+    """Replaces the planning of drains by that of the given way inside the context."""
+    daemon_plan_waves = reported_loads.plan_waves
+    daemon_move_order = session_groups.move_order
     try:
         if way == "at once":
             reported_loads.plan_waves = plan_one_wave
@@ -82,19 +82,19 @@
             session_groups.move_order = hash_order
         yield
     finally:
-        reported_loads.plan_waves = plan_before
-        session_groups.move_order = order_before
+        reported_loads.plan_waves = daemon_plan_waves
+        session_groups.move_order = daemon_move_order
 
 
 def host_count(gateways):
-    """The size of the host pool for so many gateways."""
+    """Returns the size of the host pool for this number of gateways."""
     if gateways <= 8:
         return 12
     return 24 if gateways <= 50 else 48
 
 
 def scenario_text(gateways, way, load):
-    """The scenario of one drain."""
+    """Returns the scenario of one drain."""
     hosts = host_count(gateways)
     return SCENARIO % {
         "length": SCENARIO_LENGTH_S,
@@ -110,7 +110,7 @@
 
 
 def run_drain(gateways, way, load, seed, on_sockets=False):
-    """Runs one drain; its figures."""
+    """Runs one drain and returns its figures."""
     with planned(way), tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "drains.day"
         path.write_text(scenario_text(gateways, way, load))
@@ -120,19 +120,19 @@
 
 
 def share_in_time(line, first_s, end_s):
-    """The share in time of what was due in those seconds."""
+    """Returns the share in time of the requests that were due in those seconds."""
     due = sum(line["due"][first_s:end_s])
     return sum(line["in time"][first_s:end_s]) / due if due else 1.0
 
 
 def store_peak(audit, since_ms):
-    """The most concurrent fetches of the store since then."""
+    """Returns the largest number of concurrent fetches from the store since then."""
     fetches = audit.seen.of("store", "fetch")
     return int(max((row["a"] for row in fetches if row["t"] >= since_ms), default=0))
 
 
 def figures(audit):
-    """What is printed of one drain."""
+    """Returns the figures that are printed of one drain."""
     report = audit.report()
     line = report["line"]
     warm_up_s = int(audit.warm / 1000)
@@ -161,7 +161,7 @@
 
 
 def main(gateways=50, loads="0.5,0.7,0.9", seeds="1,2", sockets=""):
-    """Runs every way at every load and seed; prints a line each."""
+    """Runs each way at each load and seed, and prints one line for each run."""
     logs.set_up("error")
     for load in map(float, loads.split(",")):
         for way in WAYS_ON_SOCKETS if sockets else WAYS:
--- a/bench/links.py
+++ b/bench/links.py
@@ -105,7 +105,7 @@
 
 
 def measure(gateways: int) -> dict[str, Any]:
-    """Returns the figures of one fleet size: means of non-voters, and those of the busiest voter."""
+    """Returns the figures of one fleet size: means of non-voters, and the busiest voter's."""
     begun = time.time()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "links.day"
--- a/bench/releases.py
+++ b/bench/releases.py
@@ -1,8 +1,8 @@
 """Measures canary rollouts by the rollout controller alone, over many seeded releases.
 
-How long until each gateway has reached an end, and how many requests were harmed, by failure rate,
-request rate and what the gateways go by. `make bench-releases` prints the table and draws the chart
-that docs/measurements.md keeps.
+Measures how long it takes until each gateway has completed or rolled back the release, and how many
+requests were harmed, by failure rate, request rate and the evidence that the gateways use.
+`make bench-releases` prints the table and draws the chart that docs/measurements.md keeps.
 """
 
 import sys
@@ -24,8 +24,8 @@
 from cherrydoor.routing.messages import AttemptOutcome
 
 START_MS = 1.8e12
-# The name and the version decide which affinity keys get the canary first: the recorded figures go
-# with them.
+# The name and the version determine which affinity keys get the canary first, so the recorded
+# figures are valid only for these.
 FUNCTION = "deed"
 VERSION = 1
 CANARY = version_name(FUNCTION, VERSION)
@@ -36,13 +36,13 @@
 SLOWNESS_THAT_HARMS = 1.5
 FINAL_STATES = {ReleaseState.COMPLETE, ReleaseState.ROLLED_BACK}
 
-FIXED_SHARE = 0.1  # of the requests that the fixed canary gets ...
-FIXED_CANARY_MS = 600000.0  # ... for so long
-FIXED_FACTOR = 2  # it is rolled back if it fails more than so many times as often
+FIXED_SHARE = 0.1  # of the requests go to the fixed canary
+FIXED_CANARY_MS = 600000.0
+FIXED_FACTOR = 2  # the canary is rolled back above this multiple of the old version's error rate
 
 
 class CanaryGateway:
-    """A gateway's rollout controller; loads ahead are answered at once."""
+    """A gateway's rollout controller; its preloads succeed at once."""
 
     def __init__(self):
         self.now = START_MS
@@ -64,9 +64,9 @@
 
 
 class FixedCanaryGateway(CanaryGateway):
-    """The baseline: a fixed share for ten minutes, then one comparison.
+    """The baseline: a fixed share of requests for ten minutes, then one comparison.
 
-    It compares the failures that this gateway has seen.
+    Only errors of this gateway's own attempts are compared.
     """
 
     def __init__(self):
@@ -101,7 +101,13 @@
 
 
 class Result(NamedTuple):
-    """How one release went; took_s: until all gateways had reached an end."""
+    """The result of one release.
+
+    Attributes:
+        took_s: Seconds until all gateways had completed or rolled back the release.
+        states: Each gateway's final state of the release.
+        harmed: Number of requests that failed or were slow because of the canary.
+    """
 
     took_s: float
     states: list
@@ -109,7 +115,7 @@
 
 
 class Fleet:
-    """Gateways that share the hosts of one function and nothing else."""
+    """Gateways that share only the hosts of one function."""
 
     def __init__(
         self,
@@ -122,10 +128,17 @@
         host_tallies=True,
         gateway_type=CanaryGateway,
     ):
-        """Set up the gateways.
-
-        canary_slowness: how many times as long its requests take; host_tallies: whether hosts
-        report counts.
+        """Sets up the gateways.
+
+        Args:
+            seed: Seed of requests and their outcomes.
+            gateways: Number of gateways.
+            requests_per_second: Request rate of all gateways together.
+            canary_failure_rate: Share of canary requests that fail.
+            canary_slowness: Factor by which canary requests take longer.
+            baseline_failure_rate: Share of the old version's requests that fail.
+            host_tallies: Whether hosts report their counts.
+            gateway_type: Class of the gateways.
         """
         self.random = Random(seed)
         self.gateways = [gateway_type() for _ in range(gateways)]
@@ -215,7 +228,7 @@
 
 
 class Row(NamedTuple):
-    """A line of the table: medians over the releases."""
+    """A row of the table, with medians over the releases."""
 
     requests_per_second: float
     failure_rate: float
@@ -225,7 +238,7 @@
 
 
 def measure(requests_per_second, failure_rate, option, count):
-    """Run so many releases, print their line and return it."""
+    """Runs `count` releases, prints their row and returns it."""
     results = [
         Fleet(
             seed,
@@ -252,7 +265,7 @@
 
 
 def main(count=8):
-    """Print the table; draw the chart into the file that the command line names."""
+    """Prints the table; draws the chart into the file named on the command line, if any."""
     print(
         "requests/s  fails  goes by               s to the end (median, most)"
         "  requests harmed  rolled back, complete"
@@ -268,7 +281,7 @@
 
 
 def draw(rows, path):
-    """Draw two panels by request rate: how long it took, and how many requests were harmed."""
+    """Draws two panels by request rate: the duration, and the number of harmed requests."""
     import matplotlib
 
     matplotlib.use("Agg")
