--- a/bench/links.py
+++ b/bench/links.py
@@ -74,7 +74,7 @@
         return found
 
     async def follow(self) -> None:
-        """Follows the scenario, and counts from the end of the warm-up to the end of the scenario."""
+        """Follows the scenario, and counts from the end of the warm-up until its end."""
         await asyncio.sleep(WARM_UP_S)
         self.first = self.sent()
         begun_s = self.world.time()
--- a/bench/mass/causes.py
+++ b/bench/mass/causes.py
@@ -1,8 +1,8 @@
 """Finds the first cause of each request that did not succeed within its latency objective.
 
 The rules are pure functions of trace lines. They see the lines of all gateways, so they can tell
-whether another gateway knew a fact or no gateway could. An event is one attempt of a client to have
-a request handled. A client's retry is another event, with another id, and nothing relates the two.
+whether another gateway knew a fact or no gateway could. An event is one try of a client. A
+retry by the client is another event, with another id, and nothing in it refers to the first.
 """
 
 import bisect
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 SUCCEEDED, SILENT = "handled", ("no-answer", "lost", "recalled")
-# Attempts of other requests within this time before and after show the state of a host, in ms.
+# Attempts of other requests this long before and after an event show the state of a host.
 NEAR_MS = 250.0
 # A rejection counts as needless if at least this share of the attempts nearby were in time.
 NEEDLESS_SHARE = 0.5
@@ -31,8 +31,8 @@
     copy: int
     concurrency: int
     copy_was_known: bool  # the gateway knew of a loaded copy
-    warm_up_level: float  # warm-up level of the host
-    last_response_age_ms: float  # ms since the host's last response to this gateway, -1 without any
+    warm_up_level: float  # of the host
+    last_response_age_ms: float  # since the host's last response to this gateway; -1 without any
     in_flight: int  # attempts of this gateway in flight at the host before this one
 
 
@@ -41,10 +41,10 @@
 
     at_ms: float
     host: str  # "" if no host was suitable
-    predicted_ms: float  # predicted response time
+    predicted_ms: float  # response time
     copy_was_known: bool
-    tenant_is_overloaded: bool  # the tenant was overloaded
-    tenant_is_over_quota: bool  # the tenant was over its quota
+    tenant_is_overloaded: bool
+    tenant_is_over_quota: bool
 
 
 class Event(NamedTuple):
@@ -166,7 +166,7 @@
 
 
 def cause(day, event):
-    """Returns the first cause why the event missed its latency objective; "" if it met it."""
+    """Returns the first cause for which the event was not in time; "" if it was in time."""
     if event.is_in_time:
         return ""
     if not event.attempts:
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -118,14 +118,14 @@
 
     def write(self, pending):
         router, number, event = self.router, pending.number, pending.request
-        told, sends = (
+        outcomes, sends = (
             self.__dict__.get("outcomes_by", {}).pop(number, {}),
             router.lifecycle.sends.pop(number, []),
         )
         launches = []
         for sent in pending.attempts:
-            name, took, fate, copy, crowd = told.get(sent.index, ("", 0.0, sent.outcome, 0, 0))
-            knew = sends[sent.index] if sent.index < len(sends) else [False, 1.0, -1.0, 0]
+            name, took, fate, copy, crowd = outcomes.get(sent.index, ("", 0.0, sent.outcome, 0, 0))
+            known = sends[sent.index] if sent.index < len(sends) else [False, 1.0, -1.0, 0]
             launches.append(
                 [
                     round(sent.at - pending.accepted_at_ms, 1),
@@ -134,12 +134,12 @@
                     fate,
                     copy,
                     crowd,
-                    *knew,
+                    *known,
                 ]
             )
         routes = [
-            [round(r[0] - pending.accepted_at_ms, 1), *r[1:]]
-            for r in router.lifecycle.choices.pop(number, [])
+            [round(choice[0] - pending.accepted_at_ms, 1), *choice[1:]]
+            for choice in router.lifecycle.choices.pop(number, [])
         ]
         fate, took = self.ends_by.pop(number)
         line = [
