--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -57,7 +57,7 @@
     ]
 
 
-# ---- the module alone: inputs in memory, each attempt succeeds after 50 ms
+# ---- the module alone: inputs in memory; each attempt succeeds and is reported to take 50 ms
 def module_alone(count, max_in_flight=64, changing=False):
     """Returns the CPU seconds for `count` requests, and the size of the History Table at the end.
 
--- a/bench/mass/account.py
+++ b/bench/mass/account.py
@@ -59,9 +59,11 @@
     for folder in folders:
         totals, rows = table(events_of(folder))
         lost = sum(row[1] for row in rows) or 1
-        print(f"{folder}: " + ", ".join(f"{n} {what}" for what, counts in totals.items()))
-        for first_cause, counts, late, other in rows:
-            print(f"  {why:56} {n:6} {n / lost:6.1%}   {late:6} late {other:6} not handled")
+        print(f"{folder}: " + ", ".join(f"{count} {outcome}" for outcome, count in totals.items()))
+        for first_cause, tries, late, other in rows:
+            print(
+                f"  {first_cause:56} {tries:6} {tries / lost:6.1%}   {late:6} late {other:6} not handled"
+            )
 
 
 if __name__ == "__main__":
--- a/bench/mass/trace.py
+++ b/bench/mass/trace.py
@@ -117,43 +117,45 @@
         super().forget(pending)
 
     def write(self, pending):
-        router, number, event = self.router, pending.number, pending.request
+        router, number, request = self.router, pending.number, pending.request
         outcomes, sends = (
             self.__dict__.get("outcomes_by", {}).pop(number, {}),
             router.lifecycle.sends.pop(number, []),
         )
-        launches = []
+        attempts = []
         for sent in pending.attempts:
-            name, took, fate, copy, crowd = outcomes.get(sent.index, ("", 0.0, sent.outcome, 0, 0))
+            host, duration_ms, outcome, copy, concurrency = outcomes.get(
+                sent.index, ("", 0.0, sent.outcome, 0, 0)
+            )
             known = sends[sent.index] if sent.index < len(sends) else [False, 1.0, -1.0, 0]
-            launches.append(
+            attempts.append(
                 [
                     round(sent.at - pending.accepted_at_ms, 1),
-                    name,
-                    round(took, 1),
-                    fate,
+                    host,
+                    round(duration_ms, 1),
+                    outcome,
                     copy,
-                    crowd,
+                    concurrency,
                     *known,
                 ]
             )
-        routes = [
+        choices = [
             [round(choice[0] - pending.accepted_at_ms, 1), *choice[1:]]
             for choice in router.lifecycle.choices.pop(number, [])
         ]
-        fate, took = self.ends_by.pop(number)
+        outcome, duration_ms = self.ends_by.pop(number)
         line = [
             "event",
             round(pending.accepted_at_ms, 1),
-            event.request_class,
-            event.function,
-            crc32(event.body),
+            request.request_class,
+            request.function,
+            crc32(request.body),
             round(pending.deadline_ms - pending.accepted_at_ms, 1),
-            router.settings.request_classes[event.request_class].latency_objective_ms,
-            fate or "left",
-            took,
-            routes,
-            launches,
+            router.settings.request_classes[request.request_class].latency_objective_ms,
+            outcome or "left",
+            duration_ms,
+            choices,
+            attempts,
         ]
         print(json.dumps(line, separators=(",", ":")), file=sys.stderr)
 
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -76,7 +76,10 @@
         self.ports: Any = self  # the scenario runner calls `ports.take()`
 
     def take(self):
-        """Returns an address with a free port; port numbers ascend, as in rehearsals."""
+        """Returns an address with a free port.
+
+        Ports, and so the ids of hosts, ascend with time, as in rehearsals.
+        """
         return f"127.0.0.1:{self.world.take_port()}"
 
     def open_record(self, end, who):
