--- a/bench/drains.py
+++ b/bench/drains.py
@@ -1,8 +1,8 @@
 """Drains a zone in four ways, at three loads, emulated.
 
 Run ``python -m bench.drains [GATEWAYS [LOAD,... [SEED,...]]]``. With a fourth argument,
-"sockets", the scenario is rehearsed on sockets, with the ways hard and priority only: the daemon has
-no others.
+"sockets", the scenario is rehearsed on sockets, with the ways hard and priority only: the daemon
+has no others.
 
 - hard: the zone's hosts are set to drain in the endpoint list at once, without a coordinated drain.
 - at once: one wave; its copies are loaded first.
