--- a/tests/zone_drain/test_drain_of_a_fleet.py
+++ b/tests/zone_drain/test_drain_of_a_fleet.py
@@ -221,7 +221,7 @@
             assert after["why"] == before["why"]
             for host in lost_hosts:
                 await host.start(cold=True)
-                ready = protocol.Endpoint(host.id, "ready", host.since, "floor-1")
+                ready = protocol.Endpoint(host.id, "ready", host.started_at_ms, "floor-1")
                 platform.endpoint_watch.set(ready)
             await coordinator_in_state(platform.gates, "empty")
         assert all(len(answers) == 1 for answers in platform.caller.answers.values())
