--- a/bench/leader_election.py
+++ b/bench/leader_election.py
@@ -46,16 +46,18 @@
     async def measure(self, name: str, among: list[Any] | None = None) -> None:
         """Waits for the next leaseholder, and stores how long that took."""
         begun = time.monotonic()
-        self.leaseholder, self.token = await self.fleet.holder(TASK, self.token, among)
+        self.leaseholder, self.token = await self.fleet.wait_for_leaseholder(
+            TASK, self.token, among
+        )
         self.found_ms[name] = round(1000 * (time.monotonic() - begun))
 
     async def play(self) -> dict[str, int]:
         """Stops, cuts off, kills and drains the leaseholder in turn, and returns the times."""
-        await self.fleet.together()
+        await self.fleet.wait_until_all_alive()
         begun = time.monotonic()
         for gate in self.fleet.gates[VOTERS:]:
             await gate.ask(do="hold", task=TASK)
-        self.leaseholder, self.token = await self.fleet.holder(TASK)
+        self.leaseholder, self.token = await self.fleet.wait_for_leaseholder(TASK)
         self.found_ms["first"] = round(1000 * (time.monotonic() - begun))
         stopped = self.leaseholder
         stopped.signal(signal.SIGSTOP)
@@ -65,8 +67,8 @@
         self.fleet.proxy.cut([self.leaseholder.name], [gate.name for gate in self.others()])
         await self.measure("cut off", self.others())
         self.fleet.proxy.calm()
-        await self.fleet.together()
-        self.leaseholder, self.token = await self.fleet.holder(TASK)
+        await self.fleet.wait_until_all_alive()
+        self.leaseholder, self.token = await self.fleet.wait_for_leaseholder(TASK)
         await self.leaseholder.kill()
         await self.measure("killed")
         self.leaseholder.signal(signal.SIGTERM)
--- a/cherrydoor/failover/claim_forwarding.py
+++ b/cherrydoor/failover/claim_forwarding.py
@@ -89,7 +89,7 @@
         if successor == self.peers.local.name:
             self.loop.call_soon(self.claim_received, successor, request)
         elif successor is not None and not self.peers.send(successor, request):
-            self.peers.want_link(successor)
+            self.peers.request_link(successor)
 
     def successor_known(self, owner: str, incarnation: int) -> None:
         """Forward the claims that wait for the successor of this incarnation."""
--- a/cherrydoor/failover/peer_services.py
+++ b/cherrydoor/failover/peer_services.py
@@ -140,7 +140,7 @@
             case "tenures":
                 return self.leases.table()
             case "hold":
-                self.leases.hold(str(command["task"]), _ignore, _ignore)
+                self.leases.request_lease(str(command["task"]), _ignore, _ignore)
                 return self.leases.table()
             case "yield":
                 return self._release(str(command["task"]))
--- a/cherrydoor/failover/service.py
+++ b/cherrydoor/failover/service.py
@@ -79,7 +79,7 @@
         peers.subscribe(SuccessorAnnounced, self.successor.announced)
         peers.subscribe(ClaimRequest, self.forwarder.claim_received)
         peers.subscribe(ClaimReply, self.forwarder.reply_received)
-        self.leases.vetoes.append(self.reason_to_refuse)
+        self.leases.grant_checks.append(self.reason_to_refuse)
         # Messages in transit on a broken connection are lost, so each new connection starts with a
         # snapshot and all successor announcements.
         peers.link_listeners += [self.successor.peer_connected, self.owner.forget_replica]
@@ -247,7 +247,7 @@
             now, members, self.peers.connections, self.peers.links.suspect_after_ms
         )
         for in_flight in candidates.eligible:
-            self.leases.hold(
+            self.leases.request_lease(
                 in_flight.task,
                 partial(self.successor.lease_granted, in_flight),
                 partial(self.successor.lease_lost, in_flight),
--- a/cherrydoor/leader_election/service.py
+++ b/cherrydoor/leader_election/service.py
@@ -46,8 +46,8 @@
 class LeaseService:
     """The leases of one gateway.
 
-    `hold` requests a task's lease, and keeps renewing it, until `release`. The callbacks of a
-    lease alternate: `on_acquired`, then `on_ended`, and so on.
+    `request_lease` requests a task's lease, and keeps renewing it, until `release`. The callbacks
+    of a lease alternate: `on_acquired`, then `on_ended`, and so on.
 
     Invariant: every task in `holding` is also in `wanted`, except while its end is being reported.
     """
@@ -77,7 +77,7 @@
         self.holding: dict[str, HeldLease] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.is_closed = False
-        self.vetoes: list[Callable[[str], str]] = []
+        self.grant_checks: list[Callable[[str], str]] = []
         self.storage: VoteStorage | None = None
         self.voter: Voter | None = None
         if self.gateway in self.voters:
@@ -89,8 +89,8 @@
         peers.subscribe(LeaseRefused, self.on_candidate_message)
 
     def check_grant(self, task: str) -> str:
-        """Returns the first reason in `vetoes` not to grant the task now, "" if there is none."""
-        for check_grant in self.vetoes:
+        """Returns the first reason of `grant_checks` not to grant the task now, or ""."""
+        for check_grant in self.grant_checks:
             if reason := check_grant(task):
                 return reason
         return ""
@@ -136,7 +136,7 @@
             self.send(sender, LeaseRelease(message.task, message.fencing_token))
 
     # ---- leases
-    def hold(
+    def request_lease(
         self,
         task: str,
         on_acquired: TokenCallback,
--- a/cherrydoor/membership/service.py
+++ b/cherrydoor/membership/service.py
@@ -169,7 +169,7 @@
             if name in self.connections:
                 self.connections[name].write_bytes(data)
 
-    def want_link(self, name: str) -> None:
+    def request_link(self, name: str) -> None:
         """Requests a link to the peer for a while."""
         self.carry_out(self.links.want(self.now(), name))
 
--- a/cherrydoor/protocol/peers.py
+++ b/cherrydoor/protocol/peers.py
@@ -111,7 +111,7 @@
         fencing_token: The token of the request.
         highest_token: The highest token that the voter has granted for the task.
         wait_ms: Time after which the task may be free; 0 if not known.
-        reason: Reason of a veto; "" if the lease is held or the token is too low.
+        reason: Why a grant check refused; "" if the lease is held or the token is too low.
         round: The round of the request.
     """
 
--- a/cherrydoor/zone_drain/coordination.py
+++ b/cherrydoor/zone_drain/coordination.py
@@ -96,7 +96,7 @@
     def request_lease(self, zone: str) -> None:
         """Requests the zone's lease; coordination begins after it is granted."""
         self._lease_requests[zone] = None
-        self._leases.hold(
+        self._leases.request_lease(
             lease_name(zone),
             lambda fencing_token: self._lease_granted(zone, fencing_token),
             lambda fencing_token: self._lease_lost(zone),
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet import LONGEST, Fleet, until
+from fleet import WAIT_TIMEOUT_S, Fleet, until
 
 from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.catalogue import Catalogue
@@ -159,7 +159,7 @@
             await self.add_host()
         self.list_at = f"127.0.0.1:{self.endpoint_watch.port}"
         await super().__aenter__()
-        await self.together()
+        await self.wait_until_all_alive()
         for gate in self.gates:
             await self.caller.connect(gate)
             await eventually(lambda gate=gate: gate.name in self.gateways_with_endpoints())
@@ -226,7 +226,7 @@
 async def eventually(condition):
     """Wait until a condition returns a true value, and return that value."""
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + LONGEST
+    deadline = loop.time() + WAIT_TIMEOUT_S
     while not (found := condition()):
         assert loop.time() < deadline, "condition not met in time"
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/failover/test_taken_over_once.py
+++ b/tests/failover/test_taken_over_once.py
@@ -84,7 +84,7 @@
         await eventually(lambda: owner.logged("incarnation ended"))
         await eventually(lambda: platform.caller.ends[owner.name] in platform.caller.lost_ends)
         assert request_id not in platform.caller.answers
-        await platform.together()
+        await platform.wait_until_all_alive()
         again = await platform.caller.connect(owner)
         assert again.reader.hello.incarnation > 0
         assert (
--- a/tests/leader_election/test_leases_of_processes.py
+++ b/tests/leader_election/test_leases_of_processes.py
@@ -42,13 +42,13 @@
 @async_test
 async def test_a_killed_leaseholder_is_followed_under_a_higher_token(tmp_path):
     async with Fleet(tmp_path, 6) as fleet:
-        await fleet.together()
+        await fleet.wait_until_all_alive()
         await ask_for_lease(fleet.gates[3:])  # none is a voter, so two kills leave a majority
-        leaseholder, token = await fleet.holder(TASK)
+        leaseholder, token = await fleet.wait_for_leaseholder(TASK)
         for _ in range(2):
             await leaseholder.kill()
             last_token = token
-            leaseholder, token = await fleet.holder(TASK, last_token)
+            leaseholder, token = await fleet.wait_for_leaseholder(TASK, last_token)
             assert token > last_token
         assert_no_token_twice(fleet)
 
@@ -56,12 +56,12 @@
 @async_test
 async def test_a_leaseholder_stopped_past_its_term_holds_nothing_when_it_goes_on(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
-        await fleet.together()
+        await fleet.wait_until_all_alive()
         await ask_for_lease(fleet.gates[2:])
-        leaseholder, token = await fleet.holder(TASK)
+        leaseholder, token = await fleet.wait_for_leaseholder(TASK)
         leaseholder.signal(signal.SIGSTOP)
         others = [gate for gate in fleet.gates if gate is not leaseholder]
-        successor, higher_token = await fleet.holder(TASK, token, others)
+        successor, higher_token = await fleet.wait_for_leaseholder(TASK, token, others)
         leaseholder.signal(signal.SIGCONT)
         await until(lambda: asyncio.sleep(0, leaseholder.logged("lease ended")), bool)
         assert await leaseholder.held_token(TASK) != token
@@ -71,20 +71,20 @@
 @async_test
 async def test_a_part_without_a_majority_of_voters_holds_nothing_and_the_other_goes_on(tmp_path):
     async with Fleet(tmp_path, 6) as fleet:
-        await fleet.together()
+        await fleet.wait_until_all_alive()
         minority = fleet.gates[:1]
         majority = fleet.gates[1:]
         await ask_for_lease(minority)
-        leaseholder, token = await fleet.holder(TASK)
+        leaseholder, token = await fleet.wait_for_leaseholder(TASK)
         assert leaseholder is fleet.gates[0]
         fleet.proxy.cut([gate.name for gate in minority], [gate.name for gate in majority])
         await ask_for_lease(majority)
-        successor, higher_token = await fleet.holder(TASK, token, majority)
+        successor, higher_token = await fleet.wait_for_leaseholder(TASK, token, majority)
         assert successor is not leaseholder
         assert higher_token > token
         assert await leaseholder.held_token(TASK) is None
         fleet.proxy.calm()
-        await fleet.together()
+        await fleet.wait_until_all_alive()
         assert await leaseholder.held_token(TASK) is None
 
 
@@ -92,13 +92,13 @@
 async def test_a_graceful_shutdown_releases_the_lease_at_once(tmp_path):
     """The next leaseholder does not have to wait until the term of the last one expires."""
     async with Fleet(tmp_path, 5) as fleet:
-        await fleet.together()
+        await fleet.wait_until_all_alive()
         await ask_for_lease(fleet.gates[3:])
-        leaseholder, token = await fleet.holder(TASK)
+        leaseholder, token = await fleet.wait_for_leaseholder(TASK)
         leaseholder.signal(signal.SIGTERM)
         assert await asyncio.wait_for(leaseholder.process.wait(), 30) == 0
         assert any("released" in line for line in leaseholder.logged("lease ended"))
-        _, higher_token = await fleet.holder(TASK, token)
+        _, higher_token = await fleet.wait_for_leaseholder(TASK, token)
         assert higher_token > token
 
 
@@ -120,16 +120,16 @@
 @async_test
 async def test_voters_that_restart_with_and_without_their_votes_keep_the_tokens_rising(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
-        await fleet.together()
+        await fleet.wait_until_all_alive()
         await ask_for_lease(fleet.gates[3:])
-        _, token = await fleet.holder(TASK)
+        _, token = await fleet.wait_for_leaseholder(TASK)
         for voter, loses_votes in zip(fleet.gates[:3], (False, True, False), strict=True):
             vote_file = tmp_path / f"{voter.name}.promises"
             await restart_voter(voter, vote_file if loses_votes else None)
-            await fleet.together()
-        leaseholder, _ = await fleet.holder(TASK)
+            await fleet.wait_until_all_alive()
+        leaseholder, _ = await fleet.wait_for_leaseholder(TASK)
         assert (await leaseholder.ask(do="yield", task=TASK)) is not None
-        _, higher_token = await fleet.holder(TASK, token)
+        _, higher_token = await fleet.wait_for_leaseholder(TASK, token)
         assert higher_token > token
         assert_no_token_twice(fleet)
 
--- a/tests/membership/fleet.py
+++ b/tests/membership/fleet.py
@@ -12,7 +12,7 @@
 from cherrydoor.rehearsal.fault_injecting_proxy import FaultInjectingProxy
 from cherrydoor.rehearsal.processes import Ports
 
-LONGEST = 20.0  # seconds; limit for each wait of a test
+WAIT_TIMEOUT_S = 20.0  # limit for each wait of a test
 ASK_TIMEOUT_S = 1.0  # limit for connecting to a control socket, and again for the answer
 POLL_INTERVAL_S = 0.03
 PROXY_SEED = 5
@@ -84,7 +84,7 @@
         return path
 
     def peer_settings(self):
-        voters = self.fleet.gates[: self.fleet.keepers]
+        voters = self.fleet.gates[: self.fleet.voter_count]
         return {
             "door": self.peer_address,
             "at": self.at,
@@ -112,7 +112,9 @@
             env=os.environ | {"PYTHONPATH": os.getcwd()},
         )
         self.task = asyncio.ensure_future(self.read_log())
-        assert await asyncio.wait_for(self.process.stdout.readline(), LONGEST), self.log_lines
+        assert await asyncio.wait_for(self.process.stdout.readline(), WAIT_TIMEOUT_S), (
+            self.log_lines
+        )
         return self
 
     async def read_log(self):
@@ -159,12 +161,12 @@
 
 
 class Fleet:
-    """Gateways, the first `keepers` of which are voters; an async context starts and kills them."""
+    """Gateways, the first `voter_count` of them voters; an async context starts and kills them."""
 
-    def __init__(self, folder, count, keepers=3, list_at="127.0.0.1:9", peers=None, more=None):
+    def __init__(self, folder, count, voter_count=3, list_at="127.0.0.1:9", peers=None, more=None):
         """`peers` and `more` are added to each gateway's peer settings and configuration."""
         self.folder = folder
-        self.keepers = keepers
+        self.voter_count = voter_count
         self.list_at = list_at
         self.peers = peers or {}
         self.ports = Ports(os.getpid())
@@ -188,7 +190,7 @@
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
 
-    async def together(self):
+    async def wait_until_all_alive(self):
         """Waits until each gateway sees all others alive; returns the gateways."""
         for gate in self.gates:
             await until(
@@ -197,7 +199,7 @@
             )
         return self.gates
 
-    async def holder(self, task, above=0, among=None):
+    async def wait_for_leaseholder(self, task, above=0, among=None):
         """Waits until a gateway holds the lease under a token above `above`.
 
         Returns:
@@ -219,7 +221,7 @@
 
 async def until(ask, is_good):
     """Polls until `is_good` accepts an answer, and returns it; fails with the last answer."""
-    deadline_s = time.monotonic() + LONGEST
+    deadline_s = time.monotonic() + WAIT_TIMEOUT_S
     answer = None
     while time.monotonic() < deadline_s:
         answer = await ask()
--- a/tests/membership/test_membership_of_processes.py
+++ b/tests/membership/test_membership_of_processes.py
@@ -28,7 +28,7 @@
     tmp_path,
 ):
     async with Fleet(tmp_path, 6) as fleet:
-        first, *others = reversed(await fleet.together())
+        first, *others = reversed(await fleet.wait_until_all_alive())
         incarnation = await incarnation_of(first)
         await first.kill()
         await until_seen(others, first.name, DISCONNECTED)
@@ -43,7 +43,7 @@
 ):
     """No other gateway has taken over its requests, so it continues as the same incarnation."""
     async with Fleet(tmp_path, 5) as fleet:
-        first, *others = reversed(await fleet.together())
+        first, *others = reversed(await fleet.wait_until_all_alive())
         incarnation = await incarnation_of(first)
         first.signal(signal.SIGSTOP)
         await until_seen(others, first.name, SUSPECTED)
@@ -55,7 +55,7 @@
 @async_test
 async def test_a_gateway_that_shuts_down_gracefully_is_seen_to_have_left(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
-        first, *others = reversed(await fleet.together())
+        first, *others = reversed(await fleet.wait_until_all_alive())
         first.signal(signal.SIGTERM)
         assert await asyncio.wait_for(first.process.wait(), 30) == 0
         await until_seen(others, first.name, LEFT)
@@ -64,10 +64,10 @@
 @async_test
 async def test_a_reset_link_alone_makes_nobody_suspected(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
-        gates = await fleet.together()
+        gates = await fleet.wait_until_all_alive()
         for _ in range(5):
             fleet.proxy.reset("*", "*")
-            await fleet.together()
+            await fleet.wait_until_all_alive()
         answers = [await gate.ask(do="peers") for gate in gates]
         assert all(row["state"] == ALIVE for answer in answers for row in answer["members"])
 
@@ -76,7 +76,7 @@
 async def test_frames_that_come_late_twice_and_out_of_order_change_nothing(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
         fleet.proxy.set("*", "*", delay=5.0, spread=60.0, double=0.3, reorder=0.3)
-        first, *others = reversed(await fleet.together())
+        first, *others = reversed(await fleet.wait_until_all_alive())
         for _ in range(2):
             await first.kill()
             await until_seen(others, first.name, DISCONNECTED)
@@ -87,7 +87,7 @@
 @async_test
 async def test_two_processes_of_one_name_are_logged(tmp_path):
     async with Fleet(tmp_path, 4) as fleet:
-        gates = await fleet.together()
+        gates = await fleet.wait_until_all_alive()
         clone = type(gates[3])(fleet, 3, {})
         clone.at = await fleet.proxy.port("g3", clone.peer_address)
         clone.control += "2"
