--- a/cherrydoor/cli/rehearsals.py
+++ b/cherrydoor/cli/rehearsals.py
@@ -104,20 +104,20 @@
 
 def judge(folder, as_json):
     """Audits the traffic in a folder, writes and prints the report, and exits with the result."""
-    from cherrydoor.rehearsal.audit import Unreadable, audit
-    from cherrydoor.rehearsal.report import charts, table
+    from cherrydoor.rehearsal.audit import UnreadableTrafficError, audit
+    from cherrydoor.rehearsal.report import draw_chart, print_report
 
     try:
         report = audit(folder)
-    except Unreadable as error:
+    except UnreadableTrafficError as error:
         print(f"the traffic cannot be audited: {error}", file=sys.stderr)
         sys.exit(RUN_FAILED)
     (Path(folder) / "report.json").write_text(json.dumps(report, indent=1))
-    charts(report, Path(folder) / "report.svg")
+    draw_chart(report, Path(folder) / "report.svg")
     if as_json:
         print(json.dumps(report, indent=1))
     else:
-        table(report)
+        print_report(report)
     if report["crowded"] and not report["broken"]:
         print(
             f"the machine was overloaded, so the run is not conclusive: {len(report['crowded'])} "
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -27,7 +27,7 @@
 from cherrydoor.rehearsal.baselines import ROUTER_FACTORIES
 from cherrydoor.rehearsal.clients import Clients
 from cherrydoor.rehearsal.day import host_specs, lease_values, terms
-from cherrydoor.rehearsal.scenario_runner import RunFailedError, ScenarioRunner, in_processes
+from cherrydoor.rehearsal.scenario_runner import RunFailedError, ScenarioRunner, group_by_process
 from cherrydoor.routing import Router
 
 # Faults of sockets, descriptors and TLS, and those that need the fault-injecting proxy between
@@ -138,7 +138,7 @@
             host_specs(day),
         )
         for number, host_spec in enumerate(self.host_specs):
-            self.ids[number] = (await host_pool.add(self.take(), HostSpec(**host_spec))).id
+            self.host_ids[number] = (await host_pool.add(self.take(), HostSpec(**host_spec))).id
         host_pool.sweep()
         endpoint_list = await EndpointListServer(
             self.open_record("list", "list"),
@@ -146,13 +146,13 @@
             day["list"]["stale"],
             day["seed"],
         ).start()
-        self.list, self.list_at = (
+        self.list, self.list_address = (
             InProcessCommands(
                 "list", lambda name, values: self.handle_list_command(endpoint_list, name, values)
             ),
             (f"127.0.0.1:{endpoint_list.port}"),
         )
-        for number, host in self.ids.items():
+        for number, host in self.host_ids.items():
             await self.set_endpoint(number, host, "ready", 0.0, self.host_specs[number])
         if day["feed"]["gradual"]:
             feed = await Feed(
@@ -162,10 +162,10 @@
                 day["seed"],
             ).start()
             self.feed = InProcessCommands("feed", lambda name, values: feed.release(**values))
-            self.feed_at = f"127.0.0.1:{feed.port}"
+            self.feed_address = f"127.0.0.1:{feed.port}"
         await self.assign_peer_addresses()
         count = day["gateways"]["count"]
-        for group in in_processes(
+        for group in group_by_process(
             count, day["gateways"]["in_a_process"], len(day["fleet"]["floors"])
         ):
             await self.start_gateways(group)
@@ -177,17 +177,17 @@
         )
         for gateway_connections in clients.connections:
             for connection in gateway_connections:
-                self.tasks.add(self.world.create_task(connection.keep()))
+                self.tasks.add(self.world.create_task(connection.maintain()))
         while any(
-            connection.end is None
+            connection.framed_connection is None
             for gateway_connections in clients.connections
             for connection in gateway_connections
         ):
             await asyncio.sleep(0.02)
-        self.clients, self.clients_done = InProcessCommands("clients", None), clients.ends
-        self.begun = now() + 500
-        clients.go(self.begun)
-        self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
+        self.clients, self.clients_done = InProcessCommands("clients", None), clients.finished
+        self.started_ms = now() + 500
+        clients.go(self.started_ms)
+        self.record.add("begun", t=self.started_ms, a=day["warm"], b=day["length"])
 
     def handle_list_command(self, endpoint_list, name, values):
         """Mutes the endpoint list, or sets one of its rows."""
@@ -205,9 +205,9 @@
                 self.day,
                 number,
                 address,
-                self.list_at,
+                self.list_address,
                 self.folder,
-                self.feed_at,
+                self.feed_address,
                 self.peer_addresses,
             )
             for section in ("releases", "peers"):
--- a/cherrydoor/rehearsal/audit.py
+++ b/cherrydoor/rehearsal/audit.py
@@ -16,7 +16,7 @@
 from cherrydoor.rehearsal.answers import AnswerAudit
 from cherrydoor.rehearsal.effects import EffectAudit
 from cherrydoor.rehearsal.seen import SLACK_MS, Seen, Violation, launch_key
-from cherrydoor.rehearsal.seen import Unreadable as Unreadable
+from cherrydoor.rehearsal.seen import UnreadableTrafficError as UnreadableTrafficError
 from cherrydoor.rehearsal.service import ServiceLevels
 from cherrydoor.rehearsal.takeover_audit import TakeoverAudit
 
@@ -28,7 +28,7 @@
         """Read the run's folder, or its `traffic` folder if it has one.
 
         Raises:
-            Unreadable: There is no traffic, or the conductor's rows lack the terms or the start of the run.
+            UnreadableTrafficError: There is no traffic, or the conductor's rows lack the terms or the start of the run.
         """
         self.seen = seen = Seen(
             Path(folder) / "traffic" if (Path(folder) / "traffic").exists() else folder
@@ -36,7 +36,7 @@
         terms_rows = seen.of("conductor", "terms")
         begun = seen.of("conductor", "begun")
         if not terms_rows or not begun:
-            raise Unreadable('the conductor\'s rows lack a "terms" or a "begun" row')
+            raise UnreadableTrafficError('the conductor\'s rows lack a "terms" or a "begun" row')
         self.terms, self.begun = json.loads(terms_rows[0]["text"]), begun[0]["t"]
         self.warm = begun[0]["a"]
         self.violations, self.excused, self.starved_of_cpu = [], Counter(), []
@@ -334,6 +334,6 @@
     """Return the report on a run's folder as plain values.
 
     Raises:
-        Unreadable: The folder holds no traffic that can be judged.
+        UnreadableTrafficError: The folder holds no traffic that can be judged.
     """
     return Audit(folder).report()
--- a/cherrydoor/rehearsal/clients.py
+++ b/cherrydoor/rehearsal/clients.py
@@ -81,7 +81,7 @@
             for gateway, address in enumerate(addresses)
         ]
         self.bodies = [b"b" * event["body"] for event in self.events]
-        self.timers, self.last_timer, self.next_arrival, self.last_id, self.ends = (
+        self.timers, self.last_timer, self.next_arrival, self.last_id, self.finished = (
             [],
             0,
             0,
@@ -130,8 +130,8 @@
         upcoming = [time_ms for time_ms in (arrival_ms, timer_ms) if time_ms is not None]
         if upcoming:
             self.loop.call_later(max(0.0, min(upcoming) - now()) / 1000, self.tick)
-        elif not self.ends.done():
-            self.ends.set_result(None)
+        elif not self.finished.done():
+            self.finished.set_result(None)
 
     def send_first(self, arrival, due_ms):
         event = self.events[self.arrivals.request_class[arrival]]
@@ -174,13 +174,13 @@
             b=float(remaining_ms),
             c=float(arrival),
         )
-        if connection.end is None or connection.draining:
+        if connection.framed_connection is None or connection.draining:
             self.record.add("unreachable", t=now_ms, **row)
             return self.retry(request, "unreachable", 0.0)
         request.connection, request.attempt_deadline_ms = connection, now_ms + remaining_ms
         connection.pending[request.id] = request
         self.record.add("sent", t=now_ms, text="extra" if arrivals.extra[arrival] else "", **row)
-        connection.end.write(
+        connection.framed_connection.write(
             protocol.Request(
                 request.id,
                 event["name"],
@@ -254,8 +254,8 @@
         self.record.add(
             "gave up", peer=self.close_attempt(request), id=request.id, event=request.id
         )
-        if connection.end and request.awaited_id == request.id:
-            connection.end.write(protocol.CancelRequest(request.id))
+        if connection.framed_connection and request.awaited_id == request.id:
+            connection.framed_connection.write(protocol.CancelRequest(request.id))
         self.retry(request, "gave up", 0.0)
 
     def withdraw(self, request):
@@ -264,8 +264,8 @@
             self.record.add(
                 "withdrew", peer=self.close_attempt(request), id=request.id, event=request.id
             )
-            if connection.end and request.awaited_id == request.id:
-                connection.end.write(protocol.CancelRequest(request.id))
+            if connection.framed_connection and request.awaited_id == request.id:
+                connection.framed_connection.write(protocol.CancelRequest(request.id))
 
     def connection_lost(self, connection, request):
         self.record.add("cut", peer=self.close_attempt(request), id=request.id, event=request.id)
@@ -282,7 +282,7 @@
         candidates = [
             connection
             for connection in first_connections
-            if connection.end is not None
+            if connection.framed_connection is not None
             and not connection.draining
             and connection.name != request.owner[0]
         ]
@@ -300,7 +300,7 @@
             event=request.id,
             text=request.owner[0],
         )
-        connection.end.write(
+        connection.framed_connection.write(
             failover.ClaimResponse(
                 request.awaited_id,
                 request.owner[0],
@@ -375,12 +375,14 @@
     record = Record(settings["record"], "client", "clients")
     clients = Clients(settings["day"], settings["doors"], record, settings.get("comes"))
     tasks = [
-        asyncio.get_running_loop().create_task(connection.keep())
+        asyncio.get_running_loop().create_task(connection.maintain())
         for connections in clients.connections
         for connection in connections
     ]
     while any(
-        connection.end is None for connections in clients.connections for connection in connections
+        connection.framed_connection is None
+        for connections in clients.connections
+        for connection in connections
     ):
         await asyncio.sleep(0.02)
     gc.collect()
@@ -399,7 +401,7 @@
         record.flush()
         emit("over", sent=clients.last_id)
 
-    clients.ends.add_done_callback(finish)
+    clients.finished.add_done_callback(finish)
     await serve_commands(handle_command)
     for task in tasks:
         task.cancel()
--- a/cherrydoor/rehearsal/connection.py
+++ b/cherrydoor/rehearsal/connection.py
@@ -12,7 +12,7 @@
 class Connection:
     """A connection to one gateway, retried every 100 ms while the gateway can't be reached.
 
-    `end` is the open framed connection, None while there is none.
+    `framed_connection` is the open framed connection, None while there is none.
     """
 
     def __init__(self, clients, gateway, address, office, source):
@@ -20,7 +20,7 @@
         source: `address`, the local address to connect from ("" for any), and `keys`, the TLS
             key files ({} for none).
         """
-        self.clients, self.gateway, self.end, self.pending, self.office = (
+        self.clients, self.gateway, self.framed_connection, self.pending, self.office = (
             clients,
             gateway,
             None,
@@ -33,7 +33,7 @@
         if source["address"]:
             self.options["local_addr"] = (source["address"], 0)
 
-    async def keep(self):
+    async def maintain(self):
         """Connects, and connects again whenever the connection is closed; runs until cancelled."""
         while True:
             try:
@@ -62,7 +62,7 @@
         return protocol.Hello(protocol.VERSION, "client", f"c{self.gateway}", now())
 
     def hello_received(self, end, hello):
-        self.end, self.draining, self.name, self.incarnation = (
+        self.framed_connection, self.draining, self.name, self.incarnation = (
             end,
             False,
             hello.name,
@@ -84,8 +84,8 @@
             self.clients.stream_started(self, message)
 
     def connection_ended(self, end):
-        if self.end is end:
-            self.end = None
+        if self.framed_connection is end:
+            self.framed_connection = None
         if (
             end.reader.fault is None
             and end.close_reason.startswith("peer: ")
--- a/cherrydoor/rehearsal/fault_steps.py
+++ b/cherrydoor/rehearsal/fault_steps.py
@@ -23,7 +23,7 @@
     crowd: Any
     keys: Any
     folder: Any
-    ids: dict
+    host_ids: dict
     endpoints: dict
     set_endpoint: Any
     addresses: dict
@@ -45,7 +45,7 @@
         targets = (
             {}
             if hosts is None
-            else {"hosts": [self.ids[host] for host in hosts if host in self.ids]}
+            else {"hosts": [self.host_ids[host] for host in hosts if host in self.host_ids]}
         )
         await self.host_pool.command(do, **targets, **values)
 
@@ -54,30 +54,30 @@
 
         After the list's detection delay its endpoint is set to gone, unless it is up again.
         """
-        await self.host_pool.command("crash", hosts=[self.ids[host]])
+        await self.host_pool.command("crash", hosts=[self.host_ids[host]])
         await asyncio.sleep(self.day["list"]["miss"] / 1000)
-        state, since, host_spec = self.endpoints[self.ids[host]]
-        if (await self.host_pool.command("who"))[self.ids[host]]["up"] is False:
-            await self.set_endpoint(host, self.ids[host], "gone", since, host_spec)
+        state, since, host_spec = self.endpoints[self.host_ids[host]]
+        if (await self.host_pool.command("who"))[self.host_ids[host]]["up"] is False:
+            await self.set_endpoint(host, self.host_ids[host], "gone", since, host_spec)
 
     async def do_return(self, host):
-        if host not in self.ids:
+        if host not in self.host_ids:
             return
-        [since] = await self.host_pool.command("restart", hosts=[self.ids[host]])
+        [since] = await self.host_pool.command("restart", hosts=[self.host_ids[host]])
         await self.set_endpoint(
-            host, self.ids[host], "ready", since, self.endpoints[self.ids[host]][2]
+            host, self.host_ids[host], "ready", since, self.endpoints[self.host_ids[host]][2]
         )
 
     async def do_drain(self, host):
-        _, since, host_spec = self.endpoints[self.ids[host]]
-        await self.set_endpoint(host, self.ids[host], "draining", since, host_spec)
-        await self.host_pool.command("drain", hosts=[self.ids[host]])
+        _, since, host_spec = self.endpoints[self.host_ids[host]]
+        await self.set_endpoint(host, self.host_ids[host], "draining", since, host_spec)
+        await self.host_pool.command("drain", hosts=[self.host_ids[host]])
 
     async def do_leave(self, host):
         """Stops a host and sets it to gone in the list at once."""
-        _, since, host_spec = self.endpoints[self.ids[host]]
-        await self.host_pool.command("crash", hosts=[self.ids[host]])
-        await self.set_endpoint(host, self.ids[host], "gone", since, host_spec)
+        _, since, host_spec = self.endpoints[self.host_ids[host]]
+        await self.host_pool.command("crash", hosts=[self.host_ids[host]])
+        await self.set_endpoint(host, self.host_ids[host], "gone", since, host_spec)
 
     async def do_join(self, host, replaces):
         """Adds a cold host at a new address with the specification of the replaced host."""
@@ -87,7 +87,7 @@
         [address] = await self.host_pool.command(
             "add", builds=[host_spec], names=[address], cold=True, binds=listen_addresses
         )
-        self.ids[host] = address
+        self.host_ids[host] = address
         await self.set_endpoint(host, address, "ready", wall(), host_spec)
 
     async def do_store(self, **values):
--- a/cherrydoor/rehearsal/report.py
+++ b/cherrydoor/rehearsal/report.py
@@ -12,7 +12,7 @@
 }
 
 
-def table(found):
+def print_report(found):
     """Print the report as tables.
 
     Args:
@@ -101,7 +101,7 @@
         )
 
 
-def charts(found, path):
+def draw_chart(found, path):
     """Draw the report's timeline into a file, as SVG or PNG by the file's suffix.
 
     The time axis is in s from the end of the warm-up.
--- a/cherrydoor/rehearsal/scenario_runner.py
+++ b/cherrydoor/rehearsal/scenario_runner.py
@@ -15,13 +15,13 @@
 from cherrydoor.tls.local_authority import LocalAuthority
 
 
-def in_processes(count, per_process, floors):
+def group_by_process(count, per_process, floors):
     """Returns the gateway numbers of each process.
 
     All gateways of a process are on the same floor, so a fault that stops the gateways of one floor
     stops no gateway of another floor.
 
-    >>> in_processes(7, 2, 3)
+    >>> group_by_process(7, 2, 3)
     [[0, 3], [6], [1, 4], [2, 5]]
     """
     groups = []
@@ -45,9 +45,9 @@
             raise RunFailedError(f"{self.traffic} already contains the traffic of another run")
         self.log_file = (self.folder / "parts.log").open("ab")
         self.record = Record(self.traffic, "conductor", "conductor")
-        self.started, self.gateways, self.addresses, self.ids = [], {}, {}, {}
-        self.endpoints, self.codes, self.tasks, self.ports = {}, [], set(), Ports(day["seed"])
-        self.replaced, self.feed_at, self.proxy, self.peer_addresses = set(), "", None, {}
+        self.started, self.gateways, self.addresses, self.host_ids = [], {}, {}, {}
+        self.endpoints, self.exit_codes, self.tasks, self.ports = {}, [], set(), Ports(day["seed"])
+        self.replaced, self.feed_address, self.proxy, self.peer_addresses = set(), "", None, {}
 
     def new_process(self, name):
         child = ManagedProcess(name, self.log_file)
@@ -125,9 +125,9 @@
                 },
             },
         )
-        self.ids = dict(enumerate((await self.host_pool.wait_for_message("ready"))["hosts"]))
-        self.list_at = f"127.0.0.1:{(await self.list.wait_for_message('ready'))['port']}"
-        for number, host in self.ids.items():
+        self.host_ids = dict(enumerate((await self.host_pool.wait_for_message("ready"))["hosts"]))
+        self.list_address = f"127.0.0.1:{(await self.list.wait_for_message('ready'))['port']}"
+        for number, host in self.host_ids.items():
             host_spec = self.host_specs[number]
             await self.set_endpoint(number, host, "ready", 0.0, host_spec)
         self.make_keys()
@@ -145,9 +145,9 @@
                     },
                 },
             )
-            self.feed_at = f"127.0.0.1:{(await self.feed.wait_for_message('ready'))['port']}"
+            self.feed_address = f"127.0.0.1:{(await self.feed.wait_for_message('ready'))['port']}"
         count, per_process = day["gateways"]["count"], day["gateways"]["in_a_process"]
-        groups = in_processes(count, per_process, len(day["fleet"]["floors"]))
+        groups = group_by_process(count, per_process, len(day["fleet"]["floors"]))
         for i in range(0, len(groups), 8):
             await asyncio.gather(*(self.start_gateways(group) for group in groups[i : i + 8]))
         self.clients = await self.new_process("clients").start(
@@ -166,9 +166,9 @@
             )
             await self.crowd.wait_for_message("ready")
         self.count = (await self.clients.wait_for_message("ready", 120.0))["events"]
-        self.begun = now() + 500
-        self.clients.command("go", at=self.begun)
-        self.record.add("begun", t=self.begun, a=day["warm"], b=day["length"])
+        self.started_ms = now() + 500
+        self.clients.command("go", at=self.started_ms)
+        self.record.add("begun", t=self.started_ms, a=day["warm"], b=day["length"])
         self.tasks.add(
             asyncio.get_running_loop().create_task(
                 CpuStarvationMonitor(self.record, now, self.monitored_processes).watch()
@@ -240,9 +240,9 @@
                         self.day,
                         number,
                         address,
-                        self.list_at,
+                        self.list_address,
                         self.folder,
-                        self.feed_at,
+                        self.feed_address,
                         self.peer_addresses,
                     )
                 )
@@ -311,7 +311,7 @@
         total_ms, reported_ms = self.day["warm"] + self.day["length"], 0.0
         pending = list(plan.steps)
         while True:
-            elapsed_ms = now() - self.begun
+            elapsed_ms = now() - self.started_ms
             while pending and pending[0][0] <= elapsed_ms:
                 _, step, values = pending.pop(0)
                 task = asyncio.get_running_loop().create_task(
@@ -346,11 +346,11 @@
             child.signal(signal.SIGTERM)
         for child in processes:
             code = await asyncio.wait_for(child.process.wait(), 30.0)
-            self.codes.append(code)
+            self.exit_codes.append(code)
             self.record.add("gateway ended", child.name, number=code)
-        if any(self.codes):
+        if any(self.exit_codes):
             raise RunFailedError(
-                f"gateways exited with {sorted(set(self.codes))}, expected 0; "
+                f"gateways exited with {sorted(set(self.exit_codes))}, expected 0; "
                 f"see {self.log_file.name}"
             )
 
--- a/cherrydoor/rehearsal/seen.py
+++ b/cherrydoor/rehearsal/seen.py
@@ -16,7 +16,7 @@
 NEVER_RAN_OUTCOMES = ("full", "missing")
 
 
-class Unreadable(ValueError):
+class UnreadableTrafficError(ValueError):
     """The folder holds no traffic that can be judged."""
 
 
@@ -27,11 +27,11 @@
         """Read all Parquet files of the folder.
 
         Raises:
-            Unreadable: The folder holds no Parquet file.
+            UnreadableTrafficError: The folder holds no Parquet file.
         """
         files = sorted(Path(folder).glob("*.parquet"))
         if not files:
-            raise Unreadable(f"no Parquet files in {folder}")
+            raise UnreadableTrafficError(f"no Parquet files in {folder}")
         tables = [pq.read_table(f).cast(plain_schema(pq.read_schema(f))) for f in files]
         table = pa.concat_tables(tables).sort_by("t")
         self.rows_by_kind = {}
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from test_days import LITTLE
+from test_days import SMALL_SCENARIO
 
 from cherrydoor.emulator.play import emulate
 from cherrydoor.emulator.world import World
@@ -15,7 +15,7 @@
 from cherrydoor.rehearsal.day import read_day
 
 
-def run_scenario(folder, text=LITTLE, seed=1):
+def run_scenario(folder, text=SMALL_SCENARIO, seed=1):
     """Emulates the scenario and returns the audit's report."""
     folder.mkdir(parents=True, exist_ok=True)
     day = folder / "little.day"
@@ -36,7 +36,7 @@
     for hash_seed in ("1", "2"):
         folder = tmp_path / hash_seed
         folder.mkdir()
-        (folder / "little.day").write_text(LITTLE)
+        (folder / "little.day").write_text(SMALL_SCENARIO)
         done = subprocess.run(
             [
                 sys.executable,
@@ -108,7 +108,7 @@
 
 def test_a_killed_gateway_and_a_paused_gateway_break_no_rule(tmp_path):
     text = (
-        LITTLE[: LITTLE.index("troubles:")]
+        SMALL_SCENARIO[: SMALL_SCENARIO.index("troubles:")]
         + """troubles: [
   {at: 1s, what: "gateway-crash", lasts: 800ms, part: 30%}
   {at: 2s, what: "gateway-stall", lasts: 1s, part: 30%}
--- a/tests/rehearsal/test_days.py
+++ b/tests/rehearsal/test_days.py
@@ -17,7 +17,7 @@
 from cherrydoor.rehearsal.scenario_runner import RunFailedError, ScenarioRunner
 from cherrydoor.rehearsal.traffic import draw_arrivals
 
-LITTLE = """
+SMALL_SCENARIO = """
 name: "little"
 length: 4s
 warm: 1s
@@ -54,7 +54,7 @@
 
 def test_small_scenario_with_faults_breaks_no_rule(tmp_path):
     path = tmp_path / "little.day"
-    path.write_text(LITTLE)
+    path.write_text(SMALL_SCENARIO)
     run = cherrydoor("rehearse", str(path), "--out", str(tmp_path / "out"), "--json", "--quiet")
     assert run.returncode == 0, run.stderr + run.stdout[-2000:]
     report = json.loads(run.stdout)
@@ -108,9 +108,9 @@
     tmp_path,
 ):
     path = tmp_path / "gate.day"
-    faults_at = LITTLE.index("troubles:")
+    faults_at = SMALL_SCENARIO.index("troubles:")
     path.write_text(
-        LITTLE[:faults_at]
+        SMALL_SCENARIO[:faults_at]
         + """
 offices: [{name: "harbour", share: 2}, {name: "meadow", share: 1}]
 doors: {tls: true, known: 10, places: 40, descriptors: 160}
@@ -134,10 +134,10 @@
 def test_a_scenario_that_cannot_be_read_or_run_exits_with_2(tmp_path):
     assert cherrydoor("rehearse", "no-such-day").returncode == 2
     path = tmp_path / "bad.day"
-    path.write_text(LITTLE.replace("hosts: 4", "hosts: 0"))
+    path.write_text(SMALL_SCENARIO.replace("hosts: 4", "hosts: 0"))
     run = cherrydoor("rehearse", str(path))
     assert run.returncode == 2 and "fleet.hosts" in run.stderr and "Traceback" not in run.stderr
-    path.write_text(LITTLE)
+    path.write_text(SMALL_SCENARIO)
     (tmp_path / "out" / "traffic").mkdir(parents=True)
     (tmp_path / "out" / "traffic" / "x").touch()
     with pytest.raises(RunFailedError):
@@ -146,7 +146,7 @@
 
 def test_an_interrupted_rehearsal_leaves_no_process_running(tmp_path):
     path = tmp_path / "little.day"
-    path.write_text(LITTLE)
+    path.write_text(SMALL_SCENARIO)
     arguments = ["rehearse", str(path), "--out", str(tmp_path / "out")]
     running = subprocess.Popen(
         [sys.executable, "-m", "cherrydoor", *arguments],
@@ -177,7 +177,7 @@
 
 def test_the_same_seed_gives_the_same_scenario_and_another_seed_a_different_one(tmp_path):
     path = tmp_path / "little.day"
-    path.write_text(LITTLE)
+    path.write_text(SMALL_SCENARIO)
     scenario, same_seed, other_seed = read_day(path), read_day(path), read_day(path, seed=2)
     assert (
         draw_arrivals(scenario).at_ms == draw_arrivals(same_seed).at_ms
@@ -207,7 +207,7 @@
     schema = (SHIPPED.parent.parent / "config" / "scenario.schema").read_text()
     names = schema.split("what: ")[1].splitlines()[0].replace('"', "").split(" | ")
     text = (
-        LITTLE.split("troubles:")[0]
+        SMALL_SCENARIO.split("troubles:")[0]
         + "troubles: ["
         + "\n".join(f'{{at: 100ms, lasts: 1s, what: "{name}"}}' for name in names)
         + "]"
@@ -233,6 +233,6 @@
 
 def test_a_fault_after_the_end_of_the_scenario_is_refused(tmp_path):
     path = tmp_path / "late.day"
-    path.write_text(LITTLE.replace("at: 500ms", "at: 500s"))
+    path.write_text(SMALL_SCENARIO.replace("at: 500ms", "at: 500s"))
     with pytest.raises(Problems, match="troubles.0.at"):
         read_day(path)
--- a/tests/rehearsal/traffic.py
+++ b/tests/rehearsal/traffic.py
@@ -52,7 +52,7 @@
         self.add("conductor", "begun", 1000.0, a=0.0, b=60000.0)
         for host in ("h1", "h2"):
             self.add("host", "host up", 500.0, who=host, a=2.0)
-        self.tell(600.0, 1, "g0", {"h1": "ready", "h2": "ready"}, whole=True)
+        self.update_endpoints(600.0, 1, "g0", {"h1": "ready", "h2": "ready"}, whole=True)
         for number in range(30):
             self.event(number, 2000.0 + 100 * number, ("draft", "sign", "archive")[number % 3])
 
@@ -60,7 +60,7 @@
         self.rows.append({"end": end, "what": what, "t": t, "who": who or end, **more})
         return self.rows[-1]
 
-    def tell(self, t, revision, gateway, states, whole=False):
+    def update_endpoints(self, t, revision, gateway, states, whole=False):
         """Adds an update of the endpoint list to one gateway, which receives it 5 ms later."""
         for host, state in states.items():
             self.add("list", "row", t, peer=gateway, id=revision, function=host, fate=state)
@@ -110,7 +110,7 @@
     def drop(self, what, event):
         self.rows.remove(self.find(what, event))
 
-    def judge(self, folder):
+    def audit(self, folder):
         """Records the run into the folder and audits it.
 
         Returns (rule, event) of each violation, and the whole report.
