--- a/bench/links.py
+++ b/bench/links.py
@@ -91,13 +91,13 @@
         await emulation.play()
         return emulation
 
-    real_clocks = Clocks.steady, Clocks.wall
-    Clocks.steady, Clocks.wall = world.time, world.wall_time
+    real_clocks = Clocks.monotonic, Clocks.wall
+    Clocks.monotonic, Clocks.wall = world.time, world.wall_time
     asyncio.set_event_loop(world)
     try:
         return world.run_until_complete(run())
     finally:
-        Clocks.steady, Clocks.wall = real_clocks
+        Clocks.monotonic, Clocks.wall = real_clocks
         unfinished = asyncio.all_tasks(world)
         for task in unfinished:
             task.cancel()
--- a/cherrydoor/emulator/play.py
+++ b/cherrydoor/emulator/play.py
@@ -194,7 +194,7 @@
         if name == "deaf":
             endpoint_list.muted = values["on"]
         else:
-            endpoint_list.set(msgspec.convert(values, protocol.Endpoint))
+            endpoint_list.set_endpoint(msgspec.convert(values, protocol.Endpoint))
 
     async def start_gateways(self, group):
         """Starts these gateways; after a kill, on the same ports and with the stored votes."""
@@ -281,8 +281,8 @@
         RunFailedError: The scenario could not be run to its end.
     """
     world = World(day["seed"])
-    real_clocks = Clocks.steady, Clocks.wall
-    Clocks.steady, Clocks.wall = world.time, world.wall_time
+    real_clocks = Clocks.monotonic, Clocks.wall
+    Clocks.monotonic, Clocks.wall = world.time, world.wall_time
     asyncio.set_event_loop(world)
     try:
 
@@ -291,7 +291,7 @@
 
         world.run_until_complete(play())
     finally:
-        Clocks.steady, Clocks.wall = real_clocks
+        Clocks.monotonic, Clocks.wall = real_clocks
         for task in (unfinished := asyncio.all_tasks(world)):
             task.cancel()
         world.run_until_complete(asyncio.gather(*unfinished, return_exceptions=True))
--- a/cherrydoor/fakes/capacity.py
+++ b/cherrydoor/fakes/capacity.py
@@ -12,7 +12,7 @@
         cold_start_ms: Time of its cold start on the monotonic clock; 0 if it started warm.
         recent_work: (time, CPU work in ms) of the attempts within the last `spec.fall` ms.
         load_reports: (time, attempts in flight) of its load reports, the oldest first.
-        slow: Factor by which work is slowed down; 1 for none.
+        slowdown: Factor by which work is slowed down; 1 for none.
         crashed_by_overload: Whether it has crashed by overload since its start.
         timer: Calls `reschedule` when the next job on the cores ends.
         paused_until_ms: Until then no work advances and no message is sent.
@@ -31,7 +31,7 @@
     load_reports: Any
     random_fraction: Any
     kill: Any
-    slow: float
+    slowdown: float
     crashed_by_overload: bool
     timer: Any
     paused_until_ms: float
@@ -51,7 +51,7 @@
         return (
             0.0
             if self.paused_until_ms > now()
-            else self.spec.speed * self.warm_up_level() / self.slow
+            else self.spec.speed * self.warm_up_level() / self.slowdown
         )
 
     def is_overloaded_by(self, work_ms):
--- a/cherrydoor/fakes/command.py
+++ b/cherrydoor/fakes/command.py
@@ -122,7 +122,7 @@
     def slow(self, hosts=None, times=1.0):
         """Slows all work by a factor."""
         for host in self.running_hosts(hosts):
-            host.slow = times
+            host.slowdown = times
             host.reschedule()
 
     def deaf(self, hosts=None, clause="", share=0.0):
@@ -258,11 +258,11 @@
         port=settings.get("port", 0)
     )
     for host in settings.get("hosts", ()):
-        server.set(protocol.Endpoint(host, "ready"))
+        server.set_endpoint(protocol.Endpoint(host, "ready"))
 
     def handle_command(name, values):
         if name == "row":
-            server.set(msgspec.convert(values, protocol.Endpoint))
+            server.set_endpoint(msgspec.convert(values, protocol.Endpoint))
         elif name == "deaf":
             server.muted = values["on"]
         else:
--- a/cherrydoor/fakes/copies.py
+++ b/cherrydoor/fakes/copies.py
@@ -106,7 +106,7 @@
         origin: Gateway that owns the request, and the incarnation in which it accepted it.
         number: The host's own id for the attempt.
         connection: Connection to which the result is sent.
-        launch: The `Attempt` message.
+        attempt: The `Attempt` message.
         copies: Copies of its function.
         copy: Value of `copy` in its result: 1 a copy was loaded, 2 it began a load, 3 it waited for
             a load.
@@ -116,11 +116,11 @@
         arrived_at_ms: When it arrived, on the monotonic clock.
     """
 
-    def __init__(self, connection, launch, copies, origin=("", 0), number=0):
+    def __init__(self, connection, attempt, copies, origin=("", 0), number=0):
         self.origin, self.number = origin, number
-        self.connection, self.launch, self.copies, self.copy, self.concurrency = (
+        self.connection, self.attempt, self.copies, self.copy, self.concurrency = (
             connection,
-            launch,
+            attempt,
             copies,
             1,
             0,
--- a/cherrydoor/fakes/ended_attempts.py
+++ b/cherrydoor/fakes/ended_attempts.py
@@ -33,7 +33,7 @@
         self.at_ms = now()
         self.origin = job.origin
         self.number = job.number
-        self.launch = job.launch
+        self.launch = job.attempt
         self.outcome = outcome
         self.body = body
 
@@ -134,7 +134,7 @@
 
     def _attempts_of(self, origin):
         running = [
-            HostAttempt(job.number, job.launch.client, job.launch.request_id, job.launch.attempt)
+            HostAttempt(job.number, job.attempt.client, job.attempt.request_id, job.attempt.attempt)
             for job in self.running_attempts.values()
             if job.origin == origin
         ]
@@ -185,12 +185,12 @@
             self.id,
             connection.name,
             message.id,
-            found[1].launch.request_id if found else 0,
+            found[1].attempt.request_id if found else 0,
         )
         if found is not None:
             key, job = found
             del self.running_attempts[key]
-            job.connection, job.launch.id = connection, message.id
+            job.connection, job.attempt.id = connection, message.id
             self.running_attempts[connection, message.id] = job
             return
         ended = next((one for one in self.ended_attempts if one.number == message.attempt_id), None)
@@ -213,7 +213,7 @@
                 (
                     one
                     for one in self.running_attempts.values()
-                    if one.launch.id == message.id
+                    if one.attempt.id == message.id
                     and one.connection.name == connection.name
                     and one.connection.incarnation == connection.incarnation
                 ),
--- a/cherrydoor/fakes/endpoint_list.py
+++ b/cherrydoor/fakes/endpoint_list.py
@@ -102,7 +102,7 @@
         self.record.add("told", peer=name, id=self.revision, fate=kind, number=len(endpoints))
         connection.write(protocol.EndpointUpdate(self.revision, kind, endpoints))
 
-    def set(self, endpoint):
+    def set_endpoint(self, endpoint):
         """Changes an endpoint, or removes it if its state is "gone", and notifies each follower."""
         if endpoint.state == "gone":
             self.endpoints.pop(endpoint.host, None)
--- a/cherrydoor/fakes/host.py
+++ b/cherrydoor/fakes/host.py
@@ -36,7 +36,7 @@
         images: Functions whose image is on its disk, as `FetchResult` by name; kept over a crash.
         silenced: Whether it sends no messages.
         refusing: Whether it aborts new connections.
-        slow: Factor by which its work is slowed down.
+        slowdown: Factor by which its work is slowed down.
         unanswered_share: Fraction of its attempts that run but are not answered.
         unanswered_shares_by_class: The same by request class; the larger one applies.
         pause_cycle: (length, interval) in ms of its repeated pauses; None for none.
@@ -66,7 +66,7 @@
         )
         self.up, self.draining, self.images = False, False, {}
         self.silenced = self.refusing = False
-        self.slow, self.unanswered_share, self.pause_cycle, self.paused_until_ms = (
+        self.slowdown, self.unanswered_share, self.pause_cycle, self.paused_until_ms = (
             1.0,
             0.0,
             None,
@@ -165,9 +165,9 @@
                 "cut",
                 self.id,
                 connection.name,
-                job.launch.id,
-                job.launch.request_id,
-                job.launch.attempt,
+                job.attempt.id,
+                job.attempt.request_id,
+                job.attempt.attempt,
             )
             self.drop_attempt(job)
 
@@ -180,7 +180,7 @@
         elif kind is protocol.CancelAttempt:
             job = self.cancellable_attempt(connection, message)
             self.record.add(
-                "recall", self.id, connection.name, message.id, job.launch.request_id if job else 0
+                "recall", self.id, connection.name, message.id, job.attempt.request_id if job else 0
             )
             if job:
                 self.drop_attempt(job)
@@ -288,12 +288,12 @@
         ):
             job = copies.queued.popleft()
             copies.running += 1
-            faults = self.host_pool.faulty_versions.get(job.launch.function, {})
-            work_ms = self.draw(copies.facts.work) * faults.get("slow", 1.0)
+            faults = self.host_pool.faulty_versions.get(job.attempt.function, {})
+            work_ms = self.draw_work_ms(copies.facts.work) * faults.get("slow", 1.0)
             if self.random_fraction() < faults.get("crash", 0.0):
                 self.loop.call_soon(self.kill, "crashed by a version")
                 self.loop.call_later(2.0, self.restart_after_crash)
-            if not self.host_pool.is_new(self, job.launch):
+            if not self.host_pool.is_new(self, job.attempt):
                 # A repeat whose idempotency key is remembered is answered without an effect.
                 work_ms = 0.1
             job.serial = self.cores.add(
@@ -306,8 +306,8 @@
         copies = job.copies
         copies.running -= 1
         copies.last_used_ms = now()
-        self.running_attempts.pop((job.connection, job.launch.id), None)
-        launch = job.launch
+        self.running_attempts.pop((job.connection, job.attempt.id), None)
+        launch = job.attempt
         if self.host_pool.record_effect(self, launch):
             self.record.add(
                 "effect",
@@ -348,7 +348,7 @@
 
     def respond(self, job, outcome, copy=None):
         """Sends the result of an attempt; `copy` overrides what it states of the copy."""
-        job.ended, launch = True, job.launch
+        job.ended, launch = True, job.attempt
         copy = job.copy if copy is None else copy
         body = b"x" * min(len(launch.body), 4 * 2**20) if outcome == "handled" else b""
         self.remember_ended(job, outcome, body)
@@ -413,7 +413,7 @@
 
     def drop_attempt(self, job):
         """Cancels an attempt that its gateway no longer waits for; a load in progress continues."""
-        self.running_attempts.pop((job.connection, job.launch.id), None)
+        self.running_attempts.pop((job.connection, job.attempt.id), None)
         job.ended, copies = True, job.copies
         if job.serial is not None:
             self.cores.drop(now(), self.core_speed(), job.serial)
@@ -422,6 +422,6 @@
         elif job in copies.queued:
             copies.queued.remove(job)
 
-    def draw(self, mean_ms):
+    def draw_work_ms(self, mean_ms):
         """Returns the work of one run in ms, exponentially distributed."""
         return -mean_ms * log(max(1e-6, 1 - self.random_fraction()))
--- a/cherrydoor/fakes/loads.py
+++ b/cherrydoor/fakes/loads.py
@@ -112,7 +112,7 @@
             copies.release = copies.facts.release
         elif not copies.loaded:
             for job in copies.queued:
-                self.running_attempts.pop((job.connection, job.launch.id), None)
+                self.running_attempts.pop((job.connection, job.attempt.id), None)
                 self.respond(job, "missing" if self.spec.misses else "error", 4)
             copies.queued.clear()
         if self.load_queue and len(self.active_loads) < self.spec.loads:
--- a/cherrydoor/fakes/record.py
+++ b/cherrydoor/fakes/record.py
@@ -39,12 +39,12 @@
 class Clocks:
     """The clocks of this process, in seconds; an emulation replaces them by its virtual clocks."""
 
-    steady, wall = time.monotonic, time.time
+    monotonic, wall = time.monotonic, time.time
 
 
 def now():
     """Returns the monotonic time in ms, which is the same for all processes of one machine."""
-    return Clocks.steady() * 1000
+    return Clocks.monotonic() * 1000
 
 
 def wall():
--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -169,10 +169,10 @@
         address = self.ports.take()
         name = await self.proxy.port("h", address)
         host = await self.host_pool.add(name, HostSpec(eager=False), bind=address)
-        host.draw = lambda mean: mean
+        host.draw_work_ms = lambda mean: mean
         zone = f"floor-{len(self.hosts) % self.zone_count}"
         self.hosts.append(host)
-        self.endpoint_watch.set(protocol.Endpoint(host.id, "ready", 0.0, zone))
+        self.endpoint_watch.set_endpoint(protocol.Endpoint(host.id, "ready", 0.0, zone))
 
     def gateways_with_endpoints(self):
         """Return the names of the gateways that have read the endpoint list."""
@@ -199,7 +199,7 @@
 
     def _set_slowdown(self, factor):
         for host in self.hosts:
-            host.slow = factor
+            host.slowdown = factor
             host.reschedule()
 
     async def until_running(self, request_id):
@@ -207,7 +207,7 @@
         await eventually(lambda: self.rows.of("launch", request_id))
         await eventually(
             lambda: any(
-                job.launch.request_id == request_id and job.serial is not None
+                job.attempt.request_id == request_id and job.serial is not None
                 for host in self.hosts
                 for job in host.running_attempts.values()
             )
--- a/tests/failover/test_hosts.py
+++ b/tests/failover/test_hosts.py
@@ -18,9 +18,9 @@
 
 
 class RunningJob:
-    def __init__(self, connection, launch, number, origin):
+    def __init__(self, connection, attempt, number, origin):
         self.connection = connection
-        self.launch = launch
+        self.attempt = attempt
         self.number = number
         self.origin = origin
         self.serial = 1
--- a/tests/zone_drain/test_drain_of_a_fleet.py
+++ b/tests/zone_drain/test_drain_of_a_fleet.py
@@ -200,7 +200,7 @@
             for host in lost_hosts:
                 host.kill()
                 gone = protocol.Endpoint(host.id, "gone", 0.0, "floor-1")
-                platform.endpoint_watch.set(gone)
+                platform.endpoint_watch.set_endpoint(gone)
 
             async def coordinator_status():
                 """Returns the coordinator's status; {} while there is none."""
@@ -222,7 +222,7 @@
             for host in lost_hosts:
                 await host.start(cold=True)
                 ready = protocol.Endpoint(host.id, "ready", host.started_at_ms, "floor-1")
-                platform.endpoint_watch.set(ready)
+                platform.endpoint_watch.set_endpoint(ready)
             await coordinator_in_state(platform.gates, "empty")
         assert all(len(answers) == 1 for answers in platform.caller.answers.values())
 
