--- a/tests/failover/fleet_and_hosts.py
+++ b/tests/failover/fleet_and_hosts.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fleet import LONGEST, Fleet, until
+from fleet import WAIT_TIMEOUT_S, Fleet, until
 
 from cherrydoor.connection import FramedConnection
 from cherrydoor.fakes.catalogue import Catalogue
@@ -159,7 +159,7 @@
             await self.add_host()
         self.list_at = f"127.0.0.1:{self.endpoint_watch.port}"
         await super().__aenter__()
-        await self.together()
+        await self.wait_until_all_alive()
         for gate in self.gates:
             await self.caller.connect(gate)
             await eventually(lambda gate=gate: gate.name in self.gateways_with_endpoints())
@@ -169,10 +169,10 @@
         address = self.ports.take()
         name = await self.proxy.port("h", address)
         host = await self.host_pool.add(name, HostSpec(eager=False), bind=address)
-        host.draw = lambda mean: mean
+        host.draw_work_ms = lambda mean: mean
         zone = f"floor-{len(self.hosts) % self.zone_count}"
         self.hosts.append(host)
-        self.endpoint_watch.set(protocol.Endpoint(host.id, "ready", 0.0, zone))
+        self.endpoint_watch.set_endpoint(protocol.Endpoint(host.id, "ready", 0.0, zone))
 
     def gateways_with_endpoints(self):
         """Return the names of the gateways that have read the endpoint list."""
@@ -199,7 +199,7 @@
 
     def _set_slowdown(self, factor):
         for host in self.hosts:
-            host.slow = factor
+            host.slowdown = factor
             host.reschedule()
 
     async def until_running(self, request_id):
@@ -207,7 +207,7 @@
         await eventually(lambda: self.rows.of("launch", request_id))
         await eventually(
             lambda: any(
-                job.launch.request_id == request_id and job.serial is not None
+                job.attempt.request_id == request_id and job.serial is not None
                 for host in self.hosts
                 for job in host.running_attempts.values()
             )
@@ -226,7 +226,7 @@
 async def eventually(condition):
     """Wait until a condition returns a true value, and return that value."""
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + LONGEST
+    deadline = loop.time() + WAIT_TIMEOUT_S
     while not (found := condition()):
         assert loop.time() < deadline, "condition not met in time"
         await asyncio.sleep(POLL_INTERVAL_S)
