--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -91,7 +91,7 @@
             if self.waiting_limit is None:
                 count = 20
             else:
-                count = min(100, self.waiting_limit - self.waiting())
+                count = self.waiting_limit - self.waiting()
             for _ in range(count):
                 self._open_one()
             await asyncio.sleep(0.002)
