--- a/tests/admission/test_flood.py
+++ b/tests/admission/test_flood.py
@@ -88,10 +88,7 @@
     async def _run(self):
         while True:
             before = self.opened
-            if self.waiting_limit is None:
-                count = 20
-            else:
-                count = self.waiting_limit - self.waiting()
+            count = 20 if self.waiting_limit is None else self.waiting_limit - self.waiting()
             for _ in range(count):
                 self._open_one()
             await asyncio.sleep(0.002)
