--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,9 @@
-# `make rehearse` and `make test` set up what they need: a virtual environment in .venv, from the pinned lists.
+# Targets that run Python first set up a virtual environment in .venv from the pinned requirements.
 PY := .venv/bin/python
 READY := .venv/ready
 
-# Tests that start no process and serve no real client: seconds, for small steps. `make test` stays the whole.
+# Quick tests for small steps: they start no process, serve no real client and take seconds.
+# `make test` runs all tests.
 CHECK := tests/behaviour tests/compatibility tests/routing tests/protocol tests/config tests/admission/test_controller.py \
 	tests/soak/test_verdict.py tests/releases/test_rollouts.py tests/releases/test_evidence.py tests/tls/test_credential_store.py \
 	tests/membership/test_member_table.py tests/membership/test_peer_links.py \
@@ -12,7 +13,8 @@
 	tests/zone_drain/test_neighbours_and_emptying.py tests/zone_drain/test_operator_commands.py
 
 .PHONY: service rehearse check test lint ci soak bench bench-doors bench-releases fleet fleet-full variants clean
-# what the platform's gateway needs, and its byte code, as the file system is read-only in service
+# Installs what the platform's gateway needs and compiles its byte code, because the file system is
+# read-only in service.
 service:
 	test -x $(PY) || python3 -m venv .venv
 	$(PY) -m pip install -q --disable-pip-version-check -r requirements-service.txt
@@ -41,7 +43,8 @@
 	$(PY) -m pip install -q --disable-pip-version-check --no-deps -e .
 	touch $(READY)
 
-# Soaks by hand: make soak SEED=1 RUNS=50 BESIDE=4. CI plays three fixed seeds (tests/soak).
+# Runs soaks, BESIDE of them in parallel: make soak SEED=1 RUNS=50 BESIDE=4. CI runs three fixed seeds
+# (tests/soak).
 SEED := 1
 RUNS := 1
 BESIDE := 1
@@ -60,8 +63,9 @@
 bench-releases: $(READY)
 	$(PY) -m bench.releases docs/releases.svg
 
-# The standing test of the whole fleet, with the operators' kit beside the checkout: no part of CI. The exit code is the
-# gate's verdict. KIT and WHY may be given: make fleet WHY="what changed"
+# The regular test of a whole fleet with the operators' kit, which lies next to the checkout; not part
+# of CI. The exit code is 0 if the kit's gate passed. KIT and WHY can be set:
+# make fleet WHY="what changed"
 KIT := ../given/kit/more
 WHY := The standing test by make
 FLEET = if test ! -x $(KIT)/mass/bin/lbreal; then echo "make $@: needs the operators' kit at $(KIT), none there"; exit 2; fi; \
@@ -74,7 +78,8 @@
 fleet-full:
 	@$(call FLEET,)
 
-# The quick standing test on the sites of our own (deploy/sites): the kit's tables of names are laid beside copies of them.
+# The quick fleet test on the sites in deploy/sites: copies each site next to copies of the kit's name
+# tables.
 variants:
 	@if test ! -x $(KIT)/mass/bin/lbreal; then echo "make $@: needs the operators' kit at $(KIT), none there"; exit 2; fi
 	@for site in parking-desk port-registry; do \
